--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -99,54 +99,58 @@
 
 impl Departure {
     /// Whether it says more than what is known: somebody's word holds on, a copy's doesn't.
-    pub(crate) fn outweighs(self, known: Self) -> bool {
+    pub(crate) fn overrides(self, known: Self) -> bool {
         known.teller == Teller::Copy && self.teller != Teller::Copy
     }
 }
 
 /// Starts of workers that leave and aren't listed, or not yet, by their keys.
 #[derive(Clone, Debug, Default)]
-pub struct Unlisted {
-    by_start: HashMap<u64, Departure>,
+pub struct UnlistedDepartures {
+    by_incarnation: HashMap<u64, Departure>,
 }
 
-impl Unlisted {
+impl UnlistedDepartures {
     /// Remembers that a start leaves; false if it is known.
-    pub(crate) fn keep(&mut self, start: u64, departure: Departure) -> bool {
-        let known = self.by_start.get(&start);
-        if known.is_some_and(|known| !departure.outweighs(*known)) {
+    pub(crate) fn keep(&mut self, incarnation: u64, departure: Departure) -> bool {
+        let known = self.by_incarnation.get(&incarnation);
+        if known.is_some_and(|known| !departure.overrides(*known)) {
             return false;
         }
-        self.by_start.insert(start, departure);
-        if self.by_start.len() > UNLISTED_MAX_COUNT {
+        self.by_incarnation.insert(incarnation, departure);
+        if self.by_incarnation.len() > UNLISTED_MAX_COUNT {
             self.forget_oldest();
         }
         true
     }
 
     /// Takes out what is known of a start; its key is made only where some are known.
-    pub(crate) fn take(&mut self, start: impl FnOnce() -> u64) -> Option<Departure> {
-        if self.by_start.is_empty() {
+    pub(crate) fn take(&mut self, incarnation: impl FnOnce() -> u64) -> Option<Departure> {
+        if self.by_incarnation.is_empty() {
             return None;
         }
-        self.by_start.remove(&start())
+        self.by_incarnation.remove(&incarnation())
     }
 
     /// Forgets those that only a copy's rows would bring back.
-    pub(crate) fn forget_ended(&mut self) {
-        self.by_start.retain(|_, of| of.teller != Teller::Copy);
+    pub(crate) fn forget_restored(&mut self) {
+        self.by_incarnation
+            .retain(|_, departure| departure.teller != Teller::Copy);
     }
 
     /// Counts them.
     pub fn count(&self) -> usize {
-        self.by_start.len()
+        self.by_incarnation.len()
     }
 
     /// Forgets one of the oldest: many may have come in the same millisecond.
     fn forget_oldest(&mut self) {
-        let oldest = self.by_start.iter().min_by_key(|(_, of)| of.since_ms);
-        if let Some(start) = oldest.map(|(start, _)| *start) {
-            self.by_start.remove(&start);
+        let oldest = self
+            .by_incarnation
+            .iter()
+            .min_by_key(|(_, departure)| departure.since_ms);
+        if let Some(incarnation) = oldest.map(|(incarnation, _)| *incarnation) {
+            self.by_incarnation.remove(&incarnation);
         }
     }
 }
--- a/crates/cranereach-fleet/src/first_read.rs
+++ b/crates/cranereach-fleet/src/first_read.rs
@@ -18,12 +18,12 @@
 /// Time for which the others leave the first read to those that the settings name, in
 /// milliseconds: a list of 10,000 workers takes a small machine some two seconds, and as
 /// long again to reach all of 300 instances, where 4 s would make three of them read.
-const LEFT_TO_SEEDS_FOR_MS: u64 = 6_000;
+const SEEDS_HEAD_START_MS: u64 = 6_000;
 
 /// Time by which each of them leaves it to those before it, in milliseconds: more than a
 /// list of some hundred workers takes to read. Whoever has a list that came from the same
 /// reader can be told its changes, however far behind.
-const SEED_TURN_MS: u64 = 400;
+const SEED_STAGGER_MS: u64 = 400;
 
 /// Time over which each known instance spreads the reads that follow, in milliseconds:
 /// some sixteen begin a second, however many there are.
@@ -32,14 +32,14 @@
 /// Time for which the first of a failure domain leaves it to those who are told from
 /// elsewhere to fetch there, in milliseconds: some know few others yet, and take
 /// themselves for the first.
-const LEFT_TO_GATES_FOR_MS: u64 = 1_000;
+const RELAY_HEAD_START_MS: u64 = 1_000;
 
 /// The same for all others.
-const LEFT_TO_FIRST_FOR_MS: u64 = 2_500;
+const FIRST_IN_DOMAIN_HEAD_START_MS: u64 = 2_500;
 
 /// Time over which each known instance spreads the fetches from elsewhere that follow,
 /// in milliseconds.
-const FAR_SPREAD_EACH_MS: u64 = 10;
+const FAR_SPREAD_PER_INSTANCE_MS: u64 = 10;
 
 /// The nearest who is known to have what an instance lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -126,24 +126,24 @@
         let Holder::Elsewhere { known_for_ms } = self.holder else {
             return false;
         };
-        let others_ms = LEFT_TO_FIRST_FOR_MS + self.drawn_ms(FAR_SPREAD_EACH_MS);
-        let is_first = self.rank_in_domain == 0 && known_for_ms >= LEFT_TO_GATES_FOR_MS;
+        let others_ms = FIRST_IN_DOMAIN_HEAD_START_MS + self.jitter_ms(FAR_SPREAD_PER_INSTANCE_MS);
+        let is_first = self.rank_in_domain == 0 && known_for_ms >= RELAY_HEAD_START_MS;
         self.is_gate || is_first || known_for_ms >= others_ms
     }
 
     /// Whether it is its turn to read at the store.
     fn may_read_store(&self) -> bool {
         let due_ms = match self.seed_rank {
-            Some(rank) => rank * SEED_TURN_MS,
-            None if self.has_heard => LEFT_TO_SEEDS_FOR_MS + self.drawn_ms(SPREAD_EACH_MS),
+            Some(rank) => rank * SEED_STAGGER_MS,
+            None if self.has_heard => SEEDS_HEAD_START_MS + self.jitter_ms(SPREAD_EACH_MS),
             None => ALONE_AFTER_MS,
         };
         self.up_for_ms >= due_ms
     }
 
     /// Returns its own place in a spread over all known instances, in milliseconds.
-    fn drawn_ms(&self, each_ms: u64) -> u64 {
-        let spread_ms = self.known_count as u64 * each_ms;
+    fn jitter_ms(&self, per_instance_ms: u64) -> u64 {
+        let spread_ms = self.known_count as u64 * per_instance_ms;
         (self.chance * spread_ms as f64) as u64
     }
 }
--- a/crates/cranereach-fleet/src/listing.rs
+++ b/crates/cranereach-fleet/src/listing.rs
@@ -27,7 +27,7 @@
 use crate::store_position::StorePosition;
 
 /// Reads whose changes are passed on together, so that a lost message does no harm.
-const STEP_MAX_COUNT: usize = 3;
+const DELTA_MAX_COUNT: usize = 3;
 
 /// Size of the rows of one read up to which they are passed on, in bytes.
 const PART_MAX_BYTES: usize = 128 * 1_024;
@@ -64,13 +64,13 @@
 
 /// What one read has changed.
 #[derive(Clone, Debug)]
-struct Step {
+struct Delta {
     from: StorePosition,
     span: Span,
     rows: Vec<ChangedRow>,
 }
 
-impl Step {
+impl Delta {
     fn byte_count(&self) -> usize {
         self.rows.iter().map(ChangedRow::byte_count).sum()
     }
@@ -119,7 +119,7 @@
 pub struct Listing {
     position: StorePosition,
     rows: HashMap<String, (StorePosition, Vec<u8>)>,
-    steps: VecDeque<Step>,
+    deltas: VecDeque<Delta>,
     history: History,
 }
 
@@ -169,7 +169,7 @@
         for row in &new {
             self.put(row);
         }
-        self.add_step(position, span, new.clone());
+        self.add_delta(position, span, new.clone());
         new
     }
 
@@ -191,7 +191,7 @@
             self.put(row);
         }
         if position > self.position {
-            self.add_step(position, Span::Difference, new.clone());
+            self.add_delta(position, Span::Difference, new.clone());
         }
         new
     }
@@ -238,26 +238,26 @@
             rows: Vec::new(),
         };
         let mut byte_count = 0;
-        let mut taken: Vec<&Step> = Vec::new();
-        for step in self.steps.iter().rev() {
-            byte_count += step.byte_count();
+        let mut taken: Vec<&Delta> = Vec::new();
+        for delta in self.deltas.iter().rev() {
+            byte_count += delta.byte_count();
             let max_bytes = if taken.is_empty() {
                 PART_MAX_BYTES
             } else {
                 REPEATED_MAX_BYTES
             };
-            let joins = step.span == Span::Changes || taken.is_empty();
+            let joins = delta.span == Span::Changes || taken.is_empty();
             if byte_count > max_bytes || !joins {
                 break;
             }
-            part.from = step.from;
-            part.span = step.span;
-            taken.push(step);
-            if step.span == Span::Difference {
+            part.from = delta.from;
+            part.span = delta.span;
+            taken.push(delta);
+            if delta.span == Span::Difference {
                 break;
             }
         }
-        let rows = taken.into_iter().rev().flat_map(|step| &step.rows);
+        let rows = taken.into_iter().rev().flat_map(|delta| &delta.rows);
         part.rows = rows.collect();
         Some(part)
     }
@@ -332,23 +332,23 @@
     }
 
     /// Remembers for peers what has changed.
-    fn add_step(&mut self, position: StorePosition, span: Span, rows: Vec<ChangedRow>) {
-        let step = Step {
+    fn add_delta(&mut self, position: StorePosition, span: Span, rows: Vec<ChangedRow>) {
+        let delta = Delta {
             from: self.position,
             span,
             rows,
         };
-        if step.byte_count() > PART_MAX_BYTES {
+        if delta.byte_count() > PART_MAX_BYTES {
             // It can't be told, nor anything before it; whoever lacks it asks for it.
-            self.steps.clear();
+            self.deltas.clear();
         } else {
-            self.steps.push_back(step);
+            self.deltas.push_back(delta);
         }
-        if self.steps.len() > STEP_MAX_COUNT {
-            self.steps.pop_front();
+        if self.deltas.len() > DELTA_MAX_COUNT {
+            self.deltas.pop_front();
         }
         self.history
-            .passed(self.position, position, span, self.rows.len());
+            .note_advance(self.position, position, span, self.rows.len());
         self.position = position;
     }
 }
--- a/crates/cranereach-fleet/src/listing/history.rs
+++ b/crates/cranereach-fleet/src/listing/history.rs
@@ -11,7 +11,7 @@
 
 /// Ends of rows that are remembered whatever the size of the list; of a longer list as
 /// many ends as it has rows, so that they never take more room than the list.
-const ENDED_LEAST_COUNT: usize = 1_024;
+const ENDED_MIN_COUNT: usize = 1_024;
 
 /// Spans between two whole reads that are remembered.
 const UNSEEN_MAX_COUNT: usize = 8;
@@ -58,7 +58,7 @@
     }
 
     /// Notes that the list went from one position to another, and how many rows it has.
-    pub(super) fn passed(
+    pub(super) fn note_advance(
         &mut self,
         from: StorePosition,
         position: StorePosition,
@@ -67,23 +67,23 @@
     ) {
         if from.is_none() {
             // What ended before the first list is not known.
-            self.tell_only_from(position);
+            self.raise_ends_from(position);
         } else if span == Span::Difference {
             self.unseen.push_back((from, position));
         }
         if self.unseen.len() > UNSEEN_MAX_COUNT {
             let oldest = self.unseen.pop_front();
-            self.tell_only_from(oldest.map_or(StorePosition::default(), |(_, to)| to));
+            self.raise_ends_from(oldest.map_or(StorePosition::default(), |(_, to)| to));
         }
-        let max_count = row_count.max(ENDED_LEAST_COUNT);
+        let max_count = row_count.max(ENDED_MIN_COUNT);
         while self.ended.len() > max_count {
             let oldest = self.ended.pop_front();
-            self.tell_only_from(oldest.map_or(StorePosition::default(), |(position, _)| position));
+            self.raise_ends_from(oldest.map_or(StorePosition::default(), |(position, _)| position));
         }
     }
 
     /// Notes that changes can be told only to whoever stands at a position or later.
-    fn tell_only_from(&mut self, position: StorePosition) {
+    fn raise_ends_from(&mut self, position: StorePosition) {
         self.ends_from = self.ends_from.max(position);
     }
 }
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -7,8 +7,8 @@
 mod departures;
 mod eras;
 mod holders;
-mod leave;
-mod weighing;
+mod restrictions;
+mod scoring;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -19,42 +19,42 @@
 
 pub use self::departures::Barred;
 use self::holders::Holders;
-use self::weighing::Weighed;
-use self::weighing::first;
-use self::weighing::weigh;
+use self::scoring::ScoredWorker;
+use self::scoring::cheapest;
+use self::scoring::score_workers;
 use crate::configuration::Engine;
 use crate::departure::Teller;
-use crate::departure::Unlisted;
+use crate::departure::UnlistedDepartures;
 use crate::evacuation::Evacuations;
 use crate::key::worker_key;
 use crate::load::Load;
 use crate::no_worker::NoWorker;
 use crate::store_position::StorePosition;
 use crate::wanted::Wanted;
-use crate::worker::UNSOUND_FROM_MS;
+use crate::worker::EJECTED_PENALTY_MS;
 use crate::worker::Worker;
 use crate::worker::WorkerRecord;
 
 /// Ends of rows that are remembered at most, so that no older row brings one back.
-const GONE_MAX_COUNT: usize = 2_048;
+const TOMBSTONE_MAX_COUNT: usize = 2_048;
 
 /// The end of a row.
 #[derive(Clone, Copy, Debug, Default)]
-struct EndedRow {
+struct Tombstone {
     position: StorePosition,
     /// Key of the start whose row it was, if it was known here.
-    start: Option<u64>,
+    incarnation: Option<u64>,
     /// Whether that start had said that it leaves.
-    had_left: bool,
+    was_leaving: bool,
 }
 
-impl EndedRow {
+impl Tombstone {
     /// Makes the end of a worker's row.
-    fn of(worker: &Worker) -> Self {
+    fn from_worker(worker: &Worker) -> Self {
         Self {
             position: worker.position,
-            start: Some(worker.record.start_key()),
-            had_left: worker.record.is_leaving,
+            incarnation: Some(worker.record.start_key()),
+            was_leaving: worker.record.is_leaving,
         }
     }
 }
@@ -90,15 +90,15 @@
     holders: Holders,
     /// Workers whose rows ended and may come back.
     lapsing: HashSet<Arc<str>>,
-    ended_rows: HashMap<Arc<str>, EndedRow>,
+    tombstones: HashMap<Arc<str>, Tombstone>,
     /// Starts that leave and aren't listed, or not yet.
-    departed: Unlisted,
+    unlisted_departures: UnlistedDepartures,
     /// Keys of starts that another start of their worker has followed, oldest first.
-    followed: VecDeque<u64>,
+    superseded: VecDeque<u64>,
     /// Era of the store that rows are of.
     era: u64,
     /// When rows of a copy are no longer held against a sign of life; none if that is over.
-    copy_trusted_at_ms: Option<u64>,
+    restored_trusted_at_ms: Option<u64>,
     /// Failure domains that are to be evacuated.
     pub evacuations: Evacuations,
 }
@@ -107,9 +107,9 @@
     /// Takes a row of the list; an older one than known changes nothing.
     pub fn put(&mut self, position: StorePosition, mut record: WorkerRecord) -> bool {
         if self
-            .ended_rows
+            .tombstones
             .get(&record.id)
-            .is_some_and(|ended| ended.position >= position)
+            .is_some_and(|tombstone| tombstone.position >= position)
         {
             return false;
         }
@@ -123,45 +123,48 @@
             self.holders.change(&known.record, &record);
             if known.record.started_unix_ms != record.started_unix_ms {
                 if let Some(departure) = known.departure {
-                    self.departed.keep(known.record.start_key(), departure);
+                    self.unlisted_departures
+                        .keep(known.record.start_key(), departure);
                 }
                 if known.position.era == position.era {
-                    let (start, next) = (known.record.start_key(), record.start_key());
-                    eras::note_followed(&mut self.followed, start, next);
+                    let (incarnation, next) = (known.record.start_key(), record.start_key());
+                    eras::note_superseded(&mut self.superseded, incarnation, next);
                 }
                 // It holds and knows nothing of before.
                 let leaves_at = known.leaves_at;
                 *known = Worker::new(position, record);
                 known.leaves_at = leaves_at;
-                known.departure = self.departed.take(|| known.record.start_key());
+                known.departure = self.unlisted_departures.take(|| known.record.start_key());
                 return true;
             }
             let has_changed = known.record != record;
             if has_changed && known.position.era == position.era {
                 // A row that says something else than the copy's is a sign of life.
-                known.departure = known.departure.filter(|of| of.teller != Teller::Copy);
+                known.departure = known
+                    .departure
+                    .filter(|reported| reported.teller != Teller::Copy);
             }
             known.position = position;
             known.lapsed = None;
-            known.told_until_ms.clear();
+            known.announced_until_ms.clear();
             known.domain_key = worker_key(&record.failure_domain);
             known.record = record;
             return has_changed;
         }
         let id = Arc::clone(&record.id);
-        let ended = self.ended_before(&id);
-        if let Some(start) = ended.start
-            && start != record.start_key()
-            && ended.position.era == position.era
+        let tombstone = self.last_tombstone(&id);
+        if let Some(incarnation) = tombstone.incarnation
+            && incarnation != record.start_key()
+            && tombstone.position.era == position.era
         {
-            eras::note_followed(&mut self.followed, start, record.start_key());
+            eras::note_superseded(&mut self.superseded, incarnation, record.start_key());
         }
         self.by_key.insert(worker_key(&id), Arc::clone(&id));
         self.holders.add(&record);
-        let of_service = self.by_service.entry(Arc::clone(&record.service));
-        of_service.or_default().push(Arc::clone(&id));
+        let ids = self.by_service.entry(Arc::clone(&record.service));
+        ids.or_default().push(Arc::clone(&id));
         let mut worker = Worker::new(position, record);
-        worker.departure = self.departed.take(|| worker.record.start_key());
+        worker.departure = self.unlisted_departures.take(|| worker.record.start_key());
         self.workers.insert(id, worker);
         true
     }
@@ -172,46 +175,49 @@
         if known.is_some_and(|known| known.position > position) {
             return false;
         }
-        let ended = EndedRow {
+        let tombstone = Tombstone {
             position,
-            ..known.map_or_else(|| self.ended_before(id), EndedRow::of)
+            ..known.map_or_else(|| self.last_tombstone(id), Tombstone::from_worker)
         };
-        self.ended_rows.insert(Arc::from(id), ended);
+        self.tombstones.insert(Arc::from(id), tombstone);
         if position.era < self.era {
             // The copy's list, which may name it, is still to come.
-            self.remember_end(ended, 0);
+            self.record_ended(tombstone, 0);
         }
-        if self.ended_rows.len() > GONE_MAX_COUNT {
-            self.forget_older_ends();
+        if self.tombstones.len() > TOMBSTONE_MAX_COUNT {
+            self.drop_older_tombstones();
         }
-        let Some(gone) = self.workers.remove(id) else {
+        let Some(removed) = self.workers.remove(id) else {
             return false;
         };
-        if let Some(departure) = gone.departure {
+        if let Some(departure) = removed.departure {
             // Its row may come back.
-            self.departed.keep(gone.record.start_key(), departure);
+            self.unlisted_departures
+                .keep(removed.record.start_key(), departure);
         }
         self.by_key.remove(&worker_key(id));
-        self.holders.remove(&gone.record);
+        self.holders.remove(&removed.record);
         self.lapsing.remove(id);
-        if let Some(ids) = self.by_service.get_mut(&gone.record.service) {
+        if let Some(ids) = self.by_service.get_mut(&removed.record.service) {
             ids.retain(|known| known.as_ref() != id);
         }
         true
     }
 
     /// Forgets the older half of the ends of rows.
-    fn forget_older_ends(&mut self) {
-        let ended = self.ended_rows.values();
-        let mut positions: Vec<StorePosition> = ended.map(|ended| ended.position).collect();
+    fn drop_older_tombstones(&mut self) {
+        let tombstones = self.tombstones.values();
+        let mut positions: Vec<StorePosition> =
+            tombstones.map(|tombstone| tombstone.position).collect();
         let middle = positions.len() / 2;
         let (_, &mut limit, _) = positions.select_nth_unstable(middle);
-        self.ended_rows.retain(|_, ended| ended.position > limit);
+        self.tombstones
+            .retain(|_, tombstone| tombstone.position > limit);
     }
 
     /// Counts the ends of rows that are remembered.
     pub fn remembered_end_count(&self) -> usize {
-        self.ended_rows.len()
+        self.tombstones.len()
     }
 
     /// Sets the models that are being unloaded, by the keys of their workers; all others
@@ -268,8 +274,8 @@
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Choice, NoWorker> {
-        let weighed = self.weigh_all(now_ms, wanted, engine, rng)?;
-        Ok(first(weighed))
+        let scored = self.score_all(now_ms, wanted, engine, rng)?;
+        Ok(cheapest(scored))
     }
 
     /// Chooses among some workers: those whose owners have just said how they stand, if
@@ -285,11 +291,17 @@
         let workers = || among.iter().filter_map(|id| self.workers.get(id));
         let known = workers().filter(|worker| worker.standing(now_ms).is_some());
         let evacuations = &self.evacuations;
-        let weighed = match weigh(now_ms, known, evacuations, wanted, engine, rng) {
-            Ok(weighed) if weighed.iter().any(|of| of.cost < UNSOUND_FROM_MS) => weighed,
-            Ok(_) | Err(_) => weigh(now_ms, workers(), evacuations, wanted, engine, rng)?,
+        let scored = match score_workers(now_ms, known, evacuations, wanted, engine, rng) {
+            Ok(scored)
+                if scored
+                    .iter()
+                    .any(|candidate| candidate.cost < EJECTED_PENALTY_MS) =>
+            {
+                scored
+            }
+            Ok(_) | Err(_) => score_workers(now_ms, workers(), evacuations, wanted, engine, rng)?,
         };
-        Ok(first(weighed))
+        Ok(cheapest(scored))
     }
 
     /// Lists the workers that this instance could not reach lately itself, by key.
--- a/crates/cranereach-fleet/src/roster/candidates.rs
+++ b/crates/cranereach-fleet/src/roster/candidates.rs
@@ -11,17 +11,17 @@
 use rand::seq::IteratorRandom;
 
 use super::Roster;
-use super::Weighed;
+use super::ScoredWorker;
 use crate::configuration::Engine;
 use crate::no_worker::NoWorker;
 use crate::topology::Distance;
 use crate::wanted::Wanted;
-use crate::worker::UNSOUND_FROM_MS;
+use crate::worker::EJECTED_PENALTY_MS;
 
 /// Time by which a worker must look better than the best near one to be asked about, in
 /// milliseconds, by distance: it is weighed without what others have sent it, and mostly
 /// turns out to be busier.
-const LIKELY_FROM_MS: [f64; 3] = [0.0, 40.0, 80.0];
+const MIN_GAIN_BY_DISTANCE_MS: [f64; 3] = [0.0, 40.0, 80.0];
 
 impl Roster {
     /// Lists workers whose owners are to be asked before one is chosen for a request:
@@ -37,16 +37,19 @@
         count: usize,
         rng: &mut R,
     ) -> Result<Vec<Arc<str>>, NoWorker> {
-        let mut weighed = self.weigh_all(now_ms, wanted, engine, rng)?;
-        weighed.sort_unstable_by(|left, right| left.cost.total_cmp(&right.cost));
-        let sound_count = weighed.partition_point(|of| of.cost < UNSOUND_FROM_MS);
+        let mut scored = self.score_all(now_ms, wanted, engine, rng)?;
+        scored.sort_unstable_by(|left, right| left.cost.total_cmp(&right.cost));
+        let healthy_count = scored.partition_point(|candidate| candidate.cost < EJECTED_PENALTY_MS);
         // Those that had better be left alone are asked only where there are no others.
-        weighed.truncate(sound_count.max(1));
+        scored.truncate(healthy_count.max(1));
         if engine.is_some() {
-            let nearest = weighed.iter().map(|of| distance(wanted, of)).min();
-            weighed.retain(|of| Some(distance(wanted, of)) == nearest);
+            let nearest = scored
+                .iter()
+                .map(|candidate| distance(wanted, candidate))
+                .min();
+            scored.retain(|candidate| Some(distance(wanted, candidate)) == nearest);
         }
-        Ok(some(&weighed, count, rng))
+        Ok(best_and_random(&scored, count, rng))
     }
 
     /// Lists workers that are farther than those asked about, and that are likely to
@@ -60,29 +63,42 @@
         count: usize,
         rng: &mut R,
     ) -> Vec<Arc<str>> {
-        let Ok(mut weighed) = self.weigh_all(now_ms, wanted, engine, rng) else {
+        let Ok(mut scored) = self.score_all(now_ms, wanted, engine, rng) else {
             return Vec::new();
         };
-        let is_asked = |of: &Weighed<'_>| asked.contains(&of.worker.record.id);
-        let costs = weighed.iter().filter(|of| is_asked(of)).map(|of| of.cost);
+        let is_asked = |candidate: &ScoredWorker<'_>| asked.contains(&candidate.worker.record.id);
+        let costs = scored
+            .iter()
+            .filter(|candidate| is_asked(candidate))
+            .map(|candidate| candidate.cost);
         let best = costs.fold(f64::INFINITY, f64::min);
-        weighed.retain(|of| {
-            let least_gain = LIKELY_FROM_MS[distance(wanted, of) as usize];
-            !is_asked(of) && of.cost < UNSOUND_FROM_MS && of.cost + least_gain < best
+        scored.retain(|candidate| {
+            let min_gain = MIN_GAIN_BY_DISTANCE_MS[distance(wanted, candidate) as usize];
+            !is_asked(candidate)
+                && candidate.cost < EJECTED_PENALTY_MS
+                && candidate.cost + min_gain < best
         });
-        weighed.sort_unstable_by(|left, right| left.cost.total_cmp(&right.cost));
-        some(&weighed, count, rng)
+        scored.sort_unstable_by(|left, right| left.cost.total_cmp(&right.cost));
+        best_and_random(&scored, count, rng)
     }
 }
 
 /// Returns how far a worker is.
-fn distance(wanted: &Wanted<'_>, of: &Weighed<'_>) -> Distance {
-    wanted.topology.distance(&of.worker.record.failure_domain)
+fn distance(wanted: &Wanted<'_>, candidate: &ScoredWorker<'_>) -> Distance {
+    wanted
+        .topology
+        .distance(&candidate.worker.record.failure_domain)
 }
 
 /// Takes the first, and others by chance.
-fn some<R: Rng>(weighed: &[Weighed<'_>], count: usize, rng: &mut R) -> Vec<Arc<str>> {
-    let others = weighed.iter().skip(1).sample(rng, count.saturating_sub(1));
-    let chosen = weighed.first().into_iter().chain(others);
-    chosen.map(|of| Arc::clone(&of.worker.record.id)).collect()
+fn best_and_random<R: Rng>(
+    scored: &[ScoredWorker<'_>],
+    count: usize,
+    rng: &mut R,
+) -> Vec<Arc<str>> {
+    let others = scored.iter().skip(1).sample(rng, count.saturating_sub(1));
+    let chosen = scored.first().into_iter().chain(others);
+    chosen
+        .map(|candidate| Arc::clone(&candidate.worker.record.id))
+        .collect()
 }
--- a/crates/cranereach-fleet/src/roster/departures.rs
+++ b/crates/cranereach-fleet/src/roster/departures.rs
@@ -82,9 +82,9 @@
         if let Some(worker) = self.workers.get_mut(id)
             && worker.record.started_unix_ms == started_unix_ms
         {
-            return worker.departs(departure);
+            return worker.note_departure(departure);
         }
-        self.departed
+        self.unlisted_departures
             .keep(start_key(id, started_unix_ms), departure)
     }
 
@@ -97,9 +97,9 @@
         if let Some(worker) = self.by_key_mut(news.worker)
             && worker.record.start_key() == news.start
         {
-            return worker.departs(departure);
+            return worker.note_departure(departure);
         }
-        self.departed.keep(news.start, departure)
+        self.unlisted_departures.keep(news.start, departure)
     }
 
     /// Returns what others are told of a worker that leaves by its own word.
@@ -111,6 +111,6 @@
 
     /// Counts the starts that leave and aren't listed.
     pub fn remembered_departure_count(&self) -> usize {
-        self.departed.count()
+        self.unlisted_departures.count()
     }
 }
--- a/crates/cranereach-fleet/src/roster/holders.rs
+++ b/crates/cranereach-fleet/src/roster/holders.rs
@@ -9,8 +9,8 @@
 use rand::Rng;
 
 use super::Roster;
-use super::Weighed;
-use super::weigh;
+use super::ScoredWorker;
+use super::score_workers;
 use crate::configuration::Engine;
 use crate::no_worker::NoWorker;
 use crate::wanted::Wanted;
@@ -53,8 +53,8 @@
 
     /// Takes a worker's row in place of the one before.
     pub(super) fn change(&mut self, before: &WorkerRecord, record: &WorkerRecord) {
-        let names = |of: &WorkerRecord| -> Vec<Arc<str>> {
-            of.models
+        let names = |row: &WorkerRecord| -> Vec<Arc<str>> {
+            row.models
                 .iter()
                 .map(|held| Arc::clone(&held.name))
                 .collect()
@@ -66,7 +66,7 @@
     }
 
     /// Lists the workers of a service that list a model.
-    fn of(&self, service: &str, model: &str) -> &[Arc<str>] {
+    fn find(&self, service: &str, model: &str) -> &[Arc<str>] {
         let by_model = self.by_service.get(service);
         let holders = by_model.and_then(|by_model| by_model.get(model));
         holders.map_or(&[], Vec::as_slice)
@@ -75,40 +75,44 @@
 
 impl Roster {
     /// Weighs all workers that could take a request; at least one, or why there is none.
-    pub(super) fn weigh_all<R: Rng>(
+    pub(super) fn score_all<R: Rng>(
         &self,
         now_ms: u64,
         wanted: &Wanted<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
-    ) -> Result<Vec<Weighed<'_>>, NoWorker> {
+    ) -> Result<Vec<ScoredWorker<'_>>, NoWorker> {
         let evacuations = &self.evacuations;
         let Some((model, _adapter)) = wanted.model else {
             let workers = self.of_service(wanted.service);
-            return weigh(now_ms, workers, evacuations, wanted, engine, rng);
+            return score_workers(now_ms, workers, evacuations, wanted, engine, rng);
         };
         let holders = self.holders_of(wanted.service, model);
-        weigh(now_ms, holders, evacuations, wanted, engine, rng)
-            .map_err(|why| why.max(self.why_no_other(wanted, model)))
+        score_workers(now_ms, holders, evacuations, wanted, engine, rng)
+            .map_err(|reason| reason.max(self.reason_without_model(wanted, model)))
     }
 
     /// Lists the workers of a service whose rows list a model.
     pub(super) fn holders_of(&self, service: &str, model: &str) -> impl Iterator<Item = &Worker> {
-        let ids = self.holders.of(service, model);
+        let ids = self.holders.find(service, model);
         ids.iter().filter_map(|id| self.workers.get(id))
     }
 
     /// Says why none of the workers that don't list a model takes a request for it.
-    fn why_no_other(&self, wanted: &Wanted<'_>, model: &str) -> NoWorker {
+    fn reason_without_model(&self, wanted: &Wanted<'_>, model: &str) -> NoWorker {
         let mut others = self.of_service(wanted.service).filter(|worker| {
             let mut held = worker.record.models.iter();
             !worker.is_leaving() && held.all(|held| held.name.as_ref() != model)
         });
-        let mut why = NoWorker::None;
+        let mut reason = NoWorker::None;
         let is_allowed = others.any(|worker| {
-            why = NoWorker::NotAllowed;
+            reason = NoWorker::NotAllowed;
             wanted.may_be_served_at(&worker.record)
         });
-        if is_allowed { NoWorker::NoModel } else { why }
+        if is_allowed {
+            NoWorker::NoModel
+        } else {
+            reason
+        }
     }
 }
--- a/crates/cranereach-fleet/src/roster/leave.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -60,7 +60,7 @@
     /// no more for now, and from when one needs no grant, in milliseconds; none if there is
     /// no such one.
     pub fn free_from_ms(&self, now_ms: u64, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
-        let gets_none = |worker: &&Worker| {
+        let is_blocked = |worker: &&Worker| {
             let may_send = worker.rest.may_send(now_ms, wanted.rank)
                 && worker.ask_pause.may_ask(now_ms, wanted.rank);
             !worker.is_leaving() && worker.has(now_ms, wanted.model).is_ok() && !may_send
@@ -68,9 +68,9 @@
         let all: Vec<&Worker> = match wanted.model {
             Some((model, _adapter)) => {
                 let holders = self.holders_of(wanted.service, model);
-                holders.filter(gets_none).collect()
+                holders.filter(is_blocked).collect()
             }
-            None => self.of_service(wanted.service).filter(gets_none).collect(),
+            None => self.of_service(wanted.service).filter(is_blocked).collect(),
         };
         let times = all.into_iter().map(|worker| {
             let rested_at_ms = worker.rest.free_at_ms(wanted.rank);
--- a/crates/cranereach-fleet/src/roster/weighing.rs
+++ b/crates/cranereach-fleet/src/roster/scoring.rs
@@ -16,43 +16,43 @@
 
 /// Time that a worker weighs more whose failure domain is to be evacuated, as long as
 /// it still gets requests: others that hold the model go first, until they are busy.
-const EVACUATED_WEIGHS_MS: f64 = 300.0;
+const EVACUATED_PENALTY_MS: f64 = 300.0;
 
 /// Time that a worker weighs more that may be cold: warm ones that hold the model go
 /// first, until they are busy.
-const COLD_WEIGHS_MS: f64 = 150.0;
+const COLD_PENALTY_MS: f64 = 150.0;
 
 /// A worker with what speaks against sending a request there.
-pub(super) struct Weighed<'a> {
+pub(super) struct ScoredWorker<'a> {
     pub(super) cost: f64,
     pub(super) worker: &'a Worker,
     pub(super) estimate: Estimate,
 }
 
 /// Weighs the workers that could take a request; at least one, or why there is none.
-pub(super) fn weigh<'a, R: Rng>(
+pub(super) fn score_workers<'a, R: Rng>(
     now_ms: u64,
     workers: impl Iterator<Item = &'a Worker>,
     evacuations: &Evacuations,
     wanted: &Wanted<'_>,
     engine: Option<&Engine>,
     rng: &mut R,
-) -> Result<Vec<Weighed<'a>>, NoWorker> {
-    let mut why = NoWorker::None;
-    let mut weighed = Vec::new();
+) -> Result<Vec<ScoredWorker<'a>>, NoWorker> {
+    let mut reason = NoWorker::None;
+    let mut scored = Vec::new();
     for worker in workers {
         if worker.is_leaving() {
-            why = why.max(NoWorker::Leaving);
+            reason = reason.max(NoWorker::Leaving);
             continue;
         }
         if !wanted.may_be_served_at(&worker.record) {
-            why = why.max(NoWorker::NotAllowed);
+            reason = reason.max(NoWorker::NotAllowed);
             continue;
         }
         let held = worker.has(now_ms, wanted.model);
         if !evacuations.may_send(now_ms, worker.domain_key) {
             let lacks_model = held == Err(NoWorker::NoModel);
-            why = why.max(if lacks_model {
+            reason = reason.max(if lacks_model {
                 NoWorker::NoModel
             } else {
                 NoWorker::Evacuated
@@ -60,20 +60,20 @@
             continue;
         }
         if let Err(lacks) = held {
-            why = why.max(lacks);
+            reason = reason.max(lacks);
             continue;
         }
         if !worker.health.may_try(now_ms) {
-            why = why.max(NoWorker::Unreachable);
+            reason = reason.max(NoWorker::Unreachable);
             continue;
         }
         if !worker.rest.may_send(now_ms, wanted.rank) {
-            why = why.max(NoWorker::Resting);
+            reason = reason.max(NoWorker::Resting);
             continue;
         }
         if !worker.may_ask(now_ms, wanted) {
             let is_limited = worker.limit.rate_per_s(now_ms).is_some();
-            why = why.max(if is_limited {
+            reason = reason.max(if is_limited {
                 NoWorker::Limited
             } else {
                 NoWorker::Cold
@@ -81,28 +81,28 @@
             continue;
         }
         if wanted.end_count >= ALONE_FROM_COUNT && worker.has_suspect(now_ms) {
-            why = why.max(NoWorker::NotAlone);
+            reason = reason.max(NoWorker::NotAlone);
             continue;
         }
         let mut estimate = worker.estimate(now_ms, wanted, engine);
         if evacuations.is_asked(worker.domain_key) {
-            estimate.cost_ms += EVACUATED_WEIGHS_MS;
+            estimate.cost_ms += EVACUATED_PENALTY_MS;
         }
         if worker.coldness.is_cold(now_ms) {
-            estimate.cost_ms += COLD_WEIGHS_MS;
+            estimate.cost_ms += COLD_PENALTY_MS;
         }
         // A little noise keeps instances with the same view from herding.
         let cost = estimate.cost_ms * (1.0 + 0.05 * rng.random::<f64>()) + rng.random::<f64>();
-        weighed.push(Weighed {
+        scored.push(ScoredWorker {
             cost,
             worker,
             estimate,
         });
     }
-    if weighed.is_empty() {
-        Err(why)
+    if scored.is_empty() {
+        Err(reason)
     } else {
-        Ok(weighed)
+        Ok(scored)
     }
 }
 
@@ -110,14 +110,14 @@
 ///
 /// # Panics
 ///
-/// If there is none, which [`weigh`] rules out.
-pub(super) fn first(weighed: Vec<Weighed<'_>>) -> Choice {
-    let least = weighed
+/// If there is none, which [`score_workers`] rules out.
+pub(super) fn cheapest(scored: Vec<ScoredWorker<'_>>) -> Choice {
+    let best = scored
         .into_iter()
         .min_by(|left, right| left.cost.total_cmp(&right.cost));
-    let Weighed {
+    let ScoredWorker {
         worker, estimate, ..
-    } = least.expect("at least one worker was weighed");
+    } = best.expect("at least one worker was scored");
     Choice {
         id: Arc::clone(&worker.record.id),
         address: worker.record.address.clone(),
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -33,46 +33,46 @@
 
 /// Age up to which an owner's word counts, in milliseconds: the time in which a choice
 /// is made by it, with a margin for a busy processor.
-const STANDING_WITHIN_MS: u64 = 60;
+const STANDING_MAX_AGE_MS: u64 = 60;
 
 /// Age up to which a worker's own word about its load counts, in milliseconds.
-const SAID_WITHIN_MS: u64 = 400;
+const REPORTED_LOAD_MAX_AGE_MS: u64 = 400;
 
 /// Peers that must say that they can't reach a worker before it counts.
-const WITNESS_COUNT: usize = 2;
+const UNREACHABLE_PEER_COUNT: usize = 2;
 
 /// Time within which they must say so, in milliseconds: some rounds of digests.
-const WITNESS_WITHIN_MS: u64 = 1_500;
+const UNREACHABLE_WINDOW_MS: u64 = 1_500;
 
 /// Time for which a worker that lacks a model isn't asked for it, in milliseconds.
-const MISSING_FOR_MS: u64 = 1_500;
+const MODEL_MISSING_FOR_MS: u64 = 1_500;
 
 /// The same for an adapter, in milliseconds: one that was ordered arrives within
 /// some ten, so a worker that lacks it may have it soon.
 const ADAPTER_MISSING_FOR_MS: u64 = 60;
 
 /// Time for which an adapter counts as there after a peer said so, in milliseconds.
-const TOLD_FOR_MS: u64 = 5_000;
+const ANNOUNCED_FOR_MS: u64 = 5_000;
 
 /// Time that one running request weighs as, when workers are compared.
-const RUNNING_WEIGHS_MS: f64 = 2.0;
+const RUNNING_PENALTY_MS: f64 = 2.0;
 
 /// Time that one request besides weighs as, for a request under which a worker ended: it
 /// goes where its end would break off the fewest.
-const ENDANGERED_WEIGHS_MS: f64 = 50.0;
+const CRASH_RISK_PENALTY_MS: f64 = 50.0;
 
 /// Time that one waiting request weighs as, where a worker says that some wait.
-const WAITING_WEIGHS_MS: f64 = 75.0;
+const WAITING_PENALTY_MS: f64 = 75.0;
 
 /// Reading time ahead of a request below which it counts as the first.
-const FIRST_BELOW_MS: f64 = 1.0;
+const NO_QUEUE_BELOW_MS: f64 = 1.0;
 
 /// Time that a worker in another failure domain weighs more, besides the way there.
-const OTHER_DOMAIN_WEIGHS_MS: f64 = 15.0;
+const OTHER_DOMAIN_PENALTY_MS: f64 = 15.0;
 
 /// Weight that is added against a worker that is put aside, in milliseconds: from
 /// there on no other reason counts.
-pub(crate) const UNSOUND_FROM_MS: f64 = 100_000.0;
+pub(crate) const EJECTED_PENALTY_MS: f64 = 100_000.0;
 
 /// One worker as this instance sees it.
 #[derive(Clone, Debug)]
@@ -99,15 +99,15 @@
     pub ask_pause: AskPause,
     /// Key of its failure domain.
     pub(crate) domain_key: u64,
-    pub(crate) own: Load,
+    pub(crate) own_load: Load,
     /// What its owner said last, and when, in milliseconds.
     standing: Option<(u64, Standing)>,
     /// When each peer said that it can't reach the worker, in milliseconds.
     unreachable_at_ms: HashMap<u32, u64>,
-    said: Option<(u64, SaidLoad)>,
-    kept: KeptPrefixes,
+    reported_load: Option<(u64, SaidLoad)>,
+    cached_prefixes: KeptPrefixes,
     missing_until_ms: HashMap<String, u64>,
-    pub(crate) told_until_ms: HashMap<String, u64>,
+    pub(crate) announced_until_ms: HashMap<String, u64>,
     withheld: HashSet<Arc<str>>,
 }
 
@@ -145,13 +145,13 @@
             health: Health::default(),
             lapsed: None,
             leaves_at: StorePosition::default(),
-            own: Load::default(),
+            own_load: Load::default(),
             standing: None,
             unreachable_at_ms: HashMap::new(),
-            said: None,
-            kept: KeptPrefixes::default(),
+            reported_load: None,
+            cached_prefixes: KeptPrefixes::default(),
             missing_until_ms: HashMap::new(),
-            told_until_ms: HashMap::new(),
+            announced_until_ms: HashMap::new(),
             withheld: HashSet::new(),
         }
     }
@@ -160,42 +160,42 @@
     pub fn began(&mut self, now_ms: u64, wanted: &Wanted<'_>, unread_ms: f64) {
         let rank = wanted.rank.min(RANK_COUNT - 1);
         self.health.tried(now_ms);
-        self.own.open_count += 1;
-        self.own.waiting_count[rank] += 1;
-        self.own.unread_ms[rank] += unread_ms;
-        self.own.stay_ms += wanted.stay_ms + unread_ms;
-        self.own.held_tokens += f64::from(wanted.held_tokens);
-        self.kept.sent(now_ms, wanted.parts);
+        self.own_load.open_count += 1;
+        self.own_load.waiting_count[rank] += 1;
+        self.own_load.unread_ms[rank] += unread_ms;
+        self.own_load.stay_ms += wanted.stay_ms + unread_ms;
+        self.own_load.held_tokens += f64::from(wanted.held_tokens);
+        self.cached_prefixes.sent(now_ms, wanted.parts);
     }
 
     /// Notes that a request's prompt has been read.
     pub fn read(&mut self, rank: usize, unread_ms: f64) {
         let rank = rank.min(RANK_COUNT - 1);
-        let own_ms = &mut self.own.unread_ms[rank];
+        let own_ms = &mut self.own_load.unread_ms[rank];
         *own_ms = (*own_ms - unread_ms).max(0.0);
-        let waiting_count = &mut self.own.waiting_count[rank];
+        let waiting_count = &mut self.own_load.waiting_count[rank];
         *waiting_count = waiting_count.saturating_sub(1);
     }
 
     /// Notes that a request has ended that was to keep a slot for a time.
     pub fn ended(&mut self, held_tokens: u32, stay_ms: f64) {
-        self.own.open_count = self.own.open_count.saturating_sub(1);
-        self.own.stay_ms = (self.own.stay_ms - stay_ms).max(0.0);
-        self.own.held_tokens = (self.own.held_tokens - f64::from(held_tokens)).max(0.0);
+        self.own_load.open_count = self.own_load.open_count.saturating_sub(1);
+        self.own_load.stay_ms = (self.own_load.stay_ms - stay_ms).max(0.0);
+        self.own_load.held_tokens = (self.own_load.held_tokens - f64::from(held_tokens)).max(0.0);
     }
 
     /// Takes what the worker said of its load.
-    pub fn said(&mut self, now_ms: u64, said: SaidLoad) {
-        self.said = Some((now_ms, said));
+    pub fn said(&mut self, now_ms: u64, load: SaidLoad) {
+        self.reported_load = Some((now_ms, load));
     }
 
     /// Takes a peer's word that it can't reach the worker. One alone may be cut off
     /// itself; what several say counts.
     pub fn told_unreachable(&mut self, now_ms: u64, peer: u32) {
         self.unreachable_at_ms
-            .retain(|_, at_ms| now_ms < *at_ms + WITNESS_WITHIN_MS);
+            .retain(|_, at_ms| now_ms < *at_ms + UNREACHABLE_WINDOW_MS);
         self.unreachable_at_ms.insert(peer, now_ms);
-        if self.unreachable_at_ms.len() >= WITNESS_COUNT {
+        if self.unreachable_at_ms.len() >= UNREACHABLE_PEER_COUNT {
             self.health.told_unreachable(now_ms);
         }
     }
@@ -205,7 +205,7 @@
         let name = full_name(model, adapter);
         let missing_for_ms = match adapter {
             Some(_) => ADAPTER_MISSING_FOR_MS,
-            None => MISSING_FOR_MS,
+            None => MODEL_MISSING_FOR_MS,
         };
         self.missing_until_ms.insert(name, now_ms + missing_for_ms);
     }
@@ -213,7 +213,8 @@
     /// Notes that an adapter was loaded, before the list says so.
     pub fn told_adapter(&mut self, now_ms: u64, model: &str, adapter: &str) {
         let name = full_name(model, Some(adapter));
-        self.told_until_ms.insert(name, now_ms + TOLD_FOR_MS);
+        self.announced_until_ms
+            .insert(name, now_ms + ANNOUNCED_FOR_MS);
     }
 
     /// Sets the models that are being unloaded.
@@ -229,7 +230,7 @@
     /// Returns its owner's word, if it is fresh.
     pub fn standing(&self, now_ms: u64) -> Option<&Standing> {
         let standing = self.standing.as_ref();
-        let fresh = standing.filter(|(at_ms, _)| now_ms < at_ms + STANDING_WITHIN_MS);
+        let fresh = standing.filter(|(at_ms, _)| now_ms < at_ms + STANDING_MAX_AGE_MS);
         fresh.map(|(_, standing)| standing)
     }
 
@@ -242,17 +243,18 @@
     /// Returns the time until a prompt is to be sent by its owner's word, in milliseconds.
     fn send_in_ms(&self, now_ms: u64) -> f64 {
         let standing = self.standing(now_ms);
-        let told_at_ms = self.standing.as_ref().map_or(now_ms, |(at_ms, _)| *at_ms);
-        let passed_ms = now_ms.saturating_sub(told_at_ms) as f64;
-        standing.map_or(0.0, |standing| (standing.send_in_ms - passed_ms).max(0.0))
+        let standing_at_ms = self.standing.as_ref().map_or(now_ms, |(at_ms, _)| *at_ms);
+        let elapsed_ms = now_ms.saturating_sub(standing_at_ms) as f64;
+        standing.map_or(0.0, |standing| (standing.send_in_ms - elapsed_ms).max(0.0))
     }
 
     /// Returns the load of all instances if its owner has just told it, else what
     /// this instance sent.
     pub fn load(&self, now_ms: u64) -> Load {
-        let told = self.standing(now_ms).map(|standing| standing.load);
-        told.filter(|told| told.open_count >= self.own.open_count)
-            .unwrap_or(self.own)
+        let owner_load = self.standing(now_ms).map(|standing| standing.load);
+        owner_load
+            .filter(|reported| reported.open_count >= self.own_load.open_count)
+            .unwrap_or(self.own_load)
     }
 
     /// Whether the worker holds what a request names.
@@ -277,8 +279,8 @@
             return Ok(());
         };
         let is_listed = held.adapters.iter().any(|known| known.as_ref() == adapter);
-        let told_until_ms = self.told_until_ms.get(&full_name(name, Some(adapter)));
-        let is_there = is_listed || told_until_ms.is_some_and(|until_ms| now_ms < *until_ms);
+        let announced_until_ms = self.announced_until_ms.get(&full_name(name, Some(adapter)));
+        let is_there = is_listed || announced_until_ms.is_some_and(|until_ms| now_ms < *until_ms);
         if is_there && !self.is_missing(now_ms, name, Some(adapter)) {
             Ok(())
         } else {
@@ -303,15 +305,18 @@
         engine: Option<&Engine>,
     ) -> Estimate {
         let load = self.load(now_ms);
-        let said = self
-            .said
-            .filter(|(at_ms, _)| now_ms < at_ms + SAID_WITHIN_MS);
-        let said = said.map_or((0, 0), |(_, said)| (said.running_count, said.waiting_count));
-        let open_count = load.open_count.max(said.0 + said.1);
+        let reported = self
+            .reported_load
+            .filter(|(at_ms, _)| now_ms < at_ms + REPORTED_LOAD_MAX_AGE_MS);
+        let reported =
+            reported.map_or((0, 0), |(_, told)| (told.running_count, told.waiting_count));
+        let open_count = load.open_count.max(reported.0 + reported.1);
         let standing = self.standing(now_ms);
-        let kept_tokens = self.kept_tokens(standing, wanted).min(wanted.prompt_tokens);
+        let cached_tokens = self
+            .cached_tokens(standing, wanted)
+            .min(wanted.prompt_tokens);
         let token_ms = wanted.token_ms * standing.map_or(1.0, |standing| standing.pace_ratio);
-        let unread_tokens = wanted.prompt_tokens - kept_tokens;
+        let unread_tokens = wanted.prompt_tokens - cached_tokens;
         let slot_count = engine.map_or(self.record.slot_count, |engine| engine.slot_count);
         // Workers without an engine take calls in the order in which they come.
         let rank = engine.map_or(RANK_COUNT, |_| wanted.rank);
@@ -326,52 +331,58 @@
             send_in_ms: send_in_ms as u64,
             slot_count,
             // What is held back says nothing of how fast prompts are read.
-            is_first: queued_ms < FIRST_BELOW_MS && load.ahead_ms(usize::MAX) < FIRST_BELOW_MS,
+            is_first: queued_ms < NO_QUEUE_BELOW_MS
+                && load.ahead_ms(usize::MAX) < NO_QUEUE_BELOW_MS,
             cost_ms: 0.0,
             load,
         };
         if let Some(engine) = engine {
-            let room_tokens = engine.kv_tokens as f64 * 0.9;
-            let over_tokens = load.held_tokens + f64::from(wanted.held_tokens) - room_tokens;
+            let usable_tokens = engine.kv_tokens as f64 * 0.9;
+            let excess_tokens = load.held_tokens + f64::from(wanted.held_tokens) - usable_tokens;
             estimate.cost_ms = estimate.begins_in_ms
                 + load.crowding_ms(engine.slot_count)
                 + load.held_up_ms(f64::from(unread_tokens) * token_ms, wanted.gap_aim_ms)
-                + f64::from(open_count) * RUNNING_WEIGHS_MS
-                + f64::from(said.1) * WAITING_WEIGHS_MS
-                + over_tokens.max(0.0) * token_ms;
+                + f64::from(open_count) * RUNNING_PENALTY_MS
+                + f64::from(reported.1) * WAITING_PENALTY_MS
+                + excess_tokens.max(0.0) * token_ms;
         } else {
             // Such an answer is passed on whole: it begins when the call has run.
             estimate.begins_in_ms += wanted.stay_ms;
             let slots = f64::from(slot_count.max(1));
-            estimate.cost_ms = f64::from(open_count + said.1) / slots * 50.0;
+            estimate.cost_ms = f64::from(open_count + reported.1) / slots * 50.0;
         }
         if wanted.end_count > 0 {
-            estimate.cost_ms += f64::from(open_count) * ENDANGERED_WEIGHS_MS;
+            estimate.cost_ms += f64::from(open_count) * CRASH_RISK_PENALTY_MS;
         }
-        estimate.cost_ms = self.weigh(now_ms, wanted, estimate.cost_ms);
+        estimate.cost_ms = self.add_penalties(now_ms, wanted, estimate.cost_ms);
         estimate
     }
 
     /// Returns the prompt's tokens that the worker has probably kept.
-    fn kept_tokens(&self, standing: Option<&Standing>, wanted: &Wanted<'_>) -> u32 {
-        let own_tokens = self.kept.kept_tokens(wanted.parts);
-        let told = standing.map_or(0, |standing| standing.kept_part_count);
-        let told_tokens = wanted.parts.iter().take(told).map(|part| part.tokens).sum();
-        own_tokens.max(told_tokens)
+    fn cached_tokens(&self, standing: Option<&Standing>, wanted: &Wanted<'_>) -> u32 {
+        let own_tokens = self.cached_prefixes.kept_tokens(wanted.parts);
+        let owner_part_count = standing.map_or(0, |standing| standing.kept_part_count);
+        let owner_tokens = wanted
+            .parts
+            .iter()
+            .take(owner_part_count)
+            .map(|part| part.tokens)
+            .sum();
+        own_tokens.max(owner_tokens)
     }
 
     /// Adds to a weight what distance, health and earlier tries speak against.
-    fn weigh(&self, now_ms: u64, wanted: &Wanted<'_>, cost_ms: f64) -> f64 {
+    fn add_penalties(&self, now_ms: u64, wanted: &Wanted<'_>, cost_ms: f64) -> f64 {
         let mut cost_ms = cost_ms;
         let distance = wanted.topology.distance(&self.record.failure_domain);
         if distance != Distance::OwnDomain {
-            cost_ms += OTHER_DOMAIN_WEIGHS_MS + wanted.crossings_ms[distance as usize];
+            cost_ms += OTHER_DOMAIN_PENALTY_MS + wanted.crossings_ms[distance as usize];
         }
         let standing = self.standing(now_ms);
-        let told_share = standing.map_or(0.0, |standing| standing.failed_share);
-        cost_ms *= 1.0 + 6.0 * self.health.failed_share().max(told_share);
+        let owner_failed_share = standing.map_or(0.0, |standing| standing.failed_share);
+        cost_ms *= 1.0 + 6.0 * self.health.failed_share().max(owner_failed_share);
         if self.health.is_aside(now_ms) || standing.is_some_and(|standing| standing.is_aside) {
-            cost_ms = cost_ms * 20.0 + UNSOUND_FROM_MS;
+            cost_ms = cost_ms * 20.0 + EJECTED_PENALTY_MS;
         }
         if wanted.tried.contains(&self.record.id) {
             cost_ms = cost_ms * 20.0 + 400_000.0;
--- a/crates/cranereach-fleet/src/worker/leaving.rs
+++ b/crates/cranereach-fleet/src/worker/leaving.rs
@@ -12,14 +12,14 @@
 
     /// Returns the key of its start if somebody said that it leaves, whatever its row does.
     pub fn leaving_start(&self) -> Option<u64> {
-        let said = self.departure.filter(|of| of.teller != Teller::Copy);
-        said.map(|_| self.record.start_key())
+        let reported = self.departure.filter(|known| known.teller != Teller::Copy);
+        reported.map(|_| self.record.start_key())
     }
 
     /// Takes that it leaves; false if that is known.
-    pub(crate) fn departs(&mut self, departure: Departure) -> bool {
+    pub(crate) fn note_departure(&mut self, departure: Departure) -> bool {
         let known = self.departure;
-        let is_new = known.is_none_or(|known| departure.outweighs(known));
+        let is_new = known.is_none_or(|known| departure.overrides(known));
         if is_new {
             self.departure = Some(departure);
         }
