--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -206,9 +206,8 @@
 
     /// Forgets the older half of the ends of rows.
     fn drop_older_tombstones(&mut self) {
-        let tombstones = self.tombstones.values();
-        let mut positions: Vec<StorePosition> =
-            tombstones.map(|tombstone| tombstone.position).collect();
+        let all = self.tombstones.values();
+        let mut positions: Vec<StorePosition> = all.map(|tombstone| tombstone.position).collect();
         let middle = positions.len() / 2;
         let (_, &mut limit, _) = positions.select_nth_unstable(middle);
         self.tombstones
--- a/crates/cranereach-fleet/src/roster/eras.rs
+++ b/crates/cranereach-fleet/src/roster/eras.rs
@@ -72,8 +72,8 @@
 
     /// Remembers which starts are gone.
     fn record_all_ended(&mut self, now_ms: u64) {
-        let tombstones: Vec<Tombstone> = self.tombstones.values().copied().collect();
-        for tombstone in tombstones {
+        let all: Vec<Tombstone> = self.tombstones.values().copied().collect();
+        for tombstone in all {
             self.record_ended(tombstone, now_ms);
         }
     }
