--- a/crates/cranereach-fleet/src/cold.rs
+++ b/crates/cranereach-fleet/src/cold.rs
@@ -1,7 +1,7 @@
-//! Workers that have just started: cold ones bear few requests for a while, and fall over
-//! well above. [`crate::send_grants`] says who may send them one.
+//! Workers that have just started. A cold worker can take few requests for a while, and fails if it
+//! gets many more. [`crate::send_grants`] decides who may send it one.
 
-/// What one instance believes of a worker.
+/// What one instance assumes about whether a worker is cold.
 ///
 /// ```
 /// use cranereach_fleet::cold::Coldness;
--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -1,36 +1,37 @@
-//! The word of a worker, in its answers, that it leaves.
+//! Announcements of workers, in their answers, that they are leaving.
 //!
-//! It is kept beside the worker's row and not in it: a row may have been written before the
-//! worker left, may come late, end, and come back. The word holds for the start of the worker
-//! that said so, and ends only with that start.
+//! An announcement is kept beside the worker's row and not in it: a row may have been written
+//! before the worker began to leave, may arrive late, and may end and come back. It holds for the
+//! incarnation of the worker that made it, and ends only with that incarnation. An incarnation is
+//! one run of the worker's process, from its start on.
 
 use std::collections::HashMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Starts of workers that aren't listed, of which it is remembered that they leave, at most.
-/// One that is listed again after so many others have left is heard from once more.
+/// Most unlisted incarnations that are remembered as leaving. One that was forgotten and is listed
+/// again is known to be leaving only after its next answer says so.
 const UNLISTED_MAX_COUNT: usize = 2_048;
 
-/// Value by which a worker says that it leaves.
+/// Header value by which a worker announces that it is leaving.
 const LEAVES: &[u8] = b"1";
 
-/// Value by which it says that it doesn't.
+/// Header value by which a worker says that it is not.
 const STAYS: &[u8] = b"0";
 
-/// What one answer says.
+/// What one answer announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// Nothing of the kind, or that the worker stays.
+    /// No departure: the header is missing, or says that the worker stays.
     Nothing,
-    /// The worker leaves.
+    /// The worker is leaving.
     Leaves,
-    /// What it says can't be read, and says nothing.
+    /// The header can't be parsed, and is ignored.
     Unreadable,
 }
 
-/// Reads the values that an answer names: one that says so is enough.
+/// Parses the values of the header in an answer; a single one that announces a departure is enough.
 ///
 /// ```
 /// use cranereach_fleet::departure::Said;
@@ -53,7 +54,7 @@
     said
 }
 
-/// Who said that a worker leaves.
+/// Source of the report that a worker is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Teller {
     /// The worker, in an answer to this instance.
@@ -62,13 +63,12 @@
     Peer,
     /// A row of an earlier era of the store.
     Row,
-    /// Nobody: its row had ended before the store came back from a copy, and stands there
-    /// again.
+    /// No one: the row had ended before the store was restored from a backup, and is there again.
     Copy,
 }
 
 impl Teller {
-    /// Returns the name that logs and operators see.
+    /// Returns the name shown in logs and to operators.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Worker => "worker",
@@ -79,39 +79,40 @@
     }
 }
 
-/// That a start of a worker leaves, as instances tell it each other.
+/// News between instances that an incarnation of a worker is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartureNews {
     /// Key of the worker.
     pub worker: u64,
-    /// Key of its start.
+    /// Key of its incarnation.
     pub start: u64,
 }
 
-/// That a worker leaves.
+/// Report that a worker is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// Since when it is known here, in milliseconds.
+    /// Since when this instance knows it, in milliseconds.
     pub since_ms: u64,
-    /// By whose word.
+    /// Where the report came from.
     pub teller: Teller,
 }
 
 impl Departure {
-    /// Whether it says more than what is known: somebody's word holds on, a copy's doesn't.
+    /// Whether this report replaces a known one: only a departure inferred from a restore is
+    /// replaced, by an actual report.
     pub(crate) fn overrides(self, known: Self) -> bool {
         known.teller == Teller::Copy && self.teller != Teller::Copy
     }
 }
 
-/// Starts of workers that leave and aren't listed, or not yet, by their keys.
+/// Incarnations that are leaving and are not, or not yet, listed, by their keys.
 #[derive(Clone, Debug, Default)]
 pub struct UnlistedDepartures {
     by_incarnation: HashMap<u64, Departure>,
 }
 
 impl UnlistedDepartures {
-    /// Remembers that a start leaves; false if it is known.
+    /// Records that an incarnation is leaving; false if that is known.
     pub(crate) fn keep(&mut self, incarnation: u64, departure: Departure) -> bool {
         let known = self.by_incarnation.get(&incarnation);
         if known.is_some_and(|known| !departure.overrides(*known)) {
@@ -124,7 +125,8 @@
         true
     }
 
-    /// Takes out what is known of a start; its key is made only where some are known.
+    /// Removes and returns what is known of an incarnation; its key is computed only if any are
+    /// recorded.
     pub(crate) fn take(&mut self, incarnation: impl FnOnce() -> u64) -> Option<Departure> {
         if self.by_incarnation.is_empty() {
             return None;
@@ -132,18 +134,18 @@
         self.by_incarnation.remove(&incarnation())
     }
 
-    /// Forgets those that only a copy's rows would bring back.
+    /// Forgets the incarnations recorded only to keep restored rows from bringing them back.
     pub(crate) fn forget_restored(&mut self) {
         self.by_incarnation
             .retain(|_, departure| departure.teller != Teller::Copy);
     }
 
-    /// Counts them.
+    /// Counts the recorded incarnations.
     pub fn count(&self) -> usize {
         self.by_incarnation.len()
     }
 
-    /// Forgets one of the oldest: many may have come in the same millisecond.
+    /// Drops the oldest one; many may have been recorded in the same millisecond.
     fn forget_oldest(&mut self) {
         let oldest = self
             .by_incarnation
--- a/crates/cranereach-fleet/src/first_read.rs
+++ b/crates/cranereach-fleet/src/first_read.rs
@@ -1,90 +1,88 @@
-//! Where an instance that has just started gets what all instances know: the list of
-//! workers and the configuration.
+//! Where an instance that has just started gets what all instances share: the list of workers and
+//! the configuration.
 //!
-//! The store holds both, but were each start to read them there, its bytes would grow
-//! with instances times workers, and a start of all would be one burst of reads. So the
-//! instances that the settings name read in turn, and the others take over what a
-//! neighbour has: one of the own failure domain if one has it, else one from elsewhere,
-//! which the first of a domain does for all. Nothing is agreed on: whoever hears nobody
-//! reads for itself soon, and where nobody who is heard has anything, the others begin
-//! to read by and by, in times drawn by chance.
+//! The store holds both. If each instance read them there at its start, the bytes read would grow
+//! with instances times workers, and a start of all of them would be one burst of reads. So the
+//! seed instances that the settings name read one after another, and the others fetch from a peer:
+//! one of their own failure domain if any has it, else one from elsewhere, to which the first
+//! instance of a domain goes on behalf of the rest. This needs no agreement: an instance that hears
+//! from nobody soon reads for itself, and if no peer that it hears has anything, the instances
+//! begin to read one by one, at random times.
 
-/// Time without a word from any other instance after which one counts as alone, in
-/// milliseconds: eight of its own rounds of digests, each answered at once by whoever
-/// hears it. Where 1,000 start at one moment, half that time left 88 of them unheard
-/// (`tests/first_reads.rs`).
+/// Time without a message from any other instance after which an instance counts as alone, in
+/// milliseconds: eight of its own rounds of gossip digests, each answered at once by any peer that
+/// receives it. With 1,000 instances started at the same moment, half that time left 88 of them
+/// without an answer (`tests/first_reads.rs`).
 const ALONE_AFTER_MS: u64 = 2_000;
 
-/// Time for which the others leave the first read to those that the settings name, in
-/// milliseconds: a list of 10,000 workers takes a small machine some two seconds, and as
-/// long again to reach all of 300 instances, where 4 s would make three of them read.
+/// Time for which the other instances leave the first read to the seeds, in milliseconds. A small
+/// machine reads a list of 10,000 workers in about two seconds, and as long again passes until all
+/// of 300 instances have it; with 4 s, three of them would read too.
 const SEEDS_HEAD_START_MS: u64 = 6_000;
 
-/// Time by which each of them leaves it to those before it, in milliseconds: more than a
-/// list of some hundred workers takes to read. Whoever has a list that came from the same
-/// reader can be told its changes, however far behind.
+/// Time for which each seed waits for each one before it, in milliseconds: longer than it takes to
+/// read a list of some hundred workers. Instances whose lists came from the same reader can be sent
+/// just the changes, however far behind they are.
 const SEED_STAGGER_MS: u64 = 400;
 
-/// Time over which each known instance spreads the reads that follow, in milliseconds:
-/// some sixteen begin a second, however many there are.
+/// Time per known instance over which the reads after that are spread, in milliseconds: about
+/// sixteen start in a second, however many instances there are.
 pub const SPREAD_EACH_MS: u64 = 60;
 
-/// Time for which the first of a failure domain leaves it to those who are told from
-/// elsewhere to fetch there, in milliseconds: some know few others yet, and take
-/// themselves for the first.
+/// Time for which the first instance of a failure domain lets those go first that a peer elsewhere
+/// has told directly (the relays), in milliseconds. Some instances still know few others, and
+/// wrongly take themselves for the first of their domain.
 const RELAY_HEAD_START_MS: u64 = 1_000;
 
-/// The same for all others.
+/// The same for all other instances of the domain.
 const FIRST_IN_DOMAIN_HEAD_START_MS: u64 = 2_500;
 
-/// Time over which each known instance spreads the fetches from elsewhere that follow,
-/// in milliseconds.
+/// Time per known instance over which the fetches from elsewhere after that are spread, in
+/// milliseconds.
 const FAR_SPREAD_PER_INSTANCE_MS: u64 = 10;
 
-/// The nearest who is known to have what an instance lacks.
+/// Nearest peer known to have what an instance lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Holder {
-    /// Nobody.
+    /// No peer.
     #[default]
     Nobody,
-    /// Somebody of another failure domain.
+    /// A peer in another failure domain.
     Elsewhere {
-        /// Time since it first heard of anybody, in milliseconds.
+        /// Time since any peer was first known to have it, in milliseconds.
         known_for_ms: u64,
     },
-    /// Somebody of its own failure domain.
+    /// A peer in its own failure domain.
     Near,
 }
 
-/// What an instance knows that has nothing yet.
+/// What an instance that still lacks the list or the configuration knows of its surroundings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Newcomer {
     /// Time since its start, in milliseconds.
     pub up_for_ms: u64,
-    /// How many of those that the settings of all instances name come before it; none if
-    /// they name others alone.
+    /// Seeds that come before it; none if it isn't a seed itself.
     pub seed_rank: Option<u64>,
-    /// Whether it has heard any other instance.
+    /// Whether it has heard from any other instance.
     pub has_heard: bool,
     /// Instances that it knows of.
     pub known_count: usize,
-    /// Who is known to have what it lacks.
+    /// Nearest peer known to have what it lacks.
     pub holder: Holder,
-    /// Whether somebody elsewhere told it in particular, so that it can tell its own
-    /// failure domain.
+    /// Whether a peer elsewhere told it directly, so that it is to relay to its own failure domain.
     pub is_gate: bool,
     /// Instances of its own failure domain that come before it.
     pub rank_in_domain: u64,
-    /// A number from zero to one that it drew at its start.
+    /// Random number from zero to one, drawn at its start.
     pub chance: f64,
 }
 
-/// Where an instance that has nothing yet looks now.
+/// Where an instance looks now for what it lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstSource {
     /// At the store.
     Store,
-    /// At a peer of its own failure domain.
+    /// At a peer in its own failure domain.
     Near,
     /// At a peer elsewhere.
     Far,
@@ -93,7 +91,7 @@
 }
 
 impl Newcomer {
-    /// Says where to look now.
+    /// Returns where to look now.
     ///
     /// ```
     /// use cranereach_fleet::first_read::FirstSource;
@@ -121,7 +119,7 @@
         FirstSource::Wait
     }
 
-    /// Whether it is its turn to fetch from elsewhere what somebody has there.
+    /// Whether it is this instance's turn to fetch from a peer elsewhere.
     fn may_fetch_far(&self) -> bool {
         let Holder::Elsewhere { known_for_ms } = self.holder else {
             return false;
@@ -131,7 +129,7 @@
         self.is_gate || is_first || known_for_ms >= others_ms
     }
 
-    /// Whether it is its turn to read at the store.
+    /// Whether it is this instance's turn to read from the store.
     fn may_read_store(&self) -> bool {
         let due_ms = match self.seed_rank {
             Some(rank) => rank * SEED_STAGGER_MS,
@@ -141,7 +139,7 @@
         self.up_for_ms >= due_ms
     }
 
-    /// Returns its own place in a spread over all known instances, in milliseconds.
+    /// Returns this instance's own delay within a spread over all known instances, in milliseconds.
     fn jitter_ms(&self, per_instance_ms: u64) -> u64 {
         let spread_ms = self.known_count as u64 * per_instance_ms;
         (self.chance * spread_ms as f64) as u64
--- a/crates/cranereach-fleet/src/freshness.rs
+++ b/crates/cranereach-fleet/src/freshness.rs
@@ -1,31 +1,30 @@
-//! How fresh what an instance knows of the store is, at the price of few reads.
+//! Keeps what an instance knows of the store fresh with few reads.
 //!
-//! Each instance knows since when its list of workers, or its configuration, has been
-//! the newest. Whoever reads tells the others so; they read only when what they know
-//! grows old. How old depends on a [rank] that all instances work out alike, so that
-//! one reads, a second one follows if the first falls silent, and at last everybody
-//! reads. Nothing is agreed on: an instance that nobody tells anything reads for
-//! itself in time.
+//! Each instance keeps the last time at which its list of workers, or its configuration, is known
+//! to have been the newest. An instance that reads tells the others, and they read only when what
+//! they know grows old. The age at which they do depends on a [rank] that all instances compute
+//! alike: one reads, a second one follows if the first falls silent, and in the end all of them
+//! read. This needs no agreement: an instance that hears nothing reads for itself in time.
 //!
 //! [rank]: Freshness::read_due_at_ms
 
-/// Age at which the first in rank reads, as a share of the bound.
+/// Age at which the instance of the first rank reads, as a share of the bound.
 const FIRST_READ_SHARE: f64 = 0.4;
 
-/// Age added for each rank, as a share of the bound.
+/// Age added for each further rank, as a share of the bound.
 const RANK_SHARE: f64 = 0.12;
 
-/// Ranks that are told apart; all lower ones read as the last.
+/// Highest rank told apart; instances of a higher rank read at the same age.
 const RANK_MAX: u64 = 3;
 
-/// Time added to the age that a peer tells, in milliseconds.
+/// Transit time added to the age that a peer reports, in milliseconds.
 const TRANSIT_MS: u64 = 20;
 
-/// Time in which rows that lapsed during an outage are back, and in which others have
-/// written again what a restored store has lost, in milliseconds.
+/// Time within which rows that lapsed during an outage are back, and within which others have
+/// written again what a restored store had lost, in milliseconds.
 pub const BACK_WITHIN_MS: u64 = 2_300;
 
-/// Returns when news was true that a peer told with its age, in milliseconds.
+/// Returns the time at which news was true that a peer reported with its age, in milliseconds.
 ///
 /// ```
 /// use cranereach_fleet::freshness::told_at_ms;
@@ -37,7 +36,7 @@
     now_ms.saturating_sub(age_ms.saturating_add(TRANSIT_MS))
 }
 
-/// How fresh one instance's list of workers, or its configuration, is.
+/// Freshness of one instance's list of workers, or of its configuration.
 ///
 /// ```
 /// use cranereach_fleet::freshness::Freshness;
@@ -53,14 +52,14 @@
     bound_ms: u64,
     true_at_ms: Option<u64>,
     lapses_until_ms: u64,
-    /// Era of the store that news must be of.
+    /// Era of the store that news must belong to.
     era: u64,
-    /// When that era began here, until its first news; none before and after.
+    /// When that era was entered, until its first news arrives; none before and after.
     restored_at_ms: Option<u64>,
 }
 
 impl Freshness {
-    /// Makes the state of an empty list that must not grow older than a bound.
+    /// Makes the state of an empty list whose age is to stay within a bound.
     pub fn new(bound_ms: u64) -> Self {
         Self {
             bound_ms,
@@ -71,8 +70,8 @@
         }
     }
 
-    /// Begins an era of the store: nothing is known to be the newest until news of it come.
-    /// Returns whether it is new.
+    /// Enters an era of the store: nothing counts as the newest until news of it arrives. Returns
+    /// whether the era is new.
     ///
     /// ```
     /// use cranereach_fleet::freshness::Freshness;
@@ -81,7 +80,7 @@
     /// list.confirm(100);
     /// assert!(list.enter_era(500, 1));
     /// assert_eq!(list.age_ms(500), None);
-    /// // One reads at once, the others by and by.
+    /// // The first rank reads at once, the others later.
     /// assert_eq!(list.read_due_at_ms(0), 500);
     /// assert!(list.read_due_at_ms(1) > 500);
     /// ```
@@ -89,36 +88,36 @@
         let is_new = era > self.era;
         if is_new {
             self.era = era;
-            // Whoever knew nothing yet reads as at a start.
+            // An instance that has read nothing yet reads as it does after a start.
             self.restored_at_ms = self.true_at_ms.or(self.restored_at_ms).map(|_| now_ms);
             self.true_at_ms = None;
         }
         is_new
     }
 
-    /// Returns when an era began whose first news haven't come yet, in milliseconds.
+    /// Returns when an era was entered whose first news hasn't arrived yet, in milliseconds.
     pub fn restored_at_ms(&self) -> Option<u64> {
         self.restored_at_ms
     }
 
-    /// Returns for how long the list may have been out of date, in milliseconds.
+    /// Returns for how long the list may have been out of date, in milliseconds; none if that isn't
+    /// known.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.true_at_ms
             .map(|true_at_ms| now_ms.saturating_sub(true_at_ms))
     }
 
-    /// Returns the last time at which the list is known to have been complete, in
-    /// milliseconds.
+    /// Returns the last time at which the list is known to have been complete, in milliseconds.
     pub fn known_at_ms(&self) -> Option<u64> {
         self.true_at_ms
     }
 
-    /// Whether the list is not yet known to have been complete at a time.
+    /// Whether the list isn't yet known to have been complete at a time.
     pub fn is_older_than(&self, true_at_ms: u64) -> bool {
         self.true_at_ms.is_none_or(|known_ms| known_ms < true_at_ms)
     }
 
-    /// Returns when this instance reads unless it is told of changes before.
+    /// Returns when this instance reads unless it is told of changes before, in milliseconds.
     ///
     /// `rank` counts the instances that go before this one.
     pub fn read_due_at_ms(&self, rank: u64) -> u64 {
@@ -132,18 +131,18 @@
         })
     }
 
-    /// Whether news that was true at a time ends an outage: the list had been out
-    /// of date for longer than the bound, or was of an earlier era.
+    /// Whether news that was true at a time ends an outage: the list had been out of date for
+    /// longer than the bound, or was of an earlier era.
     pub fn ends_outage(&self, true_at_ms: u64) -> bool {
         let is_late = |before_ms| true_at_ms > before_ms + self.bound_ms;
         self.restored_at_ms.is_some() || self.true_at_ms.is_some_and(is_late)
     }
 
-    /// Notes that news has come that was true at a time, and returns until when
-    /// rows that it ends may only have lapsed; none in calm times.
+    /// Takes the arrival of news that was true at a time. Returns until when rows that it ends may
+    /// have lapsed only because of an outage, in milliseconds; none if there was no recent outage.
     ///
-    /// While the store is away, rows of live workers may lapse; they come back
-    /// when it does.
+    /// While the store is unavailable, the rows of live workers may lapse; they come back when it
+    /// does.
     pub fn lapse_until_ms(&mut self, now_ms: u64, true_at_ms: u64) -> Option<u64> {
         if self.ends_outage(true_at_ms) {
             self.lapses_until_ms = now_ms + BACK_WITHIN_MS;
@@ -157,7 +156,7 @@
         self.true_at_ms = Some(true_at_ms.max(self.true_at_ms.unwrap_or(0)));
     }
 
-    /// Forgets how fresh the list is, as after a pause of the whole process.
+    /// Discards what is known of the list's freshness, as after a pause of the whole process.
     pub fn distrust(&mut self) {
         self.true_at_ms = None;
     }
--- a/crates/cranereach-fleet/src/listing.rs
+++ b/crates/cranereach-fleet/src/listing.rs
@@ -1,18 +1,18 @@
-//! The rows of the list of workers at one position of the store, and the parts of
-//! it that peers are told.
+//! The list of workers as rows at one position of the store, and the deltas of it that peers are
+//! sent.
 //!
-//! A part carries an instance from one position to a later one. What was read as
-//! changes names every row that changed in between, so that it fits whoever
-//! stands anywhere between the two. What was worked out from two whole
-//! lists doesn't: a row that came and went in between is on neither. Such a part
-//! fits only whoever stands at the first, as does one from before any read.
+//! A delta takes an instance from one position to a later one. One read from the store as changes
+//! names every row that changed in between, so it applies to an instance at any position between
+//! the two. One computed from two whole lists doesn't: a row that was added and removed in between
+//! is on neither. Such a delta applies only at its first position, as does one from before any
+//! read.
 //!
-//! Whoever is further behind than the last few reads, or missed one that was too large
-//! for a datagram, is told all changes since its own position: rows carry the position of
-//! their last change, and ends of rows are remembered.
+//! An instance that is further behind than the last few reads, or missed a delta that was too large
+//! for a datagram, is sent all changes since its own position: rows carry the position of their
+//! last change, and the ends of rows are remembered.
 //!
-//! In a new era of the store only the whole list says how things stand. Rows that it has
-//! as they were keep their positions of the era before, which come before all new ones.
+//! In a new era of the store only the whole list tells the current state. Rows that are the same in
+//! it keep their positions of the era before, which sort before all new ones.
 
 mod history;
 
@@ -26,43 +26,43 @@
 pub use self::history::History;
 use crate::store_position::StorePosition;
 
-/// Reads whose changes are passed on together, so that a lost message does no harm.
+/// Deltas of the last reads that are sent together, so that the loss of one message does no harm.
 const DELTA_MAX_COUNT: usize = 3;
 
-/// Size of the rows of one read up to which they are passed on, in bytes.
+/// Largest size of the rows of one read that are sent as a delta, in bytes.
 const PART_MAX_BYTES: usize = 128 * 1_024;
 
-/// Size of the rows up to which those of reads before are repeated, in bytes.
+/// Size of the rows of a message up to which the deltas of earlier reads are added to it, in bytes.
 const REPEATED_MAX_BYTES: usize = 6 * 1_024;
 
-/// A changed row, as it is passed on.
+/// A changed row, as peers are sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangedRow {
-    /// Key.
+    /// Key of the row.
     pub key: String,
     /// Position of its last change.
     pub position: StorePosition,
-    /// Content; none if the row is gone.
+    /// Content; none if the row has ended.
     pub value: Option<Vec<u8>>,
 }
 
 impl ChangedRow {
-    /// Returns about how many bytes the row takes in a message.
+    /// Returns the approximate size of the row in a message, in bytes.
     fn byte_count(&self) -> usize {
         self.key.len() + self.value.as_ref().map_or(0, Vec::len) + 8
     }
 }
 
-/// What rows say of the time between two positions.
+/// What the rows of a delta tell about the time between its two positions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Span {
-    /// Every row that changed.
+    /// They include every row that changed.
     Changes,
-    /// What differs between the lists at the two positions.
+    /// They are the difference between the lists at the two positions.
     Difference,
 }
 
-/// What one read has changed.
+/// What one read changed.
 #[derive(Clone, Debug)]
 struct Delta {
     from: StorePosition,
@@ -76,31 +76,31 @@
     }
 }
 
-/// Rows that carry a list from one position to a later one.
+/// A delta as peers are sent it: rows that take a list from one position to a later one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListPart<'a> {
-    /// Position that the rows begin at.
+    /// Position that the delta starts from.
     pub from: StorePosition,
-    /// Position that the list has with them.
+    /// Position of the list once the rows are applied.
     pub position: StorePosition,
-    /// What the rows are.
+    /// What the rows tell about the time in between.
     pub span: Span,
-    /// The rows, oldest read first.
+    /// The rows, those of the oldest read first.
     pub rows: Vec<&'a ChangedRow>,
 }
 
-/// What a part that a peer sent is good for.
+/// Whether a delta that a peer sent is of use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing new.
+    /// It has nothing new.
     Old,
-    /// Its rows make the own list complete at its position.
+    /// Its rows complete the own list up to its position.
     Applies,
-    /// Changes between the own list and the part may be missing.
+    /// Changes between the own list and the delta may be missing.
     Gap,
 }
 
-/// The rows at one position.
+/// The list of workers at one position of the store.
 ///
 /// ```
 /// use cranereach_fleet::listing::ChangedRow;
@@ -129,13 +129,13 @@
         self.position
     }
 
-    /// Lists the rows: key, position, content.
+    /// Iterates over the rows: key, position, content.
     pub fn rows(&self) -> impl Iterator<Item = (&str, StorePosition, &[u8])> {
         let rows = self.rows.iter();
         rows.map(|(key, (position, value))| (key.as_str(), *position, value.as_slice()))
     }
 
-    /// Says what a peer's part is good for.
+    /// Returns whether a peer's delta applies to the own list.
     pub fn judge(&self, from: StorePosition, position: StorePosition, span: Span) -> Verdict {
         if position.is_none() || position < self.position {
             return Verdict::Old;
@@ -148,10 +148,9 @@
         if fits { Verdict::Applies } else { Verdict::Gap }
     }
 
-    /// Takes rows that make the list complete at a position, and returns those
-    /// that are new.
+    /// Applies rows that complete the list up to a position, and returns those that are new.
     ///
-    /// They must fit the own list as [`Listing::judge`] says.
+    /// [`Listing::judge`] must have said that they apply.
     pub fn take(
         &mut self,
         position: StorePosition,
@@ -161,7 +160,7 @@
         if position <= self.position {
             return Vec::new();
         }
-        // The list is complete up to its position: older rows say nothing new.
+        // The list is complete up to its position, so older rows have nothing new.
         let new: Vec<ChangedRow> = rows
             .into_iter()
             .filter(|row| row.position > self.position && self.is_newer(row))
@@ -173,7 +172,7 @@
         new
     }
 
-    /// Takes the whole list as of a position, and returns what it changes.
+    /// Replaces the list by the whole list as of a position, and returns what that changes.
     pub fn take_whole(
         &mut self,
         position: StorePosition,
@@ -196,7 +195,7 @@
         new
     }
 
-    /// Lists the ends of the rows that a whole list as of a position doesn't have.
+    /// Returns the ends of the rows that are missing from a whole list as of a position.
     fn ends(&self, position: StorePosition, listed: &[ChangedRow]) -> Vec<ChangedRow> {
         let keys: HashSet<&str> = listed.iter().map(|row| row.key.as_str()).collect();
         let gone = self
@@ -211,13 +210,13 @@
         .collect()
     }
 
-    /// Returns a row of a whole list as of a position, unless it is known.
+    /// Returns a row of a whole list as of a position; none if it is known already.
     fn changed_in_whole(&self, position: StorePosition, row: ChangedRow) -> Option<ChangedRow> {
         let is_of_era = row.position.era == position.era;
         if is_of_era && self.position.era == position.era {
             return self.is_newer(&row).then_some(row);
         }
-        // Positions of two eras say nothing of each other: the content does.
+        // Positions of two eras can't be compared, so the contents are.
         let known = self.rows.get(&row.key);
         if known.is_some_and(|(_, value)| Some(value) == row.value.as_ref()) {
             return None;
@@ -226,7 +225,7 @@
         Some(ChangedRow { position, ..row })
     }
 
-    /// Returns what peers are told; none before the first read.
+    /// Returns the delta that peers are sent; none before the first read.
     pub fn part(&self) -> Option<ListPart<'_>> {
         if self.position.is_none() {
             return None;
@@ -262,8 +261,8 @@
         Some(part)
     }
 
-    /// Returns all that has changed since a position, oldest first, for whoever stands
-    /// there; none if that isn't known, so that only the whole list helps.
+    /// Returns all changes since a position, oldest first, for an instance that stands there; none
+    /// if they aren't all known, so that only the whole list helps.
     ///
     /// ```
     /// use cranereach_fleet::listing::ChangedRow;
@@ -293,21 +292,22 @@
         Some(rows)
     }
 
-    /// Whether what has changed since a position, up to the own one, names every row that
+    /// Returns whether the changes since a position, up to the own one, include every row that
     /// changed in between.
     pub fn span_since(&self, since: StorePosition) -> Span {
         self.history.span_since(since)
     }
 
-    /// Returns what is known of the time before, for whoever takes the whole list.
+    /// Returns what is known of the time before the own position, to be sent along with the whole
+    /// list.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Takes what a peer knows of the time before, whose whole list was taken.
+    /// Adopts the history of a peer whose whole list was taken.
     ///
-    /// So all that had their first list from one reader can tell each other what has
-    /// changed since any position that one of them stood at.
+    /// All instances that got their first list from the same reader can then send each other the
+    /// changes since any position that one of them stood at.
     pub fn inherit(&mut self, position: StorePosition, history: History) {
         if position == self.position {
             self.history = history;
@@ -320,7 +320,7 @@
         known.is_none_or(|(position, _)| *position < row.position)
     }
 
-    /// Takes one row or its end.
+    /// Applies one row, or its end.
     fn put(&mut self, row: &ChangedRow) {
         if let Some(value) = &row.value {
             let content = (row.position, value.clone());
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Remembers for peers what has changed.
+    /// Keeps a delta for peers, and moves the list to its position.
     fn add_delta(&mut self, position: StorePosition, span: Span, rows: Vec<ChangedRow>) {
         let delta = Delta {
             from: self.position,
@@ -339,7 +339,8 @@
             rows,
         };
         if delta.byte_count() > PART_MAX_BYTES {
-            // It can't be told, nor anything before it; whoever lacks it asks for it.
+            // Neither it nor any delta before it can be sent; an instance that lacks it asks for
+            // it.
             self.deltas.clear();
         } else {
             self.deltas.push_back(delta);
--- a/crates/cranereach-fleet/src/listing/history.rs
+++ b/crates/cranereach-fleet/src/listing/history.rs
@@ -1,4 +1,4 @@
-//! What a list remembers of the time before its position: ends of rows.
+//! The ends of rows that a list remembers from before its position.
 
 use std::collections::VecDeque;
 
@@ -9,21 +9,21 @@
 use super::Span;
 use crate::store_position::StorePosition;
 
-/// Ends of rows that are remembered whatever the size of the list; of a longer list as
-/// many ends as it has rows, so that they never take more room than the list.
+/// Ends of rows remembered whatever the size of the list. A longer list remembers as many ends as
+/// it has rows, so that they never take more memory than the list.
 const ENDED_MIN_COUNT: usize = 1_024;
 
-/// Spans between two whole reads that are remembered.
+/// Most gaps between two whole reads that are remembered.
 const UNSEEN_MAX_COUNT: usize = 8;
 
-/// Ends of rows, and from when on all of them are known.
+/// Ends of rows, and the position from which all of them are known.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     /// Ends, oldest first: position, key.
     ended: VecDeque<(StorePosition, String)>,
-    /// Position from which on all ends are remembered.
+    /// Position from which all ends are remembered.
     ends_from: StorePosition,
-    /// Spans within which rows may have come and gone unseen.
+    /// Gaps between two positions within which rows may have been added and removed unnoticed.
     unseen: VecDeque<(StorePosition, StorePosition)>,
 }
 
@@ -43,7 +43,7 @@
         Some(ended.collect())
     }
 
-    /// Says what the changes since a position are.
+    /// Returns what the changes since a position tell about the time in between.
     pub(super) fn span_since(&self, since: StorePosition) -> Span {
         if self.unseen.iter().any(|(_, to)| *to > since) {
             Span::Difference
@@ -57,7 +57,7 @@
         self.ended.push_back((position, key.to_owned()));
     }
 
-    /// Notes that the list went from one position to another, and how many rows it has.
+    /// Notes that the list moved from one position to another, and how many rows it has.
     pub(super) fn note_advance(
         &mut self,
         from: StorePosition,
@@ -66,7 +66,7 @@
         row_count: usize,
     ) {
         if from.is_none() {
-            // What ended before the first list is not known.
+            // The ends before the first list are not known.
             self.raise_ends_from(position);
         } else if span == Span::Difference {
             self.unseen.push_back((from, position));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Notes that changes can be told only to whoever stands at a position or later.
+    /// Notes that changes can be told only since a position or later.
     fn raise_ends_from(&mut self, position: StorePosition) {
         self.ends_from = self.ends_from.max(position);
     }
--- a/crates/cranereach-fleet/src/no_worker.rs
+++ b/crates/cranereach-fleet/src/no_worker.rs
@@ -1,30 +1,33 @@
-//! Why a request finds no worker.
+//! Reasons why no worker can be chosen for a request.
 
-/// Why no worker was chosen; the one that came closest counts.
+/// Reason why no worker was chosen. If workers were ruled out for several reasons, the highest one
+/// counts: that of the worker that came closest to being chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NoWorker {
     /// The service has no worker that takes work.
     None,
-    /// All that hold what is wanted leave.
+    /// All workers that hold what is wanted are leaving.
     Leaving,
-    /// All that take work stand in regions in which the request may not be served.
+    /// All workers that take work are in regions in which the request may not be served.
     NotAllowed,
-    /// All that hold what is wanted could not be reached lately.
+    /// All workers that hold what is wanted were recently unreachable.
     Unreachable,
     /// No worker holds the model.
     NoModel,
-    /// All that hold the model stand in failure domains that are being evacuated.
+    /// All workers that hold the model are in failure domains that are being evacuated.
     Evacuated,
-    /// All that hold the model and could be sent it are cold, and get no more for now.
+    /// All workers that hold the model and could be sent the request are cold, and get no more for
+    /// now.
     Cold,
-    /// All that hold the model and could be sent it are cold or name a limit, and get no
-    /// more for now.
+    /// All workers that hold the model and could be sent the request are cold or name a limit, and
+    /// get no more for now.
     Limited,
-    /// All that hold the model and could be sent it asked for rest.
+    /// All workers that hold the model and could be sent the request asked to be sent nothing for a
+    /// while.
     Resting,
     /// No worker holds the adapter.
     NoAdapter,
-    /// Workers end under requests equal to it, and at each that holds what is wanted
-    /// another such request runs.
+    /// Workers have ended under requests equal to this one, and another such request is running at
+    /// each worker that holds what is wanted.
     NotAlone,
 }
--- a/crates/cranereach-fleet/src/purpose.rs
+++ b/crates/cranereach-fleet/src/purpose.rs
@@ -1,13 +1,13 @@
-//! What a request to a worker is for.
+//! Purposes of requests to workers.
 
-/// What a request to a worker is for.
+/// Purpose of a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A caller's request.
     Call,
-    /// An order of the holder of a lease.
+    /// An order from the instance that holds the lease.
     Order,
-    /// A question for a report.
+    /// A query for a worker's report.
     Report,
 }
 
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -1,7 +1,7 @@
-//! All workers that are known, and the choice of one for a request.
+//! All known workers, and the choice of one for a request.
 //!
-//! The list comes from the table; a worker's newest row wins by the position
-//! that the store gave it, whoever passes it on.
+//! The rows come from the store's table of workers. The newest row of a worker wins by the position
+//! that the store gave it, whichever instance passes it on.
 
 mod candidates;
 mod departures;
@@ -35,21 +35,22 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRecord;
 
-/// Ends of rows that are remembered at most, so that no older row brings one back.
+/// Most tombstones kept. A tombstone keeps an older row that arrives late from bringing its worker
+/// back.
 const TOMBSTONE_MAX_COUNT: usize = 2_048;
 
-/// The end of a row.
+/// The end of a worker's row: its position, and whose row it was.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tombstone {
     position: StorePosition,
-    /// Key of the start whose row it was, if it was known here.
+    /// Key of the incarnation that the row described; none if the row was not known here.
     incarnation: Option<u64>,
-    /// Whether that start had said that it leaves.
+    /// Whether that row said that the worker was leaving.
     was_leaving: bool,
 }
 
 impl Tombstone {
-    /// Makes the end of a worker's row.
+    /// Makes the tombstone of a known worker, at the position of its last row.
     fn from_worker(worker: &Worker) -> Self {
         Self {
             position: worker.position,
@@ -59,28 +60,29 @@
     }
 }
 
-/// A worker that was chosen.
+/// A chosen worker, and what was predicted for the request there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Its identity.
+    /// Identity of the worker.
     pub id: Arc<str>,
-    /// Its address.
+    /// Address of the worker.
     pub address: String,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that the worker has to prefill, as its prefix cache doesn't hold them.
     pub unread_tokens: u32,
-    /// Whether it has, as far as known, no other prompt to read before.
+    /// Whether, as far as known, the worker has no other prompt to prefill first.
     pub is_first: bool,
-    /// Time until it will have read the prompt, in milliseconds, as predicted.
+    /// Predicted time until the worker will have prefilled the prompt, in milliseconds.
     pub begins_in_ms: f64,
-    /// Time until it is to be sent, so that answers that run get on, in milliseconds.
+    /// Time to wait before sending the request, in milliseconds, so that the answers the worker is
+    /// streaming don't stall.
     pub send_in_ms: u64,
-    /// The load that the choice was made by.
+    /// Load of the worker that the choice was based on.
     pub load: Load,
-    /// Requests that the worker runs at once.
+    /// Requests that the worker runs concurrently.
     pub slot_count: u32,
 }
 
-/// All workers.
+/// All workers that this instance knows, with indexes by service, key and model.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     workers: HashMap<Arc<str>, Worker>,
@@ -88,23 +90,25 @@
     by_key: HashMap<u64, Arc<str>>,
     /// Workers by the models that their rows list.
     holders: Holders,
-    /// Workers whose rows ended and may come back.
+    /// Workers whose rows ended during an outage of the store and may come back.
     lapsing: HashSet<Arc<str>>,
     tombstones: HashMap<Arc<str>, Tombstone>,
-    /// Starts that leave and aren't listed, or not yet.
+    /// Incarnations that are leaving and are not, or not yet, listed.
     unlisted_departures: UnlistedDepartures,
-    /// Keys of starts that another start of their worker has followed, oldest first.
+    /// Keys of incarnations that a later incarnation of the same worker has replaced, oldest first.
     superseded: VecDeque<u64>,
-    /// Era of the store that rows are of.
+    /// Newest era of the store that this instance has entered.
     era: u64,
-    /// When rows of a copy are no longer held against a sign of life; none if that is over.
+    /// When rows that still stand in a restored store count as a sign of life, in milliseconds;
+    /// none if no restore is pending.
     restored_trusted_at_ms: Option<u64>,
-    /// Failure domains that are to be evacuated.
+    /// Failure domains that are being evacuated.
     pub evacuations: Evacuations,
 }
 
 impl Roster {
-    /// Takes a row of the list; an older one than known changes nothing.
+    /// Takes a row of the list; returns whether it changes anything. A row that isn't newer than
+    /// the known one is ignored.
     pub fn put(&mut self, position: StorePosition, mut record: WorkerRecord) -> bool {
         if self
             .tombstones
@@ -117,7 +121,7 @@
             if known.position >= position {
                 return false;
             }
-            // A peer may know already that a later row says so.
+            // A peer may already have read a later row that says so.
             record.is_leaving |= known.leaves_at > position;
             self.lapsing.remove(&record.id);
             self.holders.change(&known.record, &record);
@@ -130,7 +134,8 @@
                     let (incarnation, next) = (known.record.start_key(), record.start_key());
                     eras::note_superseded(&mut self.superseded, incarnation, next);
                 }
-                // It holds and knows nothing of before.
+                // A new incarnation starts empty: nothing learned about the one before applies to
+                // it.
                 let leaves_at = known.leaves_at;
                 *known = Worker::new(position, record);
                 known.leaves_at = leaves_at;
@@ -139,7 +144,8 @@
             }
             let has_changed = known.record != record;
             if has_changed && known.position.era == position.era {
-                // A row that says something else than the copy's is a sign of life.
+                // A row that differs from the restored one was written after the restore: a sign of
+                // life.
                 known.departure = known
                     .departure
                     .filter(|reported| reported.teller != Teller::Copy);
@@ -169,7 +175,7 @@
         true
     }
 
-    /// Takes the end of a row.
+    /// Takes the end of a row; returns whether a worker was removed by it.
     pub fn remove(&mut self, position: StorePosition, id: &str) -> bool {
         let known = self.workers.get(id);
         if known.is_some_and(|known| known.position > position) {
@@ -181,7 +187,7 @@
         };
         self.tombstones.insert(Arc::from(id), tombstone);
         if position.era < self.era {
-            // The copy's list, which may name it, is still to come.
+            // The list of the restored store, which may still contain this row, is yet to be read.
             self.record_ended(tombstone, 0);
         }
         if self.tombstones.len() > TOMBSTONE_MAX_COUNT {
@@ -191,7 +197,7 @@
             return false;
         };
         if let Some(departure) = removed.departure {
-            // Its row may come back.
+            // The row may come back.
             self.unlisted_departures
                 .keep(removed.record.start_key(), departure);
         }
@@ -204,7 +210,7 @@
         true
     }
 
-    /// Forgets the older half of the ends of rows.
+    /// Drops the older half of the tombstones.
     fn drop_older_tombstones(&mut self) {
         let all = self.tombstones.values();
         let mut positions: Vec<StorePosition> = all.map(|tombstone| tombstone.position).collect();
@@ -214,13 +220,13 @@
             .retain(|_, tombstone| tombstone.position > limit);
     }
 
-    /// Counts the ends of rows that are remembered.
+    /// Counts the tombstones kept.
     pub fn remembered_end_count(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Sets the models that are being unloaded, by the keys of their workers; all others
-    /// serve what they hold.
+    /// Sets the models that are being unloaded, by worker key. Every other model that a worker
+    /// holds may be served.
     pub fn withhold(&mut self, by_worker: HashMap<u64, HashSet<Arc<str>>>) {
         for worker in self.workers.values_mut() {
             worker.withhold(HashSet::new());
@@ -232,40 +238,39 @@
         }
     }
 
-    /// Returns a worker.
+    /// Returns the worker with an identity.
     pub fn get(&self, id: &str) -> Option<&Worker> {
         self.workers.get(id)
     }
 
-    /// Returns a worker to be changed.
+    /// Returns the worker with an identity, to be changed.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Worker> {
         self.workers.get_mut(id)
     }
 
-    /// Returns a worker by the key that peers use.
+    /// Returns a worker by the key that peers use for it.
     pub fn by_key(&self, key: u64) -> Option<&Worker> {
         self.workers.get(self.by_key.get(&key)?)
     }
 
-    /// Returns a worker by the key that peers use, to be changed.
+    /// Returns a worker by the key that peers use for it, to be changed.
     pub fn by_key_mut(&mut self, key: u64) -> Option<&mut Worker> {
         let id = self.by_key.get(&key)?;
         self.workers.get_mut(id)
     }
 
-    /// Lists the workers.
+    /// Iterates over all workers.
     pub fn workers(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
 
-    /// Lists the workers of a service.
+    /// Iterates over the workers of a service.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Worker> {
         let ids = self.by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.workers.get(id))
     }
 
-    /// Chooses a worker for a request, the one that will begin it first as far as
-    /// this instance knows.
+    /// Chooses a worker for a request: the one with the lowest cost, as far as this instance knows.
     pub fn choose<R: Rng>(
         &self,
         now_ms: u64,
@@ -277,8 +282,8 @@
         Ok(cheapest(scored))
     }
 
-    /// Chooses among some workers: those whose owners have just said how they stand, if
-    /// there are any. Of the others little is known here, so that they look idle.
+    /// Chooses among some workers. Those whose owners have just reported on them go first, if there
+    /// are any: little is known here of the others, so that they would look idle.
     pub fn choose_among<R: Rng>(
         &self,
         now_ms: u64,
@@ -303,7 +308,7 @@
         Ok(cheapest(scored))
     }
 
-    /// Lists the workers that this instance could not reach lately itself, by key.
+    /// Lists the keys of workers that this instance itself recently failed to reach.
     pub fn unreachable(&self, now_ms: u64) -> Vec<u64> {
         let known = self.workers.values();
         known
--- a/crates/cranereach-fleet/src/roster/candidates.rs
+++ b/crates/cranereach-fleet/src/roster/candidates.rs
@@ -1,9 +1,9 @@
-//! Whose owners are asked before a worker is chosen: near ones first, others only where
+//! Selects the workers whose owners are asked before one is chosen: near ones first, others only if
 //! they are likely to win.
 //!
-//! Asking within the failure domain costs nothing and takes no time. Each request that
-//! is sent elsewhere carries its prompt and its answer over a way that others need, so
-//! that one is worth it which begins sooner by more than a little.
+//! Asking within the failure domain is cheap and fast. A request sent to another domain carries its
+//! prompt and its answer over links that others need too, so it is worth that only if it starts
+//! noticeably sooner there.
 
 use std::sync::Arc;
 
@@ -18,17 +18,17 @@
 use crate::wanted::Wanted;
 use crate::worker::EJECTED_PENALTY_MS;
 
-/// Time by which a worker must look better than the best near one to be asked about, in
-/// milliseconds, by distance: it is weighed without what others have sent it, and mostly
-/// turns out to be busier.
+/// Least gain over the best near worker, in milliseconds and by distance, for a farther worker to
+/// be asked about. Its cost is computed here without the requests that other instances sent it, so
+/// it mostly turns out to be busier.
 const MIN_GAIN_BY_DISTANCE_MS: [f64; 3] = [0.0, 40.0, 80.0];
 
 impl Roster {
-    /// Lists workers whose owners are to be asked before one is chosen for a request:
-    /// of the nearest that could take it, the one that looks best from here, and others
-    /// by chance, so that instances which know the same don't all ask for the same.
+    /// Lists the workers whose owners are to be asked before one is chosen for a request. Among the
+    /// nearest that could take it, these are the one with the lowest cost and others picked at
+    /// random, so that instances with the same view don't all ask about the same workers.
     ///
-    /// Calls of services without an engine are small and short: distance doesn't count.
+    /// Calls of services without an engine are small and short, so distance doesn't count for them.
     pub fn candidates<R: Rng>(
         &self,
         now_ms: u64,
@@ -40,7 +40,8 @@
         let mut scored = self.score_all(now_ms, wanted, engine, rng)?;
         scored.sort_unstable_by(|left, right| left.cost.total_cmp(&right.cost));
         let healthy_count = scored.partition_point(|candidate| candidate.cost < EJECTED_PENALTY_MS);
-        // Those that had better be left alone are asked only where there are no others.
+        // Workers to be avoided, as they are ejected or were tried before, are asked about only if
+        // there are no others.
         scored.truncate(healthy_count.max(1));
         if engine.is_some() {
             let nearest = scored
@@ -52,8 +53,8 @@
         Ok(best_and_random(&scored, count, rng))
     }
 
-    /// Lists workers that are farther than those asked about, and that are likely to
-    /// begin a request sooner than the best of these would, as it now stands.
+    /// Lists workers farther away than those already asked about that are likely to start a request
+    /// sooner than the best of these, given what their owners have answered.
     pub fn further_candidates<R: Rng>(
         &self,
         now_ms: u64,
@@ -83,14 +84,14 @@
     }
 }
 
-/// Returns how far a worker is.
+/// Returns the distance from this instance to a worker.
 fn distance(wanted: &Wanted<'_>, candidate: &ScoredWorker<'_>) -> Distance {
     wanted
         .topology
         .distance(&candidate.worker.record.failure_domain)
 }
 
-/// Takes the first, and others by chance.
+/// Takes the first worker, and others at random.
 fn best_and_random<R: Rng>(
     scored: &[ScoredWorker<'_>],
     count: usize,
--- a/crates/cranereach-fleet/src/roster/departures.rs
+++ b/crates/cranereach-fleet/src/roster/departures.rs
@@ -1,4 +1,4 @@
-//! Which workers leave by their own word, and what speaks against a send right before it.
+//! Workers that announced that they are leaving, and the check right before a request is sent.
 
 use super::Roster;
 use crate::departure::Departure;
@@ -9,16 +9,16 @@
 use crate::purpose::Purpose;
 use crate::store_position::StorePosition;
 
-/// Why nothing is sent to a worker that was chosen.
+/// Reason why nothing is sent to a worker that was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Barred {
     /// It is no longer listed.
     Gone,
-    /// It leaves.
+    /// It is leaving.
     Leaving,
-    /// It asked this instance for rest.
+    /// It asked this instance to send nothing for a while.
     Resting,
-    /// Its failure domain is to be evacuated.
+    /// Its failure domain is being evacuated.
     Evacuated,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl Roster {
-    /// Returns what speaks against sending something of a rank to a worker now; what was chosen
-    /// before a wait is asked again.
+    /// Returns why nothing of a rank may be sent to a worker now, if so. A worker chosen before a
+    /// wait is checked again with this.
     pub fn barred(&self, now_ms: u64, id: &str, purpose: Purpose, rank: usize) -> Option<Barred> {
         let Some(worker) = self.workers.get(id) else {
             return Some(Barred::Gone);
@@ -45,17 +45,18 @@
             return Some(Barred::Leaving);
         }
         let is_call = purpose == Purpose::Call;
-        // Who goes first at the end of a rest is a question among callers.
+        // The order by rank at the end of a rest applies to callers' requests only.
         let waits_its_turn = is_call && !worker.rest.may_send(now_ms, rank);
         if waits_its_turn || worker.rest.is_resting(now_ms) {
             return Some(Barred::Resting);
         }
-        // Orders empty what is evacuated.
+        // Orders still go to evacuated domains: they are what empties them.
         let is_evacuated = is_call && !self.evacuations.may_send(now_ms, worker.domain_key);
         is_evacuated.then_some(Barred::Evacuated)
     }
 
-    /// Marks a worker as leaving because a peer has read so.
+    /// Marks a worker as leaving because a peer has read a row that says so; false if that changes
+    /// nothing.
     pub fn leaves(&mut self, position: StorePosition, key: u64) -> bool {
         let Some(worker) = self
             .by_key
@@ -64,7 +65,8 @@
         else {
             return false;
         };
-        // Also where the worker has said so itself: the row is told on.
+        // Checks the row only, not `departure`: the row's word is passed on to peers even where the
+        // worker has announced its departure itself.
         if worker.position >= position || worker.record.is_leaving {
             return false;
         }
@@ -73,7 +75,8 @@
         true
     }
 
-    /// Takes the word of a start of a worker that it leaves; false if it is known.
+    /// Takes the announcement of an incarnation of a worker that it is leaving; false if that is
+    /// known.
     pub fn heard_leaving(&mut self, now_ms: u64, id: &str, started_unix_ms: u64) -> bool {
         let departure = Departure {
             since_ms: now_ms,
@@ -88,7 +91,8 @@
             .keep(start_key(id, started_unix_ms), departure)
     }
 
-    /// Takes another instance's word that a start of a worker leaves; false if it is known. One that isn't listed yet will be taken for leaving.
+    /// Takes another instance's report that an incarnation of a worker is leaving; false if that is
+    /// known. An incarnation that isn't listed yet will count as leaving once it is.
     pub fn told_leaving(&mut self, now_ms: u64, news: &DepartureNews) -> bool {
         let departure = Departure {
             since_ms: now_ms,
@@ -102,14 +106,14 @@
         self.unlisted_departures.keep(news.start, departure)
     }
 
-    /// Returns what others are told of a worker that leaves by its own word.
+    /// Returns what peers are told of a worker that is leaving; none if only its row says so.
     pub fn departure_news(&self, id: &str) -> Option<DepartureNews> {
         let start = self.workers.get(id)?.leaving_start()?;
         let worker = worker_key(id);
         Some(DepartureNews { worker, start })
     }
 
-    /// Counts the starts that leave and aren't listed.
+    /// Counts the incarnations known to be leaving that aren't listed.
     pub fn remembered_departure_count(&self) -> usize {
         self.unlisted_departures.count()
     }
--- a/crates/cranereach-fleet/src/roster/eras.rs
+++ b/crates/cranereach-fleet/src/roster/eras.rs
@@ -1,4 +1,5 @@
-//! What a store that came back from a copy must not take back.
+//! What this instance still knows after the store was restored from a backup, so that the old rows
+//! there don't undo it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,16 +10,16 @@
 use crate::departure::DepartureNews;
 use crate::departure::Teller;
 
-/// Time after which a row that still stands in a restored store is a sign of life, in
-/// milliseconds: rows of silent workers end after three heartbeats of 1.2 s, which is heard
-/// of 2 s later.
+/// Time after which a row that still stands in a restored store counts as a sign of life, in
+/// milliseconds: the row of a silent worker ends after three missed heartbeats of 1.2 s, and its
+/// end is known here up to 2 s later.
 const RESTORED_TRUSTED_AFTER_MS: u64 = 6_000;
 
-/// Starts that others have followed that are remembered at most.
+/// Most replaced incarnations remembered.
 const SUPERSEDED_MAX_COUNT: usize = 2_048;
 
-/// Notes that another start of a worker has followed one, as rows of one era say: a copy's
-/// row may name the start before.
+/// Notes that an incarnation of a worker was replaced by another one, as two rows of the same era
+/// show. A restored store may list the replaced one again.
 pub(super) fn note_superseded(superseded: &mut VecDeque<u64>, incarnation: u64, next: u64) {
     superseded.retain(|known| *known != next);
     superseded.push_back(incarnation);
@@ -28,10 +29,11 @@
 }
 
 impl Roster {
-    /// Begins an era of the store, before any of its rows is taken.
+    /// Enters an era of the store, before any row of it is taken; returns what peers are to be
+    /// told.
     ///
-    /// Its copy may say that workers serve which left, or list some that are gone: what is
-    /// known of their starts holds on. Returns what others are told of it.
+    /// The restored rows may show workers as serving that are leaving, or list workers that are
+    /// gone. What is known of their incarnations stays in force.
     pub fn enter_era(&mut self, now_ms: u64, era: u64) -> Vec<DepartureNews> {
         if era <= self.era {
             return Vec::new();
@@ -43,7 +45,7 @@
         self.record_leaving(now_ms)
     }
 
-    /// Remembers which starts are over since another one has followed.
+    /// Records every replaced incarnation as leaving.
     fn record_superseded(&mut self, now_ms: u64) {
         let departure = Departure {
             since_ms: now_ms,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Remembers for their starts which workers leave by their rows.
+    /// Records every worker whose row says that it is leaving; returns the news for peers.
     fn record_leaving(&mut self, now_ms: u64) -> Vec<DepartureNews> {
         let departure = Departure {
             since_ms: now_ms,
@@ -70,7 +72,7 @@
         news.collect()
     }
 
-    /// Remembers which starts are gone.
+    /// Records every incarnation whose row had ended.
     fn record_all_ended(&mut self, now_ms: u64) {
         let all: Vec<Tombstone> = self.tombstones.values().copied().collect();
         for tombstone in all {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Remembers that a start is gone.
+    /// Records an incarnation whose row had ended as leaving.
     pub(super) fn record_ended(&mut self, tombstone: Tombstone, now_ms: u64) {
         let teller = if tombstone.was_leaving {
             Teller::Row
@@ -94,19 +96,20 @@
         }
     }
 
-    /// Returns the last end of a worker's row, as far as it is remembered.
+    /// Returns the tombstone of a worker's last row, or an empty one if none is kept.
     pub(super) fn last_tombstone(&self, id: &str) -> Tombstone {
         self.tombstones.get(id).copied().unwrap_or_default()
     }
 
-    /// Notes that the store was away: the ends of silent workers' rows come as much later.
+    /// Notes that an outage of the store is over. The rows of silent workers end that much later,
+    /// so the time after which restored rows are trusted starts again.
     pub fn distrust_copy(&mut self, now_ms: u64) {
         if self.restored_trusted_at_ms.is_some() {
             self.restored_trusted_at_ms = Some(now_ms + RESTORED_TRUSTED_AFTER_MS);
         }
     }
 
-    /// Trusts rows of a copy that have stood for long enough, as a fresh list says.
+    /// Trusts the restored rows that have stood for long enough, as a fresh list confirms.
     pub fn trust_copy(&mut self, now_ms: u64) {
         if self
             .restored_trusted_at_ms
--- a/crates/cranereach-fleet/src/roster/holders.rs
+++ b/crates/cranereach-fleet/src/roster/holders.rs
@@ -1,7 +1,7 @@
-//! Which workers list a model, so that a choice looks at these alone.
+//! Index of workers by the models that they list, so that a choice needs to look only at these.
 //!
-//! Of 10,000 workers some 60 hold a model; a look at all of them took a small machine
-//! longer than a plain call runs.
+//! Of 10,000 workers some 60 hold a given model. Scanning all of them took longer on a small
+//! machine than a plain call runs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRecord;
 
-/// Workers by the model that their rows list.
+/// Identities of workers by the model that their rows list.
 type ByModel = HashMap<Arc<str>, Vec<Arc<str>>>;
 
-/// Workers by service and by the models that their rows list.
+/// Index of workers by service and by the models that their rows list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Holders {
     by_service: HashMap<Arc<str>, ByModel>,
 }
 
 impl Holders {
-    /// Takes a worker's row.
+    /// Adds a worker's row.
     pub(super) fn add(&mut self, record: &WorkerRecord) {
         let of_service = self.by_service.entry(Arc::clone(&record.service));
         let by_model = of_service.or_default();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Forgets a worker's row.
+    /// Removes a worker's row.
     pub(super) fn remove(&mut self, record: &WorkerRecord) {
         let Some(by_model) = self.by_service.get_mut(&record.service) else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes a worker's row in place of the one before.
+    /// Replaces a worker's row by a newer one.
     pub(super) fn change(&mut self, before: &WorkerRecord, record: &WorkerRecord) {
         let names = |row: &WorkerRecord| -> Vec<Arc<str>> {
             row.models
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Lists the workers of a service that list a model.
+    /// Returns the workers of a service that list a model.
     fn find(&self, service: &str, model: &str) -> &[Arc<str>] {
         let by_model = self.by_service.get(service);
         let holders = by_model.and_then(|by_model| by_model.get(model));
@@ -74,7 +74,7 @@
 }
 
 impl Roster {
-    /// Weighs all workers that could take a request; at least one, or why there is none.
+    /// Scores all workers that could take a request: at least one, or the reason why there is none.
     pub(super) fn score_all<R: Rng>(
         &self,
         now_ms: u64,
@@ -92,13 +92,13 @@
             .map_err(|reason| reason.max(self.reason_without_model(wanted, model)))
     }
 
-    /// Lists the workers of a service whose rows list a model.
+    /// Iterates over the workers of a service whose rows list a model.
     pub(super) fn holders_of(&self, service: &str, model: &str) -> impl Iterator<Item = &Worker> {
         let ids = self.holders.find(service, model);
         ids.iter().filter_map(|id| self.workers.get(id))
     }
 
-    /// Says why none of the workers that don't list a model takes a request for it.
+    /// Returns why none of the workers that don't list a model can take a request for it.
     fn reason_without_model(&self, wanted: &Wanted<'_>, model: &str) -> NoWorker {
         let mut others = self.of_service(wanted.service).filter(|worker| {
             let mut held = worker.record.models.iter();
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -1,5 +1,6 @@
-//! Which workers get only some requests: those of failure domains that are being evacuated,
-//! cold ones, ones that name a limit, and those whose rows may only have lapsed.
+//! Workers that get only some requests: those in failure domains that are being evacuated, cold
+//! ones, those that name a limit, and those whose rows may have lapsed only because the store was
+//! unavailable.
 
 use std::sync::Arc;
 
@@ -9,8 +10,8 @@
 use crate::worker::Worker;
 
 impl Roster {
-    /// Takes the end of a row that may only have lapsed: the worker stays until
-    /// a time unless it was leaving. Returns whether it stays.
+    /// Takes the end of a row that may only have lapsed during an outage of the store: the worker
+    /// stays until a time, unless it was leaving. Returns whether it stays.
     pub fn lapse(&mut self, position: StorePosition, id: &str, until_ms: u64) -> bool {
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
@@ -23,8 +24,8 @@
         true
     }
 
-    /// Lists the workers whose rows lapsed and did not come back in time, with
-    /// the positions at which they lapsed.
+    /// Lists the workers whose rows lapsed and did not come back in time, with the positions at
+    /// which they lapsed.
     pub fn lapsed(&self, now_ms: u64) -> Vec<(StorePosition, Arc<str>)> {
         let lapsing = self.lapsing.iter().filter_map(|id| self.workers.get(id));
         lapsing
@@ -35,20 +36,20 @@
             .collect()
     }
 
-    /// Whether a worker asked this instance for rest.
+    /// Whether a worker asked this instance to send nothing for a while.
     pub fn is_resting(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| worker.rest.is_resting(now_ms))
     }
 
-    /// Whether a worker names a limit.
+    /// Whether a worker currently limits the requests that it takes in a second.
     pub fn names_limit(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| worker.limit.rate_per_s(now_ms).is_some())
     }
 
-    /// Whether a worker may be cold: one that is about to leave an evacuated failure
-    /// domain may have become so unseen.
+    /// Whether a worker may be cold. One whose failure domain is being evacuated counts as cold, as
+    /// it may become so unnoticed.
     pub fn is_cold(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| {
@@ -56,9 +57,9 @@
         })
     }
 
-    /// Returns from when it is worth asking for a worker that holds what is wanted and gets
-    /// no more for now, and from when one needs no grant, in milliseconds; none if there is
-    /// no such one.
+    /// Returns two times, in milliseconds, for workers that have what a request needs but may be
+    /// sent nothing for now: the earliest at which one's owner may be asked for a grant, and the
+    /// earliest at which one needs no grant. None if there is no such worker.
     pub fn free_from_ms(&self, now_ms: u64, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
         let is_blocked = |worker: &&Worker| {
             let may_send = worker.rest.may_send(now_ms, wanted.rank)
@@ -76,7 +77,7 @@
             let rested_at_ms = worker.rest.free_at_ms(wanted.rank);
             let ask_at_ms = worker.ask_pause.ask_at_ms(wanted.rank).max(rested_at_ms);
             let is_limited = worker.limit.rate_per_s(now_ms).is_some();
-            // Nothing says when a limit ends: its next grants count.
+            // It is not known when a limit ends, so the time of its next possible grant counts.
             let free_at_ms = if is_limited {
                 ask_at_ms
             } else {
@@ -87,13 +88,13 @@
         times.reduce(|first, other| (first.0.min(other.0), first.1.min(other.1)))
     }
 
-    /// Lists the workers of some failure domains, by their keys, to be changed.
+    /// Iterates over the workers of some failure domains, given by key, to be changed.
     pub fn in_domains_mut(&mut self, domains: &[u64]) -> impl Iterator<Item = &mut Worker> {
         let workers = self.workers.values_mut();
         workers.filter(|worker| domains.contains(&worker.domain_key))
     }
 
-    /// Whether the failure domain of a worker is to be evacuated.
+    /// Whether the failure domain of a worker is being evacuated.
     pub fn is_evacuated(&self, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| self.evacuations.is_asked(worker.domain_key))
--- a/crates/cranereach-fleet/src/roster/scoring.rs
+++ b/crates/cranereach-fleet/src/roster/scoring.rs
@@ -1,4 +1,4 @@
-//! What speaks for and against each worker that could take a request.
+//! Filters the workers that could take a request, and computes the cost of sending it to each.
 
 use std::sync::Arc;
 
@@ -14,22 +14,22 @@
 use crate::worker::Estimate;
 use crate::worker::Worker;
 
-/// Time that a worker weighs more whose failure domain is to be evacuated, as long as
-/// it still gets requests: others that hold the model go first, until they are busy.
+/// Cost added to a worker whose failure domain is being evacuated while it still gets requests, in
+/// milliseconds: others that hold the model are preferred until they are busy.
 const EVACUATED_PENALTY_MS: f64 = 300.0;
 
-/// Time that a worker weighs more that may be cold: warm ones that hold the model go
-/// first, until they are busy.
+/// Cost added to a worker that may be cold, in milliseconds: warm ones that hold the model are
+/// preferred until they are busy.
 const COLD_PENALTY_MS: f64 = 150.0;
 
-/// A worker with what speaks against sending a request there.
+/// A worker, with the cost of sending a request there.
 pub(super) struct ScoredWorker<'a> {
     pub(super) cost: f64,
     pub(super) worker: &'a Worker,
     pub(super) estimate: Estimate,
 }
 
-/// Weighs the workers that could take a request; at least one, or why there is none.
+/// Scores the workers that could take a request: at least one, or the reason why there is none.
 pub(super) fn score_workers<'a, R: Rng>(
     now_ms: u64,
     workers: impl Iterator<Item = &'a Worker>,
@@ -91,7 +91,7 @@
         if worker.coldness.is_cold(now_ms) {
             estimate.cost_ms += COLD_PENALTY_MS;
         }
-        // A little noise keeps instances with the same view from herding.
+        // A little noise keeps instances with the same view from all choosing the same worker.
         let cost = estimate.cost_ms * (1.0 + 0.05 * rng.random::<f64>()) + rng.random::<f64>();
         scored.push(ScoredWorker {
             cost,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Returns the choice of the worker that least speaks against.
+/// Returns the worker with the lowest cost.
 ///
 /// # Panics
 ///
--- a/crates/cranereach-fleet/src/store_position.rs
+++ b/crates/cranereach-fleet/src/store_position.rs
@@ -1,16 +1,15 @@
-//! Places in the history of the platform's store.
+//! Positions in the history of the platform's store.
 //!
-//! A store that comes back from a copy has lost its last changes, and gives their versions
-//! out again. Its era rises then, so that versions are told apart by their era: all of an
-//! earlier era come before all of a later one.
+//! A store restored from a backup has lost its last changes, and assigns their versions again. It
+//! then starts a new era. Every position of an earlier era sorts before all of a later one.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bits of a fencing token that hold the version; the era stands above them. Both together
-/// fit a whole number of JSON.
+/// Bits of a fencing token that hold the version; the era is in the bits above. The two together
+/// fit into an integer of JSON.
 const TOKEN_VERSION_BITS: u32 = 40;
 
 /// An era of the store, and a version within it.
@@ -27,10 +26,10 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StorePosition {
-    /// Times that the store has come back from a copy; zero if it doesn't say.
+    /// How often the store has been restored from a backup; zero if it doesn't say.
     pub era: u64,
-    /// Version, rising within the era. Zero is before all changes: as the position of a row
-    /// it says that there is none.
+    /// Version, rising within the era. Zero comes before all changes; as the position of a row it
+    /// means that there is no row.
     pub version: u64,
 }
 
@@ -45,12 +44,13 @@
         Self::new(era, 0)
     }
 
-    /// Whether nothing was read yet.
+    /// Whether this is the position before anything was read.
     pub fn is_none(self) -> bool {
         self == Self::default()
     }
 
-    /// Returns a number for workers that compare orders by one: it rises with the position.
+    /// Returns the fencing token for workers that compare orders by a single number: it rises with
+    /// the position.
     ///
     /// ```
     /// use cranereach_fleet::store_position::StorePosition;
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -1,7 +1,7 @@
-//! One worker as this instance sees it: its row, its load, its health.
+//! One worker as this instance sees it: its row, its load and its health.
 //!
-//! Load is what the worker's owner says of it, what this instance sent, and what the
-//! worker says in its answers.
+//! The load is taken from what the worker's owner reports, what this instance has sent, and what
+//! the worker reports in its answers.
 
 mod leaving;
 mod limit;
@@ -31,107 +31,115 @@
 use crate::topology::Distance;
 use crate::wanted::Wanted;
 
-/// Age up to which an owner's word counts, in milliseconds: the time in which a choice
-/// is made by it, with a margin for a busy processor.
+/// Age up to which an owner's report is used, in milliseconds: as long as a choice based on it
+/// takes, with a margin for a busy processor.
 const STANDING_MAX_AGE_MS: u64 = 60;
 
-/// Age up to which a worker's own word about its load counts, in milliseconds.
+/// Age up to which a worker's own report of its load is used, in milliseconds.
 const REPORTED_LOAD_MAX_AGE_MS: u64 = 400;
 
-/// Peers that must say that they can't reach a worker before it counts.
+/// Peers that must report a worker as unreachable for it to count as such.
 const UNREACHABLE_PEER_COUNT: usize = 2;
 
-/// Time within which they must say so, in milliseconds: some rounds of digests.
+/// Time within which they must report it, in milliseconds: a few rounds of gossip digests.
 const UNREACHABLE_WINDOW_MS: u64 = 1_500;
 
-/// Time for which a worker that lacks a model isn't asked for it, in milliseconds.
+/// Time for which a worker that refused a model as missing isn't sent requests for it, in
+/// milliseconds.
 const MODEL_MISSING_FOR_MS: u64 = 1_500;
 
-/// The same for an adapter, in milliseconds: one that was ordered arrives within
-/// some ten, so a worker that lacks it may have it soon.
+/// The same for an adapter, in milliseconds. An adapter that was ordered arrives within tens of
+/// milliseconds, so a worker that lacks it may have it soon.
 const ADAPTER_MISSING_FOR_MS: u64 = 60;
 
-/// Time for which an adapter counts as there after a peer said so, in milliseconds.
+/// Time for which an adapter that a peer reported as loaded counts as held, in milliseconds.
 const ANNOUNCED_FOR_MS: u64 = 5_000;
 
-/// Time that one running request weighs as, when workers are compared.
+/// Cost added for each open request at a worker, in milliseconds.
 const RUNNING_PENALTY_MS: f64 = 2.0;
 
-/// Time that one request besides weighs as, for a request under which a worker ended: it
-/// goes where its end would break off the fewest.
+/// Cost added for each other open request where a request is sent under which workers have ended
+/// before, in milliseconds: it goes where another end would break off the fewest requests.
 const CRASH_RISK_PENALTY_MS: f64 = 50.0;
 
-/// Time that one waiting request weighs as, where a worker says that some wait.
+/// Cost added for each request that a worker reports as waiting, in milliseconds.
 const WAITING_PENALTY_MS: f64 = 75.0;
 
-/// Reading time ahead of a request below which it counts as the first.
+/// Time ahead of a request below which it counts as first in line, in milliseconds.
 const NO_QUEUE_BELOW_MS: f64 = 1.0;
 
-/// Time that a worker in another failure domain weighs more, besides the way there.
+/// Cost added to a worker in another failure domain on top of the network time, in milliseconds.
 const OTHER_DOMAIN_PENALTY_MS: f64 = 15.0;
 
-/// Weight that is added against a worker that is put aside, in milliseconds: from
-/// there on no other reason counts.
+/// Cost added to a worker that is ejected by its health (`is_aside`), in milliseconds: it outweighs
+/// load, distance and failures. Costs from here on are those of workers to be avoided.
 pub(crate) const EJECTED_PENALTY_MS: f64 = 100_000.0;
 
 /// One worker as this instance sees it.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// The list's word.
+    /// The worker's row in the list.
     pub record: WorkerRecord,
-    /// Position of that word.
+    /// Position of that row in the store.
     pub position: StorePosition,
-    /// Passive health.
+    /// Health, as observed from the results of requests.
     pub health: Health,
-    /// When the worker counts as gone unless a new row comes: position of the end, time.
+    /// Set while the row may have lapsed only because of an outage: position of its end, and the
+    /// time at which the worker counts as gone unless a new row comes, in milliseconds.
     pub lapsed: Option<(StorePosition, u64)>,
-    /// Position of the row that says that it leaves, as a peer has told.
+    /// Position of the row that says that the worker is leaving, as a peer reported.
     pub(crate) leaves_at: StorePosition,
-    /// Whether it may be cold.
+    /// Whether the worker may be cold.
     pub coldness: Coldness,
-    /// That it leaves, as its answers say, whatever its row does.
+    /// Report that the worker is leaving, if there is one. It holds whatever the row says.
     pub departure: Option<Departure>,
-    /// For how long it wants nothing from this instance.
+    /// For how long the worker wants no requests from this instance.
     pub rest: Rest,
-    /// What it says of the requests that it takes in a second.
+    /// Limit that the worker names for the requests it takes in a second.
     pub limit: NamedLimit,
-    /// Until when its owner isn't asked whether it may be sent something.
+    /// Until when the worker's owner isn't asked for a grant to send a request.
     pub ask_pause: AskPause,
     /// Key of its failure domain.
     pub(crate) domain_key: u64,
+    /// Load from the requests that this instance sent.
     pub(crate) own_load: Load,
-    /// What its owner said last, and when, in milliseconds.
+    /// Last report of the worker's owner, and when it came, in milliseconds.
     standing: Option<(u64, Standing)>,
-    /// When each peer said that it can't reach the worker, in milliseconds.
+    /// When each peer last reported the worker as unreachable, in milliseconds.
     unreachable_at_ms: HashMap<u32, u64>,
+    /// Load that the worker reported last, and when, in milliseconds.
     reported_load: Option<(u64, SaidLoad)>,
+    /// Prompt prefixes that this instance sent there, which the worker probably has cached.
     cached_prefixes: KeptPrefixes,
+    /// Until when models and adapters that it refused count as missing, in milliseconds.
     missing_until_ms: HashMap<String, u64>,
+    /// Until when adapters that peers reported as loaded count as held, in milliseconds.
     pub(crate) announced_until_ms: HashMap<String, u64>,
+    /// Models that are being unloaded.
     withheld: HashSet<Arc<str>>,
 }
 
-/// What a worker would make of a request.
+/// Prediction for one request at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Estimate {
-    /// Prompt tokens that it would have to read.
+    /// Prompt tokens that the worker would have to prefill.
     pub unread_tokens: u32,
-    /// Time until it will have read the prompt, in milliseconds.
+    /// Time until the worker will have prefilled the prompt, in milliseconds.
     pub begins_in_ms: f64,
-    /// Time until it is to be sent, in milliseconds.
+    /// Time to wait before sending the request, in milliseconds.
     pub send_in_ms: u64,
-    /// Whether, as far as known, no other request has to be read or to end before.
+    /// Whether, as far as known, the worker has nothing to prefill or to finish before it.
     pub is_first: bool,
-    /// Weight against sending the request there, in milliseconds.
+    /// Cost of sending the request there, in milliseconds.
     pub cost_ms: f64,
-    /// Requests that the worker runs at once.
+    /// Requests that the worker runs concurrently.
     pub slot_count: u32,
-    /// The load that this was worked out from.
+    /// Load that the prediction is based on.
     pub load: Load,
 }
 
 impl Worker {
-    /// Makes a worker from its first row.
+    /// Makes the state of a worker from its first row.
     pub(crate) fn new(position: StorePosition, record: WorkerRecord) -> Self {
         Self {
             coldness: Coldness::default(),
@@ -156,7 +164,7 @@
         }
     }
 
-    /// Notes a request that is sent to the worker.
+    /// Notes a request that is sent to the worker, with the time to prefill its prompt.
     pub fn began(&mut self, now_ms: u64, wanted: &Wanted<'_>, unread_ms: f64) {
         let rank = wanted.rank.min(RANK_COUNT - 1);
         self.health.tried(now_ms);
@@ -168,7 +176,7 @@
         self.cached_prefixes.sent(now_ms, wanted.parts);
     }
 
-    /// Notes that a request's prompt has been read.
+    /// Notes that a request's prompt has been prefilled.
     pub fn read(&mut self, rank: usize, unread_ms: f64) {
         let rank = rank.min(RANK_COUNT - 1);
         let own_ms = &mut self.own_load.unread_ms[rank];
@@ -177,20 +185,20 @@
         *waiting_count = waiting_count.saturating_sub(1);
     }
 
-    /// Notes that a request has ended that was to keep a slot for a time.
+    /// Notes that a request has ended that was expected to occupy a slot for `stay_ms`.
     pub fn ended(&mut self, held_tokens: u32, stay_ms: f64) {
         self.own_load.open_count = self.own_load.open_count.saturating_sub(1);
         self.own_load.stay_ms = (self.own_load.stay_ms - stay_ms).max(0.0);
         self.own_load.held_tokens = (self.own_load.held_tokens - f64::from(held_tokens)).max(0.0);
     }
 
-    /// Takes what the worker said of its load.
+    /// Takes the load that the worker reported in an answer.
     pub fn said(&mut self, now_ms: u64, load: SaidLoad) {
         self.reported_load = Some((now_ms, load));
     }
 
-    /// Takes a peer's word that it can't reach the worker. One alone may be cut off
-    /// itself; what several say counts.
+    /// Takes a peer's report that it can't reach the worker. A single peer may be cut off itself,
+    /// so it counts only when several report it.
     pub fn told_unreachable(&mut self, now_ms: u64, peer: u32) {
         self.unreachable_at_ms
             .retain(|_, at_ms| now_ms < *at_ms + UNREACHABLE_WINDOW_MS);
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Notes that the worker refused a model or adapter as not there.
+    /// Notes that the worker refused a model or adapter as missing.
     pub fn lacks(&mut self, now_ms: u64, model: &str, adapter: Option<&str>) {
         let name = full_name(model, adapter);
         let missing_for_ms = match adapter {
@@ -210,7 +218,7 @@
         self.missing_until_ms.insert(name, now_ms + missing_for_ms);
     }
 
-    /// Notes that an adapter was loaded, before the list says so.
+    /// Notes a peer's report that an adapter was loaded, before the list says so.
     pub fn told_adapter(&mut self, now_ms: u64, model: &str, adapter: &str) {
         let name = full_name(model, Some(adapter));
         self.announced_until_ms
@@ -222,25 +230,26 @@
         self.withheld = models;
     }
 
-    /// Takes what the worker's owner says of it.
+    /// Takes a report of the worker's owner.
     pub fn stands(&mut self, now_ms: u64, standing: Standing) {
         self.standing = Some((now_ms, standing));
     }
 
-    /// Returns its owner's word, if it is fresh.
+    /// Returns the last report of the worker's owner, if it is fresh.
     pub fn standing(&self, now_ms: u64) -> Option<&Standing> {
         let standing = self.standing.as_ref();
         let fresh = standing.filter(|(at_ms, _)| now_ms < at_ms + STANDING_MAX_AGE_MS);
         fresh.map(|(_, standing)| standing)
     }
 
-    /// Whether a request is there that runs apart from others under which workers ended.
+    /// Whether a suspect request is open at the worker. Workers have ended under requests equal to
+    /// it, so it must not share a worker with another suspect.
     pub(crate) fn has_suspect(&self, now_ms: u64) -> bool {
         self.standing(now_ms)
             .is_some_and(|standing| standing.has_suspect)
     }
 
-    /// Returns the time until a prompt is to be sent by its owner's word, in milliseconds.
+    /// Returns the time to wait before sending a prompt, by the owner's report, in milliseconds.
     fn send_in_ms(&self, now_ms: u64) -> f64 {
         let standing = self.standing(now_ms);
         let standing_at_ms = self.standing.as_ref().map_or(now_ms, |(at_ms, _)| *at_ms);
@@ -248,8 +257,8 @@
         standing.map_or(0.0, |standing| (standing.send_in_ms - elapsed_ms).max(0.0))
     }
 
-    /// Returns the load of all instances if its owner has just told it, else what
-    /// this instance sent.
+    /// Returns the load from all instances if the owner has just reported it, else the load from
+    /// this instance alone.
     pub fn load(&self, now_ms: u64) -> Load {
         let owner_load = self.standing(now_ms).map(|standing| standing.load);
         owner_load
@@ -257,7 +266,7 @@
             .unwrap_or(self.own_load)
     }
 
-    /// Whether the worker holds what a request names.
+    /// Checks that the worker holds the model and the adapter that a request names.
     pub(crate) fn has(
         &self,
         now_ms: u64,
@@ -288,7 +297,7 @@
         }
     }
 
-    /// Whether the worker lately refused something as not there.
+    /// Whether the worker recently refused a model or adapter as missing.
     fn is_missing(&self, now_ms: u64, model: &str, adapter: Option<&str>) -> bool {
         if self.missing_until_ms.is_empty() {
             return false;
@@ -297,7 +306,7 @@
         until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    /// Works out when the worker would begin a request, and weighs sending it there.
+    /// Predicts when the worker would start to answer a request, and the cost of sending it there.
     pub(crate) fn estimate(
         &self,
         now_ms: u64,
@@ -318,10 +327,10 @@
         let token_ms = wanted.token_ms * standing.map_or(1.0, |standing| standing.pace_ratio);
         let unread_tokens = wanted.prompt_tokens - cached_tokens;
         let slot_count = engine.map_or(self.record.slot_count, |engine| engine.slot_count);
-        // Workers without an engine take calls in the order in which they come.
+        // Workers without an engine serve calls in order of arrival, whatever their rank.
         let rank = engine.map_or(RANK_COUNT, |_| wanted.rank);
         let slot_wait_ms = load.slot_wait_ms(rank, slot_count);
-        // Prompts ahead are read while this one waits for its slot.
+        // The prompts ahead are prefilled while this request waits for its slot.
         let queued_ms = load.ahead_ms(wanted.rank).max(slot_wait_ms);
         let send_in_ms = self.send_in_ms(now_ms);
         let queued_ms = queued_ms.max(send_in_ms);
@@ -330,7 +339,8 @@
             begins_in_ms: queued_ms + wanted.fixed_ms + f64::from(unread_tokens) * token_ms,
             send_in_ms: send_in_ms as u64,
             slot_count,
-            // What is held back says nothing of how fast prompts are read.
+            // While a request is held back, its timing says nothing about how fast prompts are
+            // prefilled.
             is_first: queued_ms < NO_QUEUE_BELOW_MS
                 && load.ahead_ms(usize::MAX) < NO_QUEUE_BELOW_MS,
             cost_ms: 0.0,
@@ -346,7 +356,7 @@
                 + f64::from(reported.1) * WAITING_PENALTY_MS
                 + excess_tokens.max(0.0) * token_ms;
         } else {
-            // Such an answer is passed on whole: it begins when the call has run.
+            // Such an answer is passed on as a whole, so it begins when the call has run.
             estimate.begins_in_ms += wanted.stay_ms;
             let slots = f64::from(slot_count.max(1));
             estimate.cost_ms = f64::from(open_count + reported.1) / slots * 50.0;
@@ -358,7 +368,7 @@
         estimate
     }
 
-    /// Returns the prompt's tokens that the worker has probably kept.
+    /// Returns how many tokens of the prompt the worker probably has in its prefix cache.
     fn cached_tokens(&self, standing: Option<&Standing>, wanted: &Wanted<'_>) -> u32 {
         let own_tokens = self.cached_prefixes.kept_tokens(wanted.parts);
         let owner_part_count = standing.map_or(0, |standing| standing.kept_part_count);
@@ -371,7 +381,7 @@
         own_tokens.max(owner_tokens)
     }
 
-    /// Adds to a weight what distance, health and earlier tries speak against.
+    /// Adds to a cost the penalties for distance, health and earlier attempts.
     fn add_penalties(&self, now_ms: u64, wanted: &Wanted<'_>, cost_ms: f64) -> f64 {
         let mut cost_ms = cost_ms;
         let distance = wanted.topology.distance(&self.record.failure_domain);
@@ -391,7 +401,7 @@
     }
 }
 
-/// Joins a model's and an adapter's name.
+/// Joins the names of a model and an adapter.
 fn full_name(model: &str, adapter: Option<&str>) -> String {
     adapter.map_or_else(|| model.to_owned(), |adapter| format!("{model}/{adapter}"))
 }
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -1,5 +1,5 @@
-//! How many requests a worker gets: whether it is worth asking its owner for one, and the
-//! limit that it names.
+//! Whether the worker's owner may be asked for a grant to send it a request, and the rate limit
+//! that the worker names.
 
 use super::Worker;
 use crate::named_limit::LimitWord;
@@ -8,21 +8,21 @@
 use crate::wanted::Wanted;
 
 impl Worker {
-    /// Whether a request may be sent to it as far as grants go, be it after asking its
-    /// owner.
+    /// Whether a request may be sent to the worker as far as grants go, be it after asking its
+    /// owner for one.
     pub(crate) fn may_ask(&self, now_ms: u64, wanted: &Wanted<'_>) -> bool {
         let was_refused_cold = self.coldness.is_cold(now_ms) && self.ask_pause.was_refused();
         let needs_grant = was_refused_cold || self.limit.rate_per_s(now_ms).is_some();
         self.ask_pause.may_ask(now_ms, wanted.rank) && !(needs_grant && wanted.needs_no_grant)
     }
 
-    /// Returns what others are told of its limit, if one was named lately.
+    /// Returns what peers are told of the worker's limit, if it named one recently.
     pub fn limit_word(&self, now_ms: u64) -> Option<LimitWord> {
         self.limit.word(now_ms, || self.record.start_key())
     }
 
-    /// Takes what its answer says of its limit; returns whether another rate holds now. See
-    /// [`crate::named_limit::NamedLimit::heard`].
+    /// Takes what an answer of the worker says of its limit; returns whether the rate in force has
+    /// changed. See [`crate::named_limit::NamedLimit::heard`].
     pub fn heard_limit(&mut self, said: Said, may_end: bool, asked_ms: u64, now_ms: u64) -> bool {
         let has_changed = self.limit.heard(said, may_end, asked_ms, now_ms);
         if has_changed {
@@ -31,8 +31,8 @@
         has_changed
     }
 
-    /// Takes another instance's word on its limit; one on another start of it says nothing.
-    /// Returns whether another rate holds now.
+    /// Takes another instance's report of the worker's limit; one about another incarnation of it
+    /// is ignored. Returns whether the rate in force has changed.
     pub fn told_limit(&mut self, now_ms: u64, word: &LimitWord) -> bool {
         let has_changed = word.start == self.record.start_key() && self.limit.told(now_ms, word);
         if has_changed {
--- a/crates/cranereach-fleet/src/worker/record.rs
+++ b/crates/cranereach-fleet/src/worker/record.rs
@@ -1,39 +1,39 @@
-//! What the list says of a worker.
+//! A worker's row in the list, parsed.
 
 use std::sync::Arc;
 
 use crate::key::start_key;
 
-/// A model on a worker.
+/// A model that a worker holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldModel {
-    /// Name.
+    /// Name of the model.
     pub name: Arc<str>,
-    /// Adapters of it.
+    /// Adapters of it that the worker holds.
     pub adapters: Vec<Arc<str>>,
 }
 
-/// What the list says of a worker.
+/// A worker's row in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerRecord {
-    /// Identity.
+    /// Identity of the worker.
     pub id: Arc<str>,
-    /// When this start began, in milliseconds of Unix time; zero where the row doesn't
-    /// say so. A worker may start again under its identity.
+    /// When this incarnation started, in milliseconds of Unix time; zero if the row doesn't say so.
+    /// A worker may restart under the same identity.
     pub started_unix_ms: u64,
-    /// Its service.
+    /// Service that the worker belongs to.
     pub service: Arc<str>,
     /// Address, `ip:port`.
     pub address: String,
-    /// Failure domain.
+    /// Failure domain that the worker runs in.
     pub failure_domain: Arc<str>,
-    /// Requests at once.
+    /// Requests that the worker runs concurrently.
     pub slot_count: u32,
-    /// Time for which it was still cold when it wrote the row, in milliseconds.
+    /// Time for which the worker would still be cold when it wrote the row, in milliseconds.
     pub cold_for_ms: u64,
-    /// Whether the row says that it takes no new work.
+    /// Whether the row says that the worker takes no new work.
     pub is_leaving: bool,
-    /// What it holds.
+    /// Models that the worker holds.
     pub models: Vec<HeldModel>,
     /// Models with a copy in its host memory.
     pub in_memory: Vec<Arc<str>>,
@@ -42,7 +42,7 @@
 }
 
 impl WorkerRecord {
-    /// Returns the key of this start of the worker.
+    /// Returns the key of this incarnation of the worker.
     pub fn start_key(&self) -> u64 {
         start_key(&self.id, self.started_unix_ms)
     }
