--- a/crates/cranereach-fleet/src/freshness.rs
+++ b/crates/cranereach-fleet/src/freshness.rs
@@ -49,8 +49,11 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Freshness {
+    /// Age that the list should not exceed.
     bound_ms: u64,
+    /// Last time at which the list is known to have been complete.
     true_at_ms: Option<u64>,
+    /// Until when rows that end may have lapsed only because of the last outage.
     lapses_until_ms: u64,
     /// Era of the store that news must belong to.
     era: u64,
--- a/crates/cranereach-fleet/src/no_worker.rs
+++ b/crates/cranereach-fleet/src/no_worker.rs
@@ -27,7 +27,7 @@
     Resting,
     /// No worker holds the adapter.
     NoAdapter,
-    /// Workers have ended under requests equal to this one, and another such request is running at
-    /// each worker that holds what is wanted.
+    /// Workers have died while running requests equal to this one, and another such request is
+    /// running at each worker that holds what is wanted.
     NotAlone,
 }
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -87,11 +87,13 @@
 pub struct Roster {
     workers: HashMap<Arc<str>, Worker>,
     by_service: HashMap<Arc<str>, Vec<Arc<str>>>,
+    /// Identities by the keys that peers use.
     by_key: HashMap<u64, Arc<str>>,
     /// Workers by the models that their rows list.
     holders: Holders,
     /// Workers whose rows ended during an outage of the store and may come back.
     lapsing: HashSet<Arc<str>>,
+    /// Last ended rows, by identity.
     tombstones: HashMap<Arc<str>, Tombstone>,
     /// Incarnations that are leaving and are not, or not yet, listed.
     unlisted_departures: UnlistedDepartures,
@@ -100,7 +102,7 @@
     /// Newest era of the store that this instance has entered.
     era: u64,
     /// When rows that still stand in a restored store count as a sign of life, in milliseconds;
-    /// none if no restore is pending.
+    /// none while no restored rows are distrusted.
     restored_trusted_at_ms: Option<u64>,
     /// Failure domains that are being evacuated.
     pub evacuations: Evacuations,
--- a/crates/cranereach-fleet/src/roster/departures.rs
+++ b/crates/cranereach-fleet/src/roster/departures.rs
@@ -65,7 +65,7 @@
         else {
             return false;
         };
-        // Checks the row only, not `departure`: the row's word is passed on to peers even where the
+        // Checks the row only, not `departure`: what the row says is passed on to peers even if the
         // worker has announced its departure itself.
         if worker.position >= position || worker.record.is_leaving {
             return false;
@@ -106,7 +106,8 @@
         self.unlisted_departures.keep(news.start, departure)
     }
 
-    /// Returns what peers are told of a worker that is leaving; none if only its row says so.
+    /// Returns what peers are told of a worker that was reported as leaving; none if there is no
+    /// report besides its row.
     pub fn departure_news(&self, id: &str) -> Option<DepartureNews> {
         let start = self.workers.get(id)?.leaving_start()?;
         let worker = worker_key(id);
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether a worker may be cold. One whose failure domain is being evacuated counts as cold, as
-    /// it may become so unnoticed.
+    /// it may have become so unnoticed.
     pub fn is_cold(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| {
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -58,8 +58,9 @@
 /// Cost added for each open request at a worker, in milliseconds.
 const RUNNING_PENALTY_MS: f64 = 2.0;
 
-/// Cost added for each other open request where a request is sent under which workers have ended
-/// before, in milliseconds: it goes where another end would break off the fewest requests.
+/// Cost added for each other open request at a worker, in milliseconds, when the request to be sent
+/// is one under which workers have died before: it goes where another death would interrupt the
+/// fewest.
 const CRASH_RISK_PENALTY_MS: f64 = 50.0;
 
 /// Cost added for each request that a worker reports as waiting, in milliseconds.
@@ -242,8 +243,8 @@
         fresh.map(|(_, standing)| standing)
     }
 
-    /// Whether a suspect request is open at the worker. Workers have ended under requests equal to
-    /// it, so it must not share a worker with another suspect.
+    /// Whether a suspect request is open at the worker. Workers have died while running requests
+    /// equal to it, so it must not share a worker with another suspect.
     pub(crate) fn has_suspect(&self, now_ms: u64) -> bool {
         self.standing(now_ms)
             .is_some_and(|standing| standing.has_suspect)
