--- a/crates/cranereach-fleet/src/listing.rs
+++ b/crates/cranereach-fleet/src/listing.rs
@@ -216,7 +216,7 @@
         if is_of_era && self.position.era == position.era {
             return self.is_newer(&row).then_some(row);
         }
-        // Positions of two eras can't be compared, so the contents are.
+        // Versions of two eras say nothing about each other, so the contents are compared.
         let known = self.rows.get(&row.key);
         if known.is_some_and(|(_, value)| Some(value) == row.value.as_ref()) {
             return None;
