--- a/crates/cranereach-fleet/src/first_read.rs
+++ b/crates/cranereach-fleet/src/first_read.rs
@@ -12,7 +12,7 @@
 /// Time without a message from any other instance after which an instance counts as alone, in
 /// milliseconds: eight of its own rounds of gossip digests, each answered at once by any peer that
 /// receives it. With 1,000 instances started at the same moment, half that time left 88 of them
-/// without an answer (`tests/first_reads.rs`).
+/// without any message (`tests/first_reads.rs`).
 const ALONE_AFTER_MS: u64 = 2_000;
 
 /// Time for which the other instances leave the first read to the seeds, in milliseconds. A small
--- a/crates/cranereach-fleet/src/roster/eras.rs
+++ b/crates/cranereach-fleet/src/roster/eras.rs
@@ -11,8 +11,8 @@
 use crate::departure::Teller;
 
 /// Time after which a row that still stands in a restored store counts as a sign of life, in
-/// milliseconds: the row of a silent worker ends after three missed heartbeats of 1.2 s, and its
-/// end is known here up to 2 s later.
+/// milliseconds: the row of a silent worker ends after three heartbeats of 1.2 s, and its end is
+/// known here 2 s later.
 const RESTORED_TRUSTED_AFTER_MS: u64 = 6_000;
 
 /// Most replaced incarnations remembered.
