--- a/crates/cranereach-fleet/src/membership.rs
+++ b/crates/cranereach-fleet/src/membership.rs
@@ -20,17 +20,17 @@
 use crate::topology::DomainTag;
 
 /// Silence after which a member of a small fleet counts as gone, in milliseconds.
-const ALIVE_WITHIN_BASE_MS: u64 = 2_500;
+const LIVENESS_TIMEOUT_BASE_MS: u64 = 2_500;
 
 /// Time by which each known member prolongs that, in milliseconds.
 ///
 /// With six messages of forty-eight members each quarter of a second, a sign of life
 /// reaches 99 % of 300 instances within 5 s (`tests/membership.rs`); time grows with
 /// their number.
-const ALIVE_WITHIN_EACH_MS: u64 = 15;
+const LIVENESS_TIMEOUT_PER_MEMBER_MS: u64 = 15;
 
 /// How many times longer than that a silent member stays known, to be tried again.
-const FORGOTTEN_AFTER_TIMES: u64 = 6;
+const FORGET_TIMEOUT_FACTOR: u64 = 6;
 
 /// Members that are remembered at most: over twice the fleet that is aimed at.
 pub const MEMBER_MAX_COUNT: usize = 8_192;
@@ -40,19 +40,19 @@
 
 /// Questions in a row without an answer from which a member is passed over as an
 /// owner: one may be a lost datagram.
-const MISSED_MAX_COUNT: u32 = 2;
+const MISSED_REPLY_LIMIT: u32 = 2;
 
 /// Time for which it is passed over, in milliseconds.
-const PASSED_OVER_FOR_MS: u64 = 2_000;
+const OWNER_SKIP_MS: u64 = 2_000;
 
 /// Time between two looks at the members from which on the process stood still, in
 /// milliseconds: four rounds of digests, before each of which it looks. Others take over
 /// from one that is silent for longer.
-const STOOD_STILL_FROM_MS: u64 = 1_000;
+const STALL_THRESHOLD_MS: u64 = 1_000;
 
 /// Time added to an age that a message tells, in milliseconds, for its way and its wait
 /// to be read: ages that shrank on the way would keep a dead member alive.
-const TRANSIT_MS: u64 = 50;
+const TRANSIT_ALLOWANCE_MS: u64 = 50;
 
 /// What a message says of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -72,13 +72,13 @@
 struct Member {
     domain: DomainTag,
     /// Its newest sign of life, in milliseconds; none for a seed not heard of yet.
-    alive_at_ms: Option<u64>,
-    known_at_ms: u64,
+    last_seen_ms: Option<u64>,
+    first_known_ms: u64,
     is_leaving: bool,
     /// Questions in a row that it did not answer.
-    missed_count: u32,
+    missed_reply_count: u32,
     /// Until when it isn't asked as an owner, in milliseconds.
-    passed_over_until_ms: u64,
+    skipped_until_ms: u64,
 }
 
 /// All members that are known.
@@ -107,14 +107,14 @@
     seeds: Vec<Ipv4Addr>,
     /// Sum over the members that lived at the last look, and since when it is the same,
     /// in milliseconds.
-    alive_sum: u64,
-    same_since_ms: u64,
+    alive_hash_sum: u64,
+    unchanged_since_ms: u64,
     /// Since when it has heard only a minority of those it knows, in milliseconds.
     minority_since_ms: Option<u64>,
     /// When it last did, or had stood still, in milliseconds.
-    minority_at_ms: u64,
+    last_isolated_ms: u64,
     /// When the members were looked at last, in milliseconds.
-    looked_at_ms: u64,
+    last_refresh_ms: u64,
     known: HashMap<Ipv4Addr, Member>,
 }
 
@@ -128,11 +128,11 @@
             own,
             own_domain,
             is_seed,
-            alive_sum: 0,
-            same_since_ms: 0,
+            alive_hash_sum: 0,
+            unchanged_since_ms: 0,
             minority_since_ms: None,
-            minority_at_ms: 0,
-            looked_at_ms: 0,
+            last_isolated_ms: 0,
+            last_refresh_ms: 0,
             known: known.collect(),
             seeds,
         }
@@ -140,51 +140,52 @@
 
     /// Notes a sign of life from a member itself.
     pub fn saw(&mut self, now_ms: u64, address: Ipv4Addr, domain: DomainTag, is_leaving: bool) {
-        let of = MemberNews {
+        let update = MemberNews {
             address,
             domain,
             age_ms: 0,
             is_leaving,
         };
-        self.note(now_ms, now_ms, &of);
+        self.note(now_ms, now_ms, &update);
     }
 
     /// Takes what a message tells of others, and returns how many entries were not
     /// taken since there were too many of them.
-    pub fn told(&mut self, now_ms: u64, news: &[MemberNews]) -> usize {
-        for of in news.iter().take(TOLD_MAX_COUNT) {
-            let alive_at_ms = now_ms.saturating_sub(u64::from(of.age_ms) + TRANSIT_MS);
-            if now_ms < alive_at_ms + self.alive_within_ms() {
-                self.note(now_ms, alive_at_ms, of);
+    pub fn told(&mut self, now_ms: u64, updates: &[MemberNews]) -> usize {
+        for update in updates.iter().take(TOLD_MAX_COUNT) {
+            let last_seen_ms =
+                now_ms.saturating_sub(u64::from(update.age_ms) + TRANSIT_ALLOWANCE_MS);
+            if now_ms < last_seen_ms + self.alive_within_ms() {
+                self.note(now_ms, last_seen_ms, update);
             }
         }
-        news.len().saturating_sub(TOLD_MAX_COUNT)
+        updates.len().saturating_sub(TOLD_MAX_COUNT)
     }
 
     /// Notes a sign of life at a time, unless a newer one is known.
-    fn note(&mut self, now_ms: u64, alive_at_ms: u64, of: &MemberNews) {
-        let address = of.address;
+    fn note(&mut self, now_ms: u64, last_seen_ms: u64, update: &MemberNews) {
+        let address = update.address;
         let is_full = self.known.len() >= MEMBER_MAX_COUNT;
         if address == self.own || (is_full && !self.known.contains_key(&address)) {
             return;
         }
         let member = self.known.entry(address).or_insert_with(|| Member {
-            known_at_ms: now_ms,
+            first_known_ms: now_ms,
             ..Member::default()
         });
         if member
-            .alive_at_ms
-            .is_none_or(|known_ms| known_ms < alive_at_ms)
+            .last_seen_ms
+            .is_none_or(|known_ms| known_ms < last_seen_ms)
         {
-            member.alive_at_ms = Some(alive_at_ms);
-            member.is_leaving = of.is_leaving;
-            member.domain = of.domain;
+            member.last_seen_ms = Some(last_seen_ms);
+            member.is_leaving = update.is_leaving;
+            member.domain = update.domain;
         }
     }
 
     /// Returns for how long a silent member still counts, in milliseconds.
     pub fn alive_within_ms(&self) -> u64 {
-        ALIVE_WITHIN_BASE_MS + ALIVE_WITHIN_EACH_MS * self.known.len() as u64
+        LIVENESS_TIMEOUT_BASE_MS + LIVENESS_TIMEOUT_PER_MEMBER_MS * self.known.len() as u64
     }
 
     /// Lists the other members that live and aren't stopping.
@@ -202,7 +203,7 @@
     fn alive_members(&self, now_ms: u64) -> impl Iterator<Item = (Ipv4Addr, &Member)> {
         let within_ms = self.alive_within_ms();
         let alive = self.known.iter().filter(move |(_, member)| {
-            let at_ms = member.alive_at_ms;
+            let at_ms = member.last_seen_ms;
             at_ms.is_some_and(|at_ms| now_ms < at_ms + within_ms) && !member.is_leaving
         });
         alive.map(|(address, member)| (*address, member))
@@ -229,7 +230,7 @@
     pub fn silent(&self, now_ms: u64) -> impl Iterator<Item = Ipv4Addr> {
         let within_ms = self.alive_within_ms();
         let silent = self.known.iter().filter(move |(_, member)| {
-            let at_ms = member.alive_at_ms;
+            let at_ms = member.last_seen_ms;
             at_ms.is_none_or(|at_ms| now_ms >= at_ms + within_ms)
         });
         silent.map(|(address, _)| *address)
@@ -237,24 +238,24 @@
 
     /// Forgets members that have been silent for long.
     pub fn forget(&mut self, now_ms: u64) {
-        let after_ms = self.alive_within_ms() * FORGOTTEN_AFTER_TIMES;
+        let after_ms = self.alive_within_ms() * FORGET_TIMEOUT_FACTOR;
         let seeds = &self.seeds;
         self.known.retain(|address, member| {
-            let at_ms = member.alive_at_ms.unwrap_or(member.known_at_ms);
+            let at_ms = member.last_seen_ms.unwrap_or(member.first_known_ms);
             now_ms < at_ms + after_ms || seeds.contains(address)
         });
     }
 
     /// Chooses what the next message tells of members.
     pub fn sample<R: Rng>(&self, now_ms: u64, rng: &mut R) -> Vec<MemberNews> {
-        self.news(now_ms).sample(rng, TOLD_MAX_COUNT)
+        self.updates(now_ms).sample(rng, TOLD_MAX_COUNT)
     }
 
     /// Lists what there is to tell of members.
-    fn news(&self, now_ms: u64) -> impl Iterator<Item = MemberNews> {
+    fn updates(&self, now_ms: u64) -> impl Iterator<Item = MemberNews> {
         let within_ms = self.alive_within_ms();
         self.known.iter().filter_map(move |(address, member)| {
-            let age_ms = now_ms.saturating_sub(member.alive_at_ms?);
+            let age_ms = now_ms.saturating_sub(member.last_seen_ms?);
             (age_ms < within_ms).then_some(MemberNews {
                 address: *address,
                 domain: member.domain,
@@ -272,8 +273,9 @@
         domain: DomainTag,
         rng: &mut R,
     ) -> Vec<MemberNews> {
-        let (near, far): (Vec<MemberNews>, Vec<MemberNews>) =
-            self.news(now_ms).partition(|of| of.domain == domain);
+        let (near, far): (Vec<MemberNews>, Vec<MemberNews>) = self
+            .updates(now_ms)
+            .partition(|update| update.domain == domain);
         let mut chosen = near.into_iter().sample(rng, TOLD_MAX_COUNT);
         let left_count = TOLD_MAX_COUNT - chosen.len();
         chosen.extend(far.into_iter().sample(rng, left_count));
@@ -284,25 +286,25 @@
     pub fn look(&mut self, now_ms: u64) {
         let alive = self.alive(now_ms).map(|address| weight(0, address));
         let sum = alive.fold(0, u64::wrapping_add);
-        if sum != self.alive_sum {
-            self.alive_sum = sum;
-            self.same_since_ms = now_ms;
+        if sum != self.alive_hash_sum {
+            self.alive_hash_sum = sum;
+            self.unchanged_since_ms = now_ms;
         }
-        if self.has_stood_still(now_ms) {
-            self.minority_at_ms = now_ms;
+        if self.has_stalled(now_ms) {
+            self.last_isolated_ms = now_ms;
         }
-        self.looked_at_ms = now_ms;
+        self.last_refresh_ms = now_ms;
         if self.hears_minority(now_ms) {
             self.minority_since_ms.get_or_insert(now_ms);
-            self.minority_at_ms = now_ms;
+            self.last_isolated_ms = now_ms;
         } else {
             self.minority_since_ms = None;
         }
     }
 
     /// Whether no look at the members came for so long that others may have taken over.
-    fn has_stood_still(&self, now_ms: u64) -> bool {
-        now_ms > self.looked_at_ms + STOOD_STILL_FROM_MS
+    fn has_stalled(&self, now_ms: u64) -> bool {
+        now_ms > self.last_refresh_ms + STALL_THRESHOLD_MS
     }
 
     /// Whether this instance hears no more than half of those it knows, itself included.
@@ -325,13 +327,13 @@
 
     /// Returns the time for which the same members have lived, in milliseconds.
     pub fn same_for_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.same_since_ms)
+        now_ms.saturating_sub(self.unchanged_since_ms)
     }
 
     /// Notes that a member answered.
     pub fn answered(&mut self, address: Ipv4Addr) {
         if let Some(member) = self.known.get_mut(&address) {
-            member.missed_count = 0;
+            member.missed_reply_count = 0;
         }
     }
 
@@ -341,10 +343,10 @@
         let Some(member) = self.known.get_mut(&address) else {
             return;
         };
-        member.missed_count += 1;
-        if member.missed_count >= MISSED_MAX_COUNT {
-            member.missed_count = 0;
-            member.passed_over_until_ms = now_ms + PASSED_OVER_FOR_MS;
+        member.missed_reply_count += 1;
+        if member.missed_reply_count >= MISSED_REPLY_LIMIT {
+            member.missed_reply_count = 0;
+            member.skipped_until_ms = now_ms + OWNER_SKIP_MS;
         }
     }
 }
--- a/crates/cranereach-fleet/src/membership/order.rs
+++ b/crates/cranereach-fleet/src/membership/order.rs
@@ -7,8 +7,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Membership;
-use crate::topology::Around;
 use crate::topology::DomainTag;
+use crate::topology::Proximity;
 
 /// Returns the weight by which members are ordered for a purpose, the same everywhere.
 pub(super) fn weight(purpose: u64, address: Ipv4Addr) -> u64 {
@@ -48,21 +48,21 @@
     /// milliseconds, as long as it is: until then another one that comes before it lived,
     /// or it heard only a minority, or stood still.
     pub fn first_since_ms(&self, now_ms: u64, purpose: u64) -> u64 {
-        if self.has_stood_still(now_ms) {
+        if self.has_stalled(now_ms) {
             return now_ms;
         }
         let own = weight(purpose, self.own);
         let within_ms = self.alive_within_ms();
         let gone_at_ms = self.known.iter().filter_map(|(address, member)| {
-            let alive_at_ms = member.alive_at_ms?;
+            let last_seen_ms = member.last_seen_ms?;
             let at_ms = if member.is_leaving {
-                alive_at_ms
+                last_seen_ms
             } else {
-                alive_at_ms + within_ms
+                last_seen_ms + within_ms
             };
             (weight(purpose, *address) > own).then_some(at_ms.min(now_ms))
         });
-        gone_at_ms.max().unwrap_or(0).max(self.minority_at_ms)
+        gone_at_ms.max().unwrap_or(0).max(self.last_isolated_ms)
     }
 
     /// Returns the other instance that is the first in the order for a purpose; none if
@@ -76,13 +76,13 @@
 
     /// Lists the first other members in the order for a purpose.
     pub fn first(&self, now_ms: u64, purpose: u64, count: usize) -> Vec<Ipv4Addr> {
-        let mut weighed: Vec<(u64, Ipv4Addr)> = self
+        let mut weighted: Vec<(u64, Ipv4Addr)> = self
             .alive(now_ms)
             .map(|address| (weight(purpose, address), address))
             .collect();
-        weighed.sort_unstable_by(|left, right| right.cmp(left));
-        weighed.truncate(count);
-        weighed.into_iter().map(|(_, address)| address).collect()
+        weighted.sort_unstable_by(|left, right| right.cmp(left));
+        weighted.truncate(count);
+        weighted.into_iter().map(|(_, address)| address).collect()
     }
 
     /// Returns the instance that owns a key: the first in the key's own order, other
@@ -94,9 +94,9 @@
     /// Returns the instance that owns the key of something that stands in a failure
     /// domain: the first in the key's own order among those of that domain, or where
     /// none of them lives, of its region, or at last of all.
-    pub fn owner_near(&self, now_ms: u64, key: u64, around: &Around<'_>) -> Ipv4Addr {
+    pub fn owner_near(&self, now_ms: u64, key: u64, proximity: &Proximity<'_>) -> Ipv4Addr {
         self.first_by(now_ms, |domain, address| {
-            (Reverse(around.distance(domain)), weight(key, address))
+            (Reverse(proximity.distance(domain)), weight(key, address))
         })
     }
 
@@ -105,7 +105,7 @@
     fn first_by<K: Ord>(&self, now_ms: u64, order: impl Fn(DomainTag, Ipv4Addr) -> K) -> Ipv4Addr {
         let others = self
             .alive_members(now_ms)
-            .filter(|(_, member)| now_ms >= member.passed_over_until_ms)
+            .filter(|(_, member)| now_ms >= member.skipped_until_ms)
             .map(|(address, member)| (order(member.domain, address), address));
         let own = (order(self.own_domain, self.own), self.own);
         others.max().map_or(self.own, |first| first.max(own).1)
@@ -124,7 +124,7 @@
     pub fn seed_owner(&self, now_ms: u64, key: u64) -> Option<Ipv4Addr> {
         let answers = |seed: &&Ipv4Addr| {
             let member = self.known.get(*seed);
-            member.is_some_and(|member| now_ms >= member.passed_over_until_ms)
+            member.is_some_and(|member| now_ms >= member.skipped_until_ms)
         };
         let others = self.seeds.iter().filter(answers).copied();
         let own = self.is_seed.then_some(self.own);
--- a/crates/cranereach-fleet/src/prefixes.rs
+++ b/crates/cranereach-fleet/src/prefixes.rs
@@ -68,7 +68,7 @@
             self.used_at_ms.insert(part.chain, now_ms);
         }
         if self.used_at_ms.len() > PART_MAX_COUNT {
-            self.forget_older_half();
+            self.evict_older_half();
         }
     }
 
@@ -78,11 +78,11 @@
     }
 
     /// Forgets the half that was used least recently.
-    fn forget_older_half(&mut self) {
+    fn evict_older_half(&mut self) {
         let mut times: Vec<u64> = self.used_at_ms.values().copied().collect();
         let middle = times.len() / 2;
-        let (_, &mut limit_ms, _) = times.select_nth_unstable(middle);
+        let (_, &mut median_ms, _) = times.select_nth_unstable(middle);
         self.used_at_ms
-            .retain(|_, used_at_ms| *used_at_ms > limit_ms);
+            .retain(|_, used_at_ms| *used_at_ms > median_ms);
     }
 }
--- a/crates/cranereach-fleet/src/reading_plan.rs
+++ b/crates/cranereach-fleet/src/reading_plan.rs
@@ -10,24 +10,24 @@
 
 /// Time of a step in which nothing is read, in milliseconds: large models make a token
 /// in 10 to 13.
-const STEP_MS: f64 = 13.0;
+const DECODE_STEP_MS: f64 = 13.0;
 
 /// Share of the longest pause up to which prompts are planned: what is read may take a
 /// little longer than predicted.
-const LIMIT_SHARE: f64 = 0.8;
+const PAUSE_BUDGET_SHARE: f64 = 0.8;
 
 /// Time for which prompts count after they have reached the worker, in milliseconds.
-const KEPT_MS: f64 = 2_000.0;
+const ARRIVAL_RETENTION_MS: f64 = 2_000.0;
 
 /// Prompts that are remembered at most.
 const ARRIVAL_MAX_COUNT: usize = 128;
 
 /// Reading time below which a prompt makes no pause, in milliseconds.
-const NOTHING_MS: f64 = 1.0;
+const NEGLIGIBLE_READING_MS: f64 = 1.0;
 
 /// A prompt in the plan, and whose it is.
 #[derive(Clone, Copy, Debug)]
-struct Planned {
+struct PlannedPrompt {
     ticket: (u32, u64),
     arrival: Arrival,
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReadingPlan {
     /// In the order of time.
-    planned: Vec<Planned>,
+    planned: Vec<PlannedPrompt>,
     /// Longest pause that streams may make, in milliseconds; zero where any will do.
     gap_aim_ms: f64,
     event_steps: usize,
@@ -59,7 +59,7 @@
                 pause_ms: 0.0,
             };
         }
-        let mut arrivals: Vec<Arrival> = self.planned.iter().map(|of| of.arrival).collect();
+        let mut arrivals: Vec<Arrival> = self.planned.iter().map(|prompt| prompt.arrival).collect();
         let index = arrivals.partition_point(|arrival| arrival.at_ms <= at_ms);
         arrivals.insert(
             index,
@@ -79,23 +79,24 @@
     /// may pause for any time.
     pub fn place(&self, now_ms: u64, reading_ms: f64) -> Place {
         let now_ms = now_ms as f64;
-        if self.gap_aim_ms <= 0.0 || reading_ms < NOTHING_MS {
+        if self.gap_aim_ms <= 0.0 || reading_ms < NEGLIGIBLE_READING_MS {
             return Place {
                 at_ms: now_ms,
                 pause_ms: 0.0,
             };
         }
         let stepping = self.stepping();
-        let arrivals: Vec<Arrival> = self.planned.iter().map(|of| of.arrival).collect();
-        let limit_ms = self.gap_aim_ms * LIMIT_SHARE;
+        let arrivals: Vec<Arrival> = self.planned.iter().map(|prompt| prompt.arrival).collect();
+        let limit_ms = self.gap_aim_ms * PAUSE_BUDGET_SHARE;
         pauses::place(&stepping, &arrivals, now_ms, reading_ms, limit_ms)
     }
 
     /// Notes a prompt that reaches the worker at a time.
     pub fn sent(&mut self, now_ms: u64, ticket: (u32, u64), at_ms: f64, reading_ms: f64) {
-        let old_ms = now_ms as f64 - KEPT_MS;
-        self.planned.retain(|of| of.arrival.at_ms > old_ms);
-        if reading_ms < NOTHING_MS || self.planned.len() >= ARRIVAL_MAX_COUNT {
+        let cutoff_ms = now_ms as f64 - ARRIVAL_RETENTION_MS;
+        self.planned
+            .retain(|prompt| prompt.arrival.at_ms > cutoff_ms);
+        if reading_ms < NEGLIGIBLE_READING_MS || self.planned.len() >= ARRIVAL_MAX_COUNT {
             return;
         }
         let arrival = Arrival {
@@ -103,15 +104,19 @@
             reading_ms,
             read_at_ms: None,
         };
-        let before = |of: &Planned| of.arrival.at_ms <= at_ms;
+        let before = |prompt: &PlannedPrompt| prompt.arrival.at_ms <= at_ms;
         let index = self.planned.partition_point(before);
-        self.planned.insert(index, Planned { ticket, arrival });
+        self.planned
+            .insert(index, PlannedPrompt { ticket, arrival });
     }
 
     /// Notes that a prompt has been read.
     pub fn read(&mut self, now_ms: u64, ticket: (u32, u64)) {
-        let mut of_ticket = self.planned.iter_mut().filter(|of| of.ticket == ticket);
-        if let Some(planned) = of_ticket.next() {
+        let mut matching = self
+            .planned
+            .iter_mut()
+            .filter(|prompt| prompt.ticket == ticket);
+        if let Some(planned) = matching.next() {
             let now_ms = now_ms as f64;
             let arrival = &mut planned.arrival;
             // It can't have taken longer than from its arrival until now.
@@ -123,10 +128,14 @@
     /// Forgets a prompt that never reaches the worker, or that isn't read to its end.
     pub fn ended(&mut self, now_ms: u64, ticket: (u32, u64)) {
         let now_ms = now_ms as f64;
-        let is_over = |of: &Planned| of.arrival.at_ms <= now_ms;
-        self.planned.retain(|of| of.ticket != ticket || is_over(of));
-        let mut of_ticket = self.planned.iter_mut().filter(|of| of.ticket == ticket);
-        if let Some(planned) = of_ticket.next() {
+        let has_arrived = |prompt: &PlannedPrompt| prompt.arrival.at_ms <= now_ms;
+        self.planned
+            .retain(|prompt| prompt.ticket != ticket || has_arrived(prompt));
+        let mut matching = self
+            .planned
+            .iter_mut()
+            .filter(|prompt| prompt.ticket == ticket);
+        if let Some(planned) = matching.next() {
             planned.arrival.read_at_ms.get_or_insert(now_ms);
         }
     }
@@ -135,7 +144,7 @@
     fn stepping(&self) -> Stepping {
         Stepping {
             event_steps: self.event_steps.max(1),
-            step_ms: STEP_MS,
+            step_ms: DECODE_STEP_MS,
             chunk_ms: f64::INFINITY,
         }
     }
--- a/crates/cranereach-fleet/src/topology.rs
+++ b/crates/cranereach-fleet/src/topology.rs
@@ -74,13 +74,13 @@
 
 /// What stands near a failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Around<'a> {
+pub struct Proximity<'a> {
     domain: DomainTag,
     /// Failure domains of its region; none where the table doesn't name it.
     region: &'a [DomainTag],
 }
 
-impl Around<'_> {
+impl Proximity<'_> {
     /// Returns how far another failure domain is from this one.
     pub fn distance(&self, other: DomainTag) -> Distance {
         if other == self.domain && other.is_known() {
@@ -254,10 +254,10 @@
     /// assert_eq!(around.distance(DomainTag::of("c")), Distance::OwnRegion);
     /// assert_eq!(around.distance(DomainTag::of("a")), Distance::OtherRegion);
     /// ```
-    pub fn around(&self, domain: &str) -> Around<'_> {
+    pub fn around(&self, domain: &str) -> Proximity<'_> {
         let region = self.region_of(domain);
         let tags = region.and_then(|region| self.tags_by_region.get(region));
-        Around {
+        Proximity {
             domain: DomainTag::of(domain),
             region: tags.map_or(&[], Vec::as_slice),
         }
