--- a/crates/cranereach-fleet/src/membership.rs
+++ b/crates/cranereach-fleet/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which instances of the fleet live, as far as this one knows.
+//! Gossip membership: which instances of the fleet are alive, as far as this one knows.
 //!
-//! Every message between instances carries a sample of the members that its sender
-//! knows, each with the age of its newest sign of life. The newest sign wins, whoever
-//! passes it on, so that all instances come to know all members while each sends and
-//! hears a fixed number of bytes a second: in a larger fleet news take longer, and a
-//! member may be silent for longer before it counts as gone.
+//! Every message between instances carries a sample of the members that its sender knows,
+//! each with the time since it was last heard from. The most recent time wins, whoever
+//! passes it on, so all instances learn of all members while each sends and receives a
+//! fixed number of bytes per second. Updates take longer to spread in a larger fleet, so
+//! the liveness timeout grows with the number of members.
 
 mod order;
 
@@ -19,51 +19,55 @@
 use self::order::weight;
 use crate::topology::DomainTag;
 
-/// Silence after which a member of a small fleet counts as gone, in milliseconds.
+/// Base of the liveness timeout, in milliseconds: silence after which a member of a small
+/// fleet counts as dead.
 const LIVENESS_TIMEOUT_BASE_MS: u64 = 2_500;
 
-/// Time by which each known member prolongs that, in milliseconds.
+/// Amount by which each known member extends the liveness timeout, in milliseconds.
 ///
-/// With six messages of forty-eight members each quarter of a second, a sign of life
-/// reaches 99 % of 300 instances within 5 s (`tests/membership.rs`); time grows with
-/// their number.
+/// With six messages of forty-eight members every quarter of a second, a heartbeat reaches
+/// 99 % of 300 instances within 5 s (`tests/membership.rs`); the time grows with the number
+/// of instances.
 const LIVENESS_TIMEOUT_PER_MEMBER_MS: u64 = 15;
 
-/// How many times longer than that a silent member stays known, to be tried again.
+/// Multiple of the liveness timeout after which a silent member is forgotten; until then it
+/// is still contacted now and then.
 const FORGET_TIMEOUT_FACTOR: u64 = 6;
 
-/// Members that are remembered at most: over twice the fleet that is aimed at.
+/// Maximum number of members kept: more than twice the intended fleet size.
 pub const MEMBER_MAX_COUNT: usize = 8_192;
 
-/// Members that one message tells of at most; more are not taken from one.
+/// Maximum number of members in one message; further entries of a received message are
+/// ignored.
 pub const TOLD_MAX_COUNT: usize = 48;
 
-/// Questions in a row without an answer from which a member is passed over as an
-/// owner: one may be a lost datagram.
+/// Consecutive unanswered requests after which a member is skipped when an owner is chosen:
+/// a single one may be due to a lost datagram.
 const MISSED_REPLY_LIMIT: u32 = 2;
 
-/// Time for which it is passed over, in milliseconds.
+/// Time for which such a member is skipped, in milliseconds.
 const OWNER_SKIP_MS: u64 = 2_000;
 
-/// Time between two looks at the members from which on the process stood still, in
-/// milliseconds: four rounds of digests, before each of which it looks. Others take over
-/// from one that is silent for longer.
+/// Time between two calls of [`Membership::look`] from which on the process counts as
+/// stalled, in milliseconds: four digest rounds, since it is called before each of them.
+/// Other instances take over from one that is silent for longer.
 const STALL_THRESHOLD_MS: u64 = 1_000;
 
-/// Time added to an age that a message tells, in milliseconds, for its way and its wait
-/// to be read: ages that shrank on the way would keep a dead member alive.
+/// Time added to the age in a received message, in milliseconds, for its transit and its
+/// wait in the receive queue: ages that shrank on the way would keep a dead member alive.
 const TRANSIT_ALLOWANCE_MS: u64 = 50;
 
-/// What a message says of one member.
+/// Gossip entry about one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberNews {
-    /// Its address.
+    /// Address of the member.
     pub address: Ipv4Addr,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: DomainTag,
-    /// Time since its newest sign of life that the sender knows of, in milliseconds.
+    /// Time since the member was last heard from, as far as the sender knows, in
+    /// milliseconds.
     pub age_ms: u32,
-    /// Whether it was stopping then.
+    /// Whether the member was shutting down at that time.
     pub is_leaving: bool,
 }
 
@@ -71,17 +75,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Member {
     domain: DomainTag,
-    /// Its newest sign of life, in milliseconds; none for a seed not heard of yet.
+    /// When the member was last heard from, in milliseconds; none for a seed that has not
+    /// been heard from yet.
     last_seen_ms: Option<u64>,
     first_known_ms: u64,
     is_leaving: bool,
-    /// Questions in a row that it did not answer.
+    /// Consecutive requests that the member did not answer.
     missed_reply_count: u32,
-    /// Until when it isn't asked as an owner, in milliseconds.
+    /// Until when the member is skipped as an owner, in milliseconds.
     skipped_until_ms: u64,
 }
 
-/// All members that are known.
+/// All known members.
 ///
 /// ```
 /// use std::net::Ipv4Addr;
@@ -105,21 +110,23 @@
     is_seed: bool,
     /// The other seeds.
     seeds: Vec<Ipv4Addr>,
-    /// Sum over the members that lived at the last look, and since when it is the same,
-    /// in milliseconds.
+    /// Sum of the address hashes of the members that were alive at the last refresh, and
+    /// since when it is unchanged, in milliseconds.
     alive_hash_sum: u64,
     unchanged_since_ms: u64,
-    /// Since when it has heard only a minority of those it knows, in milliseconds.
+    /// Since when this instance has heard only a minority of the members it knows, in
+    /// milliseconds.
     minority_since_ms: Option<u64>,
-    /// When it last did, or had stood still, in milliseconds.
+    /// When this instance last heard only a minority, or detected that it had stalled, in
+    /// milliseconds.
     last_isolated_ms: u64,
-    /// When the members were looked at last, in milliseconds.
+    /// When [`Membership::look`] was last called, in milliseconds.
     last_refresh_ms: u64,
     known: HashMap<Ipv4Addr, Member>,
 }
 
 impl Membership {
-    /// Makes the membership of an instance that knows its seeds alone.
+    /// Creates the membership of an instance that knows only the seeds.
     pub fn new(own: Ipv4Addr, own_domain: DomainTag, seeds: &[Ipv4Addr]) -> Self {
         let is_seed = seeds.contains(&own);
         let seeds: Vec<Ipv4Addr> = seeds.iter().filter(|seed| **seed != own).copied().collect();
@@ -138,7 +145,7 @@
         }
     }
 
-    /// Notes a sign of life from a member itself.
+    /// Records a message received from the member itself.
     pub fn saw(&mut self, now_ms: u64, address: Ipv4Addr, domain: DomainTag, is_leaving: bool) {
         let update = MemberNews {
             address,
@@ -149,8 +156,8 @@
         self.note(now_ms, now_ms, &update);
     }
 
-    /// Takes what a message tells of others, and returns how many entries were not
-    /// taken since there were too many of them.
+    /// Merges the entries of a received message; returns how many were ignored because the
+    /// message had too many.
     pub fn told(&mut self, now_ms: u64, updates: &[MemberNews]) -> usize {
         for update in updates.iter().take(TOLD_MAX_COUNT) {
             let last_seen_ms =
@@ -162,7 +169,7 @@
         updates.len().saturating_sub(TOLD_MAX_COUNT)
     }
 
-    /// Notes a sign of life at a time, unless a newer one is known.
+    /// Records when a member was last heard from, unless a later time is known.
     fn note(&mut self, now_ms: u64, last_seen_ms: u64, update: &MemberNews) {
         let address = update.address;
         let is_full = self.known.len() >= MEMBER_MAX_COUNT;
@@ -183,23 +190,24 @@
         }
     }
 
-    /// Returns for how long a silent member still counts, in milliseconds.
+    /// Returns the liveness timeout: the silence after which a member counts as dead, in
+    /// milliseconds.
     pub fn alive_within_ms(&self) -> u64 {
         LIVENESS_TIMEOUT_BASE_MS + LIVENESS_TIMEOUT_PER_MEMBER_MS * self.known.len() as u64
     }
 
-    /// Lists the other members that live and aren't stopping.
+    /// Lists the other members that are alive and not shutting down.
     pub fn alive(&self, now_ms: u64) -> impl Iterator<Item = Ipv4Addr> {
         self.alive_members(now_ms).map(|(address, _)| address)
     }
 
-    /// Lists them with the failure domain of each.
+    /// Lists the same members with their failure domains.
     pub fn alive_with_domains(&self, now_ms: u64) -> impl Iterator<Item = (Ipv4Addr, DomainTag)> {
         self.alive_members(now_ms)
             .map(|(address, member)| (address, member.domain))
     }
 
-    /// Lists them with what is known of each.
+    /// Lists the same members with their full records.
     fn alive_members(&self, now_ms: u64) -> impl Iterator<Item = (Ipv4Addr, &Member)> {
         let within_ms = self.alive_within_ms();
         let alive = self.known.iter().filter(move |(_, member)| {
@@ -209,24 +217,24 @@
         alive.map(|(address, member)| (*address, member))
     }
 
-    /// Returns a member's failure domain; none if the member, or where it stands, isn't
-    /// known.
+    /// Returns a member's failure domain; none if the member or its domain is unknown.
     pub fn domain_of(&self, address: Ipv4Addr) -> Option<DomainTag> {
         let domain = self.known.get(&address).map(|member| member.domain);
         domain.filter(|domain| domain.is_known())
     }
 
-    /// Whether a member is known, living or not.
+    /// Whether a member is known, alive or not.
     pub fn is_known(&self, address: Ipv4Addr) -> bool {
         self.known.contains_key(&address)
     }
 
-    /// Counts the instances that are known, this one included.
+    /// Counts the known instances, including this one.
     pub fn known_count(&self) -> usize {
         self.known.len() + 1
     }
 
-    /// Lists the members that are silent, seeds included, for another try.
+    /// Lists the members that exceeded the liveness timeout, including seeds never heard
+    /// from, so that they can be contacted again.
     pub fn silent(&self, now_ms: u64) -> impl Iterator<Item = Ipv4Addr> {
         let within_ms = self.alive_within_ms();
         let silent = self.known.iter().filter(move |(_, member)| {
@@ -236,7 +244,8 @@
         silent.map(|(address, _)| *address)
     }
 
-    /// Forgets members that have been silent for long.
+    /// Drops members that have been silent for several times the liveness timeout; seeds
+    /// are kept.
     pub fn forget(&mut self, now_ms: u64) {
         let after_ms = self.alive_within_ms() * FORGET_TIMEOUT_FACTOR;
         let seeds = &self.seeds;
@@ -246,12 +255,12 @@
         });
     }
 
-    /// Chooses what the next message tells of members.
+    /// Picks a random sample of member entries for the next message.
     pub fn sample<R: Rng>(&self, now_ms: u64, rng: &mut R) -> Vec<MemberNews> {
         self.updates(now_ms).sample(rng, TOLD_MAX_COUNT)
     }
 
-    /// Lists what there is to tell of members.
+    /// Lists the entries of all members heard from within the liveness timeout.
     fn updates(&self, now_ms: u64) -> impl Iterator<Item = MemberNews> {
         let within_ms = self.alive_within_ms();
         self.known.iter().filter_map(move |(address, member)| {
@@ -265,8 +274,8 @@
         })
     }
 
-    /// Chooses what a message tells an instance of a failure domain that has just
-    /// started: those that stand there come first.
+    /// Picks the entries for an instance of a failure domain that has just started: members
+    /// of that domain come first.
     pub fn sample_for<R: Rng>(
         &self,
         now_ms: u64,
@@ -282,7 +291,8 @@
         chosen
     }
 
-    /// Looks whether the members that live are still the same.
+    /// Updates the time since when the set of live members is unchanged, and detects stalls
+    /// of this process and isolation from the majority; called before each digest round.
     pub fn look(&mut self, now_ms: u64) {
         let alive = self.alive(now_ms).map(|address| weight(0, address));
         let sum = alive.fold(0, u64::wrapping_add);
@@ -302,19 +312,19 @@
         }
     }
 
-    /// Whether no look at the members came for so long that others may have taken over.
+    /// Whether the last refresh is so long ago that other instances may have taken over.
     fn has_stalled(&self, now_ms: u64) -> bool {
         now_ms > self.last_refresh_ms + STALL_THRESHOLD_MS
     }
 
-    /// Whether this instance hears no more than half of those it knows, itself included.
+    /// Whether this instance hears from at most half of the known members, itself included.
     fn hears_minority(&self, now_ms: u64) -> bool {
         let heard_count = self.alive(now_ms).count() + 1;
         heard_count * 2 <= self.known_count()
     }
 
-    /// Returns the share that this instance hears of those it knows, and for how long that
-    /// has been a minority, in milliseconds; none if it is a majority.
+    /// Returns the share of the known members that this instance hears from, and for how
+    /// long that has been a minority, in milliseconds; none if it is a majority.
     pub fn minority(&self, now_ms: u64) -> Option<(f64, u64)> {
         if !self.hears_minority(now_ms) {
             return None;
@@ -325,20 +335,20 @@
         Some((share, now_ms.saturating_sub(since_ms)))
     }
 
-    /// Returns the time for which the same members have lived, in milliseconds.
+    /// Returns for how long the set of live members is unchanged, in milliseconds.
     pub fn same_for_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.unchanged_since_ms)
     }
 
-    /// Notes that a member answered.
+    /// Records that a member answered a request.
     pub fn answered(&mut self, address: Ipv4Addr) {
         if let Some(member) = self.known.get_mut(&address) {
             member.missed_reply_count = 0;
         }
     }
 
-    /// Notes that a member did not answer; one that does so again is passed over as
-    /// an owner for a while.
+    /// Records that a member did not answer a request; after several in a row it is skipped
+    /// as an owner for a while.
     pub fn missed(&mut self, now_ms: u64, address: Ipv4Addr) {
         let Some(member) = self.known.get_mut(&address) else {
             return;
--- a/crates/cranereach-fleet/src/membership/order.rs
+++ b/crates/cranereach-fleet/src/membership/order.rs
@@ -1,5 +1,5 @@
-//! Who comes first among the members, in an order of their own for each purpose: all
-//! instances that know the same members agree on it without a word.
+//! Rendezvous hashing (highest random weight): an order of the members for each purpose or
+//! key on which all instances that know the same members agree without communication.
 
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
@@ -10,22 +10,22 @@
 use crate::topology::DomainTag;
 use crate::topology::Proximity;
 
-/// Returns the weight by which members are ordered for a purpose, the same everywhere.
+/// Returns the weight by which members are ordered for a purpose, the same on all
+/// instances.
 pub(super) fn weight(purpose: u64, address: Ipv4Addr) -> u64 {
     xxh3_64_with_seed(&address.octets(), purpose)
 }
 
 impl Membership {
-    /// Counts those that the settings of all instances name and that come before this one;
-    /// none if they name others alone.
+    /// Counts the seeds in the settings whose address is lower than this instance's; none
+    /// if there are seeds and this instance isn't one of them.
     pub fn seed_rank(&self) -> Option<u64> {
         let before = self.seeds.iter().filter(|seed| **seed < self.own);
         let is_seed = self.is_seed || self.seeds.is_empty();
         is_seed.then(|| before.count() as u64)
     }
 
-    /// Counts the members that come before this instance in an order of their own
-    /// for each purpose.
+    /// Counts the live members that come before this instance in the order for a purpose.
     pub fn rank(&self, now_ms: u64, purpose: u64) -> u64 {
         let own = weight(purpose, self.own);
         let before = self
@@ -34,7 +34,7 @@
         before.count() as u64
     }
 
-    /// Counts the members of a failure domain that come before this instance in its
+    /// Counts the live members of a failure domain that come before this instance in the
     /// order for a purpose.
     pub fn rank_in(&self, now_ms: u64, purpose: u64, domain: DomainTag) -> u64 {
         let own = weight(purpose, self.own);
@@ -44,9 +44,10 @@
         before.count() as u64
     }
 
-    /// Returns since when this instance may be the first in the order for a purpose, in
-    /// milliseconds, as long as it is: until then another one that comes before it lived,
-    /// or it heard only a minority, or stood still.
+    /// Returns since when this instance may have been the first in the order for a purpose,
+    /// in milliseconds: the last time at which a member that precedes it may have been
+    /// alive, or this instance heard only a minority or had stalled. Meaningful only while
+    /// it is the first.
     pub fn first_since_ms(&self, now_ms: u64, purpose: u64) -> u64 {
         if self.has_stalled(now_ms) {
             return now_ms;
@@ -65,8 +66,8 @@
         gone_at_ms.max().unwrap_or(0).max(self.last_isolated_ms)
     }
 
-    /// Returns the other instance that is the first in the order for a purpose; none if
-    /// this one is.
+    /// Returns the instance that is first in the order for a purpose; none if it is this
+    /// one.
     pub fn first_other(&self, now_ms: u64, purpose: u64) -> Option<Ipv4Addr> {
         let others = self.alive(now_ms);
         let others = others.map(|address| (weight(purpose, address), address));
@@ -74,7 +75,7 @@
         ((first, address) > (weight(purpose, self.own), self.own)).then_some(address)
     }
 
-    /// Lists the first other members in the order for a purpose.
+    /// Lists up to `count` other live members, in the order for a purpose.
     pub fn first(&self, now_ms: u64, purpose: u64, count: usize) -> Vec<Ipv4Addr> {
         let mut weighted: Vec<(u64, Ipv4Addr)> = self
             .alive(now_ms)
@@ -85,23 +86,23 @@
         weighted.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Returns the instance that owns a key: the first in the key's own order, other
-    /// than those that did not answer lately.
+    /// Returns the owner of a key: the first instance in the key's order, without those
+    /// that recently failed to answer.
     pub fn owner(&self, now_ms: u64, key: u64) -> Ipv4Addr {
         self.first_by(now_ms, |_domain, address| weight(key, address))
     }
 
-    /// Returns the instance that owns the key of something that stands in a failure
-    /// domain: the first in the key's own order among those of that domain, or where
-    /// none of them lives, of its region, or at last of all.
+    /// Returns the owner of a key that belongs to a failure domain: the first in the key's
+    /// order among the instances of that domain, else of its region, else of the whole
+    /// fleet.
     pub fn owner_near(&self, now_ms: u64, key: u64, proximity: &Proximity<'_>) -> Ipv4Addr {
         self.first_by(now_ms, |domain, address| {
             (Reverse(proximity.distance(domain)), weight(key, address))
         })
     }
 
-    /// Returns the instance that is first in an order, other than those that did not
-    /// answer lately.
+    /// Returns the instance with the highest order value, without those that recently
+    /// failed to answer.
     fn first_by<K: Ord>(&self, now_ms: u64, order: impl Fn(DomainTag, Ipv4Addr) -> K) -> Ipv4Addr {
         let others = self
             .alive_members(now_ms)
@@ -111,16 +112,16 @@
         others.max().map_or(self.own, |first| first.max(own).1)
     }
 
-    /// Whether this instance owns a key as far as all know that live, also those that
-    /// did not answer it lately.
+    /// Whether this instance is the first in a key's order among all live members,
+    /// including those that recently failed to answer it.
     pub fn is_own(&self, now_ms: u64, key: u64) -> bool {
         let own = (weight(key, self.own), self.own);
         self.alive(now_ms)
             .all(|address| (weight(key, address), address) < own)
     }
 
-    /// Returns the seed that owns a key for whoever doesn't know the others yet; none
-    /// if there are no seeds, or none of them answered lately.
+    /// Returns the seed that owns a key, for an instance that doesn't know the other
+    /// members yet; none if there are no seeds or none of them answered recently.
     pub fn seed_owner(&self, now_ms: u64, key: u64) -> Option<Ipv4Addr> {
         let answers = |seed: &&Ipv4Addr| {
             let member = self.known.get(*seed);
--- a/crates/cranereach-fleet/src/prefixes.rs
+++ b/crates/cranereach-fleet/src/prefixes.rs
@@ -1,20 +1,20 @@
-//! Which parts of prompts a worker has probably kept, from what was sent to it.
+//! Estimate of a worker's prefix cache, from the prompts that were sent to the worker.
 
 use std::collections::HashMap;
 
-/// Most parts remembered per worker.
+/// Maximum number of prompt parts tracked per worker.
 const PART_MAX_COUNT: usize = 512;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part together with all before it, the model and adapter.
+    /// Hash of this part, all parts before it, and the model and adapter.
     pub chain: u64,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// Makes the parts of a prompt; each is named together with all before it.
+/// Hashes the parts of a prompt; each hash also covers all parts before it.
 ///
 /// ```
 /// use cranereach_fleet::prefixes::chain;
@@ -39,14 +39,14 @@
     chained
 }
 
-/// Parts that a worker has probably kept.
+/// Prompt parts that are probably in a worker's prefix cache.
 #[derive(Clone, Debug, Default)]
 pub struct KeptPrefixes {
     used_at_ms: HashMap<u64, u64>,
 }
 
 impl KeptPrefixes {
-    /// Returns how many tokens of a prompt need not be read again.
+    /// Returns how many leading tokens of a prompt are probably cached and need no prefill.
     pub fn kept_tokens(&self, parts: &[PromptPart]) -> u32 {
         let kept = parts
             .iter()
@@ -54,7 +54,7 @@
         kept.map(|part| part.tokens).sum()
     }
 
-    /// Returns how many of a prompt's leading parts need not be read again.
+    /// Returns how many leading parts of a prompt are probably cached.
     pub fn kept_part_count(&self, chains: &[u64]) -> usize {
         let kept = chains
             .iter()
@@ -62,7 +62,7 @@
         kept.count()
     }
 
-    /// Notes that the worker reads a prompt.
+    /// Records that a prompt was sent to the worker.
     pub fn sent(&mut self, now_ms: u64, parts: &[PromptPart]) {
         for part in parts {
             self.used_at_ms.insert(part.chain, now_ms);
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Forgets everything, as a worker does that has lost its memory.
+    /// Drops all parts, because the worker has lost its cache.
     pub fn clear(&mut self) {
         self.used_at_ms.clear();
     }
 
-    /// Forgets the half that was used least recently.
+    /// Evicts the least recently used half.
     fn evict_older_half(&mut self) {
         let mut times: Vec<u64> = self.used_at_ms.values().copied().collect();
         let middle = times.len() / 2;
--- a/crates/cranereach-fleet/src/reading_plan.rs
+++ b/crates/cranereach-fleet/src/reading_plan.rs
@@ -1,56 +1,58 @@
-//! When prompts are sent to one worker, so that its streams don't pause for too long.
+//! Schedules the prompts sent to one worker so that prefill doesn't pause its streams for
+//! too long.
 //!
-//! The worker's owner keeps what has reached the worker lately and what is to reach it,
-//! and gives each prompt the first place at which no stream pauses by it.
+//! The worker's owner keeps the prompts that reached the worker recently and those still
+//! scheduled, and gives each new prompt the earliest time at which no stream pauses for too
+//! long because of it. Reading a prompt means its prefill.
 
 use crate::pauses;
 use crate::pauses::Arrival;
 use crate::pauses::Place;
 use crate::pauses::Stepping;
 
-/// Time of a step in which nothing is read, in milliseconds: large models make a token
-/// in 10 to 13.
+/// Time of a decode step without any prefill, in milliseconds: large models take 10 to 13
+/// ms per token.
 const DECODE_STEP_MS: f64 = 13.0;
 
-/// Share of the longest pause up to which prompts are planned: what is read may take a
-/// little longer than predicted.
+/// Share of the longest allowed pause that the schedule may use, because prefill may take
+/// slightly longer than predicted.
 const PAUSE_BUDGET_SHARE: f64 = 0.8;
 
-/// Time for which prompts count after they have reached the worker, in milliseconds.
+/// Time for which prompts are kept after they reached the worker, in milliseconds.
 const ARRIVAL_RETENTION_MS: f64 = 2_000.0;
 
-/// Prompts that are remembered at most.
+/// Maximum number of prompts kept.
 const ARRIVAL_MAX_COUNT: usize = 128;
 
-/// Reading time below which a prompt makes no pause, in milliseconds.
+/// Prefill time below which a prompt causes no pause, in milliseconds.
 const NEGLIGIBLE_READING_MS: f64 = 1.0;
 
-/// A prompt in the plan, and whose it is.
+/// A scheduled prompt, and the ticket of the request it belongs to.
 #[derive(Clone, Copy, Debug)]
 struct PlannedPrompt {
     ticket: (u32, u64),
     arrival: Arrival,
 }
 
-/// The prompts that reach one worker.
+/// Prompt schedule of one worker.
 #[derive(Clone, Debug, Default)]
 pub struct ReadingPlan {
-    /// In the order of time.
+    /// Sorted by arrival time.
     planned: Vec<PlannedPrompt>,
-    /// Longest pause that streams may make, in milliseconds; zero where any will do.
+    /// Longest allowed pause in a stream, in milliseconds; zero for no limit.
     gap_aim_ms: f64,
     event_steps: usize,
 }
 
 impl ReadingPlan {
-    /// Takes what the worker's streams allow: the longest pause, in milliseconds (zero
-    /// for any), and the tokens of an event.
+    /// Sets what the worker's streams allow: the longest pause in milliseconds (zero for no
+    /// limit) and the number of tokens per event.
     pub fn allow(&mut self, gap_aim_ms: f64, event_tokens: u32) {
         self.gap_aim_ms = gap_aim_ms;
         self.event_steps = event_tokens.max(1) as usize;
     }
 
-    /// Returns what comes of a prompt that is sent at once.
+    /// Returns the longest pause that results if a prompt is sent immediately.
     pub fn at_once(&self, now_ms: u64, reading_ms: f64) -> Place {
         let at_ms = now_ms as f64;
         if self.gap_aim_ms <= 0.0 {
@@ -75,8 +77,8 @@
         }
     }
 
-    /// Returns the place of a prompt that takes a time to read; at once where streams
-    /// may pause for any time.
+    /// Returns the earliest suitable time for a prompt with the given prefill time; now if
+    /// pauses are not limited.
     pub fn place(&self, now_ms: u64, reading_ms: f64) -> Place {
         let now_ms = now_ms as f64;
         if self.gap_aim_ms <= 0.0 || reading_ms < NEGLIGIBLE_READING_MS {
@@ -91,7 +93,7 @@
         pauses::place(&stepping, &arrivals, now_ms, reading_ms, limit_ms)
     }
 
-    /// Notes a prompt that reaches the worker at a time.
+    /// Records a prompt that reaches the worker at a given time.
     pub fn sent(&mut self, now_ms: u64, ticket: (u32, u64), at_ms: f64, reading_ms: f64) {
         let cutoff_ms = now_ms as f64 - ARRIVAL_RETENTION_MS;
         self.planned
@@ -110,7 +112,7 @@
             .insert(index, PlannedPrompt { ticket, arrival });
     }
 
-    /// Notes that a prompt has been read.
+    /// Records that the prefill of a prompt is complete.
     pub fn read(&mut self, now_ms: u64, ticket: (u32, u64)) {
         let mut matching = self
             .planned
@@ -119,13 +121,14 @@
         if let Some(planned) = matching.next() {
             let now_ms = now_ms as f64;
             let arrival = &mut planned.arrival;
-            // It can't have taken longer than from its arrival until now.
+            // The prefill can't have taken longer than the time since the prompt's arrival.
             arrival.reading_ms = arrival.reading_ms.min((now_ms - arrival.at_ms).max(0.0));
             arrival.read_at_ms = Some(now_ms);
         }
     }
 
-    /// Forgets a prompt that never reaches the worker, or that isn't read to its end.
+    /// Drops a prompt that never reaches the worker; if it has reached it, marks it as
+    /// read, since its request has ended.
     pub fn ended(&mut self, now_ms: u64, ticket: (u32, u64)) {
         let now_ms = now_ms as f64;
         let has_arrived = |prompt: &PlannedPrompt| prompt.arrival.at_ms <= now_ms;
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Returns how the worker makes its steps, as far as it is known.
+    /// Returns the parameters of the worker's steps, as far as they are known.
     fn stepping(&self) -> Stepping {
         Stepping {
             event_steps: self.event_steps.max(1),
--- a/crates/cranereach-fleet/src/regions.rs
+++ b/crates/cranereach-fleet/src/regions.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// Regions that a route or client account is bound to.
+/// Set of regions in which requests of a route or client account may be served.
 ///
 /// ```
 /// use cranereach_fleet::regions::AllowedRegions;
@@ -17,15 +17,15 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// Not bound.
+    /// Any region, also an unknown one.
     #[default]
     Any,
-    /// Bound to these, sorted.
+    /// Only these regions, sorted by name.
     Only(Arc<[Arc<str>]>),
 }
 
 impl AllowedRegions {
-    /// Makes the set of the named regions.
+    /// Creates a set of the named regions.
     pub fn only<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut names: Vec<Arc<str>> = names.into_iter().map(Arc::from).collect();
         names.sort_unstable();
@@ -33,7 +33,8 @@
         Self::Only(names.into())
     }
 
-    /// Whether a region is allowed; one that nobody knows is allowed only where any is.
+    /// Whether a region is allowed; `None`, an unknown region, is allowed only by
+    /// [`AllowedRegions::Any`].
     pub fn allows(&self, region: Option<&str>) -> bool {
         match self {
             Self::Any => true,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Returns what both allow, where a route and an account are both bound.
+    /// Returns the intersection of two sets.
     #[must_use]
     pub fn common(&self, other: &Self) -> Self {
         match (self, other) {
--- a/crates/cranereach-fleet/src/topology.rs
+++ b/crates/cranereach-fleet/src/topology.rs
@@ -1,7 +1,8 @@
-//! Where instances and workers stand: failure domains, and the region of each.
+//! Locations of instances and workers: failure domains and their regions.
 //!
-//! The table comes from the settings, the same on every instance. A worker names its
-//! failure domain in its row, an instance in its digests; regions follow from the table.
+//! The table of failure domains comes from the settings and is the same on every instance.
+//! A worker's row and an instance's digests name its failure domain; the table gives the
+//! region.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,15 +14,15 @@
 
 use crate::key::worker_key;
 
-/// How far something stands from this instance.
+/// How far something is from this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Distance {
-    /// In the same failure domain: bytes cost nothing.
+    /// In the same failure domain: traffic is free.
     OwnDomain,
     /// In another failure domain of the same region.
     OwnRegion,
-    /// In another region, behind a link that all traffic shares, or in a failure
-    /// domain that the table doesn't name.
+    /// In another region, behind a link shared by all traffic, or in a failure domain that
+    /// the table doesn't list.
     OtherRegion,
 }
 
@@ -29,7 +30,7 @@
     /// All distances, the nearest first.
     pub const ALL: [Self; 3] = [Self::OwnDomain, Self::OwnRegion, Self::OtherRegion];
 
-    /// Returns the name that metrics and logs use.
+    /// Returns the name used in metrics and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::OwnDomain => "own_domain",
@@ -39,15 +40,15 @@
     }
 }
 
-/// A short key of a failure domain, for messages that name many. Two domains whose keys
-/// are the same by chance count as one: nothing but distance follows from it.
+/// Short hash of a failure domain's name, for messages that list many. Domains whose hashes
+/// collide count as one, which affects nothing but distances.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct DomainTag(u16);
 
 impl DomainTag {
-    /// Returns the tag of a failure domain.
+    /// Returns the tag of a failure domain's name.
     ///
     /// ```
     /// use cranereach_fleet::key::worker_key;
@@ -61,27 +62,27 @@
         Self::from_key(worker_key(domain))
     }
 
-    /// Returns the tag of a failure domain from the key that digests carry.
+    /// Returns the tag for the 64-bit key that digests carry.
     pub fn from_key(key: u64) -> Self {
         Self((key as u16).max(1))
     }
 
-    /// Whether it names a failure domain.
+    /// Whether the tag denotes a failure domain.
     pub fn is_known(self) -> bool {
         self.0 > 0
     }
 }
 
-/// What stands near a failure domain.
+/// Distances as seen from one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Proximity<'a> {
     domain: DomainTag,
-    /// Failure domains of its region; none where the table doesn't name it.
+    /// Failure domains of the same region; empty if the table doesn't list the domain.
     region: &'a [DomainTag],
 }
 
 impl Proximity<'_> {
-    /// Returns how far another failure domain is from this one.
+    /// Returns the distance of another failure domain from this one.
     pub fn distance(&self, other: DomainTag) -> Distance {
         if other == self.domain && other.is_known() {
             Distance::OwnDomain
@@ -93,10 +94,10 @@
     }
 }
 
-/// Why a table of failure domains can't be used.
+/// Why a table of failure domains is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TopologyError {
-    /// A failure domain or region has no name.
+    /// The name of a failure domain or region is empty.
     #[error("failure domain {domain:?} of region {region:?}: a name is empty")]
     NoName {
         /// Failure domain.
@@ -104,19 +105,19 @@
         /// Region.
         region: String,
     },
-    /// The own failure domain is listed in another region than the own.
+    /// The instance's own failure domain is listed under a different region than its own.
     #[error("failure domain {domain:?} is listed in region {listed:?}, not in {own:?}")]
     OtherRegion {
         /// Own failure domain.
         domain: String,
-        /// Region that the table lists it in.
+        /// Region that the table gives for it.
         listed: String,
         /// Own region.
         own: String,
     },
 }
 
-/// Failure domains with their regions, and where this instance stands.
+/// Failure domains with their regions, and the location of this instance.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -142,8 +143,8 @@
 }
 
 impl Topology {
-    /// Makes the table of an instance from failure domains and their regions; the own
-    /// failure domain is added where it isn't listed.
+    /// Creates the table from failure domains and their regions; the instance's own failure
+    /// domain is added if it isn't listed.
     pub fn new(
         own_domain: &str,
         own_region: &str,
@@ -192,7 +193,7 @@
         })
     }
 
-    /// Makes the table of an instance that knows no failure domain but its own.
+    /// Creates a table that lists only the instance's own failure domain.
     pub fn of_domain(own_domain: &str) -> Self {
         let own_domain: Arc<str> = Arc::from(own_domain);
         Self {
@@ -214,30 +215,31 @@
         &self.own_region
     }
 
-    /// Returns the region of a failure domain; none if the table doesn't name it.
+    /// Returns the region of a failure domain; none if the table doesn't list it.
     pub fn region_of(&self, domain: &str) -> Option<&Arc<str>> {
         self.region_by_domain.get(domain)
     }
 
-    /// Returns a failure domain by the key that digests carry.
+    /// Returns the failure domain for the 64-bit key that digests carry.
     pub fn domain_by_key(&self, key: u64) -> Option<&Arc<str>> {
         self.domain_by_key.get(&key)
     }
 
-    /// Returns the region of a tag's failure domain; none if the table doesn't name it.
+    /// Returns the region of the failure domain with a tag; none if the table doesn't list
+    /// it.
     pub fn region_of_tag(&self, domain: DomainTag) -> Option<&str> {
         let mut regions = self.tags_by_region.iter();
         let found = regions.find(|(_, tags)| tags.contains(&domain));
         found.map(|(region, _)| region.as_ref())
     }
 
-    /// Returns how far the failure domain of a tag is; one that the table doesn't name
-    /// counts as far.
+    /// Returns the distance of the failure domain with a tag; [`Distance::OtherRegion`] if
+    /// the table doesn't list it.
     pub fn distance_to(&self, domain: DomainTag) -> Distance {
         self.around(&self.own_domain).distance(domain)
     }
 
-    /// Returns what stands near a failure domain.
+    /// Returns the distances as seen from a failure domain.
     ///
     /// ```
     /// use std::collections::BTreeMap;
@@ -263,12 +265,13 @@
         }
     }
 
-    /// Lists the failure domains with their regions, by name.
+    /// Lists the failure domains with their regions, sorted by name.
     pub fn domains(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>)> {
         self.region_by_domain.iter()
     }
 
-    /// Returns how far a failure domain is.
+    /// Returns the distance of a failure domain; [`Distance::OtherRegion`] if the table
+    /// doesn't list it.
     pub fn distance(&self, domain: &str) -> Distance {
         if domain == self.own_domain.as_ref() {
             return Distance::OwnDomain;
--- a/crates/cranereach-fleet/src/wanted.rs
+++ b/crates/cranereach-fleet/src/wanted.rs
@@ -1,4 +1,4 @@
-//! A request as the choice of its worker sees it.
+//! Properties of a request that are relevant for choosing its worker.
 
 use std::sync::Arc;
 
@@ -7,47 +7,50 @@
 use crate::topology::Topology;
 use crate::worker::WorkerRecord;
 
-/// A request that looks for a worker.
+/// A request for which a worker is being chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
     /// Service.
     pub service: &'a str,
     /// Model and adapter; none for plain services.
     pub model: Option<(&'a str, Option<&'a str>)>,
-    /// Parts of the prompt.
+    /// Parts of the prompt, for the lookup in prefix caches.
     pub parts: &'a [PromptPart],
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Time to read one token of the prompt, in milliseconds.
+    /// Prefill time per token of the prompt, in milliseconds.
     pub token_ms: f64,
-    /// Time that the request takes besides until its prompt is read, in milliseconds.
+    /// Fixed part of the time until the prompt is read, in milliseconds.
     pub fixed_ms: f64,
-    /// Time for which its answer is expected to stay, in milliseconds.
+    /// Time for which the answer is expected to occupy a slot, in milliseconds.
     pub stay_ms: f64,
-    /// Shortest pause that streams of the service may make, in milliseconds.
+    /// Strictest target for pauses between stream events among the routes to the service,
+    /// in milliseconds; none if no route sets one.
     pub gap_aim_ms: Option<f64>,
-    /// Tokens that an event of those streams holds; zero if that isn't known.
+    /// Number of tokens per stream event; zero if unknown.
     pub event_tokens: u32,
-    /// Rank of urgency, zero first.
+    /// Priority rank; zero is the most urgent.
     pub rank: usize,
-    /// Tokens of the prompt and of the longest answer.
+    /// Total tokens of the prompt and the longest possible answer.
     pub held_tokens: u32,
     /// Failure domains and regions, as seen from this instance.
     pub topology: &'a Topology,
-    /// By how much later it begins at a worker of each distance, in milliseconds.
+    /// Extra delay until the request begins at a worker of each distance, in milliseconds;
+    /// see [`crate::ways::Ways::crossings_ms`].
     pub crossings_ms: [f64; 3],
     /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
-    /// Workers that ended in a row under requests equal to it.
+    /// Number of workers that terminated in a row while running an equal request.
     pub end_count: usize,
-    /// Whether only workers are left to it that need no grant: it asked for others in vain.
+    /// Whether only workers that need no send grant may be chosen, because none could be
+    /// obtained for the others.
     pub needs_no_grant: bool,
-    /// Workers that were tried already.
+    /// Workers that have already been tried.
     pub tried: &'a [Arc<str>],
 }
 
 impl Wanted<'_> {
-    /// Whether the request may be served where a worker stands.
+    /// Whether the request may be served in the region of a worker.
     pub fn may_be_served_at(&self, record: &WorkerRecord) -> bool {
         let region = self.topology.region_of(&record.failure_domain);
         self.regions.allows(region.map(AsRef::as_ref))
--- a/crates/cranereach-fleet/src/ways.rs
+++ b/crates/cranereach-fleet/src/ways.rs
@@ -1,45 +1,46 @@
-//! How long answers of other instances take, by distance, and how long to wait for one.
+//! Round-trip times to other instances, by distance, and the reply timeouts derived from
+//! them.
 //!
-//! A constant doesn't fit both the next rack and the other side of a sea: what is too
-//! short there loses every answer, what is enough there holds up a request here whenever
-//! an owner has just died. So the way there and back is learned from answers, as
-//! transport protocols do: its mean, and four times its mean deviation.
+//! No constant suits both the next rack and another continent: too short a timeout loses
+//! every reply from far away, too long a one delays requests nearby whenever an owner has
+//! just died. So the round-trip time is estimated from replies as in TCP: its mean plus
+//! four times its mean deviation.
 
 use crate::topology::Distance;
 
-/// Part of the old mean that one more answer leaves; some eight answers count.
+/// Weight of the old mean when a new sample is added; it averages over about eight replies.
 const MEAN_DECAY: f64 = 0.875;
 
-/// Part of the old deviation that one more answer leaves.
+/// Weight of the old mean deviation when a new sample is added.
 const DEVIATION_DECAY: f64 = 0.75;
 
-/// Deviations beyond the mean that are waited for.
+/// Number of mean deviations added to the mean for the timeout.
 const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Time that is waited besides, in milliseconds: whoever is asked may be busy.
+/// Time added to the timeout, in milliseconds: the instance that is asked may be busy.
 const SLACK_MS: f64 = 10.0;
 
-/// Least that an answer is waited for, in milliseconds: some ten times the way there and
-/// back within a region.
+/// Minimum timeout, in milliseconds: about ten round trips within a region.
 const TIMEOUT_MIN_MS: f64 = 20.0;
 
-/// Most that an answer is waited for, in milliseconds, by distance. Within a region one
-/// that takes longer comes from an instance that is slow or gone, and waiting for it
-/// would hold up every call; beyond it is little against the aims of requests that are
-/// worth a choice.
+/// Maximum timeout by distance, in milliseconds. Within a region a slower reply comes from
+/// an instance that is slow or dead, and waiting for it would delay every call. Across
+/// regions the timeout is still small against the latency targets of the requests that ask
+/// an owner.
 const TIMEOUT_MAX_MS: [f64; 3] = [20.0, 25.0, 80.0];
 
-/// Time there and back before anything is known, in milliseconds, by distance.
+/// Initial mean round-trip time by distance, in milliseconds, used until the first reply.
 const INITIAL_MEANS_MS: [f64; 3] = [2.0, 4.0, 40.0];
 
-/// Ways there and back until a call begins on a new connection.
+/// Round trips until a call on a new connection reaches a worker: one to connect, one for
+/// the call.
 const ROUND_TRIPS_PER_CALL: f64 = 2.0;
 
-/// Questions in a row without an answer from which on the wait is doubled: one owner
-/// that has died answers nobody, and says nothing of the way.
+/// Consecutive unanswered requests after which the deviation is doubled: a single dead
+/// owner answers nobody and says nothing about the round-trip time.
 const MISSED_REPLY_LIMIT: u32 = 4;
 
-/// The way to one distance and back.
+/// Estimate of the round-trip time for one distance.
 #[derive(Clone, Copy, Debug)]
 struct RoundTrip {
     mean_ms: f64,
@@ -48,7 +49,7 @@
     missed_reply_count: u32,
 }
 
-/// The ways to all distances and back.
+/// Estimates of the round-trip times for all distances.
 ///
 /// ```
 /// use cranereach_fleet::topology::Distance;
@@ -63,7 +64,7 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Ways {
-    /// By distance, as in [`Distance::ALL`].
+    /// Indexed by distance, as in [`Distance::ALL`].
     estimates: [RoundTrip; 3],
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl Ways {
-    /// Notes that an answer took a time, in milliseconds.
+    /// Records the time that a reply took, in milliseconds.
     pub fn answered(&mut self, distance: Distance, took_ms: f64) {
         let estimate = &mut self.estimates[distance as usize];
         estimate.missed_reply_count = 0;
@@ -96,7 +97,7 @@
         estimate.mean_ms = estimate.mean_ms * MEAN_DECAY + took_ms * (1.0 - MEAN_DECAY);
     }
 
-    /// Notes that an answer was waited for in vain.
+    /// Records that no reply came before the timeout.
     pub fn missed(&mut self, distance: Distance) {
         let estimate = &mut self.estimates[distance as usize];
         estimate.missed_reply_count += 1;
@@ -107,16 +108,16 @@
         }
     }
 
-    /// Returns for how long an answer is waited for, in milliseconds.
+    /// Returns the reply timeout, in milliseconds.
     pub fn wait_ms(&self, distance: Distance) -> u64 {
         let estimate = &self.estimates[distance as usize];
         let wait_ms = estimate.mean_ms + estimate.deviation_ms * DEVIATION_FACTOR + SLACK_MS;
         wait_ms.clamp(TIMEOUT_MIN_MS, TIMEOUT_MAX_MS[distance as usize]) as u64
     }
 
-    /// Returns by how much later a call begins at a worker of each distance than at a
-    /// near one, in milliseconds: the way there and back for its connection, and once
-    /// more for itself.
+    /// Returns by how much later a call begins at a worker of each distance than at one in
+    /// the own failure domain, in milliseconds: one extra round trip for the connection and
+    /// one for the call.
     ///
     /// ```
     /// use cranereach_fleet::topology::Distance;
@@ -134,7 +135,7 @@
         Distance::ALL.map(|distance| extra_ms(distance).max(0.0))
     }
 
-    /// Returns the time there and back, in milliseconds.
+    /// Returns the mean round-trip time, in milliseconds.
     pub fn round_trip_ms(&self, distance: Distance) -> f64 {
         self.estimates[distance as usize].mean_ms
     }
