--- a/crates/cranereach-fleet/src/accounts.rs
+++ b/crates/cranereach-fleet/src/accounts.rs
@@ -24,7 +24,7 @@
 const SERIES_MAX_COUNT: usize = 64;
 
 /// Name of the series that further accounts share.
-const SERIES_OF_OTHERS: &str = "other";
+const OVERFLOW_SERIES: &str = "other";
 
 /// What a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -160,10 +160,10 @@
     /// Checks and adds one account.
     fn add(&mut self, account: Account) -> Result<(), AccountError> {
         let name = account.name.to_string();
-        if !is_name(&name) {
+        if !is_valid_name(&name) {
             return Err(AccountError::Name(name));
         }
-        if !account.limit.is_none_or(is_limit) || !is_unit(account.unit) {
+        if !account.limit.is_none_or(is_valid_limit) || !is_valid_unit(account.unit) {
             return Err(AccountError::Limit(name));
         }
         let account = Arc::new(account);
@@ -171,8 +171,8 @@
             if *key == KeyHash::of("") {
                 return Err(AccountError::EmptyKey(name));
             }
-            let before = self.by_key_hash.insert(*key, Arc::clone(&account));
-            let other = before.filter(|before| before.name != account.name);
+            let previous = self.by_key_hash.insert(*key, Arc::clone(&account));
+            let other = previous.filter(|previous| previous.name != account.name);
             if let Some(other) = other {
                 return Err(AccountError::SharedKey(name, other.name.to_string()));
             }
@@ -180,8 +180,8 @@
         if self.series.len() < SERIES_MAX_COUNT {
             self.series.insert(Arc::clone(&account.name));
         }
-        let before = self.by_key.insert(account.key(), account);
-        before.map_or(Ok(()), |_| Err(AccountError::NameTwice(name)))
+        let previous = self.by_key.insert(account.key(), account);
+        previous.map_or(Ok(()), |_| Err(AccountError::NameTwice(name)))
     }
 
     /// Whether any account is declared: without one, requests need no key.
@@ -209,25 +209,25 @@
         if self.series.contains(&account.name) {
             &account.name
         } else {
-            SERIES_OF_OTHERS
+            OVERFLOW_SERIES
         }
     }
 }
 
 /// Whether a text may be an account's name: it is sent as a header's value.
-fn is_name(name: &str) -> bool {
-    let is_length = (1..=NAME_MAX_BYTES).contains(&name.len());
-    is_length && name.bytes().all(|byte| byte.is_ascii_graphic())
+fn is_valid_name(name: &str) -> bool {
+    let has_valid_length = (1..=NAME_MAX_BYTES).contains(&name.len());
+    has_valid_length && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
 /// Whether a limit's numbers make sense.
-fn is_limit(limit: Limit) -> bool {
-    let is_amount = |amount: f64| (0.0..=LIMIT_MAX_TOKENS).contains(&amount);
-    is_amount(limit.rate_per_s) && is_amount(limit.burst) && is_amount(limit.smallest_cost)
+fn is_valid_limit(limit: Limit) -> bool {
+    let is_in_range = |amount: f64| (0.0..=LIMIT_MAX_TOKENS).contains(&amount);
+    is_in_range(limit.rate_per_s) && is_in_range(limit.burst) && is_in_range(limit.smallest_cost)
 }
 
 /// Whether the numbers of a unit make sense.
-fn is_unit(unit: LimitUnit) -> bool {
+fn is_valid_unit(unit: LimitUnit) -> bool {
     match unit {
         LimitUnit::Requests => true,
         LimitUnit::Tokens { unnamed_tokens } => (0.0..=LIMIT_MAX_TOKENS).contains(&unnamed_tokens),
--- a/crates/cranereach-fleet/src/configuration.rs
+++ b/crates/cranereach-fleet/src/configuration.rs
@@ -71,10 +71,10 @@
     /// Picks a target by weight; `draw` lies in `0.0..1.0`.
     pub fn target(&self, draw: f64) -> Option<&Arc<str>> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for target in &self.targets {
-            left -= target.weight;
-            if left < 0.0 {
+            remaining -= target.weight;
+            if remaining < 0.0 {
                 return Some(&target.service);
             }
         }
@@ -175,9 +175,9 @@
     pub accounts: Accounts,
     routes: HashMap<String, HashMap<String, Arc<Route>>>,
     /// Shortest pause that streams of each service may make, in milliseconds.
-    shortest_gaps_ms: HashMap<Arc<str>, u64>,
+    shortest_gap_targets_ms: HashMap<Arc<str>, u64>,
     /// Ranks and aims of the routes to each service, in milliseconds.
-    aims_ms: HashMap<Arc<str>, Vec<(u8, u64)>>,
+    latency_targets_ms: HashMap<Arc<str>, Vec<(u8, u64)>>,
 }
 
 impl Configuration {
@@ -190,18 +190,20 @@
         accounts: Accounts,
     ) -> Self {
         let mut by_host: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
-        let mut shortest_gaps_ms: HashMap<Arc<str>, u64> = HashMap::new();
-        let mut aims_ms: HashMap<Arc<str>, Vec<(u8, u64)>> = HashMap::new();
+        let mut shortest_gap_targets_ms: HashMap<Arc<str>, u64> = HashMap::new();
+        let mut latency_targets_ms: HashMap<Arc<str>, Vec<(u8, u64)>> = HashMap::new();
         for route in routes {
             for target in &route.targets {
-                let aims_ms = aims_ms.entry(Arc::clone(&target.service)).or_default();
-                if !aims_ms.contains(&(route.priority, route.aim_ms)) {
-                    aims_ms.push((route.priority, route.aim_ms));
+                let latency_targets_ms = latency_targets_ms
+                    .entry(Arc::clone(&target.service))
+                    .or_default();
+                if !latency_targets_ms.contains(&(route.priority, route.aim_ms)) {
+                    latency_targets_ms.push((route.priority, route.aim_ms));
                 }
                 let Some(gap_aim_ms) = route.gap_aim_ms else {
                     continue;
                 };
-                let shortest_ms = shortest_gaps_ms.entry(Arc::clone(&target.service));
+                let shortest_ms = shortest_gap_targets_ms.entry(Arc::clone(&target.service));
                 let shortest_ms = shortest_ms.or_insert(gap_aim_ms);
                 *shortest_ms = gap_aim_ms.min(*shortest_ms);
             }
@@ -217,8 +219,8 @@
             limits,
             accounts,
             routes: by_host,
-            shortest_gaps_ms,
-            aims_ms,
+            shortest_gap_targets_ms,
+            latency_targets_ms,
         }
     }
 
@@ -239,14 +241,14 @@
     /// Returns the shortest pause that streams of a service may make between two
     /// pieces to be in time, in milliseconds; none if no route names one.
     pub fn gap_aim_ms(&self, service: &str) -> Option<u64> {
-        self.shortest_gaps_ms.get(service).copied()
+        self.shortest_gap_targets_ms.get(service).copied()
     }
 
     /// Returns the shortest aim of the routes to a service that are more urgent than a
     /// rank, in milliseconds; none if there are none.
     pub fn urgent_aim_ms(&self, service: &str, rank: u8) -> Option<u64> {
-        let aims_ms = self.aims_ms.get(service)?.iter();
-        let urgent = aims_ms.filter(|(other, _)| *other < rank);
+        let latency_targets_ms = self.latency_targets_ms.get(service)?.iter();
+        let urgent = latency_targets_ms.filter(|(other, _)| *other < rank);
         urgent.map(|(_, aim_ms)| *aim_ms).min()
     }
 
--- a/crates/cranereach-fleet/src/evacuation.rs
+++ b/crates/cranereach-fleet/src/evacuation.rs
@@ -63,8 +63,8 @@
             return self;
         }
         self.position = position;
-        let place = self.domains.binary_search_by_key(&domain, |(key, _)| *key);
-        match (place, is_gone) {
+        let found = self.domains.binary_search_by_key(&domain, |(key, _)| *key);
+        match (found, is_gone) {
             (Ok(index), true) => {
                 self.domains.remove(index);
             }
@@ -76,9 +76,9 @@
     }
 
     /// Whether a domain is on the list.
-    fn names(&self, domain: u64) -> bool {
-        let place = self.domains.binary_search_by_key(&domain, |(key, _)| *key);
-        place.is_ok()
+    fn contains(&self, domain: u64) -> bool {
+        let found = self.domains.binary_search_by_key(&domain, |(key, _)| *key);
+        found.is_ok()
     }
 }
 
@@ -131,13 +131,13 @@
         let stop_at_ms = known_at_ms.map_or(now_ms, |known_ms| known_ms + send_for_ms);
         for (domain, _) in &list.domains {
             // One that was withdrawn and asked for again in between keeps its time.
-            if !self.list.names(*domain) {
+            if !self.list.contains(*domain) {
                 self.stop_at_ms.insert(*domain, stop_at_ms);
                 change.begun.push(*domain);
             }
         }
         for (domain, _) in &self.list.domains {
-            if !list.names(*domain) {
+            if !list.contains(*domain) {
                 self.stop_at_ms.remove(domain);
                 change.ended.push(*domain);
             }
@@ -153,7 +153,7 @@
 
     /// Whether a domain is to be evacuated.
     pub fn is_asked(&self, domain: u64) -> bool {
-        self.list.names(domain)
+        self.list.contains(domain)
     }
 
     /// Whether a request may be sent to a worker of a domain now.
--- a/crates/cranereach-fleet/src/load.rs
+++ b/crates/cranereach-fleet/src/load.rs
@@ -6,7 +6,7 @@
 
 /// Share of the longest pause that reading may take up: the tokens of an event take
 /// time themselves, and more requests are on their way than are known of.
-const READING_SHARE_OF_GAP: f64 = 0.4;
+const PREFILL_SHARE_OF_GAP: f64 = 0.4;
 
 /// Ranks of urgency that are told apart; all lower ones count as the last.
 pub const RANK_COUNT: usize = 3;
@@ -40,15 +40,15 @@
         }
         let last = rank.min(RANK_COUNT - 1);
         let waiting: u32 = self.waiting_count.iter().sum();
-        let goes_first: u32 = self.waiting_count[..=last].iter().sum();
-        let before = self.open_count.saturating_sub(waiting) + goes_first;
-        let ends = (before + 1).saturating_sub(slot_count);
-        f64::from(ends) * self.slot_turn_ms(slot_count)
+        let served_first: u32 = self.waiting_count[..=last].iter().sum();
+        let before = self.open_count.saturating_sub(waiting) + served_first;
+        let needed_ends = (before + 1).saturating_sub(slot_count);
+        f64::from(needed_ends) * self.slot_turnover_ms(slot_count)
     }
 
     /// Returns the time between two ends of requests while all slots are taken, in
     /// milliseconds.
-    fn slot_turn_ms(&self, slot_count: u32) -> f64 {
+    fn slot_turnover_ms(&self, slot_count: u32) -> f64 {
         let mean_stay_ms = self.stay_ms / f64::from(self.open_count.max(1));
         mean_stay_ms / f64::from(slot_count.max(1))
     }
@@ -65,8 +65,8 @@
         let waiting: u32 = self.waiting_count.iter().sum();
         let running = self.open_count.saturating_sub(waiting);
         let pause_ms = self.ahead_ms(usize::MAX) + reading_ms;
-        let over_ms = (pause_ms - gap_aim_ms * READING_SHARE_OF_GAP).max(0.0);
-        f64::from(running) * over_ms
+        let excess_ms = (pause_ms - gap_aim_ms * PREFILL_SHARE_OF_GAP).max(0.0);
+        f64::from(running) * excess_ms
     }
 
     /// Weighs how near the slots are to being all taken, in milliseconds: the time
@@ -76,7 +76,7 @@
             return 0.0;
         }
         let share = (f64::from(self.open_count) / f64::from(slot_count)).min(1.0);
-        self.slot_turn_ms(slot_count) * share * share
+        self.slot_turnover_ms(slot_count) * share * share
     }
 
     /// Returns the reading time of what a worker begins before a request of a rank.
--- a/crates/cranereach-fleet/src/named_limit.rs
+++ b/crates/cranereach-fleet/src/named_limit.rs
@@ -24,14 +24,14 @@
 pub const LEAST_RATE_PER_S: f64 = 0.1;
 
 /// Requests a second from which on a limit is none: no worker is sent as many.
-const UNLIMITED_FROM_PER_S: f64 = 1_000_000.0;
+const UNLIMITED_RATE_PER_S: f64 = 1_000_000.0;
 
 /// Longest value that is read, in bytes: a decimal number needs no more.
 const VALUE_MAX_BYTES: usize = 32;
 
 /// Time added to an age that another instance tells, in milliseconds, for its way and its
 /// wait to be read.
-const TRANSIT_MS: u64 = 50;
+const TRANSIT_ALLOWANCE_MS: u64 = 50;
 
 /// What one answer says.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -57,7 +57,7 @@
 pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
     let mut said = Said::Nothing;
     for value in values {
-        said = match (said, rate(value)) {
+        said = match (said, parse_rate(value)) {
             (Said::Limit(known), Some(rate)) => Said::Limit(rate.min(known)),
             (Said::Limit(known), None) => Said::Limit(known),
             (Said::Nothing | Said::Unreadable, Some(rate)) => Said::Limit(rate),
@@ -68,7 +68,7 @@
 }
 
 /// Reads one value; none if it is no rate.
-fn rate(value: &[u8]) -> Option<f64> {
+fn parse_rate(value: &[u8]) -> Option<f64> {
     let value = Some(value).filter(|value| value.len() <= VALUE_MAX_BYTES)?;
     let rate: f64 = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
     (rate.is_finite() && rate >= 0.0).then_some(rate)
@@ -89,15 +89,15 @@
 
 /// The newest word on one worker.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct KnownLimit {
     rate_per_s: Option<f64>,
     asked_ms: u64,
     heard_ms: u64,
 }
 
-impl Word {
+impl KnownLimit {
     /// Returns how much it allows.
-    fn allowed_per_s(&self) -> f64 {
+    fn effective_per_s(&self) -> f64 {
         self.rate_per_s.unwrap_or(f64::INFINITY)
     }
 }
@@ -119,7 +119,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NamedLimit {
-    newest: Option<Word>,
+    newest: Option<KnownLimit>,
     since_ms: u64,
 }
 
@@ -129,50 +129,52 @@
     /// none.
     pub fn heard(&mut self, said: Said, may_end: bool, asked_ms: u64, now_ms: u64) -> bool {
         let rate_per_s = match said {
-            Said::Limit(rate) if rate < UNLIMITED_FROM_PER_S => Some(rate),
+            Said::Limit(rate) if rate < UNLIMITED_RATE_PER_S => Some(rate),
             Said::Limit(_) => None,
             Said::Nothing if may_end => None,
             Said::Nothing | Said::Unreadable => return false,
         };
-        let word = Word {
+        let report = KnownLimit {
             rate_per_s,
             asked_ms,
             heard_ms: now_ms,
         };
-        self.take(now_ms, word)
+        self.take(now_ms, report)
     }
 
     /// Takes another instance's word; returns whether another rate holds now.
-    pub fn told(&mut self, now_ms: u64, told: &LimitWord) -> bool {
-        let is_rate = |rate: f64| (0.0..UNLIMITED_FROM_PER_S).contains(&rate);
-        if !told.rate_per_s.is_none_or(is_rate) {
+    pub fn told(&mut self, now_ms: u64, received: &LimitWord) -> bool {
+        let is_rate = |rate: f64| (0.0..UNLIMITED_RATE_PER_S).contains(&rate);
+        if !received.rate_per_s.is_none_or(is_rate) {
             return false;
         }
-        let ago = |age_ms: u32| now_ms.saturating_sub(u64::from(age_ms) + TRANSIT_MS);
-        let word = Word {
-            rate_per_s: told.rate_per_s,
-            asked_ms: ago(told.asked_age_ms),
-            heard_ms: ago(told.heard_age_ms),
+        let ago = |age_ms: u32| now_ms.saturating_sub(u64::from(age_ms) + TRANSIT_ALLOWANCE_MS);
+        let report = KnownLimit {
+            rate_per_s: received.rate_per_s,
+            asked_ms: ago(received.asked_age_ms),
+            heard_ms: ago(received.heard_age_ms),
         };
-        self.take(now_ms, word)
+        self.take(now_ms, report)
     }
 
     /// Keeps the newer of two words.
-    fn take(&mut self, now_ms: u64, word: Word) -> bool {
+    fn take(&mut self, now_ms: u64, report: KnownLimit) -> bool {
         let before = self.rate_per_s(now_ms);
         let is_newer = match &self.newest {
             // Most workers never name one: nothing is kept of them.
-            None => word.rate_per_s.is_some(),
-            Some(known) if word.rate_per_s == known.rate_per_s => word.heard_ms > known.heard_ms,
+            None => report.rate_per_s.is_some(),
+            Some(known) if report.rate_per_s == known.rate_per_s => {
+                report.heard_ms > known.heard_ms
+            }
             Some(known) => {
-                let is_tighter = word.allowed_per_s() < known.allowed_per_s();
-                let is_later = word.asked_ms >= known.heard_ms;
-                let is_over = now_ms >= known.heard_ms + LAPSES_AFTER_MS;
-                is_later || is_over || (is_tighter && word.heard_ms > known.asked_ms)
+                let is_tighter = report.effective_per_s() < known.effective_per_s();
+                let is_asked_later = report.asked_ms >= known.heard_ms;
+                let has_expired = now_ms >= known.heard_ms + LAPSES_AFTER_MS;
+                is_asked_later || has_expired || (is_tighter && report.heard_ms > known.asked_ms)
             }
         };
         if is_newer {
-            self.newest = Some(word);
+            self.newest = Some(report);
         }
         let after = self.rate_per_s(now_ms);
         if before.is_none() && after.is_some() {
@@ -185,8 +187,8 @@
     /// none any more.
     pub fn rate_per_s(&self, now_ms: u64) -> Option<f64> {
         let newest = self.newest.as_ref();
-        let fresh = newest.filter(|word| now_ms < word.heard_ms + LAPSES_AFTER_MS);
-        fresh.and_then(|word| word.rate_per_s)
+        let fresh = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS);
+        fresh.and_then(|report| report.rate_per_s)
     }
 
     /// Returns since when a limit holds, in milliseconds.
@@ -198,13 +200,13 @@
     /// limit was named lately, nor one that ended.
     pub fn word(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitWord> {
         let newest = self.newest.as_ref();
-        let word = newest.filter(|word| now_ms < word.heard_ms + LAPSES_AFTER_MS)?;
+        let report = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS)?;
         let age_ms = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
         Some(LimitWord {
             start: start(),
-            rate_per_s: word.rate_per_s,
-            asked_age_ms: age_ms(word.asked_ms),
-            heard_age_ms: age_ms(word.heard_ms),
+            rate_per_s: report.rate_per_s,
+            asked_age_ms: age_ms(report.asked_ms),
+            heard_age_ms: age_ms(report.heard_ms),
         })
     }
 }
--- a/crates/cranereach-fleet/src/rest.rs
+++ b/crates/cranereach-fleet/src/rest.rs
@@ -46,16 +46,16 @@
 /// ```
 pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
     let mut longest_ms = None;
-    let mut is_unreadable = false;
+    let mut has_invalid = false;
     for value in values {
         let for_ms = read_ms(value);
-        is_unreadable |= for_ms.is_none();
+        has_invalid |= for_ms.is_none();
         longest_ms = longest_ms.max(for_ms);
     }
     match longest_ms {
         Some(0) => Said::Nothing,
         Some(for_ms) => Said::For(for_ms),
-        None if is_unreadable => Said::Unreadable,
+        None if has_invalid => Said::Unreadable,
         None => Said::Nothing,
     }
 }
@@ -91,7 +91,7 @@
     /// Whether nothing has shown yet that it takes requests again.
     is_on_trial: bool,
     /// From when the next request may be sent while it is.
-    next_ms: u64,
+    next_trial_ms: u64,
 }
 
 impl Rest {
@@ -106,7 +106,7 @@
         }
         self.until_ms = until_ms;
         self.is_on_trial = true;
-        self.next_ms = until_ms;
+        self.next_trial_ms = until_ms;
         true
     }
 
@@ -124,7 +124,7 @@
     /// nothing is in its way.
     pub fn free_at_ms(&self, rank: usize) -> u64 {
         if self.is_on_trial {
-            self.next_ms + rank as u64 * RANK_STEP_MS
+            self.next_trial_ms + rank as u64 * RANK_STEP_MS
         } else {
             0
         }
@@ -133,7 +133,7 @@
     /// Notes that a caller's request is sent.
     pub fn sent(&mut self, now_ms: u64) {
         if self.is_on_trial {
-            self.next_ms = now_ms + TRIED_EVERY_MS;
+            self.next_trial_ms = now_ms + TRIED_EVERY_MS;
         }
     }
 
--- a/crates/cranereach-fleet/src/stay.rs
+++ b/crates/cranereach-fleet/src/stay.rs
@@ -8,14 +8,14 @@
 
 /// Time that one token takes where nothing is known, in milliseconds: a step of a
 /// large model's batch.
-const UNKNOWN_TOKEN_MS: f64 = 10.0;
+const DEFAULT_TOKEN_MS: f64 = 10.0;
 
 /// Part of the old samples that one more leaves; some fifty samples count.
-const KEPT_SHARE: f64 = 0.98;
+const SAMPLE_DECAY: f64 = 0.98;
 
 /// Expected tokens of old samples below which a model's own samples don't decide
 /// alone.
-const SURE_FROM_TOKENS: f64 = 2_000.0;
+const CONFIDENT_FROM_TOKENS: f64 = 2_000.0;
 
 /// Models that are remembered at most.
 const MODEL_MAX_COUNT: usize = 4_096;
@@ -23,22 +23,22 @@
 /// Time that answers stayed, and the tokens that were expected of them.
 #[derive(Clone, Copy, Debug, Default)]
 struct Samples {
-    stayed_ms: f64,
+    occupied_ms: f64,
     expected_tokens: f64,
 }
 
 impl Samples {
     /// Takes one more sample.
-    fn add(&mut self, expected_tokens: u32, stayed_ms: f64) {
-        self.stayed_ms = self.stayed_ms * KEPT_SHARE + stayed_ms;
-        self.expected_tokens = self.expected_tokens * KEPT_SHARE + f64::from(expected_tokens);
+    fn add(&mut self, expected_tokens: u32, occupied_ms: f64) {
+        self.occupied_ms = self.occupied_ms * SAMPLE_DECAY + occupied_ms;
+        self.expected_tokens = self.expected_tokens * SAMPLE_DECAY + f64::from(expected_tokens);
     }
 
     /// Returns the time of a token, leaning on a prior while samples are few.
     fn token_ms(&self, prior_ms: f64) -> f64 {
-        let lacking_tokens = (SURE_FROM_TOKENS - self.expected_tokens).max(0.0);
-        let tokens = self.expected_tokens + lacking_tokens;
-        (self.stayed_ms + lacking_tokens * prior_ms) / tokens
+        let prior_tokens = (CONFIDENT_FROM_TOKENS - self.expected_tokens).max(0.0);
+        let tokens = self.expected_tokens + prior_tokens;
+        (self.occupied_ms + prior_tokens * prior_ms) / tokens
     }
 }
 
@@ -64,23 +64,23 @@
     ///
     /// `answer_tokens` is what its caller expects to come out.
     pub fn expected_ms(&self, model: &str, answer_tokens: u32) -> f64 {
-        let prior_ms = self.all.token_ms(UNKNOWN_TOKEN_MS);
+        let prior_ms = self.all.token_ms(DEFAULT_TOKEN_MS);
         let of_model = self.by_model.get(model);
         let token_ms = of_model.map_or(prior_ms, |samples| samples.token_ms(prior_ms));
         f64::from(answer_tokens) * token_ms
     }
 
     /// Takes how long a whole answer stayed.
-    pub fn learn(&mut self, model: &str, answer_tokens: u32, stayed_ms: f64) {
+    pub fn learn(&mut self, model: &str, answer_tokens: u32, occupied_ms: f64) {
         if answer_tokens == 0 {
             return;
         }
-        self.all.add(answer_tokens, stayed_ms);
+        self.all.add(answer_tokens, occupied_ms);
         if let Some(samples) = self.by_model.get_mut(model) {
-            samples.add(answer_tokens, stayed_ms);
+            samples.add(answer_tokens, occupied_ms);
         } else if self.by_model.len() < MODEL_MAX_COUNT {
             let mut samples = Samples::default();
-            samples.add(answer_tokens, stayed_ms);
+            samples.add(answer_tokens, occupied_ms);
             self.by_model.insert(model.to_owned(), samples);
         }
     }
