--- a/crates/cranereach-fleet/src/accounts.rs
+++ b/crates/cranereach-fleet/src/accounts.rs
@@ -1,8 +1,7 @@
-//! Client accounts: who owns a key, with which rank and which limit.
+//! Client accounts: the owner of each API key, with its priority rank and limit.
 //!
-//! Keys are known by their hashes alone: a look-up compares hashes, so that the time
-//! it takes says nothing about a key, and nothing that is told on or written down
-//! can open anything.
+//! Keys are stored only as hashes. A lookup compares hashes, so its timing reveals nothing
+//! about a key, and nothing that is passed on or written down grants access.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -13,34 +12,35 @@
 use crate::key::worker_key;
 use crate::regions::AllowedRegions;
 
-/// Largest rate or burst that is taken for a limit, in tokens: far beyond what any
-/// fleet runs, and small enough that sums stay exact.
+/// Largest valid rate or burst of a limit, in tokens: far beyond what any fleet serves, and
+/// small enough that sums stay exact.
 const LIMIT_MAX_TOKENS: f64 = 1e12;
 
-/// Longest name of an account, in bytes: it travels in a header with each request.
+/// Maximum length of an account's name, in bytes: it is sent in a header with each request.
 const NAME_MAX_BYTES: usize = 200;
 
-/// Accounts that metrics tell apart; those declared after them share one series.
+/// Maximum number of accounts with a metric series of their own; those declared after them
+/// share one series.
 const SERIES_MAX_COUNT: usize = 64;
 
-/// Name of the series that further accounts share.
+/// Name of the series shared by the remaining accounts.
 const OVERFLOW_SERIES: &str = "other";
 
-/// What a limit counts.
+/// Unit in which a limit counts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitUnit {
-    /// Each request as one.
+    /// Each request counts as one.
     Requests,
-    /// The tokens that a request names, those of prompt and answer together; a
-    /// request that names none counts as `unnamed_tokens`.
+    /// The tokens that a request specifies, prompt and answer together; a request without a
+    /// token count costs `unnamed_tokens`.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Tokens charged for a request that specifies none.
         unnamed_tokens: f64,
     },
 }
 
 impl LimitUnit {
-    /// Returns what the smallest request counts: one that names no tokens.
+    /// Returns the cost of the smallest request: one that specifies no tokens.
     pub fn smallest_cost(self) -> f64 {
         match self {
             Self::Requests => 1.0,
@@ -49,43 +49,43 @@
     }
 }
 
-/// How much one account may use, over all instances together.
+/// Rate limit of one account, shared by all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Steady rate, in units per second.
     pub rate_per_s: f64,
-    /// What may be used at once on top of it, in units.
+    /// Burst that may be used at once on top of the rate, in units.
     pub burst: f64,
-    /// What the smallest request counts, in units.
+    /// Cost of the smallest request, in units.
     pub smallest_cost: f64,
 }
 
 /// One client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Name, as upstreams are told it.
+    /// Name, as it is sent to upstreams.
     pub name: Arc<str>,
     /// Hashes of its keys.
     pub keys: Vec<KeyHash>,
-    /// Rank of its requests, zero first; none leaves it to the route.
+    /// Priority rank of its requests, zero first; none if the route decides.
     pub rank: Option<u8>,
-    /// What its limit counts.
+    /// Unit of its limit.
     pub unit: LimitUnit,
-    /// Its limit; none if it has no limit.
+    /// Rate limit; none if the account is unlimited.
     pub limit: Option<Limit>,
     /// Regions in which its requests may be served.
     pub regions: AllowedRegions,
 }
 
 impl Account {
-    /// Returns the key by which instances name the account to each other.
+    /// Returns the key that identifies the account in messages between instances.
     pub fn key(&self) -> u64 {
         worker_key(&self.name)
     }
 
-    /// Returns what a request counts against the limit.
+    /// Returns the cost of a request, in units of the limit.
     ///
-    /// `tokens` are those that the request names, none if it names none.
+    /// `tokens` is the number of tokens that the request specifies, if any.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
@@ -96,13 +96,13 @@
     }
 }
 
-/// Why a list of accounts can't be used.
+/// Why a list of accounts is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccountError {
-    /// The name is empty, too long, or can't be sent in a header.
+    /// The name is empty, too long, or not valid in a header.
     #[error("client account {0:?}: the name is empty, too long or not plain text")]
     Name(String),
-    /// Two accounts have one name.
+    /// Two accounts have the same name.
     #[error("client account {0:?}: declared twice")]
     NameTwice(String),
     /// A key is empty.
@@ -111,7 +111,7 @@
     /// Another account has the same key.
     #[error("client account {0:?}: has a key of client account {1:?}")]
     SharedKey(String, String),
-    /// A limit isn't a number that makes sense.
+    /// A number of a limit is out of range.
     #[error("client account {0:?}: a limit is negative or absurd")]
     Limit(String),
 }
@@ -143,12 +143,12 @@
 pub struct Accounts {
     by_key_hash: HashMap<KeyHash, Arc<Account>>,
     by_key: HashMap<u64, Arc<Account>>,
-    /// Names that metrics tell apart.
+    /// Names of the accounts with a metric series of their own.
     series: HashSet<Arc<str>>,
 }
 
 impl Accounts {
-    /// Checks accounts and makes them searchable.
+    /// Validates the accounts and indexes them.
     pub fn new(accounts: Vec<Account>) -> Result<Self, AccountError> {
         let mut all = Self::default();
         for account in accounts {
@@ -157,7 +157,7 @@
         Ok(all)
     }
 
-    /// Checks and adds one account.
+    /// Validates and adds one account.
     fn add(&mut self, account: Account) -> Result<(), AccountError> {
         let name = account.name.to_string();
         if !is_valid_name(&name) {
@@ -184,7 +184,7 @@
         previous.map_or(Ok(()), |_| Err(AccountError::NameTwice(name)))
     }
 
-    /// Whether any account is declared: without one, requests need no key.
+    /// Whether any account is declared; if none is, requests need no API key.
     pub fn are_declared(&self) -> bool {
         !self.by_key.is_empty()
     }
@@ -194,17 +194,17 @@
         self.by_key.len()
     }
 
-    /// Finds the account that a caller's key belongs to.
+    /// Finds the account that an API key belongs to.
     pub fn by_secret(&self, secret: &str) -> Option<&Arc<Account>> {
         self.by_key_hash.get(&KeyHash::of(secret))
     }
 
-    /// Finds an account by the key that instances name it by.
+    /// Finds an account by its key in messages between instances.
     pub fn by_key(&self, key: u64) -> Option<&Arc<Account>> {
         self.by_key.get(&key)
     }
 
-    /// Returns the label of an account in metrics, whose number is bounded.
+    /// Returns the metric label of an account; the number of labels is bounded.
     pub fn label<'a>(&self, account: &'a Account) -> &'a str {
         if self.series.contains(&account.name) {
             &account.name
@@ -214,19 +214,19 @@
     }
 }
 
-/// Whether a text may be an account's name: it is sent as a header's value.
+/// Whether a text is a valid account name: it is sent as a header value.
 fn is_valid_name(name: &str) -> bool {
     let has_valid_length = (1..=NAME_MAX_BYTES).contains(&name.len());
     has_valid_length && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Whether a limit's numbers make sense.
+/// Whether the numbers of a limit are in range.
 fn is_valid_limit(limit: Limit) -> bool {
     let is_in_range = |amount: f64| (0.0..=LIMIT_MAX_TOKENS).contains(&amount);
     is_in_range(limit.rate_per_s) && is_in_range(limit.burst) && is_in_range(limit.smallest_cost)
 }
 
-/// Whether the numbers of a unit make sense.
+/// Whether the numbers of a unit are in range.
 fn is_valid_unit(unit: LimitUnit) -> bool {
     match unit {
         LimitUnit::Requests => true,
--- a/crates/cranereach-fleet/src/configuration.rs
+++ b/crates/cranereach-fleet/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The declared configuration: routes by host and longest path prefix, services, limits,
+//! The declared configuration: routes by host and longest path prefix, services, limits and
 //! client accounts.
 
 use std::collections::HashMap;
@@ -7,7 +7,7 @@
 use crate::accounts::Accounts;
 use crate::regions::AllowedRegions;
 
-/// What a route's calls allow.
+/// How the calls of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
@@ -18,12 +18,12 @@
     Stream,
 }
 
-/// One target of a route with its share of the traffic.
+/// One target of a route, with its share of the traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Service.
     pub service: Arc<str>,
-    /// Share, in proportion to the other targets.
+    /// Weight relative to the other targets.
     pub weight: f64,
 }
 
@@ -32,34 +32,35 @@
 pub struct Route {
     /// Name.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host that callers use.
     pub host: String,
     /// Path prefix, with a slash at both ends.
     pub path_prefix: String,
-    /// What its calls allow.
+    /// How its calls may be executed.
     pub kind: RouteKind,
-    /// Whether a stream may be taken up at another worker.
+    /// Whether an interrupted stream may be resumed on another worker.
     pub is_resumable: bool,
-    /// Longest time from receipt to the final answer, in milliseconds.
+    /// Timeout from the receipt of a request to the end of its answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is in time, in milliseconds.
+    /// Latency target, in milliseconds: an answer within it counts as in time.
     pub aim_ms: u64,
-    /// Longest pause between two pieces of a stream that is in time, in milliseconds.
+    /// Target for the pause between two pieces of a stream, in milliseconds: a stream with
+    /// longer pauses doesn't count as in time.
     pub gap_aim_ms: Option<u64>,
-    /// Most workers that one request may run on.
+    /// Maximum number of workers on which one request may run.
     pub attempt_max_count: u32,
-    /// Rank, zero first.
+    /// Priority rank, zero first.
     pub priority: u8,
-    /// Whether its calls need no key.
+    /// Whether its calls need no API key.
     pub is_anonymous: bool,
     /// Regions in which its calls may be served.
     pub regions: AllowedRegions,
-    /// Where its calls go.
+    /// Services that its calls are distributed to.
     pub targets: Vec<Target>,
 }
 
 impl Route {
-    /// Whether a call that may have run may be sent again.
+    /// Whether a call that may already have run may be sent again.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -82,42 +83,42 @@
     }
 }
 
-/// A model that an engine service declares.
+/// A model declared by an engine service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
     /// Name.
     pub name: Arc<str>,
     /// Memory of its weights, in megabytes.
     pub weights_mb: f64,
-    /// Adapters, named `a1` and so on.
+    /// Number of adapters, named `a1`, `a2` and so on.
     pub adapter_count: u16,
     /// Memory of one adapter, in megabytes.
     pub adapter_mb: f64,
-    /// Time of a load from the weight store, in seconds.
+    /// Time to load the model from the weight store, in seconds.
     pub load_s: f64,
 }
 
-/// What an engine service declares of its workers.
+/// Properties of an engine service's workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
     /// Requests that a worker runs at once.
     pub slot_count: u32,
-    /// Tokens that a worker's memory holds.
+    /// Capacity of a worker's KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Memory for weights and adapters of a worker, in megabytes.
+    /// Memory of a worker for weights and adapters, in megabytes.
     pub weights_mb: f64,
-    /// Adapters that a worker holds at most.
+    /// Maximum number of adapters that a worker holds.
     pub adapter_slot_count: u32,
-    /// Loads that the weight store allows, per second.
+    /// Loads that the weight store supports, per second.
     pub loads_per_s: f64,
-    /// Tokens that an event of a stream holds; zero if that isn't declared.
+    /// Tokens per stream event; zero if not declared.
     pub event_tokens: u32,
-    /// Models, the order as declared.
+    /// Models, in the declared order.
     pub models: Vec<Model>,
 }
 
 impl Engine {
-    /// Returns a model's place in the list.
+    /// Returns the index of a model in the list.
     pub fn model_index(&self, name: &str) -> Option<u16> {
         let found = self
             .models
@@ -127,12 +128,13 @@
     }
 }
 
-/// How a worker is after it has started, until its caches are filled.
+/// Cold start of a worker: the time after its start until its caches are filled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// Time for which it is cold, in milliseconds.
+    /// Duration of the cold phase, in milliseconds.
     pub for_ms: u64,
-    /// Requests that it bears meanwhile, per second; well above that it falls over.
+    /// Requests per second that a cold worker can handle; it crashes at rates well above
+    /// that.
     pub rate_per_s: f64,
 }
 
@@ -141,31 +143,31 @@
 pub struct Service {
     /// Name.
     pub name: Arc<str>,
-    /// Connections that one worker takes from all callers.
+    /// Maximum number of connections to one worker, from all callers together.
     pub connection_max_count: u32,
-    /// How its workers start; none if they bear their full load at once.
+    /// Cold start of its workers; none if they handle their full load at once.
     pub cold_start: Option<ColdStart>,
-    /// What its workers are, if they hold models.
+    /// Engine of its workers, if they hold models.
     pub engine: Option<Engine>,
 }
 
 /// Limits on callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_max_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_max_bytes: usize,
-    /// Time for a head to arrive, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub header_within_ms: u64,
-    /// Time that a kept connection may rest, in milliseconds.
+    /// Idle timeout of a keep-alive connection, in milliseconds.
     pub idle_within_ms: u64,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Version; only grows.
+    /// Version; it only increases.
     pub version: u64,
     /// Services by name.
     pub services: HashMap<Arc<str>, Arc<Service>>,
@@ -174,14 +176,14 @@
     /// Client accounts.
     pub accounts: Accounts,
     routes: HashMap<String, HashMap<String, Arc<Route>>>,
-    /// Shortest pause that streams of each service may make, in milliseconds.
+    /// Strictest pause target among the routes to each service, in milliseconds.
     shortest_gap_targets_ms: HashMap<Arc<str>, u64>,
-    /// Ranks and aims of the routes to each service, in milliseconds.
+    /// Priority ranks and latency targets, in milliseconds, of the routes to each service.
     latency_targets_ms: HashMap<Arc<str>, Vec<(u8, u64)>>,
 }
 
 impl Configuration {
-    /// Makes a configuration from its parts.
+    /// Creates a configuration from its parts.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Finds the route of a host with the longest prefix of a path.
+    /// Finds the route of a host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let prefixes = self.routes.get(&host.to_ascii_lowercase())?;
@@ -238,14 +240,14 @@
         None
     }
 
-    /// Returns the shortest pause that streams of a service may make between two
-    /// pieces to be in time, in milliseconds; none if no route names one.
+    /// Returns the strictest target for the pause between two pieces of a stream among the
+    /// routes to a service, in milliseconds; none if no route sets one.
     pub fn gap_aim_ms(&self, service: &str) -> Option<u64> {
         self.shortest_gap_targets_ms.get(service).copied()
     }
 
-    /// Returns the shortest aim of the routes to a service that are more urgent than a
-    /// rank, in milliseconds; none if there are none.
+    /// Returns the shortest latency target among the routes to a service that are more
+    /// urgent than a rank, in milliseconds; none if there are no such routes.
     pub fn urgent_aim_ms(&self, service: &str, rank: u8) -> Option<u64> {
         let latency_targets_ms = self.latency_targets_ms.get(service)?.iter();
         let urgent = latency_targets_ms.filter(|(other, _)| *other < rank);
--- a/crates/cranereach-fleet/src/evacuation.rs
+++ b/crates/cranereach-fleet/src/evacuation.rs
@@ -1,13 +1,14 @@
-//! Failure domains that operators ask to be evacuated, as one instance knows them.
+//! Failure domains that operators want evacuated, as known to one instance.
 //!
-//! What is asked is one small list, true as of one position of the store. Whoever reads
-//! the store makes it, peers hand it on whole, and the newer one wins, so that lost,
-//! doubled and overtaken messages do no harm. [`crate::proof`] says up to when a list
-//! is known to have been the newest.
+//! The requests form one small list that is valid as of one position of the store.
+//! Instances that read the store build it, peers pass it on as a whole, and the newer list
+//! replaces the older one, so lost, duplicated and reordered messages do no harm.
+//! [`crate::proof`] tells up to when a list is known to have been the newest.
 //!
-//! An instance goes on sending to a domain for a part of the bound, counted from the
-//! last moment at which it is proven that nobody had asked yet: meanwhile the plan
-//! loads elsewhere what only that domain holds. Who can prove nothing stops at once.
+//! After a domain appears on the list, an instance may keep sending to it for part of the
+//! time bound, counted from the last moment at which the domain is proven not to have been
+//! on the list. During that time the placement plan loads elsewhere the models that only
+//! that domain holds. An instance that can prove nothing stops at once.
 
 use std::collections::HashMap;
 
@@ -16,24 +17,25 @@
 
 use crate::store_position::StorePosition;
 
-/// Share of the bound for which requests are still sent to a domain. The rest covers
-/// their way to the worker, and a process that stands still between check and send.
+/// Share of the time bound during which requests are still sent to a domain. The rest
+/// covers the transit to the worker, and a process that stalls between the check and the
+/// send.
 const SEND_SHARE: f64 = 0.7;
 
-/// Domains that a peer's list may name at most.
+/// Maximum number of domains in a peer's list.
 pub const DOMAIN_MAX_COUNT: usize = 256;
 
-/// The failure domains that are to be evacuated, as of a position of the store.
+/// The failure domains to be evacuated, as of a position of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationList {
-    /// Position of the store at which the list was so; none before the first read.
+    /// Store position as of which the list is valid; the default before the first read.
     pub position: StorePosition,
-    /// Keys of the domains, in rising order, with the position that each row has.
+    /// Keys of the domains in ascending order, each with the position of its row.
     pub domains: Vec<(u64, StorePosition)>,
 }
 
 impl EvacuationList {
-    /// Makes the list of a table that was read whole as of a position.
+    /// Builds the list from a complete read of the table at a position.
     pub fn whole(
         position: StorePosition,
         rows: impl Iterator<Item = (u64, StorePosition)>,
@@ -44,8 +46,8 @@
         Self { position, domains }
     }
 
-    /// Returns the list after a row of a domain was written, or dropped, at a position;
-    /// what is older than the list changes nothing.
+    /// Returns the list after the row of a domain was written or deleted at a position; a
+    /// change that isn't newer than the list is ignored.
     ///
     /// ```
     /// use cranereach_fleet::evacuation::EvacuationList;
@@ -82,16 +84,16 @@
     }
 }
 
-/// What a newer list changed.
+/// Differences between a newer list and the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Domains that are to be evacuated now.
+    /// Domains whose evacuation was requested.
     pub begun: Vec<u64>,
     /// Domains whose evacuation was withdrawn.
     pub ended: Vec<u64>,
 }
 
-/// The evacuations that one instance knows.
+/// The evacuations known to one instance.
 ///
 /// ```
 /// use cranereach_fleet::evacuation::Evacuations;
@@ -99,7 +101,7 @@
 ///
 /// let mut known = Evacuations::default();
 /// let list = known.list().clone().changed(7, StorePosition::new(1, 40), false);
-/// // At 9,800 nobody had asked yet; the bound is 5,000.
+/// // At 9,800 the domain was proven not to be on the list; the bound is 5,000.
 /// known.take(10_000, list, Some(9_800), 5_000);
 /// assert!(known.is_asked(7) && known.may_send(13_000, 7));
 /// assert!(!known.may_send(13_300, 7));
@@ -107,15 +109,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     list: EvacuationList,
-    /// From when nothing is sent to each domain on the list, in milliseconds.
+    /// Time from which nothing is sent to each domain on the list, in milliseconds.
     stop_at_ms: HashMap<u64, u64>,
 }
 
 impl Evacuations {
-    /// Takes a list; none if it isn't newer than the known one, or names too many.
+    /// Adopts a list and returns the changes; none if it isn't newer than the current one
+    /// or names too many domains.
     ///
-    /// `known_at_ms` is the last moment at which the list so far is proven to have been
-    /// the newest, `bound_ms` the time from a demand to the last request.
+    /// `known_at_ms` is the last moment at which the current list is proven to have been
+    /// the newest; `bound_ms` is the maximum time from an operator's request to the last
+    /// request sent to the domain.
     pub fn take(
         &mut self,
         now_ms: u64,
@@ -130,7 +134,8 @@
         let send_for_ms = (bound_ms as f64 * SEND_SHARE) as u64;
         let stop_at_ms = known_at_ms.map_or(now_ms, |known_ms| known_ms + send_for_ms);
         for (domain, _) in &list.domains {
-            // One that was withdrawn and asked for again in between keeps its time.
+            // A domain that was withdrawn and requested again in between keeps its stop
+            // time.
             if !self.list.contains(*domain) {
                 self.stop_at_ms.insert(*domain, stop_at_ms);
                 change.begun.push(*domain);
@@ -146,17 +151,17 @@
         Some(change)
     }
 
-    /// Returns the list, to be told to peers.
+    /// Returns the current list, for sending to peers.
     pub fn list(&self) -> &EvacuationList {
         &self.list
     }
 
-    /// Whether a domain is to be evacuated.
+    /// Whether a domain is on the current list.
     pub fn is_asked(&self, domain: u64) -> bool {
         self.list.contains(domain)
     }
 
-    /// Whether a request may be sent to a worker of a domain now.
+    /// Whether a request may still be sent to a worker of a domain.
     pub fn may_send(&self, now_ms: u64, domain: u64) -> bool {
         let stop_at_ms = self.stop_at_ms.get(&domain);
         stop_at_ms.is_none_or(|at_ms| now_ms < *at_ms)
--- a/crates/cranereach-fleet/src/health.rs
+++ b/crates/cranereach-fleet/src/health.rs
@@ -1,42 +1,43 @@
-//! Passive health of one worker, from the ends of the calls sent to it.
+//! Passive health checks of one worker, from the outcomes of the calls sent to it: outlier
+//! ejection and detection of unreachable workers.
 
-/// Time after which half of what was seen is forgotten, in milliseconds.
+/// Half-life of the counts of failed and successful calls, in milliseconds.
 const HALF_LIFE_MS: f64 = 3_000.0;
 
-/// Failures in a row that put a worker aside.
+/// Consecutive failures after which a worker is ejected.
 const CONSECUTIVE_FAILURE_LIMIT: u32 = 3;
 
-/// Share of failed calls that puts a worker aside.
+/// Share of failed calls from which a worker is ejected.
 const FAILED_SHARE_LIMIT: f64 = 0.25;
 
-/// Failures seen at least before their share counts.
+/// Minimum decayed number of failures before their share is considered.
 const FAILED_MIN_COUNT: f64 = 2.5;
 
-/// First time that a worker is put aside for, in milliseconds.
+/// Duration of the first ejection, in milliseconds; it doubles with each further one.
 const EJECTION_FIRST_MS: u64 = 600;
 
-/// Time that a worker is put aside for that could not be reached, in milliseconds.
+/// Time for which calls avoid a worker after a failure to reach it, in milliseconds.
 const UNREACHABLE_FOR_MS: u64 = 2_500;
 
-/// Time for which an own failure to reach a worker is told to peers, in
+/// Time for which this instance's own failure to reach a worker is reported to peers, in
 /// milliseconds.
 const UNREACHABLE_REPORT_MS: u64 = 1_500;
 
-/// Time between two tries to reach a worker that could not be reached, in
-/// milliseconds: each one holds a request up for as long as connecting may take.
+/// Time between two attempts to reach an unreachable worker, in milliseconds: each delays a
+/// request for as long as the connection attempt may take.
 const RECONNECT_INTERVAL_MS: u64 = 800;
 
-/// Time between two calls that a worker gets while it is put aside, in milliseconds:
-/// calls that may be repeated elsewhere, to see whether it is sound again.
+/// Time between two calls sent to an ejected worker to probe whether it has recovered, in
+/// milliseconds; only calls that may be repeated elsewhere are used.
 const EJECTION_PROBE_INTERVAL_MS: u64 = 200;
 
-/// Whole answers in a row that bring a worker back which was put aside.
+/// Consecutive successful calls that end an ejection early.
 const RECOVERY_SUCCESS_COUNT: u32 = 3;
 
-/// Longest time that a worker is put aside for, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 const EJECTION_MAX_MS: u64 = 5_000;
 
-/// What is believed of a worker's health.
+/// Health of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failed_count: f64,
@@ -53,7 +54,7 @@
 }
 
 impl Health {
-    /// Notes a call that came back as it should.
+    /// Records a call that completed successfully.
     pub fn succeeded(&mut self, now_ms: u64) {
         self.decay(now_ms);
         self.succeeded_count += 1.0;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Notes a call that failed after it was sent.
+    /// Records a call that failed after it was sent.
     pub fn failed(&mut self, now_ms: u64) {
         self.decay(now_ms);
         self.failed_count += 1.0;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Notes that the worker could not be reached.
+    /// Records that this instance could not reach the worker.
     pub fn unreachable(&mut self, now_ms: u64) {
         self.decay(now_ms);
         self.failed_count += 1.0;
@@ -89,14 +90,14 @@
         self.last_unreachable_ms = Some(now_ms);
     }
 
-    /// Whether an own call could not reach the worker lately; what only others say
-    /// isn't passed on.
+    /// Whether this instance itself recently failed to reach the worker; reports from peers
+    /// don't count, so they aren't passed on.
     pub fn has_missed(&self, now_ms: u64) -> bool {
         self.last_unreachable_ms
             .is_some_and(|at_ms| now_ms < at_ms + UNREACHABLE_REPORT_MS)
     }
 
-    /// Notes that others could not reach the worker.
+    /// Records that peers could not reach the worker.
     pub fn told_unreachable(&mut self, now_ms: u64) {
         if !self.is_unreachable(now_ms) {
             self.next_reconnect_ms = now_ms;
@@ -104,29 +105,29 @@
         self.unreachable_until_ms = now_ms + UNREACHABLE_FOR_MS;
     }
 
-    /// Notes that the worker was reached.
+    /// Records that the worker was reached.
     pub fn reached(&mut self) {
         self.unreachable_until_ms = 0;
         self.last_unreachable_ms = None;
     }
 
-    /// Whether the worker could not be reached lately.
+    /// Whether the worker recently could not be reached.
     pub fn is_unreachable(&self, now_ms: u64) -> bool {
         now_ms < self.unreachable_until_ms
     }
 
-    /// Whether a call may be sent to the worker, be it to see whether it is back.
+    /// Whether a call may be sent to the worker, if only to try to reach it again.
     pub fn may_try(&self, now_ms: u64) -> bool {
         !self.is_unreachable(now_ms) || now_ms >= self.next_reconnect_ms
     }
 
-    /// Notes that a call is sent to the worker.
+    /// Records that a call is sent to the worker.
     pub fn tried(&mut self, now_ms: u64) {
         self.next_reconnect_ms = now_ms + RECONNECT_INTERVAL_MS;
     }
 
-    /// Whether a call that may be repeated is to be sent to a worker that is put aside;
-    /// notes that it is.
+    /// Whether a repeatable call should be sent to an ejected worker as a probe; if so,
+    /// schedules the next probe.
     pub fn may_probe_aside(&mut self, now_ms: u64) -> bool {
         let may_probe = !self.is_unreachable(now_ms) && now_ms >= self.next_ejection_probe_ms;
         if may_probe {
@@ -135,17 +136,17 @@
         may_probe
     }
 
-    /// Whether calls should go elsewhere for now.
+    /// Whether the worker is ejected or unreachable, so that calls should go elsewhere.
     pub fn is_aside(&self, now_ms: u64) -> bool {
         now_ms < self.ejected_until_ms || self.is_unreachable(now_ms)
     }
 
-    /// Returns the share of failed calls, with a prior of few good ones.
+    /// Returns the share of failed calls, smoothed with a prior of four successes.
     pub fn failed_share(&self) -> f64 {
         self.failed_count / (self.failed_count + self.succeeded_count + 4.0)
     }
 
-    /// Puts the worker aside, each time for longer.
+    /// Ejects the worker, for longer each time.
     fn eject(&mut self, now_ms: u64) {
         if now_ms < self.ejected_until_ms {
             return;
@@ -157,7 +158,7 @@
         self.ejection_count += 1;
     }
 
-    /// Forgets what is old.
+    /// Decays the counts of failed and successful calls.
     fn decay(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.decayed_at_ms) as f64;
         let remaining_share = 0.5_f64.powf(passed_ms / HALF_LIFE_MS);
--- a/crates/cranereach-fleet/src/lib.rs
+++ b/crates/cranereach-fleet/src/lib.rs
@@ -1,24 +1,51 @@
 //! Decisions about declared routes and their workers, without I/O or a clock.
 //!
-//! [`configuration`] answers which route a request takes, [`accounts`] whose key it
-//! carries, [`proof`] whether that is still known to hold, [`limits`] whether its
-//! account may run it. [`roster`] keeps what
-//! is known of every [`worker`] and picks one for what is [`wanted`]; it builds on [`load`], [`health`],
-//! [`pace`], [`stay`], [`service_time`] and [`prefixes`]. [`membership`] says which instances live and which
-//! of them owns a worker, [`owned`] what an owner knows, [`pauses`] how long
-//! streams pause by what a worker reads, [`reading_plan`] when prompts are sent so that they don't,
-//! [`pausing`] where that is needed. [`admission`] says who leaves room for whom, [`shortage`]
-//! when who is refused had better come back. [`freshness`] says who reads the list of workers and when, [`outage_pace`] who tries a lost store,
-//! [`first_read`] where whoever has just started gets it,
-//! [`listing`] keeps its rows and what peers are told of them; [`store_position`] orders all
-//! that comes from the store.
-//! [`retry_window`] bounds repeats, [`fingerprint`] tells equal
-//! requests, [`quarantine`] which of them end their workers. [`topology`] says how far instances and workers
-//! stand, [`regions`] where requests may be served, [`evacuation`] which failure domains
-//! are to get none, [`cold`] which workers have just started, [`departure`] which say that
-//! they leave, [`rest`] which want nothing for a while, [`named_limit`] how many they take, for each [`purpose`], [`send_grants`] who may send one of these a request. [`tenure`] says whether this
-//! instance may order workers, [`placement`] with [`pressure`] what it should order, and [`ledger`] which orders
-//! are open.
+//! Configuration and admission:
+//! - [`configuration`]: routes, services and limits; finds the route of a request
+//! - [`accounts`]: client accounts and their API keys
+//! - [`proof`]: how recently the configuration in force is known to have been the newest
+//! - [`limits`]: rate limits of accounts
+//! - [`admission`]: whether a request is sent, waits or is refused, so that less urgent requests
+//!   leave room for more urgent ones
+//! - [`shortage`]: when refused callers should retry
+//!
+//! Choice of a worker:
+//! - [`roster`]: all known workers, and the choice of one for a request
+//! - [`worker`], [`wanted`]: a worker and a request, as the choice sees them
+//! - [`no_worker`]: why no worker was found
+//! - [`load`], [`health`], [`pace`], [`stay`], [`service_time`], [`prefixes`]: estimates of a
+//!   worker's load, health, prefill time, slot times, service times and prefix cache
+//! - [`topology`]: failure domains, regions and distances
+//! - [`regions`]: regions in which a request may be served
+//! - [`evacuation`]: failure domains that get no requests
+//! - [`cold`], [`departure`], [`rest`], [`named_limit`]: workers that have just started, that are
+//!   leaving, that request a backoff, or that name a rate limit
+//! - [`purpose`]: what a request to a worker is for
+//! - [`send_grants`]: which instance may send a request to a cold or limited worker
+//! - [`retry_window`]: retry budget
+//! - [`fingerprint`], [`quarantine`]: recognition of equal requests, and of those that crash
+//!   workers
+//!
+//! Coordination between instances:
+//! - [`membership`]: which instances are alive, and which of them owns a worker
+//! - [`ways`]: round-trip times to other instances
+//! - [`owned`]: what an owner knows of its workers' requests
+//! - [`pauses`], [`reading_plan`], [`pausing`]: how long prefill pauses streams, when prompts are
+//!   sent to keep the pauses short, and at which workers that is needed
+//!
+//! Data from the store:
+//! - [`store_position`]: order of everything that is read from the store
+//! - [`freshness`]: which instance reads the list of workers, and when
+//! - [`first_read`]: where an instance that has just started gets the list and the configuration
+//! - [`listing`]: rows of the list, and the parts sent to peers
+//! - [`outage_pace`]: how often instances retry a lost store
+//! - [`key`]: short keys of names
+//!
+//! Model placement:
+//! - [`tenure`]: the lease that lets this instance send load orders to workers
+//! - [`demand`]: request rates by model
+//! - [`placement`], [`pressure`]: which load or unload comes next
+//! - [`ledger`]: orders that are open
 //!
 //! ```
 //! use cranereach_fleet::tenure::Tenure;
--- a/crates/cranereach-fleet/src/load.rs
+++ b/crates/cranereach-fleet/src/load.rs
@@ -1,39 +1,39 @@
-//! The requests at one worker, and what they mean for one more.
+//! Load of one worker, and what it means for one more request.
 //!
-//! A worker runs so many requests at once. Each keeps a slot from when its prompt is
-//! read until its answer ends; prompts are read one at a time, between the tokens of
-//! the answers that run.
+//! A worker runs a limited number of requests at once, its slots. Each request occupies a
+//! slot from the end of its prefill until its answer ends; prompts are prefilled one at a
+//! time, interleaved with the decode steps of running answers.
 
-/// Share of the longest pause that reading may take up: the tokens of an event take
-/// time themselves, and more requests are on their way than are known of.
+/// Share of the longest allowed pause that prefill may use: decoding the tokens of an event
+/// takes time itself, and more requests are under way than this instance knows of.
 const PREFILL_SHARE_OF_GAP: f64 = 0.4;
 
-/// Ranks of urgency that are told apart; all lower ones count as the last.
+/// Number of priority ranks that are told apart; all lower ranks count as the last.
 pub const RANK_COUNT: usize = 3;
 
-/// Requests at one worker.
+/// Load of one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Requests that have not ended.
     pub open_count: u32,
-    /// Those of them that have not begun to answer, by rank.
+    /// Open requests that have not begun to answer, by rank.
     pub waiting_count: [u32; RANK_COUNT],
-    /// Time that reading the prompts that aren't read yet takes, in milliseconds,
-    /// by rank: workers begin the more urgent ones first.
+    /// Total prefill time of the prompts that aren't read yet, in milliseconds, by rank;
+    /// workers start the more urgent ones first.
     pub unread_ms: [f64; RANK_COUNT],
-    /// Time for which the requests are expected to keep a slot each, summed up, in
+    /// Sum of the times for which the requests are expected to occupy a slot, in
     /// milliseconds.
     pub stay_ms: f64,
-    /// Tokens that the requests may come to hold.
+    /// Maximum number of tokens that the requests may come to hold in memory.
     pub held_tokens: f64,
 }
 
 impl Load {
-    /// Returns the time until a slot is free for one more request of a rank, in
-    /// milliseconds, if so many run at once.
+    /// Returns the expected wait for a slot for one more request of a rank, in
+    /// milliseconds, if the worker has `slot_count` slots.
     ///
-    /// Those that run, and those that wait and go first, need slots before it. With
-    /// all slots taken, one is free each time that a request of them ends.
+    /// Running requests, and waiting ones that are at least as urgent, need slots before
+    /// it. With all slots taken, one becomes free each time that a running request ends.
     pub fn slot_wait_ms(&self, rank: usize, slot_count: u32) -> f64 {
         if slot_count == 0 {
             return 0.0;
@@ -46,18 +46,18 @@
         f64::from(needed_ends) * self.slot_turnover_ms(slot_count)
     }
 
-    /// Returns the time between two ends of requests while all slots are taken, in
+    /// Returns the mean time between two slots becoming free while all are taken, in
     /// milliseconds.
     fn slot_turnover_ms(&self, slot_count: u32) -> f64 {
         let mean_stay_ms = self.stay_ms / f64::from(self.open_count.max(1));
         mean_stay_ms / f64::from(slot_count.max(1))
     }
 
-    /// Weighs the pauses that reading one more prompt makes in running answers, in
-    /// milliseconds summed over them.
+    /// Returns the cost of the pauses that one more prefill causes in running answers: the
+    /// excess over the allowed share, in milliseconds, summed over the answers.
     ///
-    /// Prompts are read in pieces between the tokens of others: an event of several
-    /// tokens is held up by all that is read meanwhile.
+    /// Prompts are prefilled in chunks between decode steps, so an event of several tokens
+    /// is delayed by all prefill in the meantime.
     pub(crate) fn held_up_ms(&self, reading_ms: f64, gap_aim_ms: Option<f64>) -> f64 {
         let Some(gap_aim_ms) = gap_aim_ms else {
             return 0.0;
@@ -69,8 +69,9 @@
         f64::from(running) * excess_ms
     }
 
-    /// Weighs how near the slots are to being all taken, in milliseconds: the time
-    /// of a turn, by how likely it is that one more request has to wait for one.
+    /// Returns the cost of occupying one more slot, in milliseconds: the mean time until a
+    /// slot becomes free, times an estimate of the probability that another request has to
+    /// wait for one.
     pub(crate) fn crowding_ms(&self, slot_count: u32) -> f64 {
         if slot_count == 0 {
             return 0.0;
@@ -79,18 +80,19 @@
         self.slot_turnover_ms(slot_count) * share * share
     }
 
-    /// Returns the reading time of what a worker begins before a request of a rank.
+    /// Returns the prefill time of the prompts that a worker starts before a request of a
+    /// rank, in milliseconds.
     pub fn ahead_ms(&self, rank: usize) -> f64 {
         let last = rank.min(RANK_COUNT - 1);
         self.unread_ms[..=last].iter().sum()
     }
 }
 
-/// What a worker said of its load in an answer.
+/// Load that a worker reported in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SaidLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running_count: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting_count: u32,
 }
--- a/crates/cranereach-fleet/src/named_limit.rs
+++ b/crates/cranereach-fleet/src/named_limit.rs
@@ -1,50 +1,50 @@
-//! What a worker in need names in its answers: the requests a second that it takes from
-//! all instances together, for as long as it says so.
+//! Rate limit that an overloaded worker names in its answers: the requests per second that
+//! it accepts from all instances together, valid until it names another one.
 //!
-//! Each instance keeps the newest word that it heard from the worker or from others. Which
-//! word is the newest can't be told by when it came: answers overtake one another. So a
-//! word that loosens counts only if the request that it answers was sent after the tighter
-//! one had been heard; one that tightens counts at once.
+//! Each instance keeps the newest report, received from the worker itself or from a peer.
+//! Arrival order doesn't tell which report is newer, because answers overtake one another.
+//! So a report that loosens the limit counts only if the request it answers was sent after
+//! the tighter limit had been received; one that tightens the limit counts at once.
 //!
-//! A limit ends with an answer of success that names none, with a word of no limit from
-//! another instance, when nothing named it for [`LAPSES_AFTER_MS`], with a new start of the
-//! worker, and with its row.
+//! A limit ends with a successful answer that names none, with a peer's report that there
+//! is none, when nothing has named it for [`LAPSES_AFTER_MS`], when the worker restarts,
+//! and when its row is removed.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Time without a word after which a limit counts no more, in milliseconds: six requests
-/// at the lowest rate that any worker gets ([`LEAST_RATE_PER_S`]). One that is asked for
-/// is heard long before.
+/// Time after which a limit that is no longer named expires, in milliseconds: six requests
+/// at the lowest rate that any worker gets ([`LEAST_RATE_PER_S`]). A worker that receives
+/// requests names its limit again long before.
 pub const LAPSES_AFTER_MS: u64 = 60_000;
 
-/// Requests a second that a worker gets whatever it names: without an answer it could not
-/// say that it is well again. One in ten seconds is within what is tolerated of a worker
-/// that names nothing at all.
+/// Minimum rate of requests to any worker, in requests per second, whatever limit it names:
+/// without an answer it could not report its recovery. One request in ten seconds is within
+/// what is tolerated of a worker that names no limit at all.
 pub const LEAST_RATE_PER_S: f64 = 0.1;
 
-/// Requests a second from which on a limit is none: no worker is sent as many.
+/// Requests per second from which a limit counts as none: no worker is sent that many.
 const UNLIMITED_RATE_PER_S: f64 = 1_000_000.0;
 
-/// Longest value that is read, in bytes: a decimal number needs no more.
+/// Maximum length of a header value, in bytes; a decimal number needs no more.
 const VALUE_MAX_BYTES: usize = 32;
 
-/// Time added to an age that another instance tells, in milliseconds, for its way and its
-/// wait to be read.
+/// Time added to the age in another instance's report, in milliseconds, for its transit and
+/// its wait in the receive queue.
 const TRANSIT_ALLOWANCE_MS: u64 = 50;
 
-/// What one answer says.
+/// What one answer says about a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Said {
-    /// It names no limit.
+    /// No limit is named.
     Nothing,
-    /// Requests a second.
+    /// A limit in requests per second.
     Limit(f64),
-    /// What it names can't be read, and says nothing.
+    /// The value is invalid and is ignored.
     Unreadable,
 }
 
-/// Reads the values that an answer names; the lowest of several that can be read.
+/// Parses the header values of an answer; returns the lowest of the valid ones.
 ///
 /// ```
 /// use cranereach_fleet::named_limit::Said;
@@ -67,27 +67,27 @@
     said
 }
 
-/// Reads one value; none if it is no rate.
+/// Parses one value; none if it isn't a valid rate.
 fn parse_rate(value: &[u8]) -> Option<f64> {
     let value = Some(value).filter(|value| value.len() <= VALUE_MAX_BYTES)?;
     let rate: f64 = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
     (rate.is_finite() && rate >= 0.0).then_some(rate)
 }
 
-/// A word on a limit as instances tell it each other.
+/// Report about a worker's limit, as exchanged between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitWord {
-    /// Start of the worker that it is about.
+    /// Key of the worker's start that the report is about.
     pub start: u64,
-    /// Requests a second; none if the worker names no limit any more.
+    /// Requests per second; none if the worker no longer names a limit.
     pub rate_per_s: Option<f64>,
-    /// Time since the request was sent whose answer said so, in milliseconds.
+    /// Time since the request was sent whose answer contained the report, in milliseconds.
     pub asked_age_ms: u32,
-    /// Time since that answer, in milliseconds.
+    /// Time since that answer was received, in milliseconds.
     pub heard_age_ms: u32,
 }
 
-/// The newest word on one worker.
+/// Newest report about one worker.
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     rate_per_s: Option<f64>,
@@ -96,13 +96,13 @@
 }
 
 impl KnownLimit {
-    /// Returns how much it allows.
+    /// Returns the rate, infinite if there is no limit.
     fn effective_per_s(&self) -> f64 {
         self.rate_per_s.unwrap_or(f64::INFINITY)
     }
 }
 
-/// What a worker is believed to take.
+/// Rate limit of one worker, as known to one instance.
 ///
 /// ```
 /// use cranereach_fleet::named_limit::NamedLimit;
@@ -111,7 +111,7 @@
 /// let mut limit = NamedLimit::default();
 /// limit.heard(Said::Limit(1.2), true, 900, 1_000);
 /// assert_eq!(limit.rate_per_s(1_500), Some(1.2));
-/// // Sent before the limit was known: this answer may be older.
+/// // Sent before the limit was received: this answer may be older than it.
 /// limit.heard(Said::Nothing, true, 950, 1_100);
 /// assert_eq!(limit.rate_per_s(1_500), Some(1.2));
 /// limit.heard(Said::Nothing, true, 1_200, 1_300);
@@ -124,8 +124,8 @@
 }
 
 impl NamedLimit {
-    /// Takes what an answer says to a request that was sent at `asked_ms`; returns whether
-    /// another rate holds now. `may_end` says whether such an answer ends a limit by naming
+    /// Records what the answer to a request sent at `asked_ms` says; returns whether the
+    /// rate in force changes. `may_end` tells whether such an answer ends a limit by naming
     /// none.
     pub fn heard(&mut self, said: Said, may_end: bool, asked_ms: u64, now_ms: u64) -> bool {
         let rate_per_s = match said {
@@ -142,7 +142,7 @@
         self.take(now_ms, report)
     }
 
-    /// Takes another instance's word; returns whether another rate holds now.
+    /// Merges another instance's report; returns whether the rate in force changes.
     pub fn told(&mut self, now_ms: u64, received: &LimitWord) -> bool {
         let is_rate = |rate: f64| (0.0..UNLIMITED_RATE_PER_S).contains(&rate);
         if !received.rate_per_s.is_none_or(is_rate) {
@@ -157,11 +157,12 @@
         self.take(now_ms, report)
     }
 
-    /// Keeps the newer of two words.
+    /// Keeps the newer of the known and the given report; returns whether the rate in force
+    /// changes.
     fn take(&mut self, now_ms: u64, report: KnownLimit) -> bool {
         let before = self.rate_per_s(now_ms);
         let is_newer = match &self.newest {
-            // Most workers never name one: nothing is kept of them.
+            // Most workers never name a limit, so nothing is stored for them.
             None => report.rate_per_s.is_some(),
             Some(known) if report.rate_per_s == known.rate_per_s => {
                 report.heard_ms > known.heard_ms
@@ -183,21 +184,21 @@
         before != after
     }
 
-    /// Returns the requests a second that the worker takes; none if it named no limit, or
-    /// none any more.
+    /// Returns the rate limit in requests per second; none if the worker named none, or it
+    /// has ended.
     pub fn rate_per_s(&self, now_ms: u64) -> Option<f64> {
         let newest = self.newest.as_ref();
         let fresh = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS);
         fresh.and_then(|report| report.rate_per_s)
     }
 
-    /// Returns since when a limit holds, in milliseconds.
+    /// Returns since when a limit has been in force, in milliseconds.
     pub fn since_ms(&self) -> u64 {
         self.since_ms
     }
 
-    /// Returns what others are told of the worker, whose start has a key; nothing where no
-    /// limit was named lately, nor one that ended.
+    /// Returns the report for other instances, with the key of the worker's start; none if
+    /// no limit, nor its end, was reported within [`LAPSES_AFTER_MS`].
     pub fn word(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitWord> {
         let newest = self.newest.as_ref();
         let report = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS)?;
--- a/crates/cranereach-fleet/src/rest.rs
+++ b/crates/cranereach-fleet/src/rest.rs
@@ -1,39 +1,40 @@
-//! The rest that a worker asks an instance for, where it turns a request away.
+//! Backoff that a worker requests in an answer that rejects a request, called its rest.
 //!
-//! From that answer on the instance sends it nothing until the end. Then one request goes
-//! first, of the most urgent rank that is there, and another one only every [`TRIED_EVERY_MS`]
-//! until one has been taken: what waited, and who was told to come back, doesn't fall on the
-//! worker at once.
+//! After such an answer the instance sends the worker nothing until the rest ends. Then a
+//! single request is sent, the most urgent first, and another one only every
+//! [`TRIED_EVERY_MS`] until the worker accepts one, so that waiting requests and callers
+//! told to retry don't all reach it at once.
 //!
-//! The latest end that was asked for holds; a shorter rest never shortens it.
+//! The latest requested end applies; a later request for a shorter rest never shortens it.
 
-/// Longest rest that is believed, in milliseconds. A worker that wants nothing for longer
-/// is asked once an hour: its misprint, or a wrong clock, must not cost the worker for good.
+/// Maximum rest, in milliseconds; longer values are cut to it. A worker that asks for more
+/// is tried once an hour, so that a typo or a wrong clock doesn't take it out of service
+/// for good.
 pub const BELIEVED_MAX_MS: u64 = 3_600_000;
 
-/// Time between two requests to a worker whose rest is over until it has taken one, in
-/// milliseconds: one that turns it away says so within some.
+/// Time between two requests to a worker whose rest is over but that hasn't accepted one
+/// yet, in milliseconds; a worker that rejects requests answers within a few milliseconds.
 pub const TRIED_EVERY_MS: u64 = 40;
 
-/// Time by which each less urgent rank comes later at the end of a rest, in milliseconds.
+/// Additional delay per priority rank at the end of a rest, in milliseconds.
 const RANK_STEP_MS: u64 = 25;
 
-/// Longest value that is read, in bytes: a decimal number needs no more.
+/// Maximum length of a header value, in bytes; a decimal number needs no more.
 const VALUE_MAX_BYTES: usize = 32;
 
-/// What one answer says.
+/// What one answer says about a rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// It asks for no rest.
+    /// No rest is requested.
     Nothing,
-    /// It asks for so many milliseconds.
+    /// A rest of this many milliseconds is requested.
     For(u64),
-    /// What it asks for can't be read, and says nothing.
+    /// The value is invalid and is ignored.
     Unreadable,
 }
 
-/// Reads the values that an answer names, in seconds; the longest of several that can be
-/// read.
+/// Parses the header values of an answer, in seconds; returns the longest of the valid
+/// ones.
 ///
 /// ```
 /// use cranereach_fleet::rest::Said;
@@ -60,16 +61,17 @@
     }
 }
 
-/// Reads one value as milliseconds, rounded up; none if it is no time.
+/// Parses one value into milliseconds, rounded up; none if it is invalid.
 fn read_ms(value: &[u8]) -> Option<u64> {
     let value = Some(value).filter(|value| value.len() <= VALUE_MAX_BYTES)?;
     let seconds: f64 = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
     let is_time = seconds.is_finite() && seconds >= 0.0;
-    // A number as large as these has no meaning beyond the most that is believed.
+    // The cast saturates, so numbers beyond the range of `u64` end up at the maximum rest
+    // too.
     is_time.then(|| ((seconds * 1_000.0).ceil() as u64).min(BELIEVED_MAX_MS))
 }
 
-/// The rest of one worker, as one instance keeps it.
+/// Rest of one worker, as known to one instance.
 ///
 /// ```
 /// use cranereach_fleet::rest::Rest;
@@ -78,7 +80,7 @@
 /// assert!(rest.asked(1_000, 3_000));
 /// assert!(!rest.may_send(3_999, 0));
 /// assert!(rest.may_send(4_000, 0));
-/// // One goes first.
+/// // A single request is sent first.
 /// rest.sent(4_000);
 /// assert!(!rest.may_send(4_010, 0));
 /// rest.taken(4_000);
@@ -88,14 +90,15 @@
 pub struct Rest {
     since_ms: u64,
     until_ms: u64,
-    /// Whether nothing has shown yet that it takes requests again.
+    /// Whether the worker has not yet accepted a request since the rest was requested.
     is_on_trial: bool,
-    /// From when the next request may be sent while it is.
+    /// When the next request may be sent during the trial, in milliseconds.
     next_trial_ms: u64,
 }
 
 impl Rest {
-    /// Takes the wish for a rest; returns whether it ends later than known.
+    /// Records that the worker requested a rest; returns whether this extends the known
+    /// rest.
     pub fn asked(&mut self, now_ms: u64, for_ms: u64) -> bool {
         let until_ms = now_ms + for_ms;
         if until_ms <= self.until_ms {
@@ -110,18 +113,18 @@
         true
     }
 
-    /// Whether the worker rests.
+    /// Whether the rest is still running.
     pub fn is_resting(&self, now_ms: u64) -> bool {
         now_ms < self.until_ms
     }
 
-    /// Whether a caller's request of a rank may be sent.
+    /// Whether a caller's request of a priority rank may be sent.
     pub fn may_send(&self, now_ms: u64, rank: usize) -> bool {
         now_ms >= self.free_at_ms(rank)
     }
 
-    /// Returns from when a caller's request of a rank may be sent, in milliseconds; zero if
-    /// nothing is in its way.
+    /// Returns the time from which a caller's request of a priority rank may be sent, in
+    /// milliseconds; zero if nothing prevents it.
     pub fn free_at_ms(&self, rank: usize) -> u64 {
         if self.is_on_trial {
             self.next_trial_ms + rank as u64 * RANK_STEP_MS
@@ -130,22 +133,23 @@
         }
     }
 
-    /// Notes that a caller's request is sent.
+    /// Records that a caller's request is sent.
     pub fn sent(&mut self, now_ms: u64) {
         if self.is_on_trial {
             self.next_trial_ms = now_ms + TRIED_EVERY_MS;
         }
     }
 
-    /// Notes that the worker took a request that was sent at a time; returns whether others
-    /// may follow now. One that was sent before the rest says nothing of its end.
+    /// Records that the worker accepted a request sent at a given time; returns whether
+    /// this ends the trial, so that others may follow. A request sent before the end of the
+    /// rest proves nothing.
     pub fn taken(&mut self, sent_ms: u64) -> bool {
         let has_ended = self.is_on_trial && sent_ms >= self.until_ms;
         self.is_on_trial &= !has_ended;
         has_ended
     }
 
-    /// Returns since when the worker rests and until when, in milliseconds, if it does.
+    /// Returns the start and end of the rest, in milliseconds, while it is running.
     pub fn span_ms(&self, now_ms: u64) -> Option<(u64, u64)> {
         let is_resting = self.is_resting(now_ms);
         is_resting.then_some((self.since_ms, self.until_ms))
--- a/crates/cranereach-fleet/src/stay.rs
+++ b/crates/cranereach-fleet/src/stay.rs
@@ -1,26 +1,27 @@
-//! How long answers keep a slot of a worker's batch, learned from whole answers.
+//! Estimates how long answers occupy a slot of a worker's batch (their stay), from
+//! completed answers.
 //!
-//! An answer stays from its first piece to its last. What callers say of its
-//! length is right on the average and often far off for one answer, so that time
-//! is learned as a share of all tokens that were expected, model by model.
+//! An answer occupies its slot from its first to its last piece. The answer lengths
+//! announced by callers are right on average but often far off for a single answer, so the
+//! time per expected token is averaged over all answers, separately for each model.
 
 use std::collections::HashMap;
 
-/// Time that one token takes where nothing is known, in milliseconds: a step of a
-/// large model's batch.
+/// Time per token when nothing is known yet, in milliseconds: a decode step of a large
+/// model's batch.
 const DEFAULT_TOKEN_MS: f64 = 10.0;
 
-/// Part of the old samples that one more leaves; some fifty samples count.
+/// Weight of the old samples when a new one is added; it averages over about fifty samples.
 const SAMPLE_DECAY: f64 = 0.98;
 
-/// Expected tokens of old samples below which a model's own samples don't decide
-/// alone.
+/// Number of sampled expected tokens from which a model's own samples are used without the
+/// prior.
 const CONFIDENT_FROM_TOKENS: f64 = 2_000.0;
 
-/// Models that are remembered at most.
+/// Maximum number of models tracked.
 const MODEL_MAX_COUNT: usize = 4_096;
 
-/// Time that answers stayed, and the tokens that were expected of them.
+/// Decayed sums of slot times and of expected tokens.
 #[derive(Clone, Copy, Debug, Default)]
 struct Samples {
     occupied_ms: f64,
@@ -28,13 +29,13 @@
 }
 
 impl Samples {
-    /// Takes one more sample.
+    /// Adds one sample.
     fn add(&mut self, expected_tokens: u32, occupied_ms: f64) {
         self.occupied_ms = self.occupied_ms * SAMPLE_DECAY + occupied_ms;
         self.expected_tokens = self.expected_tokens * SAMPLE_DECAY + f64::from(expected_tokens);
     }
 
-    /// Returns the time of a token, leaning on a prior while samples are few.
+    /// Returns the time per token, mixed with a prior while there are few samples.
     fn token_ms(&self, prior_ms: f64) -> f64 {
         let prior_tokens = (CONFIDENT_FROM_TOKENS - self.expected_tokens).max(0.0);
         let tokens = self.expected_tokens + prior_tokens;
@@ -42,7 +43,7 @@
     }
 }
 
-/// Stays by model.
+/// Expected slot times by model.
 ///
 /// ```
 /// use cranereach_fleet::stay::Stays;
@@ -60,9 +61,9 @@
 }
 
 impl Stays {
-    /// Returns for how long an answer is expected to stay, in milliseconds.
+    /// Returns how long an answer is expected to occupy its slot, in milliseconds.
     ///
-    /// `answer_tokens` is what its caller expects to come out.
+    /// `answer_tokens` is the number of answer tokens that the caller expects.
     pub fn expected_ms(&self, model: &str, answer_tokens: u32) -> f64 {
         let prior_ms = self.all.token_ms(DEFAULT_TOKEN_MS);
         let of_model = self.by_model.get(model);
@@ -70,7 +71,7 @@
         f64::from(answer_tokens) * token_ms
     }
 
-    /// Takes how long a whole answer stayed.
+    /// Records how long a completed answer occupied its slot.
     pub fn learn(&mut self, model: &str, answer_tokens: u32, occupied_ms: f64) {
         if answer_tokens == 0 {
             return;
