--- a/crates/cranereach-fleet/src/accounts.rs
+++ b/crates/cranereach-fleet/src/accounts.rs
@@ -65,7 +65,7 @@
 pub struct Account {
     /// Name, as it is sent to upstreams.
     pub name: Arc<str>,
-    /// Hashes of its keys.
+    /// Hashes of its API keys.
     pub keys: Vec<KeyHash>,
     /// Priority rank of its requests, zero first; none if the route decides.
     pub rank: Option<u8>,
@@ -100,19 +100,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccountError {
     /// The name is empty, too long, or not valid in a header.
-    #[error("client account {0:?}: the name is empty, too long or not plain text")]
+    #[error(
+        "client account {0:?}: the name must be 1 to 200 printable ASCII characters without spaces"
+    )]
     Name(String),
     /// Two accounts have the same name.
     #[error("client account {0:?}: declared twice")]
     NameTwice(String),
-    /// A key is empty.
-    #[error("client account {0:?}: an empty key")]
+    /// An API key is empty.
+    #[error("client account {0:?}: an API key is empty")]
     EmptyKey(String),
-    /// Another account has the same key.
-    #[error("client account {0:?}: has a key of client account {1:?}")]
+    /// Another account has the same API key.
+    #[error("client account {0:?}: shares an API key with client account {1:?}")]
     SharedKey(String, String),
     /// A number of a limit is out of range.
-    #[error("client account {0:?}: a limit is negative or absurd")]
+    #[error("client account {0:?}: a limit is negative or larger than 1e12")]
     Limit(String),
 }
 
--- a/crates/cranereach-fleet/src/topology.rs
+++ b/crates/cranereach-fleet/src/topology.rs
@@ -106,7 +106,9 @@
         region: String,
     },
     /// The instance's own failure domain is listed under a different region than its own.
-    #[error("failure domain {domain:?} is listed in region {listed:?}, not in {own:?}")]
+    #[error(
+        "failure domain {domain:?} is listed in region {listed:?}, not in the own region {own:?}"
+    )]
     OtherRegion {
         /// Own failure domain.
         domain: String,
