--- a/crates/cranereach-fleet/src/load.rs
+++ b/crates/cranereach-fleet/src/load.rs
@@ -18,7 +18,7 @@
     pub open_count: u32,
     /// Open requests that have not begun to answer, by rank.
     pub waiting_count: [u32; RANK_COUNT],
-    /// Total prefill time of the prompts that aren't read yet, in milliseconds, by rank;
+    /// Total prefill time of the prompts not prefilled yet, in milliseconds, by rank;
     /// workers start the more urgent ones first.
     pub unread_ms: [f64; RANK_COUNT],
     /// Sum of the times for which the requests are expected to occupy a slot, in
--- a/crates/cranereach-fleet/src/regions.rs
+++ b/crates/cranereach-fleet/src/regions.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns the intersection of two sets.
+    /// Returns the regions that both sets allow, such as those of a route and of an account.
     #[must_use]
     pub fn common(&self, other: &Self) -> Self {
         match (self, other) {
