--- a/crates/cranereach-fleet/src/fingerprint.rs
+++ b/crates/cranereach-fleet/src/fingerprint.rs
@@ -107,12 +107,12 @@
     /// assert_eq!(Fingerprint::read("0001"), None);
     /// ```
     pub fn read(text: &str) -> Option<Self> {
-        let is_whole = text.len() == FINGERPRINT_BYTES * 2 && text.is_ascii();
+        let is_valid = text.len() == FINGERPRINT_BYTES * 2 && text.is_ascii();
         let mut bytes = [0; FINGERPRINT_BYTES];
-        for (place, byte) in bytes.iter_mut().enumerate().filter(|_| is_whole) {
-            *byte = u8::from_str_radix(&text[place * 2..place * 2 + 2], 16).ok()?;
+        for (index, byte) in bytes.iter_mut().enumerate().filter(|_| is_valid) {
+            *byte = u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).ok()?;
         }
-        is_whole.then_some(Self(bytes))
+        is_valid.then_some(Self(bytes))
     }
 
     /// Returns a number that orders instances for it.
--- a/crates/cranereach-fleet/src/ledger.rs
+++ b/crates/cranereach-fleet/src/ledger.rs
@@ -28,28 +28,28 @@
 const SEND_MAX_COUNT: u32 = 6;
 
 /// Time for which a worker that failed is left alone, in milliseconds.
-const ASIDE_FOR_MS: u64 = 1_000;
+const FAILURE_BACKOFF_MS: u64 = 1_000;
 
 /// Workers that are asked for a report although no order is planned for them, so that the
 /// first order to each needs no wait. More would each take a connection: a small machine
 /// has some 3,900 for all purposes.
-const ASKED_AT_ONCE_COUNT: usize = 256;
+const EAGER_REPORT_COUNT: usize = 256;
 
 /// Time before a report shows what an order did, in milliseconds.
 const REPORT_LAG_MS: u64 = 200;
 
 /// Time between two reports of a busy worker, in milliseconds.
-const BUSY_LOOK_EVERY_MS: u64 = 1_200;
+const BUSY_POLL_INTERVAL_MS: u64 = 1_200;
 
 /// Time after a load should be over until the first look at it, in milliseconds.
-const LOADED_SLACK_MS: u64 = 600;
+const LOAD_POLL_MARGIN_MS: u64 = 600;
 
 /// First look at an unload, in milliseconds.
-const UNLOAD_LOOK_MS: u64 = 350;
+const UNLOAD_POLL_DELAY_MS: u64 = 350;
 
 /// Time in which an adapter is there after its load was taken, in milliseconds; a
 /// request that comes before it is told so, and comes again.
-const ADAPTER_ARRIVES_WITHIN_MS: u64 = 40;
+const ADAPTER_READY_WITHIN_MS: u64 = 40;
 
 /// A worker's state at one sequence, from a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -92,15 +92,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Nothing but its row is known, and no order was planned for it yet.
-    Unasked,
+    RowOnly,
     /// A report is needed.
-    Unknown { ask_at_ms: u64 },
+    Unknown { report_at_ms: u64 },
     /// Its state is known at its sequence.
     Free,
     /// An order or report is on its way.
     Waiting,
     /// It carries a load or unload out.
-    Busy { look_at_ms: u64 },
+    Busy { poll_at_ms: u64 },
     /// An order got no answer.
     Unsettled { resend_at_ms: u64, sent_count: u32 },
 }
@@ -117,9 +117,9 @@
     /// The order that a report was asked for: others are planned as if it were done.
     reserved: Option<Order>,
     /// When the last load that was taken should be over, in milliseconds.
-    loaded_at_ms: u64,
+    load_due_at_ms: u64,
     /// Adapters whose loads were taken, and when they are there, in milliseconds.
-    arriving: Vec<(ModelKey, u64)>,
+    pending_adapters: Vec<(ModelKey, u64)>,
     row_position: StorePosition,
     started_unix_ms: u64,
 }
@@ -171,10 +171,12 @@
             // It started again: what it held, and its counts, are gone.
             self.entries.remove(row.id);
         }
-        let phase = if self.entries.len() < ASKED_AT_ONCE_COUNT {
-            Phase::Unknown { ask_at_ms: now_ms }
+        let phase = if self.entries.len() < EAGER_REPORT_COUNT {
+            Phase::Unknown {
+                report_at_ms: now_ms,
+            }
         } else {
-            Phase::Unasked
+            Phase::RowOnly
         };
         let entry = self
             .entries
@@ -187,8 +189,8 @@
                 phase,
                 open: None,
                 reserved: None,
-                loaded_at_ms: 0,
-                arriving: Vec::new(),
+                load_due_at_ms: 0,
+                pending_adapters: Vec::new(),
                 row_position: StorePosition::default(),
                 started_unix_ms: row.started_unix_ms,
             });
@@ -198,7 +200,7 @@
             return;
         }
         entry.row_position = row.position;
-        if entry.phase == Phase::Unasked {
+        if entry.phase == Phase::RowOnly {
             entry.places = row.places;
             return;
         }
@@ -207,7 +209,7 @@
             .is_some_and(|open| is_done(open.order, &row.places));
         if let (Phase::Busy { .. }, true) = (entry.phase, is_done) {
             // The row may be older than the order: a report says for certain.
-            entry.phase = Phase::Busy { look_at_ms: now_ms };
+            entry.phase = Phase::Busy { poll_at_ms: now_ms };
         }
     }
 
@@ -219,20 +221,20 @@
         entry.reserved = None;
         let Some(state) = state else {
             entry.phase = Phase::Unknown {
-                ask_at_ms: now_ms + ASIDE_FOR_MS,
+                report_at_ms: now_ms + FAILURE_BACKOFF_MS,
             };
             return;
         };
         if state.sequence < entry.sequence {
             entry.phase = Phase::Unknown {
-                ask_at_ms: now_ms + REPORT_LAG_MS,
+                report_at_ms: now_ms + REPORT_LAG_MS,
             };
             return;
         }
         if state.is_busy && state.sequence == entry.sequence && entry.open.is_some() {
             // What is under way is known: its memory is counted already.
             entry.phase = Phase::Busy {
-                look_at_ms: now_ms + BUSY_LOOK_EVERY_MS,
+                poll_at_ms: now_ms + BUSY_POLL_INTERVAL_MS,
             };
             return;
         }
@@ -241,7 +243,7 @@
         entry.open = None;
         entry.phase = if state.is_busy {
             Phase::Unknown {
-                ask_at_ms: now_ms + BUSY_LOOK_EVERY_MS,
+                report_at_ms: now_ms + BUSY_POLL_INTERVAL_MS,
             }
         } else {
             Phase::Free
@@ -253,9 +255,9 @@
         let mut due = Vec::new();
         for (id, entry) in &mut self.entries {
             let at_ms = match entry.phase {
-                Phase::Unknown { ask_at_ms } => ask_at_ms,
-                Phase::Busy { look_at_ms } => look_at_ms,
-                Phase::Unasked | Phase::Free | Phase::Waiting | Phase::Unsettled { .. } => continue,
+                Phase::Unknown { report_at_ms } => report_at_ms,
+                Phase::Busy { poll_at_ms } => poll_at_ms,
+                Phase::RowOnly | Phase::Free | Phase::Waiting | Phase::Unsettled { .. } => continue,
             };
             if at_ms <= now_ms && entry.is_serving {
                 entry.phase = Phase::Waiting;
@@ -288,8 +290,8 @@
     /// worker has to be asked for a report first, which is due now.
     pub fn begin(&mut self, id: &str, order: Order) -> Option<OpenOrder> {
         let entry = self.entries.get_mut(id)?;
-        if entry.phase == Phase::Unasked {
-            entry.phase = Phase::Unknown { ask_at_ms: 0 };
+        if entry.phase == Phase::RowOnly {
+            entry.phase = Phase::Unknown { report_at_ms: 0 };
             entry.reserved = Some(order);
         }
         if entry.phase != Phase::Free {
@@ -311,33 +313,33 @@
             return;
         };
         let Some(open) = entry.open else { return };
-        let ask = |after_ms: u64| Phase::Unknown {
-            ask_at_ms: now_ms + after_ms,
+        let report_after = |after_ms: u64| Phase::Unknown {
+            report_at_ms: now_ms + after_ms,
         };
         entry.phase = match end {
             OrderEnd::Taken => {
                 entry.sequence = open.expected_sequence + 1;
                 match open.order {
                     Order::Load(_) => {
-                        entry.loaded_at_ms = now_ms + load_ms;
+                        entry.load_due_at_ms = now_ms + load_ms;
                         Phase::Busy {
-                            look_at_ms: entry.loaded_at_ms + LOADED_SLACK_MS,
+                            poll_at_ms: entry.load_due_at_ms + LOAD_POLL_MARGIN_MS,
                         }
                     }
                     Order::Unload(_) => Phase::Busy {
-                        look_at_ms: now_ms + UNLOAD_LOOK_MS,
+                        poll_at_ms: now_ms + UNLOAD_POLL_DELAY_MS,
                     },
                     Order::LoadAdapter(adapter) => {
                         entry.open = None;
                         entry
-                            .arriving
-                            .push((adapter, now_ms + ADAPTER_ARRIVES_WITHIN_MS));
+                            .pending_adapters
+                            .push((adapter, now_ms + ADAPTER_READY_WITHIN_MS));
                         Phase::Free
                     }
                     // It may wait for its requests; a report shows the free slot.
                     Order::UnloadAdapter(_) => {
                         entry.open = None;
-                        ask(REPORT_LAG_MS)
+                        report_after(REPORT_LAG_MS)
                     }
                 }
             }
@@ -352,11 +354,11 @@
             },
             OrderEnd::AlreadyDone | OrderEnd::Conflict => {
                 entry.open = None;
-                ask(REPORT_LAG_MS)
+                report_after(REPORT_LAG_MS)
             }
             OrderEnd::Unanswered | OrderEnd::Refused | OrderEnd::NotSent => {
                 entry.open = None;
-                ask(ASIDE_FOR_MS)
+                report_after(FAILURE_BACKOFF_MS)
             }
         };
     }
@@ -364,10 +366,14 @@
 
 impl Entry {
     /// Whether an adapter has been ordered and can't be there yet.
-    fn is_on_its_way(&self, adapter: ModelKey) -> bool {
+    fn is_pending(&self, adapter: ModelKey) -> bool {
         let is_open = self
             .open
             .is_some_and(|open| open.order == Order::LoadAdapter(adapter));
-        is_open || self.arriving.iter().any(|(of, _)| *of == adapter)
+        is_open
+            || self
+                .pending_adapters
+                .iter()
+                .any(|(pending, _)| *pending == adapter)
     }
 }
--- a/crates/cranereach-fleet/src/ledger/views.rs
+++ b/crates/cranereach-fleet/src/ledger/views.rs
@@ -28,7 +28,7 @@
         }
         Some(WorkerView {
             places,
-            is_free: matches!(entry.phase, Phase::Free | Phase::Unasked),
+            is_free: matches!(entry.phase, Phase::Free | Phase::RowOnly),
             is_serving: entry.is_serving,
             copies: entry.copies.clone(),
             ..WorkerView::default()
@@ -40,13 +40,13 @@
     pub fn adapters(&mut self, now_ms: u64) -> Vec<(Arc<str>, ModelKey)> {
         let mut held = Vec::new();
         for (id, entry) in &mut self.entries {
-            entry.arriving.retain(|(_, at_ms)| now_ms < *at_ms);
-            let of_places = entry.places.iter().flat_map(|place| {
+            entry.pending_adapters.retain(|(_, at_ms)| now_ms < *at_ms);
+            let resident = entry.places.iter().flat_map(|place| {
                 let adapters = place.adapters.iter();
                 adapters.map(|adapter| (place.model, *adapter))
             });
-            let there = of_places.filter(|adapter| !entry.is_on_its_way(*adapter));
-            held.extend(there.map(|adapter| (Arc::clone(id), adapter)));
+            let ready = resident.filter(|adapter| !entry.is_pending(*adapter));
+            held.extend(ready.map(|adapter| (Arc::clone(id), adapter)));
         }
         held
     }
@@ -59,7 +59,7 @@
             let busy = matches!(entry.phase, Phase::Busy { .. });
             let open = entry.open.filter(|_| busy);
             if let Some(Order::Load(model)) = open.map(|open| open.order) {
-                let at_ms = entry.loaded_at_ms.max(now_ms);
+                let at_ms = entry.load_due_at_ms.max(now_ms);
                 let first_ms = coming.entry(model).or_insert(at_ms);
                 *first_ms = at_ms.min(*first_ms);
             }
--- a/crates/cranereach-fleet/src/limits.rs
+++ b/crates/cranereach-fleet/src/limits.rs
@@ -23,7 +23,7 @@
 use cranereach_core::token_bucket::TokenBucket;
 
 /// Share of it that all instances hold in advance together.
-const ADVANCE_SHARE: f64 = 0.15;
+const PREFETCH_SHARE: f64 = 0.15;
 
 /// Share of it that two owners of one part may grant in the time of a change of owner.
 const OVERLAP_SHARE: f64 = 0.25;
@@ -36,22 +36,22 @@
 const PART_MAX_COUNT: u32 = 64;
 
 /// Smallest requests that one part allows within a window at least.
-const PART_LEAST_COUNT: f64 = 16.0;
+const PART_MIN_REQUEST_COUNT: f64 = 16.0;
 
 /// Time without a question after which an owner forgets a part, in milliseconds: much
 /// longer than windows.
-const FORGOTTEN_AFTER_MS: u64 = 60_000;
+const IDLE_EXPIRY_MS: u64 = 60_000;
 
 /// Time over which an instance's use of an account is averaged, in milliseconds.
-const USE_OVER_MS: f64 = 3_000.0;
+const USAGE_AVERAGE_MS: f64 = 3_000.0;
 
 /// Longest time for which a refusal by owners holds for further requests without
 /// asking again, in milliseconds.
-const REFUSED_FOR_MAX_MS: u64 = 100;
+const REFUSAL_CACHE_MAX_MS: u64 = 100;
 
 /// Time for which an instance that reaches no owner goes on by what it used before, in
 /// milliseconds.
-const ALONE_FOR_MS: u64 = 4_000;
+const FALLBACK_FOR_MS: u64 = 4_000;
 
 /// What a deployment tolerates beyond a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -92,7 +92,7 @@
         let overlap = limit.rate_per_s * OVERLAP_S;
         let tolerated = self.excess(limit) * OVERLAP_SHARE;
         let count = (overlap / tolerated.max(f64::MIN_POSITIVE)).ceil();
-        let fitting = self.whole(limit) / (limit.smallest_cost.max(1.0) * PART_LEAST_COUNT);
+        let fitting = self.whole(limit) / (limit.smallest_cost.max(1.0) * PART_MIN_REQUEST_COUNT);
         let count = count.min(fitting).min(f64::from(PART_MAX_COUNT));
         (count as u32).max(1)
     }
@@ -150,11 +150,11 @@
 
 /// What one instance uses of one account's limit.
 #[derive(Clone, Debug)]
-struct Use {
+struct Usage {
     limit: Limit,
     /// Granted and not used yet, in units; below zero where more was used alone than
     /// owners have granted since.
-    in_advance: f64,
+    balance: f64,
     /// Units used per second, averaged.
     rate_per_s: f64,
     used_at_ms: u64,
@@ -163,13 +163,13 @@
     /// When an owner granted something last, in milliseconds.
     granted_at_ms: Option<u64>,
     /// What may be used while no owner answers.
-    alone: TokenBucket,
+    fallback: TokenBucket,
 }
 
 /// What one instance uses of the accounts' limits.
 #[derive(Clone, Debug, Default)]
 pub struct Uses {
-    by_account: HashMap<u64, Use>,
+    by_account: HashMap<u64, Usage>,
 }
 
 impl Uses {
@@ -182,22 +182,22 @@
         tolerance: &Tolerance,
         cost: f64,
     ) -> Decision {
-        let of = self.of(now_ms, account, limit);
+        let usage = self.account_usage(now_ms, account, limit);
         if cost > tolerance.whole(limit) {
             return Decision::Beyond((tolerance.window_s * 1_000.0) as u64);
         }
-        if of.in_advance >= cost {
-            of.in_advance -= cost;
-            of.used(now_ms, cost);
+        if usage.balance >= cost {
+            usage.balance -= cost;
+            usage.record(now_ms, cost);
             return Decision::Paid;
         }
-        if now_ms < of.refused_until_ms {
-            return Decision::Beyond(of.refused_until_ms - now_ms);
+        if now_ms < usage.refused_until_ms {
+            return Decision::Beyond(usage.refused_until_ms - now_ms);
         }
         // Requests that ask at the same time must not count on the same units.
-        let held = mem::take(&mut of.in_advance);
+        let held = mem::take(&mut usage.balance);
         let least = cost - held;
-        let most = least + of.advance(now_ms, tolerance);
+        let most = least + usage.prefetch_units(now_ms, tolerance);
         Decision::Ask {
             wanted: Wanted { least, most },
             held,
@@ -207,18 +207,18 @@
     /// Takes what an owner granted, with what was set aside, for a request that costs
     /// some units.
     pub fn granted(&mut self, now_ms: u64, account: u64, units: f64, cost: f64) {
-        if let Some(of) = self.by_account.get_mut(&account) {
-            of.in_advance += (units - cost).max(0.0);
-            of.granted_at_ms = Some(now_ms);
-            of.refused_until_ms = 0;
-            of.used(now_ms, cost);
+        if let Some(usage) = self.by_account.get_mut(&account) {
+            usage.balance += (units - cost).max(0.0);
+            usage.granted_at_ms = Some(now_ms);
+            usage.refused_until_ms = 0;
+            usage.record(now_ms, cost);
         }
     }
 
     /// Takes an owner's refusal.
     pub fn refused(&mut self, now_ms: u64, account: u64, wait_ms: u64) {
-        if let Some(of) = self.by_account.get_mut(&account) {
-            of.refused_until_ms = now_ms + wait_ms.min(REFUSED_FOR_MAX_MS);
+        if let Some(usage) = self.by_account.get_mut(&account) {
+            usage.refused_until_ms = now_ms + wait_ms.min(REFUSAL_CACHE_MAX_MS);
         }
     }
 
@@ -226,15 +226,15 @@
     /// goes on at the rate that owners granted it before. What it uses so is asked for
     /// when one answers again, so that owners which are late for a moment add nothing.
     pub fn may_run_alone(&mut self, now_ms: u64, account: u64, cost: f64) -> bool {
-        let Some(of) = self.by_account.get_mut(&account) else {
+        let Some(usage) = self.by_account.get_mut(&account) else {
             return false;
         };
-        let granted_at_ms = of.granted_at_ms;
-        let is_recent = granted_at_ms.is_some_and(|at_ms| now_ms < at_ms + ALONE_FOR_MS);
-        let may_run = is_recent && of.alone.wait_ms(now_ms, cost) == 0;
+        let granted_at_ms = usage.granted_at_ms;
+        let is_recent = granted_at_ms.is_some_and(|at_ms| now_ms < at_ms + FALLBACK_FOR_MS);
+        let may_run = is_recent && usage.fallback.wait_ms(now_ms, cost) == 0;
         if may_run {
-            of.alone.spend(now_ms, cost);
-            of.in_advance -= cost;
+            usage.fallback.spend(now_ms, cost);
+            usage.balance -= cost;
         }
         may_run
     }
@@ -250,71 +250,71 @@
         tolerance: &Tolerance,
         units: f64,
     ) -> f64 {
-        let Some(of) = self.by_account.get_mut(&account) else {
+        let Some(usage) = self.by_account.get_mut(&account) else {
             return units;
         };
-        let kept_most = of.advance(now_ms, tolerance);
-        of.in_advance += units;
-        let surplus = (of.in_advance - kept_most).max(0.0);
-        of.in_advance -= surplus;
+        let kept_max = usage.prefetch_units(now_ms, tolerance);
+        usage.balance += units;
+        let surplus = (usage.balance - kept_max).max(0.0);
+        usage.balance -= surplus;
         surplus
     }
 
     /// Returns an account's use, new if there is none or its limit has changed.
-    fn of(&mut self, now_ms: u64, account: u64, limit: Limit) -> &mut Use {
+    fn account_usage(&mut self, now_ms: u64, account: u64, limit: Limit) -> &mut Usage {
         if !self.by_account.contains_key(&account) {
             self.by_account
-                .retain(|_, of| now_ms < of.used_at_ms + FORGOTTEN_AFTER_MS);
+                .retain(|_, usage| now_ms < usage.used_at_ms + IDLE_EXPIRY_MS);
         }
-        let of = self
+        let usage = self
             .by_account
             .entry(account)
-            .or_insert_with(|| Use::new(now_ms, limit));
-        if of.limit != limit {
+            .or_insert_with(|| Usage::new(now_ms, limit));
+        if usage.limit != limit {
             // What was granted under another limit doesn't count under this one.
-            *of = Use {
-                rate_per_s: of.rate_per_s.min(limit.rate_per_s),
-                used_at_ms: of.used_at_ms,
-                ..Use::new(now_ms, limit)
+            *usage = Usage {
+                rate_per_s: usage.rate_per_s.min(limit.rate_per_s),
+                used_at_ms: usage.used_at_ms,
+                ..Usage::new(now_ms, limit)
             };
         }
-        of
+        usage
     }
 }
 
-impl Use {
+impl Usage {
     /// Makes the use of an account that has used nothing.
     fn new(now_ms: u64, limit: Limit) -> Self {
         Self {
             limit,
-            in_advance: 0.0,
+            balance: 0.0,
             rate_per_s: 0.0,
             used_at_ms: now_ms,
             refused_until_ms: 0,
             granted_at_ms: None,
-            alone: TokenBucket::new(0.0, 0.0, now_ms),
+            fallback: TokenBucket::new(0.0, 0.0, now_ms),
         }
     }
 
     /// Notes units used with an owner's leave.
-    fn used(&mut self, now_ms: u64, cost: f64) {
-        self.rate_per_s = self.rate(now_ms) + cost * 1_000.0 / USE_OVER_MS;
+    fn record(&mut self, now_ms: u64, cost: f64) {
+        self.rate_per_s = self.rate(now_ms) + cost * 1_000.0 / USAGE_AVERAGE_MS;
         self.used_at_ms = now_ms;
         // Room for one request at a time.
         let rate_per_s = self.rate_per_s.min(self.limit.rate_per_s);
-        self.alone.change(now_ms, rate_per_s, cost);
+        self.fallback.change(now_ms, rate_per_s, cost);
     }
 
     /// Returns what may be held in advance, in units: all instances together hold a
     /// share of the tolerated excess, each in proportion to what it uses.
-    fn advance(&self, now_ms: u64, tolerance: &Tolerance) -> f64 {
-        let advance_s = tolerance.excess(self.limit) * ADVANCE_SHARE;
-        self.rate(now_ms) * advance_s / self.limit.rate_per_s.max(1.0)
+    fn prefetch_units(&self, now_ms: u64, tolerance: &Tolerance) -> f64 {
+        let held_units = tolerance.excess(self.limit) * PREFETCH_SHARE;
+        self.rate(now_ms) * held_units / self.limit.rate_per_s.max(1.0)
     }
 
     /// Returns the units used per second, averaged until now.
     fn rate(&self, now_ms: u64) -> f64 {
         let since_ms = now_ms.saturating_sub(self.used_at_ms) as f64;
-        self.rate_per_s * (-since_ms / USE_OVER_MS).exp()
+        self.rate_per_s * (-since_ms / USAGE_AVERAGE_MS).exp()
     }
 }
--- a/crates/cranereach-fleet/src/limits/owned.rs
+++ b/crates/cranereach-fleet/src/limits/owned.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use super::FORGOTTEN_AFTER_MS;
 use super::Grant;
+use super::IDLE_EXPIRY_MS;
 use super::PartKey;
 use super::Tolerance;
 use super::Wanted;
@@ -12,10 +12,10 @@
 
 /// Share of the tolerated excess that owners grant beyond the limit within a window:
 /// instances see requests in another order than their callers sent them.
-const BEYOND_SHARE: f64 = 0.15;
+const REORDERING_SHARE: f64 = 0.15;
 
 /// Share of it that new owners begin with: a change may have two, there and back.
-const BEGINNING_SHARE: f64 = 0.15;
+const INITIAL_LEVEL_SHARE: f64 = 0.15;
 
 /// Share of it that instances grant within a window that were asked in place of owners
 /// which answer late.
@@ -23,10 +23,10 @@
 
 /// Share of its rate that a new owner grants at first: another one may still be asked
 /// by instances that don't know of it yet.
-const FIRST_RATE_SHARE: f64 = 0.3;
+const RAMP_UP_RATE_SHARE: f64 = 0.3;
 
 /// Time for which it does so, in milliseconds: until all know of it.
-const FIRST_FOR_MS: u64 = 2_500;
+const RAMP_UP_MS: u64 = 2_500;
 
 /// Parts that an owner remembers at most.
 const OWNED_MAX_COUNT: usize = 65_536;
@@ -54,7 +54,7 @@
     bucket: TokenBucket,
     asked_at_ms: u64,
     /// Until when it grants a share of its rate only, in milliseconds.
-    first_until_ms: u64,
+    ramp_up_until_ms: u64,
     is_stand_in: bool,
 }
 
@@ -84,19 +84,19 @@
         let count = f64::from(tolerance.part_count(limit));
         let excess = tolerance.excess(limit);
         let capacity = limit.burst / count;
-        let beyond_per_s = excess * BEYOND_SHARE / tolerance.window_s;
-        let rate_per_s = (limit.rate_per_s + beyond_per_s) / count;
+        let reordering_per_s = excess * REORDERING_SHARE / tolerance.window_s;
+        let rate_per_s = (limit.rate_per_s + reordering_per_s) / count;
         let part = self.parts.entry(key).or_insert_with(|| {
-            let beginning = (excess * BEGINNING_SHARE / count).min(capacity);
-            let (level, first_for_ms) = match ownership {
+            let initial_level = (excess * INITIAL_LEVEL_SHARE / count).min(capacity);
+            let (level, ramp_up_ms) = match ownership {
                 Ownership::Settled => (capacity, 0),
-                Ownership::Restarted => (beginning, 0),
-                Ownership::Fresh | Ownership::StandIn => (beginning, FIRST_FOR_MS),
+                Ownership::Restarted => (initial_level, 0),
+                Ownership::Fresh | Ownership::StandIn => (initial_level, RAMP_UP_MS),
             };
             OwnedPart {
                 bucket: TokenBucket::new(0.0, capacity, now_ms).with_level(level),
                 asked_at_ms: now_ms,
-                first_until_ms: now_ms + first_for_ms,
+                ramp_up_until_ms: now_ms + ramp_up_ms,
                 is_stand_in: ownership == Ownership::StandIn,
             }
         });
@@ -104,14 +104,14 @@
         let is_stand_in = ownership == Ownership::StandIn;
         if part.is_stand_in && !is_stand_in {
             // The owner before may have granted until just now.
-            part.first_until_ms = now_ms + FIRST_FOR_MS;
+            part.ramp_up_until_ms = now_ms + RAMP_UP_MS;
         }
         part.is_stand_in = is_stand_in;
         let stand_in_per_s = excess * STAND_IN_SHARE / tolerance.window_s / count;
         let rate_per_s = if is_stand_in {
             stand_in_per_s
-        } else if now_ms < part.first_until_ms {
-            rate_per_s * FIRST_RATE_SHARE
+        } else if now_ms < part.ramp_up_until_ms {
+            rate_per_s * RAMP_UP_RATE_SHARE
         } else {
             rate_per_s
         };
@@ -140,6 +140,6 @@
     /// Forgets parts that nobody has asked for in a while.
     pub fn forget(&mut self, now_ms: u64) {
         self.parts
-            .retain(|_, part| now_ms < part.asked_at_ms + FORGOTTEN_AFTER_MS);
+            .retain(|_, part| now_ms < part.asked_at_ms + IDLE_EXPIRY_MS);
     }
 }
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -19,17 +19,17 @@
 //! which order, how often or by whom it is told. All is bounded: what speaks least goes
 //! first.
 
-mod news;
-mod seen;
+mod gossip;
+mod local;
 
 use std::collections::BTreeMap;
 
-pub use self::news::Change;
-pub use self::news::SuspectNews;
-pub use self::news::TOLD_MAX_COUNT;
-pub use self::news::ToldEnd;
-pub use self::seen::Listed;
-pub use self::seen::Seen;
+pub use self::gossip::Change;
+pub use self::gossip::GossipedEnd;
+pub use self::gossip::SuspectNews;
+pub use self::gossip::TOLD_MAX_COUNT;
+pub use self::local::Listed;
+pub use self::local::Seen;
 use crate::fingerprint::Fingerprint;
 
 /// Ends in a row from which on a request is sent to no worker: two may be bad luck.
@@ -46,21 +46,21 @@
 /// Ends of one start of a worker that are less apart than this are the same one, in
 /// milliseconds. Workers whose rows don't tell their starts apart may end again after some
 /// seconds; what is told by an instance that stood still comes later than it was.
-const SAME_END_MS: i64 = 10_000;
+const DUPLICATE_END_MS: i64 = 10_000;
 
 /// Time by which an end must be newer than the oldest of those remembered to take its
 /// place, in milliseconds: what is told on comes some ten milliseconds later at each hop,
 /// and instances that saw other ends of one moment would exchange them for ever.
-const REPLACED_FROM_MS: i64 = 500;
+const REPLACE_IF_NEWER_BY_MS: i64 = 500;
 
 /// Time from its last end after which a request that isn't quarantined is forgotten, in
 /// milliseconds: callers come back within minutes.
-const SUSPECTED_FOR_MS: i64 = 600_000;
+const SUSPECT_TTL_MS: i64 = 600_000;
 
 /// Time for which nobody must have asked for a quarantined request until it is
 /// forgotten, in milliseconds. Also how long a whole answer is remembered, so that nobody
 /// who was cut off brings older ends back.
-const QUARANTINED_FOR_MS: i64 = 3_600_000;
+const QUARANTINE_TTL_MS: i64 = 3_600_000;
 
 /// Requests that are remembered at most: some 64 at each of 64 workers that end at once.
 /// They take 3.0 MB where each has as many ends as are remembered, all seen here (resident
@@ -94,11 +94,11 @@
     /// Whether one of them came under a try whose sender knew of an earlier one.
     is_repeated: bool,
     /// Most ends that were held against it at once.
-    most_end_count: usize,
+    max_end_count: usize,
     /// When the last whole answer ended, or an operator let it through, in milliseconds.
     cleared_at_ms: Option<i64>,
     /// When it was last asked for, by anybody, in milliseconds.
-    asked_at_ms: i64,
+    requested_at_ms: i64,
     /// When something of this last changed here, in milliseconds.
     changed_at_ms: i64,
     /// What this instance has seen of it.
@@ -159,7 +159,7 @@
             return false;
         }
         let is_same = |known: &&mut WorkerEnd| {
-            known.worker == end.worker && (known.at_ms - end.at_ms).abs() < SAME_END_MS
+            known.worker == end.worker && (known.at_ms - end.at_ms).abs() < DUPLICATE_END_MS
         };
         if let Some(known) = self.ends.iter_mut().find(is_same) {
             known.at_ms = known.at_ms.min(end.at_ms);
@@ -171,14 +171,15 @@
                 .iter()
                 .enumerate()
                 .min_by_key(|(_, end)| end.at_ms);
-            let oldest = oldest.filter(|(_, of)| of.at_ms + REPLACED_FROM_MS < end.at_ms);
-            let Some((place, _)) = oldest else {
+            let oldest = oldest
+                .filter(|(_, candidate)| candidate.at_ms + REPLACE_IF_NEWER_BY_MS < end.at_ms);
+            let Some((index, _)) = oldest else {
                 return false;
             };
-            self.ends.remove(place);
+            self.ends.remove(index);
         }
         self.ends.push(end);
-        self.most_end_count = self.most_end_count.max(self.ends.len());
+        self.max_end_count = self.max_end_count.max(self.ends.len());
         true
     }
 
@@ -195,30 +196,30 @@
     }
 
     /// Returns the last time that says something of it, in milliseconds.
-    fn last_ms(&self) -> i64 {
+    fn last_activity_ms(&self) -> i64 {
         let ends = self.ends.iter().map(|end| end.at_ms);
-        let last_ms = ends.chain(self.cleared_at_ms).max().unwrap_or(i64::MIN);
-        last_ms.max(self.asked_at_ms)
+        let last_activity_ms = ends.chain(self.cleared_at_ms).max().unwrap_or(i64::MIN);
+        last_activity_ms.max(self.requested_at_ms)
     }
 
     /// Whether it is to be forgotten.
-    fn is_old(&self, now_ms: i64) -> bool {
-        let is_short = !self.suspicion().is_quarantined && self.cleared_at_ms.is_none();
-        let kept_for_ms = if is_short {
-            SUSPECTED_FOR_MS
+    fn is_expired(&self, now_ms: i64) -> bool {
+        let has_short_ttl = !self.suspicion().is_quarantined && self.cleared_at_ms.is_none();
+        let ttl_ms = if has_short_ttl {
+            SUSPECT_TTL_MS
         } else {
-            QUARANTINED_FOR_MS
+            QUARANTINE_TTL_MS
         };
-        now_ms >= self.last_ms() + kept_for_ms
+        now_ms >= self.last_activity_ms() + ttl_ms
     }
 
     /// Returns what it is worth to remember: the least goes first.
-    fn worth(&self) -> (bool, usize, i64) {
+    fn retention_priority(&self) -> (bool, usize, i64) {
         let suspicion = self.suspicion();
         (
             suspicion.is_quarantined,
             suspicion.end_count,
-            self.last_ms(),
+            self.last_activity_ms(),
         )
     }
 }
@@ -252,8 +253,8 @@
         worker: u64,
         knew_of_others: bool,
     ) -> Suspicion {
-        let suspect = self.suspect(now_ms, mark);
-        suspect.asked_at_ms = now_ms;
+        let suspect = self.suspect_mut(now_ms, mark);
+        suspect.requested_at_ms = now_ms;
         if suspect.add(WorkerEnd {
             worker,
             at_ms: now_ms,
@@ -286,8 +287,10 @@
 
     /// Counts the requests that are quarantined.
     pub fn quarantined_count(&self) -> usize {
-        let held = self.suspects.values().map(Suspect::suspicion);
-        held.filter(|suspicion| suspicion.is_quarantined).count()
+        let suspicions = self.suspects.values().map(Suspect::suspicion);
+        suspicions
+            .filter(|suspicion| suspicion.is_quarantined)
+            .count()
     }
 
     /// Counts the requests that are remembered.
@@ -297,25 +300,26 @@
 
     /// Forgets what is old.
     pub fn forget(&mut self, now_ms: i64) {
-        self.suspects.retain(|_, suspect| !suspect.is_old(now_ms));
+        self.suspects
+            .retain(|_, suspect| !suspect.is_expired(now_ms));
     }
 
     /// Returns what is known of a request; where too many are known, in place of the one
     /// that is least worth it.
-    fn suspect(&mut self, now_ms: i64, mark: RequestMark) -> &mut Suspect {
+    fn suspect_mut(&mut self, now_ms: i64, mark: RequestMark) -> &mut Suspect {
         if self.suspects.len() >= SUSPECT_MAX_COUNT && !self.suspects.contains_key(&mark) {
             self.forget(now_ms);
             let least = self
                 .suspects
                 .iter()
-                .min_by_key(|(_, suspect)| suspect.worth());
+                .min_by_key(|(_, suspect)| suspect.retention_priority());
             let least = least.map(|(mark, _)| *mark);
             if let Some(least) = least.filter(|_| self.suspects.len() >= SUSPECT_MAX_COUNT) {
                 self.suspects.remove(&least);
             }
         }
         self.suspects.entry(mark).or_insert_with(|| Suspect {
-            asked_at_ms: now_ms,
+            requested_at_ms: now_ms,
             ..Suspect::default()
         })
     }
--- a/crates/cranereach-fleet/src/quarantine/seen.rs
+++ b/crates/cranereach-fleet/src/quarantine/local.rs
@@ -39,7 +39,7 @@
     /// Notes that a request was refused; returns how often it was here.
     pub fn refused(&mut self, now_ms: i64, mark: RequestMark) -> u64 {
         self.suspects.get_mut(&mark).map_or(0, |suspect| {
-            suspect.asked_at_ms = now_ms;
+            suspect.requested_at_ms = now_ms;
             suspect.seen.refused_count += 1;
             suspect.seen.refused_count
         })
@@ -76,11 +76,11 @@
 
     /// Lists the requests that something is held against.
     pub fn list(&self) -> impl Iterator<Item = Listed> {
-        let held = self
+        let listed = self
             .suspects
             .iter()
             .filter(|(_, suspect)| !suspect.ends.is_empty());
-        held.map(|(mark, suspect)| Listed {
+        listed.map(|(mark, suspect)| Listed {
             fingerprint: mark.fingerprint,
             suspicion: suspect.suspicion(),
             ends: suspect.ends.clone(),
--- a/crates/cranereach-fleet/src/send_grants.rs
+++ b/crates/cranereach-fleet/src/send_grants.rs
@@ -29,10 +29,10 @@
 /// Time after its start in which an instance grants nothing, in milliseconds: where many
 /// start at once, each hears only some of the others for five rounds of digests, and
 /// several would take themselves for the first.
-const HEARS_OTHERS_AFTER_MS: u64 = 1_250;
+const STARTUP_HOLD_MS: u64 = 1_250;
 
 /// Share of its grants that an owner keeps for more urgent requests that it refused.
-const URGENT_SHARE: f64 = 0.5;
+const URGENT_RESERVE_SHARE: f64 = 0.5;
 
 /// Refused questions of a worker that an owner remembers at most.
 const REFUSED_MAX_COUNT: usize = 64;
@@ -45,18 +45,18 @@
 
 /// Time until it is worth asking again where somebody else may be the owner, in
 /// milliseconds.
-const OTHER_OWNER_MS: u64 = 250;
+const OTHER_OWNER_RETRY_MS: u64 = 250;
 
 /// Shortest time until a refused request may ask again, in milliseconds.
-const AGAIN_AFTER_MS: u64 = 50;
+const RETRY_MIN_MS: u64 = 50;
 
 /// Longest time by which refused instances are spread, in milliseconds: so late they learn
 /// at most that there is room again.
-const SPREAD_MAX_MS: u64 = 5_000;
+const RETRY_SPREAD_MAX_MS: u64 = 5_000;
 
 /// Questions for each grant to which refused instances are spread: with fewer, grants lie
 /// idle until one comes; with more, most questions are in vain.
-const ASKED_PER_GRANT: f64 = 16.0;
+const QUERIES_PER_GRANT: f64 = 16.0;
 
 /// What an owner answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 impl Ownership {
     /// Returns what an instance that has been up for a time is for a worker.
     pub fn of(members: &Membership, now_ms: u64, worker: u64, up_for_ms: u64) -> Self {
-        if up_for_ms < HEARS_OTHERS_AFTER_MS || !members.is_own(now_ms, worker) {
+        if up_for_ms < STARTUP_HOLD_MS || !members.is_own(now_ms, worker) {
             return Self::Other;
         }
         if let Some((share, for_ms)) = members.minority(now_ms) {
@@ -121,13 +121,13 @@
 
 /// What an owner granted for one worker within a window.
 #[derive(Clone, Debug, Default)]
-struct Granted {
+struct GrantLog {
     /// When, in milliseconds.
-    at_ms: VecDeque<u64>,
+    granted_at_ms: VecDeque<u64>,
     /// Questions that were refused: when, in milliseconds, and of which rank.
     refused: VecDeque<(u64, u8)>,
     /// Questions that were refused since the last grant.
-    refused_in_a_row: u32,
+    consecutive_refusals: u32,
     counts: GrantCounts,
 }
 
@@ -149,7 +149,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SendGrants {
-    by_worker: HashMap<u64, Granted>,
+    by_worker: HashMap<u64, GrantLog>,
 }
 
 impl SendGrants {
@@ -166,23 +166,26 @@
         if rules.is_empty() {
             return SendAnswer::Send;
         }
-        let in_force: Vec<SendRule> = rules.iter().filter_map(|rule| rule.by(ownership)).collect();
-        if in_force.len() < rules.len() {
-            return SendAnswer::After(OTHER_OWNER_MS);
+        let effective: Vec<SendRule> = rules
+            .iter()
+            .filter_map(|rule| rule.for_ownership(ownership))
+            .collect();
+        if effective.len() < rules.len() {
+            return SendAnswer::After(OTHER_OWNER_RETRY_MS);
         }
         self.forget(now_ms, worker);
         let granted = self.by_worker.entry(worker).or_default();
-        granted.forget(now_ms, &in_force);
-        let waits = in_force
+        granted.forget(now_ms, &effective);
+        let waits = effective
             .iter()
             .map(|rule| granted.wait_ms(now_ms, rule, rank));
         let Some(wait_ms) = waits.max().flatten() else {
             granted.note_granted(now_ms);
             return SendAnswer::Send;
         };
-        let spread_ms = granted.spread_ms(&in_force);
+        let spread_ms = granted.spread_ms(&effective);
         granted.note_refused(now_ms, rank);
-        SendAnswer::After((wait_ms + spread_ms).max(AGAIN_AFTER_MS))
+        SendAnswer::After((wait_ms + spread_ms).max(RETRY_MIN_MS))
     }
 
     /// Returns what was done for a worker.
@@ -194,23 +197,28 @@
     /// Forgets workers that nothing was granted for lately, when there are too many.
     fn forget(&mut self, now_ms: u64, worker: u64) {
         if self.by_worker.len() >= WORKER_MAX_COUNT && !self.by_worker.contains_key(&worker) {
-            let longest_ms = SPREAD_MAX_MS;
+            let kept_for_ms = RETRY_SPREAD_MAX_MS;
             self.by_worker.retain(|_, granted| {
-                let last_ms = granted.at_ms.back();
-                last_ms.is_some_and(|at_ms| now_ms < at_ms + longest_ms)
+                let last_ms = granted.granted_at_ms.back();
+                last_ms.is_some_and(|at_ms| now_ms < at_ms + kept_for_ms)
             });
         }
     }
 }
 
-impl Granted {
+impl GrantLog {
     /// Forgets what is older than all windows; the last grant is kept.
     fn forget(&mut self, now_ms: u64, rules: &[SendRule]) {
-        let longest_ms = rules.iter().map(|rule| rule.window_ms as u64 + 1).max();
-        let longest_ms = longest_ms.unwrap_or(0).max(SPREAD_MAX_MS);
-        let is_old = |at_ms: u64| now_ms >= at_ms + longest_ms;
-        while self.at_ms.len() > 1 && self.at_ms.front().is_some_and(|at_ms| is_old(*at_ms)) {
-            self.at_ms.pop_front();
+        let kept_for_ms = rules.iter().map(|rule| rule.window_ms as u64 + 1).max();
+        let kept_for_ms = kept_for_ms.unwrap_or(0).max(RETRY_SPREAD_MAX_MS);
+        let is_old = |at_ms: u64| now_ms >= at_ms + kept_for_ms;
+        while self.granted_at_ms.len() > 1
+            && self
+                .granted_at_ms
+                .front()
+                .is_some_and(|at_ms| is_old(*at_ms))
+        {
+            self.granted_at_ms.pop_front();
         }
         while self
             .refused
@@ -226,16 +234,18 @@
     fn wait_ms(&self, now_ms: u64, rule: &SendRule, rank: u8) -> Option<u64> {
         let window_ms = rule.window_ms.ceil() as u64;
         let from_ms = (now_ms + 1).saturating_sub(window_ms);
-        let first = self.at_ms.partition_point(|at_ms| *at_ms < from_ms);
-        let granted_count = self.at_ms.len() - first;
-        let kept_max_count = (rule.count as f64 * URGENT_SHARE) as usize;
-        let kept_count = self.more_urgent_count(from_ms, rank).min(kept_max_count);
-        if granted_count + kept_count < rule.count {
+        let first = self.granted_at_ms.partition_point(|at_ms| *at_ms < from_ms);
+        let granted_count = self.granted_at_ms.len() - first;
+        let reserved_max_count = (rule.count as f64 * URGENT_RESERVE_SHARE) as usize;
+        let reserved_count = self
+            .more_urgent_count(from_ms, rank)
+            .min(reserved_max_count);
+        if granted_count + reserved_count < rule.count {
             return None;
         }
         // The oldest of the last so many makes way; room that is kept comes up any time.
-        let place = self.at_ms.len().checked_sub(rule.count.max(1));
-        let oldest_ms = place.and_then(|place| self.at_ms.get(place));
+        let index = self.granted_at_ms.len().checked_sub(rule.count.max(1));
+        let oldest_ms = index.and_then(|index| self.granted_at_ms.get(index));
         let free_ms = oldest_ms.map_or(now_ms, |at_ms| at_ms + window_ms);
         Some(free_ms.saturating_sub(now_ms))
     }
@@ -243,31 +253,34 @@
     /// Returns by how much the instance that is refused now comes back later than the
     /// first one, in milliseconds: they come one after the other, not all at once.
     fn spread_ms(&self, rules: &[SendRule]) -> u64 {
-        let each_ms = rules
+        let interval_ms = rules
             .iter()
             .map(|rule| rule.window_ms / rule.count.max(1) as f64)
             .fold(0.0, f64::max);
-        let spread_ms = f64::from(self.refused_in_a_row) * each_ms / ASKED_PER_GRANT;
-        spread_ms.min(SPREAD_MAX_MS as f64) as u64
+        let spread_ms = f64::from(self.consecutive_refusals) * interval_ms / QUERIES_PER_GRANT;
+        spread_ms.min(RETRY_SPREAD_MAX_MS as f64) as u64
     }
 
     /// Remembers a grant.
     fn note_granted(&mut self, now_ms: u64) {
-        if self.at_ms.len() >= GRANTED_MAX_COUNT {
-            self.at_ms.pop_front();
+        if self.granted_at_ms.len() >= GRANTED_MAX_COUNT {
+            self.granted_at_ms.pop_front();
         }
-        self.at_ms.push_back(now_ms);
-        self.refused_in_a_row = 0;
+        self.granted_at_ms.push_back(now_ms);
+        self.consecutive_refusals = 0;
         self.counts.granted_count += 1;
     }
 
     /// Remembers a refused question; where there are too many, in place of a less urgent
     /// one: those that wait in numbers must not hide the urgent ones.
     fn note_refused(&mut self, now_ms: u64, rank: u8) {
-        self.refused_in_a_row = self.refused_in_a_row.saturating_add(1);
+        self.consecutive_refusals = self.consecutive_refusals.saturating_add(1);
         self.counts.refused_count += 1;
         if self.refused.len() >= REFUSED_MAX_COUNT {
-            let less_urgent = self.refused.iter().position(|(_, other)| *other > rank);
+            let less_urgent = self
+                .refused
+                .iter()
+                .position(|(_, other_rank)| *other_rank > rank);
             let Some(index) = less_urgent else { return };
             self.refused.remove(index);
         }
@@ -278,7 +291,7 @@
     fn more_urgent_count(&self, from_ms: u64, rank: u8) -> usize {
         let refused = self.refused.iter();
         refused
-            .filter(|(at_ms, other)| *at_ms >= from_ms && *other < rank)
+            .filter(|(at_ms, other_rank)| *at_ms >= from_ms && *other_rank < rank)
             .count()
     }
 }
--- a/crates/cranereach-fleet/src/send_grants/rule.rs
+++ b/crates/cranereach-fleet/src/send_grants/rule.rs
@@ -6,14 +6,14 @@
 use crate::named_limit::LEAST_RATE_PER_S;
 
 /// Time that a request takes at most from its sender to the worker, in milliseconds.
-const ON_THE_WAY_MS: u64 = 60;
+const TRANSIT_MAX_MS: u64 = 60;
 
 /// Window in which an owner counts its grants for a cold worker, in milliseconds: those
 /// of one second at the worker may have been granted that much apart.
-const COLD_WINDOW_MS: u64 = 1_000 + USE_WITHIN_MS + ON_THE_WAY_MS;
+const COLD_WINDOW_MS: u64 = 1_000 + USE_WITHIN_MS + TRANSIT_MAX_MS;
 
 /// Share of its part that a new owner grants.
-const NEW_SHARE: f64 = 0.5;
+const NEW_OWNER_SHARE: f64 = 0.5;
 
 /// Time whose requests of a limit may be sent at once, in seconds: a quarter of what is
 /// allowed in one second. With it, a busy worker gets nine tenths of what it names
@@ -46,9 +46,9 @@
     /// ```
     pub fn of_cold(rate_per_s: f64, excess_ratio: f64, allowance_count: f64) -> Self {
         let tolerated_count = (rate_per_s * excess_ratio + allowance_count).floor();
-        let borne_count = rate_per_s * COLD_WINDOW_MS as f64 / 1_000.0;
+        let sustained_count = rate_per_s * COLD_WINDOW_MS as f64 / 1_000.0;
         // Two owners may grant at the same time.
-        let count = (tolerated_count / 2.0).min(borne_count.max(1.0));
+        let count = (tolerated_count / 2.0).min(sustained_count.max(1.0));
         Self {
             count: count.max(0.0) as usize,
             window_ms: COLD_WINDOW_MS as f64,
@@ -82,16 +82,17 @@
     }
 
     /// Returns the rule by which an owner grants, as it stands; none if it grants nothing.
-    pub(super) fn by(self, ownership: Ownership) -> Option<Self> {
+    pub(super) fn for_ownership(self, ownership: Ownership) -> Option<Self> {
         match ownership {
             Ownership::Settled => Some(self),
             Ownership::New => Some(self.halved()),
             Ownership::Minority { share, for_ms } => {
-                let each_ms = self.window_ms / self.count.max(1) as f64 / share.max(f64::EPSILON);
-                let is_due = for_ms as f64 >= each_ms;
+                let interval_ms =
+                    self.window_ms / self.count.max(1) as f64 / share.max(f64::EPSILON);
+                let is_due = for_ms as f64 >= interval_ms;
                 (self.has_minority_share && is_due).then_some(Self {
                     count: 1,
-                    window_ms: each_ms,
+                    window_ms: interval_ms,
                     ..self
                 })
             }
@@ -103,12 +104,12 @@
     fn halved(self) -> Self {
         if self.count > 1 {
             Self {
-                count: (self.count as f64 * NEW_SHARE) as usize,
+                count: (self.count as f64 * NEW_OWNER_SHARE) as usize,
                 ..self
             }
         } else {
             Self {
-                window_ms: self.window_ms / NEW_SHARE,
+                window_ms: self.window_ms / NEW_OWNER_SHARE,
                 ..self
             }
         }
--- a/crates/cranereach-fleet/src/tenure.rs
+++ b/crates/cranereach-fleet/src/tenure.rs
@@ -62,7 +62,7 @@
 
 /// The row as last seen.
 #[derive(Clone, Debug)]
-struct Seen {
+struct SeenRow {
     position: StorePosition,
     row: Option<LeaseRow>,
     first_seen_at_ms: u64,
@@ -72,7 +72,7 @@
 
 /// The lease as held.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldLease {
     token: u64,
     position: StorePosition,
     until_ms: u64,
@@ -85,8 +85,8 @@
     machine: String,
     pause_ms: u64,
     era: u64,
-    seen: Option<Seen>,
-    held: Option<Held>,
+    seen: Option<SeenRow>,
+    held: Option<HeldLease>,
     is_stopping: bool,
 }
 
@@ -137,7 +137,7 @@
     pub fn step(&mut self, now_ms: u64, is_holder_heard: bool) -> Step {
         if let Some(held) = self.held {
             if held.position.era < self.era {
-                return self.step_into_era(now_ms, held);
+                return self.step_after_restore(now_ms, held);
             }
             if self.is_stopping || now_ms < held.renew_at_ms {
                 return Step::Wait;
@@ -154,11 +154,11 @@
         let Some(seen) = &self.seen else {
             return Step::Read;
         };
-        let whole_ms = seen.first_seen_at_ms + self.wait_ms(seen.row.as_ref());
-        let ended_ms = seen
+        let full_due_ms = seen.first_seen_at_ms + self.wait_ms(seen.row.as_ref());
+        let early_due_ms = seen
             .ended_at_ms
             .map(|at_ms| at_ms + self.pause_ms + MARGIN_MS);
-        if now_ms < ended_ms.map_or(whole_ms, |ended_ms| whole_ms.min(ended_ms)) {
+        if now_ms < early_due_ms.map_or(full_due_ms, |early_due_ms| full_due_ms.min(early_due_ms)) {
             return Step::Wait;
         }
         Step::Write {
@@ -169,7 +169,7 @@
     /// Says what the holder does whose row a restored store may have lost.
     ///
     /// Within its term nobody else writes the row: it goes on from the row that is there.
-    fn step_into_era(&mut self, now_ms: u64, held: Held) -> Step {
+    fn step_after_restore(&mut self, now_ms: u64, held: HeldLease) -> Step {
         if self.is_stopping {
             return Step::Wait;
         }
@@ -189,13 +189,13 @@
         }
         self.enter_era(position.era);
         let is_of_holder =
-            |held: &Held| held.position == position || held.position.era < position.era;
+            |held: &HeldLease| held.position == position || held.position.era < position.era;
         self.held = self.held.filter(is_of_holder);
         let known = self.seen.as_ref();
         if known.is_some_and(|seen| seen.position == position) {
             return;
         }
-        self.seen = Some(Seen {
+        self.seen = Some(SeenRow {
             position,
             row,
             first_seen_at_ms: now_ms,
@@ -220,15 +220,15 @@
     pub fn heard_ended(&mut self, ended: EndedTerm) {
         let seen = self.seen.as_mut();
         if let Some(seen) = seen.filter(|seen| seen.position == ended.position) {
-            let before_ms = seen.ended_at_ms.unwrap_or(u64::MAX);
-            seen.ended_at_ms = Some(before_ms.min(ended.at_ms));
+            let known_ms = seen.ended_at_ms.unwrap_or(u64::MAX);
+            seen.ended_at_ms = Some(known_ms.min(ended.at_ms));
         }
     }
 
     /// Takes a write that was done; `sent_at_ms` is from before it was sent.
     pub fn written(&mut self, sent_at_ms: u64, position: StorePosition) {
         let token = self.held.map_or(position.token(), |held| held.token);
-        self.held = Some(Held {
+        self.held = Some(HeldLease {
             token,
             position,
             until_ms: sent_at_ms + TERM_MS,
