--- a/crates/cranereach-fleet/src/fingerprint.rs
+++ b/crates/cranereach-fleet/src/fingerprint.rs
@@ -1,20 +1,21 @@
-//! Fingerprints of what requests ask for, so that equal ones are known for such across
-//! calls and instances, and in logs without their content.
+//! Keyed fingerprints of request contents. They identify equal requests across calls and instances,
+//! and in logs without revealing the content.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What keys of fingerprints are derived for, so that a secret that serves elsewhere
-/// too gives nothing away here.
+/// Context string for key derivation: fingerprints reveal nothing about the secret even if it is
+/// used elsewhere too.
 const CONTEXT: &str = "cranereach fingerprints of requests";
 
-/// Bytes of a fingerprint: nobody finds two contents that share one.
+/// Length of a fingerprint, in bytes; long enough that two contents with the same fingerprint can't
+/// be found.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Key of all fingerprints of a deployment: who lacks it can't check guesses of a
-/// content against fingerprints in logs.
+/// Key of all fingerprints of a deployment. Without it, guesses of a content can't be checked
+/// against fingerprints in logs.
 #[derive(Clone)]
 pub struct FingerprintKey([u8; 32]);
 
@@ -31,28 +32,27 @@
     }
 }
 
-/// What a request asks for, as far as it makes requests equal: neither its identity nor
-/// its deadline.
+/// The content that decides whether two requests are equal; excludes request identity and deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
-    /// Client account, so that nobody's requests are taken for another's.
+    /// Client account, so that requests of different accounts are never taken for the same one.
     pub account: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Host.
     pub host: &'a [u8],
     /// Path and query.
     pub target: &'a str,
-    /// Model and adapter as named.
+    /// Model and adapter, as named in the request.
     pub model: &'a [u8],
-    /// Parts of the prompt as named.
+    /// Parts of the prompt, as named in the request.
     pub prompt_parts: &'a [u8],
     /// Body.
     pub body: &'a [u8],
 }
 
 impl Content<'_> {
-    /// Returns the fingerprint.
+    /// Computes the fingerprint.
     ///
     /// ```
     /// use cranereach_fleet::fingerprint::Content;
@@ -80,7 +80,7 @@
             self.body,
         ];
         for field in fields {
-            // The length first: no field can stand in for the beginning of the next.
+            // The length prefix keeps the end of one field distinct from the beginning of the next.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
@@ -89,14 +89,14 @@
     }
 }
 
-/// Fingerprint of what a request asks for; written as 32 hexadecimal digits.
+/// Fingerprint of a request's content; displayed as 32 hexadecimal digits.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// Reads one as it is written; none if that is none.
+    /// Parses the displayed form; none if the text is not a fingerprint.
     ///
     /// ```
     /// use cranereach_fleet::fingerprint::Fingerprint;
@@ -115,7 +115,7 @@
         is_valid.then_some(Self(bytes))
     }
 
-    /// Returns a number that orders instances for it.
+    /// Returns the key by which instances are ranked for this fingerprint.
     pub fn purpose(&self) -> u64 {
         u64::from_le_bytes(self.0.first_chunk().copied().unwrap_or_default())
     }
--- a/crates/cranereach-fleet/src/ledger.rs
+++ b/crates/cranereach-fleet/src/ledger.rs
@@ -1,12 +1,11 @@
-//! What the holder of a lease knows of its workers, and which orders are open.
+//! The lease holder's knowledge of its workers and of the open orders.
 //!
-//! Every order names the sequence that the worker must have, and is made for
-//! what the worker held at that sequence. So an order that is carried out late,
-//! or that an earlier holder sent, either comes first and makes all others for
-//! that sequence fail, or fails itself. A worker whose state isn't known at its
-//! sequence is asked for a report before it gets an order. In a large fleet most get none:
-//! they are asked once the plan wants one of them, so that neither connections nor
-//! reports grow with the fleet.
+//! Every order names the sequence number that the worker must have, and is planned for what the
+//! worker held at that number. So an order that is carried out late, or was sent by an earlier
+//! holder, either comes first and makes all others for that number fail, or fails itself. A worker
+//! whose state at its current sequence number is not known is asked for a report before it gets an
+//! order. In a large fleet most workers are not asked until the plan wants an order for them, so
+//! that neither connections nor reports grow with the fleet.
 
 mod places;
 mod views;
@@ -21,85 +20,85 @@
 use crate::placement::Place;
 use crate::store_position::StorePosition;
 
-/// Time after which an order without an answer is sent again, in milliseconds.
+/// Time after which an unanswered order is sent again, in milliseconds.
 const RESEND_AFTER_MS: u64 = 40;
 
-/// Times that an order is sent before a report is asked for.
+/// Number of times that an order is sent before a report is requested.
 const SEND_MAX_COUNT: u32 = 6;
 
-/// Time for which a worker that failed is left alone, in milliseconds.
+/// Time for which a worker that failed is not contacted, in milliseconds.
 const FAILURE_BACKOFF_MS: u64 = 1_000;
 
-/// Workers that are asked for a report although no order is planned for them, so that the
-/// first order to each needs no wait. More would each take a connection: a small machine
-/// has some 3,900 for all purposes.
+/// Number of workers that are asked for a report before an order is planned for them, so that the
+/// first order to each needs no wait. Each takes a connection, so more would cost too many: a small
+/// machine has some 3,900 for all purposes.
 const EAGER_REPORT_COUNT: usize = 256;
 
-/// Time before a report shows what an order did, in milliseconds.
+/// Time until a report shows the effect of an order, in milliseconds.
 const REPORT_LAG_MS: u64 = 200;
 
 /// Time between two reports of a busy worker, in milliseconds.
 const BUSY_POLL_INTERVAL_MS: u64 = 1_200;
 
-/// Time after a load should be over until the first look at it, in milliseconds.
+/// Time from the expected end of a load to the first report about it, in milliseconds.
 const LOAD_POLL_MARGIN_MS: u64 = 600;
 
-/// First look at an unload, in milliseconds.
+/// Time from an unload order to the first report about it, in milliseconds.
 const UNLOAD_POLL_DELAY_MS: u64 = 350;
 
-/// Time in which an adapter is there after its load was taken, in milliseconds; a
-/// request that comes before it is told so, and comes again.
+/// Time in which an adapter becomes available after its load order was accepted, in milliseconds; a
+/// request that arrives earlier is told so and retries.
 const ADAPTER_READY_WITHIN_MS: u64 = 40;
 
-/// A worker's state at one sequence, from a report.
+/// A worker's state at one sequence number, from a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerState {
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub sequence: u64,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// What it holds.
+    /// Models that it holds, with their adapters.
     pub places: Vec<Place>,
 }
 
-/// How an order to a worker ended.
+/// Outcome of an order to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// Under way, or done.
+    /// In progress or done.
     Taken,
-    /// It was done before.
+    /// It had already been done.
     AlreadyDone,
-    /// Another order is under way, or the sequence has moved.
+    /// Another order is in progress, or the sequence number has changed.
     Conflict,
-    /// The worker refused it, or is another one.
+    /// The worker refused it, or is a different worker than expected.
     Refused,
     /// Nothing was sent.
     NotSent,
-    /// It may be carried out now or later.
+    /// No answer; the order may be carried out now or later.
     Unanswered,
 }
 
-/// An order with the sequence that it was made for.
+/// An order with the sequence number for which it was planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenOrder {
     /// The order.
     pub order: Order,
-    /// Sequence that the worker must have.
+    /// Sequence number that the worker must have.
     pub expected_sequence: u64,
 }
 
-/// What is going on at a worker.
+/// State of the communication with a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing but its row is known, and no order was planned for it yet.
+    /// Only its row is known, and no order has been planned for it yet.
     RowOnly,
     /// A report is needed.
     Unknown { report_at_ms: u64 },
-    /// Its state is known at its sequence.
+    /// Its state at the current sequence number is known.
     Free,
-    /// An order or report is on its way.
+    /// An order or a report request has been sent.
     Waiting,
-    /// It carries a load or unload out.
+    /// It carries out a load or unload.
     Busy { poll_at_ms: u64 },
     /// An order got no answer.
     Unsettled { resend_at_ms: u64, sent_count: u32 },
@@ -114,41 +113,41 @@
     is_serving: bool,
     phase: Phase,
     open: Option<OpenOrder>,
-    /// The order that a report was asked for: others are planned as if it were done.
+    /// The order for which a report was requested; other orders are planned as if it were done.
     reserved: Option<Order>,
-    /// When the last load that was taken should be over, in milliseconds.
+    /// When the last accepted load should be complete, in milliseconds.
     load_due_at_ms: u64,
-    /// Adapters whose loads were taken, and when they are there, in milliseconds.
+    /// Adapters whose load orders were accepted, and when they become available, in milliseconds.
     pending_adapters: Vec<(ModelKey, u64)>,
     row_position: StorePosition,
     started_unix_ms: u64,
 }
 
-/// All workers of one lease.
+/// All workers under one lease.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     entries: HashMap<Arc<str>, Entry>,
 }
 
-/// A worker's row as the ledger takes it.
+/// A worker's row, as passed to the ledger.
 #[derive(Clone, Debug)]
 pub struct WorkerRow<'a> {
-    /// Identity.
+    /// Identity of the worker.
     pub id: &'a Arc<str>,
     /// Position of the row.
     pub position: StorePosition,
-    /// When this start of it began, in milliseconds of Unix time; zero if unsaid.
+    /// Start time of this run of the worker, in milliseconds of Unix time; zero if not given.
     pub started_unix_ms: u64,
-    /// What it holds; a row doesn't say at which sequence.
+    /// Models that it holds; the row does not say at which sequence number.
     pub places: Vec<Place>,
     /// Models that it loads cheaply.
     pub copies: Vec<u16>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub is_serving: bool,
 }
 
 impl Ledger {
-    /// Forgets everything, as a new holder starts.
+    /// Removes all workers, when this instance becomes the holder.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
@@ -158,17 +157,18 @@
         self.entries.retain(|id, _| is_listed(id));
     }
 
-    /// Whether a worker's row, and whether it takes requests, are known as they are.
+    /// Returns whether a worker's row at this position, and whether it accepts requests, are
+    /// already known.
     pub fn knows(&self, id: &str, position: StorePosition, is_serving: bool) -> bool {
         let known = self.entries.get(id);
         known.is_some_and(|known| known.row_position == position && known.is_serving == is_serving)
     }
 
-    /// Takes a worker's row.
+    /// Applies a worker's row.
     pub fn row(&mut self, now_ms: u64, row: WorkerRow<'_>) {
         let known = self.entries.get(row.id);
         if known.is_some_and(|known| known.started_unix_ms != row.started_unix_ms) {
-            // It started again: what it held, and its counts, are gone.
+            // It was restarted: what it held and its sequence number are gone.
             self.entries.remove(row.id);
         }
         let phase = if self.entries.len() < EAGER_REPORT_COUNT {
@@ -208,12 +208,12 @@
             .open
             .is_some_and(|open| is_done(open.order, &row.places));
         if let (Phase::Busy { .. }, true) = (entry.phase, is_done) {
-            // The row may be older than the order: a report says for certain.
+            // The row may be older than the order; only a report is certain.
             entry.phase = Phase::Busy { poll_at_ms: now_ms };
         }
     }
 
-    /// Takes a report.
+    /// Applies a report; none if the worker gave none.
     pub fn reported(&mut self, now_ms: u64, id: &str, state: Option<WorkerState>) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -232,7 +232,7 @@
             return;
         }
         if state.is_busy && state.sequence == entry.sequence && entry.open.is_some() {
-            // What is under way is known: its memory is counted already.
+            // The order in progress is known, and its memory is already accounted for.
             entry.phase = Phase::Busy {
                 poll_at_ms: now_ms + BUSY_POLL_INTERVAL_MS,
             };
@@ -250,7 +250,7 @@
         };
     }
 
-    /// Lists the workers whose report is due, and marks them as asked.
+    /// Returns the workers whose report is due, and marks them as asked.
     pub fn reports_due(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         let mut due = Vec::new();
         for (id, entry) in &mut self.entries {
@@ -267,7 +267,7 @@
         due
     }
 
-    /// Lists the orders that are to be sent once more, and marks them as sent.
+    /// Returns the orders that are due to be sent again, and marks them as sent.
     pub fn resends_due(&mut self, now_ms: u64) -> Vec<(Arc<str>, OpenOrder, u32)> {
         let mut due = Vec::new();
         for (id, entry) in &mut self.entries {
@@ -286,8 +286,8 @@
         due
     }
 
-    /// Begins an order and returns it with the sequence that it is made for; none if its
-    /// worker has to be asked for a report first, which is due now.
+    /// Begins an order and returns it with its sequence number; none if the worker can't get it
+    /// now. A worker that has never been asked for a report becomes due for one.
     pub fn begin(&mut self, id: &str, order: Order) -> Option<OpenOrder> {
         let entry = self.entries.get_mut(id)?;
         if entry.phase == Phase::RowOnly {
@@ -307,7 +307,7 @@
         Some(open)
     }
 
-    /// Takes the end of an order that was sent `sent_count` times.
+    /// Records the outcome of an order that was sent `sent_count` times.
     pub fn ended(&mut self, now_ms: u64, id: &str, end: OrderEnd, sent_count: u32, load_ms: u64) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -336,7 +336,8 @@
                             .push((adapter, now_ms + ADAPTER_READY_WITHIN_MS));
                         Phase::Free
                     }
-                    // It may wait for its requests; a report shows the free slot.
+                    // The unload may wait for running requests; a report shows when the slot is
+                    // free.
                     Order::UnloadAdapter(_) => {
                         entry.open = None;
                         report_after(REPORT_LAG_MS)
@@ -365,7 +366,7 @@
 }
 
 impl Entry {
-    /// Whether an adapter has been ordered and can't be there yet.
+    /// Returns whether an adapter has been ordered and can't be available yet.
     fn is_pending(&self, adapter: ModelKey) -> bool {
         let is_open = self
             .open
--- a/crates/cranereach-fleet/src/ledger/places.rs
+++ b/crates/cranereach-fleet/src/ledger/places.rs
@@ -1,9 +1,9 @@
-//! What orders change of what a worker holds.
+//! Effects of orders on what a worker holds.
 
 use crate::placement::Order;
 use crate::placement::Place;
 
-/// Counts an order as it will be, memory at its worst.
+/// Applies the effect of an order; memory is counted at its maximum during the order.
 pub(super) fn apply(places: &mut Vec<Place>, order: Order) {
     let of_model = |places: &mut Vec<Place>, model: u16, change: &dyn Fn(&mut Place)| {
         for place in places.iter_mut().filter(|place| place.model == model) {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Whether a state shows that an order is done.
+/// Returns whether a state shows that an order is done.
 pub(super) fn is_done(order: Order, places: &[Place]) -> bool {
     let holds = |model: u16| places.iter().any(|place| place.model == model);
     match order {
--- a/crates/cranereach-fleet/src/ledger/views.rs
+++ b/crates/cranereach-fleet/src/ledger/views.rs
@@ -1,4 +1,4 @@
-//! What the ledger shows: to the plan, to peers, to whoever waits.
+//! Views of the ledger: for planning, for peers and for waiting requests.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::placement::WorkerView;
 
 impl Ledger {
-    /// Returns the workers as the plan sees them, in the order of their names.
+    /// Returns the workers as planning sees them, sorted by identity.
     pub fn views(&self) -> (Vec<Arc<str>>, Vec<WorkerView>) {
         let mut ids: Vec<Arc<str>> = self.entries.keys().cloned().collect();
         ids.sort_unstable();
@@ -19,7 +19,7 @@
         (ids, views)
     }
 
-    /// Returns one worker as the plan sees it.
+    /// Returns one worker as planning sees it.
     pub fn view(&self, id: &str) -> Option<WorkerView> {
         let entry = self.entries.get(id)?;
         let mut places = entry.places.clone();
@@ -35,8 +35,8 @@
         })
     }
 
-    /// Lists the adapters that workers hold by these orders, those still on their
-    /// way left out.
+    /// Returns the adapters that workers hold according to these orders, without those that are not
+    /// available yet.
     pub fn adapters(&mut self, now_ms: u64) -> Vec<(Arc<str>, ModelKey)> {
         let mut held = Vec::new();
         for (id, entry) in &mut self.entries {
@@ -51,8 +51,8 @@
         held
     }
 
-    /// Lists the models that are being loaded, and when each should be there, in
-    /// milliseconds: the first of several workers.
+    /// Returns the models that are being loaded, and when each should be available, in
+    /// milliseconds: the earliest time if several workers load it.
     pub fn coming(&self, now_ms: u64) -> HashMap<u16, u64> {
         let mut coming: HashMap<u16, u64> = HashMap::new();
         for entry in self.entries.values() {
@@ -67,7 +67,7 @@
         coming
     }
 
-    /// Lists the models that are being unloaded.
+    /// Returns the models that are being unloaded.
     pub fn going(&self) -> impl Iterator<Item = (&Arc<str>, u16)> {
         self.entries.iter().flat_map(|(id, entry)| {
             let places = entry.places.iter().filter(|place| place.is_going);
--- a/crates/cranereach-fleet/src/limits.rs
+++ b/crates/cranereach-fleet/src/limits.rs
@@ -1,14 +1,14 @@
-//! Limits of client accounts, over all instances together.
+//! Rate limits of client accounts, enforced across all instances together.
 //!
-//! A limit is split into a few parts; each has an owner, the same for all instances,
-//! that keeps its bucket and grants units to whoever asks. An instance
-//! asks for what one request needs and for a little more in advance, by what it was
-//! granted lately; what it doesn't use it keeps, so that nothing has to be given back.
+//! A limit is split into a few parts. Each part has one owner instance, on which all instances
+//! agree; the owner keeps the part's token bucket and grants units from it on request. An instance
+//! asks for what one request costs, plus a small prefetch that is sized by its recent usage. It
+//! keeps what it does not use, so that units rarely have to be returned.
 //!
-//! A new owner knows nothing of what the one before it granted, and for a moment two
-//! may grant. What that can add up to is bounded: a deployment tolerates an excess
-//! over its limits, and the number of parts, what is held in advance, and what a new
-//! owner begins with are each a share of it.
+//! A new owner does not know what its predecessor granted, and for a short time two instances may
+//! both grant from one part. The total is bounded: a deployment tolerates some excess over its
+//! limits, and the overlap that decides the number of parts, the prefetched units and the initial
+//! level of a new owner's bucket each use a fixed share of that excess.
 
 mod owned;
 
@@ -22,50 +22,50 @@
 use crate::accounts::Limit;
 use cranereach_core::token_bucket::TokenBucket;
 
-/// Share of it that all instances hold in advance together.
+/// Share of the tolerated excess that all instances together hold as prefetched units.
 const PREFETCH_SHARE: f64 = 0.15;
 
-/// Share of it that two owners of one part may grant in the time of a change of owner.
+/// Share of the tolerated excess that two owners of one part may grant during a change of owner.
 const OVERLAP_SHARE: f64 = 0.25;
 
-/// Time for which two instances may own one part, in seconds: a sign of life takes so
-/// long to reach all of some hundred instances (`tests/membership.rs`).
+/// Time during which two instances may own the same part, in seconds: a heartbeat takes this long
+/// to reach all of some hundred instances (`tests/membership.rs`).
 const OVERLAP_S: f64 = 1.5;
 
-/// Parts of one limit at most.
+/// Maximum number of parts of one limit.
 const PART_MAX_COUNT: u32 = 64;
 
-/// Smallest requests that one part allows within a window at least.
+/// Minimum number of requests of the smallest cost that one part allows within a window.
 const PART_MIN_REQUEST_COUNT: f64 = 16.0;
 
-/// Time without a question after which an owner forgets a part, in milliseconds: much
-/// longer than windows.
+/// Time after its last grant request (for an owner) or its last use (for an instance) at which an
+/// entry is removed, in milliseconds; much longer than a window.
 const IDLE_EXPIRY_MS: u64 = 60_000;
 
-/// Time over which an instance's use of an account is averaged, in milliseconds.
+/// Time constant over which an instance's usage of an account is averaged, in milliseconds.
 const USAGE_AVERAGE_MS: f64 = 3_000.0;
 
-/// Longest time for which a refusal by owners holds for further requests without
-/// asking again, in milliseconds.
+/// Maximum time for which an owner's refusal is applied to further requests without asking again,
+/// in milliseconds.
 const REFUSAL_CACHE_MAX_MS: u64 = 100;
 
-/// Time for which an instance that reaches no owner goes on by what it used before, in
-/// milliseconds.
+/// Time after its last grant for which an instance that reaches no owner keeps admitting requests
+/// at its earlier rate, in milliseconds.
 const FALLBACK_FOR_MS: u64 = 4_000;
 
-/// What a deployment tolerates beyond a limit.
+/// How far a deployment lets usage exceed a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// Window that use is counted in, in seconds.
+    /// Window over which usage is counted, in seconds.
     pub window_s: f64,
-    /// Excess, as a share of what the limit allows in a window.
+    /// Tolerated excess, as a share of what the limit allows in a window.
     pub excess_share: f64,
-    /// Excess besides, in units.
+    /// Tolerated excess on top of that share, in units.
     pub allowance: f64,
 }
 
 impl Tolerance {
-    /// Returns what may be used beyond a limit within one window, in units.
+    /// Returns how much usage within one window may exceed a limit, in units.
     pub fn excess(&self, limit: Limit) -> f64 {
         self.excess_share * self.whole(limit) + self.allowance
     }
@@ -75,9 +75,10 @@
         limit.rate_per_s * self.window_s + limit.burst
     }
 
-    /// Returns the number of parts of a limit: as many as keep what two owners of one
-    /// part may grant within its share of the excess, but none so small that single
-    /// requests don't fit.
+    /// Returns the number of parts of a limit.
+    ///
+    /// There are as many parts as it takes to keep the grants of two owners of one part within
+    /// their share of the excess, but no part is so small that single requests do not fit.
     ///
     /// ```
     /// use cranereach_fleet::accounts::Limit;
@@ -98,17 +99,17 @@
     }
 }
 
-/// Names one part of an account's limit.
+/// Identifies one part of an account's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PartKey {
     /// Key of the account.
     pub account: u64,
-    /// Number of the part.
+    /// Index of the part.
     pub part: u32,
 }
 
 impl PartKey {
-    /// Returns the key that the part's owner is chosen by.
+    /// Returns the key by which the part's owner is chosen.
     pub fn owner_key(self) -> u64 {
         xxh3_64_with_seed(&self.part.to_le_bytes(), self.account)
     }
@@ -117,63 +118,63 @@
 /// What an owner is asked for, in units.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wanted {
-    /// The least that is of use.
+    /// Minimum that is of use to the caller.
     pub least: f64,
-    /// The most that is taken.
+    /// Maximum that the caller accepts.
     pub most: f64,
 }
 
-/// What an owner grants.
+/// An owner's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Grant {
-    /// So many units.
+    /// The number of units granted.
     Units(f64),
-    /// Nothing until after a time, in milliseconds.
+    /// Nothing is granted until this time has passed, in milliseconds.
     After(u64),
 }
 
-/// What an instance does with a request of an account.
+/// How an instance handles a request of an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// It is paid for.
+    /// The request is paid for from units that the instance already holds.
     Paid,
-    /// Owners are to be asked for the rest; what is held already is set aside for it.
+    /// An owner must be asked for the rest; the units already held are set aside for the request.
     Ask {
-        /// What to ask for.
+        /// Units to ask for.
         wanted: Wanted,
-        /// Units that are set aside; given back if the request doesn't run.
+        /// Units set aside; given back if the request does not run.
         held: f64,
     },
-    /// It is beyond the limit; there may be room after a time, in milliseconds.
+    /// The request exceeds the limit; it may fit after this time, in milliseconds.
     Beyond(u64),
 }
 
-/// What one instance uses of one account's limit.
+/// One instance's usage of one account's limit.
 #[derive(Clone, Debug)]
 struct Usage {
     limit: Limit,
-    /// Granted and not used yet, in units; below zero where more was used alone than
-    /// owners have granted since.
+    /// Units granted and not used yet; negative if more was used without an owner than owners have
+    /// granted since.
     balance: f64,
-    /// Units used per second, averaged.
+    /// Average usage, in units per second.
     rate_per_s: f64,
     used_at_ms: u64,
-    /// Until when owners have refused, in milliseconds.
+    /// End of the period for which an owner has refused, in milliseconds.
     refused_until_ms: u64,
-    /// When an owner granted something last, in milliseconds.
+    /// Time of the last grant, in milliseconds.
     granted_at_ms: Option<u64>,
-    /// What may be used while no owner answers.
+    /// Bucket for requests that run while no owner answers.
     fallback: TokenBucket,
 }
 
-/// What one instance uses of the accounts' limits.
+/// One instance's usage of all accounts' limits.
 #[derive(Clone, Debug, Default)]
 pub struct Uses {
     by_account: HashMap<u64, Usage>,
 }
 
 impl Uses {
-    /// Decides about a request that costs some units.
+    /// Decides whether a request of the given cost, in units, can be paid for.
     pub fn decide(
         &mut self,
         now_ms: u64,
@@ -194,7 +195,7 @@
         if now_ms < usage.refused_until_ms {
             return Decision::Beyond(usage.refused_until_ms - now_ms);
         }
-        // Requests that ask at the same time must not count on the same units.
+        // Takes all units, so that concurrent requests do not count on the same ones.
         let held = mem::take(&mut usage.balance);
         let least = cost - held;
         let most = least + usage.prefetch_units(now_ms, tolerance);
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Takes what an owner granted, with what was set aside, for a request that costs
-    /// some units.
+    /// Records a grant for a request of the given cost; `units` includes the units that were set
+    /// aside.
     pub fn granted(&mut self, now_ms: u64, account: u64, units: f64, cost: f64) {
         if let Some(usage) = self.by_account.get_mut(&account) {
             usage.balance += (units - cost).max(0.0);
@@ -215,16 +216,18 @@
         }
     }
 
-    /// Takes an owner's refusal.
+    /// Records an owner's refusal.
     pub fn refused(&mut self, now_ms: u64, account: u64, wait_ms: u64) {
         if let Some(usage) = self.by_account.get_mut(&account) {
             usage.refused_until_ms = now_ms + wait_ms.min(REFUSAL_CACHE_MAX_MS);
         }
     }
 
-    /// Whether a request may run although no owner answered: for a while an instance
-    /// goes on at the rate that owners granted it before. What it uses so is asked for
-    /// when one answers again, so that owners which are late for a moment add nothing.
+    /// Returns whether a request may run although no owner answered.
+    ///
+    /// For a limited time an instance continues at the rate that owners granted it before. Units
+    /// used this way are requested once an owner answers again, so that owners that are briefly
+    /// late do not increase the total usage.
     pub fn may_run_alone(&mut self, now_ms: u64, account: u64, cost: f64) -> bool {
         let Some(usage) = self.by_account.get_mut(&account) else {
             return false;
@@ -239,9 +242,11 @@
         may_run
     }
 
-    /// Gives back units of a request that did not run, and returns how many of them have
-    /// to go back to an owner: what is saved up here could be used in a later window on
-    /// top of what owners grant in that one.
+    /// Gives back the units of a request that did not run, and returns how many of them have to be
+    /// returned to an owner.
+    ///
+    /// Units that accumulate here could be used in a later window on top of what owners grant in
+    /// that window.
     #[must_use]
     pub fn give_back(
         &mut self,
@@ -260,7 +265,7 @@
         surplus
     }
 
-    /// Returns an account's use, new if there is none or its limit has changed.
+    /// Returns an account's usage; a new entry if there is none or the limit has changed.
     fn account_usage(&mut self, now_ms: u64, account: u64, limit: Limit) -> &mut Usage {
         if !self.by_account.contains_key(&account) {
             self.by_account
@@ -271,7 +276,7 @@
             .entry(account)
             .or_insert_with(|| Usage::new(now_ms, limit));
         if usage.limit != limit {
-            // What was granted under another limit doesn't count under this one.
+            // Units granted under another limit do not count under this one.
             *usage = Usage {
                 rate_per_s: usage.rate_per_s.min(limit.rate_per_s),
                 used_at_ms: usage.used_at_ms,
@@ -283,7 +288,7 @@
 }
 
 impl Usage {
-    /// Makes the use of an account that has used nothing.
+    /// Creates the usage of an account that has used nothing.
     fn new(now_ms: u64, limit: Limit) -> Self {
         Self {
             limit,
@@ -296,23 +301,23 @@
         }
     }
 
-    /// Notes units used with an owner's leave.
+    /// Records units used with an owner's grant.
     fn record(&mut self, now_ms: u64, cost: f64) {
         self.rate_per_s = self.rate(now_ms) + cost * 1_000.0 / USAGE_AVERAGE_MS;
         self.used_at_ms = now_ms;
-        // Room for one request at a time.
+        // The burst allows one request at a time.
         let rate_per_s = self.rate_per_s.min(self.limit.rate_per_s);
         self.fallback.change(now_ms, rate_per_s, cost);
     }
 
-    /// Returns what may be held in advance, in units: all instances together hold a
-    /// share of the tolerated excess, each in proportion to what it uses.
+    /// Returns how many units this instance may prefetch: all instances together hold a share of
+    /// the tolerated excess, each in proportion to its usage.
     fn prefetch_units(&self, now_ms: u64, tolerance: &Tolerance) -> f64 {
         let held_units = tolerance.excess(self.limit) * PREFETCH_SHARE;
         self.rate(now_ms) * held_units / self.limit.rate_per_s.max(1.0)
     }
 
-    /// Returns the units used per second, averaged until now.
+    /// Returns the usage averaged until now, in units per second.
     fn rate(&self, now_ms: u64) -> f64 {
         let since_ms = now_ms.saturating_sub(self.used_at_ms) as f64;
         self.rate_per_s * (-since_ms / USAGE_AVERAGE_MS).exp()
--- a/crates/cranereach-fleet/src/limits/owned.rs
+++ b/crates/cranereach-fleet/src/limits/owned.rs
@@ -1,4 +1,4 @@
-//! Parts of limits at the instances that own them.
+//! Parts of limits on the instances that own them.
 
 use std::collections::HashMap;
 
@@ -10,65 +10,67 @@
 use crate::accounts::Limit;
 use cranereach_core::token_bucket::TokenBucket;
 
-/// Share of the tolerated excess that owners grant beyond the limit within a window:
-/// instances see requests in another order than their callers sent them.
+/// Share of the tolerated excess that owners grant beyond the limit within a window: requests reach
+/// instances in another order than their callers sent them.
 const REORDERING_SHARE: f64 = 0.15;
 
-/// Share of it that new owners begin with: a change may have two, there and back.
+/// Share of the tolerated excess that a new owner's bucket holds at first: one change of membership
+/// may bring two new owners, when ownership moves away and back.
 const INITIAL_LEVEL_SHARE: f64 = 0.15;
 
-/// Share of it that instances grant within a window that were asked in place of owners
-/// which answer late.
+/// Share of the tolerated excess that stand-ins grant within a window: instances that are asked in
+/// place of owners that answer late.
 const STAND_IN_SHARE: f64 = 0.15;
 
-/// Share of its rate that a new owner grants at first: another one may still be asked
-/// by instances that don't know of it yet.
+/// Share of its rate that a new owner grants at first: instances that do not know of it yet may
+/// still ask the previous owner.
 const RAMP_UP_RATE_SHARE: f64 = 0.3;
 
-/// Time for which it does so, in milliseconds: until all know of it.
+/// Time for which a new owner grants only that share, in milliseconds: until all instances know of
+/// it.
 const RAMP_UP_MS: u64 = 2_500;
 
-/// Parts that an owner remembers at most.
+/// Number of parts from which on an owner removes idle entries.
 const OWNED_MAX_COUNT: usize = 65_536;
 
-/// What an instance is to a part of a limit that it is asked for.
+/// Role of an instance for a part of a limit that it is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ownership {
-    /// Its owner, in a fleet that has been the same for a window: a part that nobody has
-    /// asked for since then wasn't used.
+    /// It owns the part, and the membership has not changed for a window: a part without an entry
+    /// was not used in that time.
     Settled,
-    /// Its owner, in a fleet that has just changed: another may have granted before, and
-    /// may go on for a moment.
+    /// It owns the part, but the membership has just changed: another instance may have granted
+    /// before and may go on for a moment.
     Fresh,
-    /// Its owner, in a fleet all of which has just started: whoever granted before has
-    /// ended.
+    /// It owns the part, and all instances have just started: the processes that granted before
+    /// have ended.
     Restarted,
-    /// Not its owner: whoever asks got no answer from that one in time, which may live
-    /// and go on granting to others.
+    /// It does not own the part. The caller got no answer from the owner in time, but the owner may
+    /// be alive and still grant to others.
     StandIn,
 }
 
-/// One part of a limit at its owner.
+/// One part of a limit on its owner.
 #[derive(Clone, Debug)]
 struct OwnedPart {
     bucket: TokenBucket,
     asked_at_ms: u64,
-    /// Until when it grants a share of its rate only, in milliseconds.
+    /// Time until which only a share of the rate is granted, in milliseconds.
     ramp_up_until_ms: u64,
     is_stand_in: bool,
 }
 
-/// The parts that one instance owns.
+/// The parts of limits that one instance owns.
 #[derive(Clone, Debug, Default)]
 pub struct OwnedLimits {
     parts: HashMap<PartKey, OwnedPart>,
 }
 
 impl OwnedLimits {
-    /// Grants what is asked for out of a part of a limit.
+    /// Grants units from a part of a limit.
     ///
-    /// All that stand-ins grant within a window stays within their share of the excess,
-    /// however many owners answer late at once.
+    /// The total that stand-ins grant within a window stays within their share of the excess,
+    /// however many owners answer late at the same time.
     pub fn take(
         &mut self,
         now_ms: u64,
@@ -103,7 +105,7 @@
         part.asked_at_ms = now_ms;
         let is_stand_in = ownership == Ownership::StandIn;
         if part.is_stand_in && !is_stand_in {
-            // The owner before may have granted until just now.
+            // The previous owner may have granted until just now.
             part.ramp_up_until_ms = now_ms + RAMP_UP_MS;
         }
         part.is_stand_in = is_stand_in;
@@ -116,7 +118,8 @@
             rate_per_s
         };
         part.bucket.change(now_ms, rate_per_s, capacity);
-        // A request larger than the bucket goes when it is full, and is paid off after.
+        // A request larger than the bucket is granted when the bucket is full; the debt is paid off
+        // afterwards.
         let least = wanted.least.min(capacity);
         match part.bucket.wait_ms(now_ms, least) {
             0 => {
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Forgets parts that nobody has asked for in a while.
+    /// Removes parts that nobody has asked for in a while.
     pub fn forget(&mut self, now_ms: u64) {
         self.parts
             .retain(|_, part| now_ms < part.asked_at_ms + IDLE_EXPIRY_MS);
--- a/crates/cranereach-fleet/src/outage_pace.rs
+++ b/crates/cranereach-fleet/src/outage_pace.rs
@@ -1,27 +1,28 @@
-//! How often instances ask a store that is said to be lost.
+//! How often instances probe a store that peers report as unreachable.
 //!
-//! The few that come first in rank try again soon, and say so. All others together make
-//! a bounded number of calls a second, whatever their number: each tries by chance at
-//! every look, without a least pause. Those few may be just the ones that the store
-//! turns away; then one of the others reaches it within a fraction of a second, in a
-//! fleet of any size.
+//! The few instances of the lowest ranks retry soon and tell the others. All other instances
+//! together make a bounded number of calls per second, whatever their number: at each check, each
+//! of them probes with a certain probability, without a minimum pause. The store may refuse exactly
+//! those few of the lowest ranks; one of the others then reaches it within a fraction of a second,
+//! in a fleet of any size.
 
-/// Calls a second that all others make together to a store that is lost.
+/// Calls per second that all other instances together make to an unreachable store.
 const OTHERS_PER_S: f64 = 12.0;
 
-/// Least mean pause of one instance between two tries, in milliseconds: a small fleet
-/// makes fewer calls.
+/// Minimum mean pause of one instance between two probes, in milliseconds; a small fleet makes
+/// fewer calls.
 const PAUSE_LEAST_MS: f64 = 1_500.0;
 
-/// Whether an instance that leaves the tries to others makes one of its own now.
+/// Returns whether an instance that leaves retries to others probes the store now.
 ///
-/// `instance_count` is how many do so, `looked_ms` the time since its last look in
-/// milliseconds, `chance` a number from zero to one drawn for this look.
+/// `instance_count` is the number of such instances, `looked_ms` the time since this instance's
+/// last check in milliseconds, and `chance` a random number between zero and one, drawn for this
+/// check.
 ///
 /// ```
 /// use cranereach_fleet::outage_pace::tries_now;
 ///
-/// // At every size some 1.2 of all instances try within 100 ms.
+/// // In a fleet of any size, some 1.2 instances probe within 100 ms.
 /// assert!(tries_now(1_000, 100, 0.001));
 /// assert!(!tries_now(1_000, 100, 0.002));
 /// assert!(!tries_now(10_000, 100, 0.001));
--- a/crates/cranereach-fleet/src/proof.rs
+++ b/crates/cranereach-fleet/src/proof.rs
@@ -1,13 +1,12 @@
-//! Proof that the configuration in force was the newest a bounded time ago, and with it
-//! the list of failure domains that are to be evacuated.
+//! Proof that the configuration in force, and with it the list of failure domains to be evacuated,
+//! was the newest one a bounded time ago.
 //!
-//! A key that was taken away must open nothing any more after a bounded time, also on
-//! an instance that is cut off or was frozen. So an instance serves keys only while
-//! it knows a moment, by its own clock, at which nothing newer existed. Such a
-//! moment comes from the store, or from a peer that is asked: its answer was true no
-//! earlier than when the question was sent, less the age that the peer tells. How long
-//! question or answer were on their way, or waited in a socket, can only make the
-//! moment look older than it is, never younger.
+//! A revoked key must be refused everywhere after a bounded time, even on an instance that is
+//! partitioned or was suspended. So an instance accepts keys only while it knows a recent moment,
+//! on its own clock, at which nothing newer existed. It learns such a moment from the store or by
+//! querying a peer. A peer's answer proves the moment at which the query was sent, minus the age
+//! that the peer reports. Delays of the query or the answer, on the network or in a socket buffer,
+//! can make that moment look older than it is, but never newer.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,25 +15,25 @@
 use crate::freshness::Freshness;
 use crate::store_position::StorePosition;
 
-/// Share of the bound within which a proof opens keys. The rest covers what a store
-/// shows late: the history of changes may stand still for a second before it breaks.
+/// Share of the bound within which a proof is accepted. The rest covers a delayed store: its change
+/// feed may stall for a second before the connection breaks.
 const PROVEN_SHARE: f64 = 0.8;
 
-/// A question for a peer's proof.
+/// A query for a peer's proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofQuestion {
-    /// Number of the asker's start.
+    /// Number of the sender's process start.
     pub boot: u64,
-    /// When it asks, in milliseconds by its own clock.
+    /// When it is sent, in milliseconds of the sender's clock.
     pub asked_at_ms: u64,
-    /// Position of the evacuations that the asker knows.
+    /// Position of the evacuations that the sender knows.
     pub evacuations_position: StorePosition,
 }
 
 /// A peer's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofAnswer {
-    /// The question, as it was asked.
+    /// The query, unchanged.
     pub question: ProofQuestion,
     /// Version in force at the peer.
     pub version: u64,
@@ -42,12 +41,12 @@
     pub era: u64,
     /// Position of the evacuations that the peer knows.
     pub evacuations_position: StorePosition,
-    /// Time since these versions were the newest, in milliseconds; none if the peer
-    /// can't tell.
+    /// Time since these versions were known to be the newest, in milliseconds; none if the peer
+    /// does not know.
     pub age_ms: Option<u64>,
 }
 
-/// What one instance can prove of its configuration.
+/// One instance's proof of how recent its configuration is.
 ///
 /// ```
 /// use cranereach_fleet::proof::Proof;
@@ -58,7 +57,7 @@
 /// let mut other = Proof::new(2, 3_000);
 /// other.in_force(7);
 /// let answer = watcher.answer(1_200, other.question(90_000));
-/// // However late the answer arrives, it counts from the question.
+/// // The proof counts from the time of the query, however late the answer arrives.
 /// assert!(other.take(&answer));
 /// assert!(other.is_proven(93_000, 5_000));
 /// assert!(!other.is_proven(93_800, 5_000));
@@ -68,7 +67,7 @@
     boot: u64,
     version: u64,
     era: u64,
-    /// Until when a store that came back from a copy may lack what it has lost, in
+    /// Time until which a store that was restored from a copy may lack lost writes, in
     /// milliseconds.
     settles_at_ms: u64,
     evacuations_position: StorePosition,
@@ -76,10 +75,10 @@
 }
 
 impl Proof {
-    /// Makes the state of an instance that knows nothing yet.
+    /// Creates the state of an instance that knows nothing yet.
     ///
-    /// `bound_ms` is the time within which a change must be in force: it says how
-    /// often the store is read.
+    /// `bound_ms` is the time within which a change must be in force; it determines how often the
+    /// store is read.
     pub fn new(boot: u64, bound_ms: u64) -> Self {
         Self {
             boot,
@@ -91,23 +90,23 @@
         }
     }
 
-    /// Notes the version in force. A moment at which nothing newer than an earlier
-    /// one existed counts for it as well.
+    /// Records the version in force. A moment at which nothing newer than an earlier version
+    /// existed counts for this version as well.
     pub fn in_force(&mut self, version: u64) {
         self.version = version.max(self.version);
     }
 
-    /// Notes the position of the evacuations that are known.
+    /// Records the position of the evacuations that are known.
     pub fn evacuations_known(&mut self, position: StorePosition) {
         self.evacuations_position = position.max(self.evacuations_position);
     }
 
-    /// Begins an era of the store. What was proven before holds on: nothing newer existed
-    /// then. But the copy may lack what the operator wrote last, so that it proves nothing
-    /// until that is written again.
+    /// Begins an era of the store, after it was restored from a copy. Earlier proofs stay valid:
+    /// nothing newer existed then. But the copy may lack the operator's last writes, so it proves
+    /// nothing until they have been written again.
     ///
-    /// An instance that has just started can't know since when the era is: it waits as
-    /// long, unless a peer proves more.
+    /// An instance that has just started can't know when the era began: it waits equally long,
+    /// unless a peer proves more.
     pub fn enter_era(&mut self, now_ms: u64, era: u64) {
         if era > self.era {
             self.era = era;
@@ -115,19 +114,19 @@
         }
     }
 
-    /// Whether the store may lack what it has lost.
+    /// Returns whether the restored store may still lack lost writes.
     pub fn is_settling(&self, now_ms: u64) -> bool {
         now_ms < self.settles_at_ms
     }
 
-    /// Notes that the store had nothing newer at a moment, as an answer of an era says.
+    /// Records that the store, in an answer of the given era, had nothing newer at a moment.
     pub fn read(&mut self, era: u64, true_at_ms: u64) {
         if era == self.era && true_at_ms >= self.settles_at_ms {
             self.freshness.confirm(true_at_ms);
         }
     }
 
-    /// Makes a question to a peer.
+    /// Creates a query to a peer.
     pub fn question(&self, now_ms: u64) -> ProofQuestion {
         ProofQuestion {
             boot: self.boot,
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Answers a peer's question.
+    /// Answers a peer's query.
     pub fn answer(&self, now_ms: u64, question: ProofQuestion) -> ProofAnswer {
         ProofAnswer {
             question,
@@ -147,10 +146,10 @@
         }
     }
 
-    /// Takes an answer; true if it proves a later moment than was known.
+    /// Applies an answer; returns whether it proves a later moment than was known.
     ///
-    /// An answer to an earlier start counts nothing: the clock was another. Nor does
-    /// one about newer versions, which have to be fetched first, or about an earlier era.
+    /// Ignored are answers to a query from before the last start, which used another clock, answers
+    /// about newer versions, which must be fetched first, and answers from an earlier era.
     pub fn take(&mut self, answer: &ProofAnswer) -> bool {
         let is_own = answer.question.boot == self.boot;
         let Some(age_ms) = answer.age_ms else {
@@ -170,31 +169,29 @@
         is_later
     }
 
-    /// Returns the last moment at which nothing newer is known to have existed, in
-    /// milliseconds.
+    /// Returns the last moment at which nothing newer is known to have existed, in milliseconds.
     pub fn known_at_ms(&self, now_ms: u64) -> Option<u64> {
         self.age_ms(now_ms).map(|age_ms| now_ms - age_ms)
     }
 
-    /// Returns the time since nothing newer is known to have existed, in milliseconds.
+    /// Returns the time since that moment, in milliseconds.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.freshness.age_ms(now_ms)
     }
 
-    /// Returns when this instance reads the store unless it learns more before.
+    /// Returns when this instance reads the store unless it learns of a later moment before.
     pub fn read_due_at_ms(&self, rank: u64) -> u64 {
         self.freshness.read_due_at_ms(rank)
     }
 
-    /// Whether a key may be served that must not be any more `bound_ms` after it was
-    /// taken away.
+    /// Returns whether keys may be accepted, if a revoked key must be refused within `bound_ms`.
     pub fn is_proven(&self, now_ms: u64, bound_ms: u64) -> bool {
         let within_ms = (bound_ms as f64 * PROVEN_SHARE) as u64;
         self.age_ms(now_ms).is_some_and(|age_ms| age_ms < within_ms)
     }
 
-    /// Whether a configuration may be newer than what must be in force everywhere: a
-    /// refusal that rests on what is known can't be certain then.
+    /// Returns whether a newer configuration may exist that must already be in force everywhere; if
+    /// so, a refusal that is based on the known configuration is not certain.
     pub fn may_be_behind(&self, now_ms: u64, bound_ms: u64) -> bool {
         self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= bound_ms)
     }
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -1,23 +1,25 @@
-//! Requests under which workers ended, and those that are sent to no worker any more.
+//! Poison requests: counts the workers that end while they run a request, and quarantines requests
+//! under which several workers ended.
 //!
-//! A request may end each worker that begins to run it, and comes again, with another
-//! identity and to any instance. What one instance sees of it says little: a worker runs
-//! dozens of requests when it ends, and machines are lost in numbers without anybody's
-//! doing. So the ends are counted by what the request asks for, over all instances:
+//! A request may crash every worker that starts to run it. The caller repeats it, with another
+//! request identity and through any instance. A single instance can't tell such a request from
+//! others: a worker runs dozens of requests when it ends, and machines also fail in large numbers
+//! for other reasons. So ends of workers are counted per request content, over all instances:
 //!
-//! - Ends of different workers count, or of one that has come back meanwhile.
-//! - One whole answer proves the request harmless: ends before it count no more.
+//! - Ends of different workers count, or of one worker that has come back in between.
+//! - One complete response proves the request harmless; earlier ends no longer count.
 //! - From [`END_MAX_COUNT`] ends in a row on, the request is quarantined, if at least one of them
-//!   came under a try whose sender knew of an earlier one. Where many workers are lost at
-//!   one moment, equal requests at several of them are thus not taken for one that came
-//!   again.
-//! - From [`ALONE_FROM_COUNT`] ends on it runs apart from others like it: those that broke off
-//!   with it come again at the same time, and would end up where it does.
+//!   came under an attempt whose sender knew of an earlier end. If many workers are lost at the
+//!   same moment, equal requests running on several of them are thus not taken for one request that
+//!   was repeated.
+//! - From [`ALONE_FROM_COUNT`] ends on, the request does not share a worker with other such
+//!   requests. Requests that were interrupted together with it are repeated at the same time, and
+//!   would otherwise be placed on the same worker again.
 //!
-//! Nothing here is agreed on. Each instance keeps what it saw and heard, and joins what
-//! others tell: the union of the ends, the newest whole answer. So it doesn't matter in
-//! which order, how often or by whom it is told. All is bounded: what speaks least goes
-//! first.
+//! This needs no agreement between instances. Each instance merges what it observes with what
+//! others gossip: the union of the ends and the newest complete response. Updates may arrive in any
+//! order, repeatedly and from any instance. Memory is bounded: the entries with the least evidence
+//! are evicted first.
 
 mod gossip;
 mod local;
@@ -32,96 +34,96 @@
 pub use self::local::Seen;
 use crate::fingerprint::Fingerprint;
 
-/// Ends in a row from which on a request is sent to no worker: two may be bad luck.
+/// Consecutive ends from which on a request is sent to no worker; two may be a coincidence.
 pub const END_MAX_COUNT: usize = 3;
 
-/// Ends in a row from which on a request runs at no worker at which another such request
-/// runs: the next end then tells which of them it came of. Of 360 callers whose requests
-/// ran beside such ones, some 50 were quarantined with them otherwise.
+/// Consecutive ends from which on a request is not sent to a worker that runs another such request:
+/// the next end then shows which of them caused it. Without this rule, some 50 of 360 callers whose
+/// requests ran next to such requests were quarantined with them.
 pub const ALONE_FROM_COUNT: usize = END_MAX_COUNT - 1;
 
-/// Ends that are remembered of one request at most, the newest: one more than decide.
+/// Maximum number of ends kept per request, the newest ones: one more than is needed to decide.
 const KEPT_END_COUNT: usize = END_MAX_COUNT + 1;
 
-/// Ends of one start of a worker that are less apart than this are the same one, in
-/// milliseconds. Workers whose rows don't tell their starts apart may end again after some
-/// seconds; what is told by an instance that stood still comes later than it was.
+/// Ends of the same worker start that lie closer together than this are the same end, in
+/// milliseconds. Workers whose rows do not tell their starts apart may end again after some
+/// seconds; gossip from an instance that was stalled reports an end later than it happened.
 const DUPLICATE_END_MS: i64 = 10_000;
 
-/// Time by which an end must be newer than the oldest of those remembered to take its
-/// place, in milliseconds: what is told on comes some ten milliseconds later at each hop,
-/// and instances that saw other ends of one moment would exchange them for ever.
+/// Minimum time by which an end must be newer than the oldest one kept to replace it, in
+/// milliseconds. Each gossip hop delays an end by some ten milliseconds; without this margin,
+/// instances that observed different ends of the same moment would exchange them forever.
 const REPLACE_IF_NEWER_BY_MS: i64 = 500;
 
-/// Time from its last end after which a request that isn't quarantined is forgotten, in
-/// milliseconds: callers come back within minutes.
+/// Time after its last activity at which a request that is not quarantined is forgotten, in
+/// milliseconds; callers repeat requests within minutes.
 const SUSPECT_TTL_MS: i64 = 600_000;
 
-/// Time for which nobody must have asked for a quarantined request until it is
-/// forgotten, in milliseconds. Also how long a whole answer is remembered, so that nobody
-/// who was cut off brings older ends back.
+/// Time without a request for it after which a quarantined request is forgotten, in milliseconds. A
+/// complete response is remembered equally long, so that an instance that was partitioned does not
+/// bring back older ends.
 const QUARANTINE_TTL_MS: i64 = 3_600_000;
 
-/// Requests that are remembered at most: some 64 at each of 64 workers that end at once.
-/// They take 3.0 MB where each has as many ends as are remembered, all seen here (resident
-/// memory of a debug build).
+/// Maximum number of requests that are remembered: some 64 on each of 64 workers that end at once.
+/// They take 3.0 MB if each has the maximum number of ends, all observed here (resident memory of a
+/// debug build).
 pub const SUSPECT_MAX_COUNT: usize = 4_096;
 
-/// What requests are known by here: the size first, so that requests of another size need
-/// no fingerprint.
+/// Identifies a request by its content. The size comes first, so that requests of a size that is
+/// not known need no fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestMark {
     /// Size of the body, in bytes.
     pub body_bytes: u32,
-    /// What is asked for.
+    /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
 }
 
-/// End of a worker under a request.
+/// An end of a worker while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerEnd {
     /// Key of the worker.
     pub worker: u64,
-    /// When, in milliseconds; before the start of this instance it is negative.
+    /// Time of the end, in milliseconds; negative if it precedes the start of this instance.
     pub at_ms: i64,
 }
 
-/// What is known of one request.
+/// What is known about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Suspect {
-    /// Newest ends since the last whole answer.
+    /// Newest ends since the last complete response.
     ends: Vec<WorkerEnd>,
-    /// Whether one of them came under a try whose sender knew of an earlier one.
+    /// Whether one of the ends came under an attempt whose sender knew of an earlier one.
     is_repeated: bool,
-    /// Most ends that were held against it at once.
+    /// Maximum number of ends that were counted at once.
     max_end_count: usize,
-    /// When the last whole answer ended, or an operator let it through, in milliseconds.
+    /// Time of the last complete response, or of the release by an operator, in milliseconds.
     cleared_at_ms: Option<i64>,
-    /// When it was last asked for, by anybody, in milliseconds.
+    /// Time of the last request for it through any instance, in milliseconds.
     requested_at_ms: i64,
-    /// When something of this last changed here, in milliseconds.
+    /// Time of the last change of this entry on this instance, in milliseconds.
     changed_at_ms: i64,
-    /// What this instance has seen of it.
+    /// What this instance itself has observed.
     seen: Seen,
 }
 
-/// What is held against a request.
+/// Evidence against a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Workers that ended under it in a row.
+    /// Workers that ended in a row while they ran it.
     pub end_count: usize,
     /// Whether it is sent to no worker.
     pub is_quarantined: bool,
 }
 
 impl Suspicion {
-    /// Whether the request runs at no worker at which another such request runs.
+    /// Returns whether the request must not share a worker with another such request.
     pub fn runs_alone(&self) -> bool {
         self.end_count >= ALONE_FROM_COUNT
     }
 }
 
-/// All requests under which workers ended lately.
+/// All requests under which workers ended recently.
 ///
 /// ```
 /// use cranereach_fleet::fingerprint::Fingerprint;
@@ -144,7 +146,7 @@
 }
 
 impl Suspect {
-    /// Returns what is held against it.
+    /// Returns the evidence against the request.
     fn suspicion(&self) -> Suspicion {
         let end_count = self.ends.len();
         Suspicion {
@@ -153,7 +155,8 @@
         }
     }
 
-    /// Adds an end unless it is known or a whole answer came after it.
+    /// Adds an end, unless it is known or a complete response came after it. Returns whether it was
+    /// added.
     fn add(&mut self, end: WorkerEnd) -> bool {
         if self.cleared_at_ms.is_some_and(|at_ms| end.at_ms <= at_ms) {
             return false;
@@ -183,26 +186,27 @@
         true
     }
 
-    /// Notes that it was proved harmless at a time.
+    /// Records that the request was proved harmless at the given time. Returns whether that is
+    /// later than what was known.
     fn clear(&mut self, at_ms: i64) -> bool {
         if self.cleared_at_ms.is_some_and(|known_ms| known_ms >= at_ms) {
             return false;
         }
         self.cleared_at_ms = Some(at_ms);
         self.ends.retain(|end| end.at_ms > at_ms);
-        // Whether the later ones came again isn't known any more.
+        // It is not known whether the remaining ends came under repeated attempts.
         self.is_repeated = false;
         true
     }
 
-    /// Returns the last time that says something of it, in milliseconds.
+    /// Returns the time of the last event, in milliseconds.
     fn last_activity_ms(&self) -> i64 {
         let ends = self.ends.iter().map(|end| end.at_ms);
         let last_activity_ms = ends.chain(self.cleared_at_ms).max().unwrap_or(i64::MIN);
         last_activity_ms.max(self.requested_at_ms)
     }
 
-    /// Whether it is to be forgotten.
+    /// Returns whether the entry has expired.
     fn is_expired(&self, now_ms: i64) -> bool {
         let has_short_ttl = !self.suspicion().is_quarantined && self.cleared_at_ms.is_none();
         let ttl_ms = if has_short_ttl {
@@ -213,7 +217,7 @@
         now_ms >= self.last_activity_ms() + ttl_ms
     }
 
-    /// Returns what it is worth to remember: the least goes first.
+    /// Returns the eviction order: the entry with the lowest value is evicted first.
     fn retention_priority(&self) -> (bool, usize, i64) {
         let suspicion = self.suspicion();
         (
@@ -225,8 +229,8 @@
 }
 
 impl Quarantine {
-    /// Whether a request whose body has a size may be known; if not, it needs no
-    /// fingerprint.
+    /// Returns whether a request with a body of this size may be known; if not, its fingerprint
+    /// need not be computed.
     pub fn may_know(&self, body_bytes: u32) -> bool {
         let first = RequestMark {
             body_bytes,
@@ -236,7 +240,7 @@
         next.is_some_and(|(mark, _)| mark.body_bytes == body_bytes)
     }
 
-    /// Returns what is held against a request.
+    /// Returns the evidence against a request.
     pub fn suspicion(&self, mark: RequestMark) -> Suspicion {
         self.suspects
             .get(&mark)
@@ -244,8 +248,8 @@
             .unwrap_or_default()
     }
 
-    /// Notes the end of a worker under a request, as seen here. `knew_of_others` says
-    /// whether an earlier end was known here when the request was sent.
+    /// Records the end of a worker under a request, as observed by this instance. `knew_of_others`
+    /// tells whether an earlier end was known here when the request was sent.
     pub fn ended(
         &mut self,
         now_ms: i64,
@@ -265,8 +269,8 @@
         suspect.suspicion()
     }
 
-    /// Notes a whole answer to a request, or that an operator lets it through; returns
-    /// what was held against it, if anything was.
+    /// Records a complete response to a request, or its release by an operator. Returns the
+    /// evidence that was held against it, if there was any.
     pub fn clear(&mut self, now_ms: i64, mark: RequestMark) -> Option<Suspicion> {
         let suspect = self.suspects.get_mut(&mark)?;
         let before = suspect.suspicion();
@@ -278,14 +282,14 @@
         Some(before)
     }
 
-    /// Whether a request was proved harmless, or let through, and nothing is held against
-    /// it since.
+    /// Returns whether a request was proved harmless or released by an operator, and nothing is
+    /// held against it since.
     pub fn is_cleared(&self, mark: RequestMark) -> bool {
         let suspect = self.suspects.get(&mark);
         suspect.is_some_and(|suspect| suspect.cleared_at_ms.is_some() && suspect.ends.is_empty())
     }
 
-    /// Counts the requests that are quarantined.
+    /// Counts the quarantined requests.
     pub fn quarantined_count(&self) -> usize {
         let suspicions = self.suspects.values().map(Suspect::suspicion);
         suspicions
@@ -298,14 +302,14 @@
         self.suspects.len()
     }
 
-    /// Forgets what is old.
+    /// Removes expired entries.
     pub fn forget(&mut self, now_ms: i64) {
         self.suspects
             .retain(|_, suspect| !suspect.is_expired(now_ms));
     }
 
-    /// Returns what is known of a request; where too many are known, in place of the one
-    /// that is least worth it.
+    /// Returns the entry of a request, creating it if needed; at capacity, the entry with the
+    /// lowest retention priority is evicted.
     fn suspect_mut(&mut self, now_ms: i64, mark: RequestMark) -> &mut Suspect {
         if self.suspects.len() >= SUSPECT_MAX_COUNT && !self.suspects.contains_key(&mark) {
             self.forget(now_ms);
--- a/crates/cranereach-fleet/src/quarantine/gossip.rs
+++ b/crates/cranereach-fleet/src/quarantine/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of requests under which workers ended.
+//! Gossip between instances about requests under which workers ended.
 
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -12,60 +12,61 @@
 use super::WorkerEnd;
 use crate::fingerprint::Fingerprint;
 
-/// Requests that one digest tells of at most: 1.5 KB, whatever is known.
+/// Maximum number of requests in one digest: 1.5 KB, however many are known.
 pub const TOLD_MAX_COUNT: usize = 16;
 
-/// Those of them at most that have changed lately, so that the others are heard by
-/// whoever has just started.
+/// Maximum number of them that are chosen because they changed recently, so that instances that
+/// have just started hear of the others too.
 const RECENT_MAX_COUNT: usize = 12;
 
-/// Time for which a change is told first, in milliseconds: until it has reached all
-/// instances, some ten rounds.
+/// Time for which a change is sent first, in milliseconds: until it has reached all instances, some
+/// ten gossip rounds.
 const RECENT_FOR_MS: i64 = 2_500;
 
-/// Ends from which on a request is told of for as long as it is known: one alone is
-/// mostly bad luck, and there are many of them when a worker ends.
+/// Ends from which on a request is gossiped for as long as it is known: a single end is mostly a
+/// coincidence, and there are many of them when a worker ends.
 const PERSISTENT_END_COUNT: usize = 2;
 
-/// End of a worker, as told.
+/// An end of a worker, as gossiped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipedEnd {
     /// Key of the worker.
     pub worker: u64,
-    /// Time since then, in milliseconds.
+    /// Time since the end, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What is told of one request.
+/// What is gossiped about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
-    /// What is asked for.
+    /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
     /// Size of the body, in bytes.
     pub body_bytes: u32,
-    /// Ends of workers under it.
+    /// Ends of workers that ran it.
     pub ends: Vec<GossipedEnd>,
-    /// Whether one of them came under a try whose sender knew of an earlier one.
+    /// Whether one of the ends came under an attempt whose sender knew of an earlier one.
     pub is_repeated: bool,
-    /// Time since the last whole answer, in milliseconds.
+    /// Time since the last complete response, in milliseconds.
     pub cleared_age_ms: Option<u32>,
-    /// Time since it was last asked for, in milliseconds.
+    /// Time since the request was last received, in milliseconds.
     pub asked_age_ms: u32,
 }
 
-/// What news of a request have changed.
+/// Effect of an update from another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Change {
-    /// Nothing.
+    /// Nothing changed.
     None,
-    /// Something that can wait for the next digest.
+    /// A change that can wait for the next digest.
     Minor,
-    /// Whether or where it may be sent: others are to hear of it at once.
+    /// A change of whether or where the request may be sent: other instances must hear of it at
+    /// once.
     Suspicion,
 }
 
 impl SuspectNews {
-    /// Returns what the request is known by.
+    /// Returns the mark that identifies the request.
     pub fn mark(&self) -> RequestMark {
         RequestMark {
             body_bytes: self.body_bytes,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Writes what is known.
+    /// Creates the update that describes a local entry.
     fn from_suspect(now_ms: i64, mark: RequestMark, suspect: &Suspect) -> Self {
         let age_ms =
             |at_ms: i64| u32::try_from(now_ms.saturating_sub(at_ms).max(0)).unwrap_or(u32::MAX);
@@ -93,12 +94,12 @@
 }
 
 impl Suspect {
-    /// Joins what another instance tells.
+    /// Merges an update from another instance. Returns whether anything changed.
     fn merge(&mut self, now_ms: i64, update: &SuspectNews) -> bool {
         let at_ms = |age_ms: u32| now_ms - i64::from(age_ms);
         let cleared_at_ms = update.cleared_age_ms.map(at_ms);
-        // What is told on comes a little later each time: only if it clears something
-        // is it news.
+        // Each gossip hop makes the time of clearing a little later: it counts as new only if it
+        // clears something.
         let clears_something = |at_ms: &i64| {
             self.cleared_at_ms.is_none() || self.ends.iter().any(|end| end.at_ms <= *at_ms)
         };
@@ -123,7 +124,7 @@
 }
 
 impl Quarantine {
-    /// Takes what another instance tells of a request.
+    /// Applies an update from another instance.
     pub fn take(&mut self, now_ms: i64, update: &SuspectNews) -> Change {
         let mark = update.mark();
         let before = self.suspicion(mark);
@@ -145,14 +146,14 @@
         }
     }
 
-    /// Returns what is known of a request; none if nothing is.
+    /// Returns what is known about a request, if anything.
     pub fn news_of(&self, now_ms: i64, mark: RequestMark) -> Option<SuspectNews> {
         let suspect = self.suspects.get(&mark)?;
         Some(SuspectNews::from_suspect(now_ms, mark, suspect))
     }
 
-    /// Returns what is to be kept of quarantined requests where some are kept already: those
-    /// asked for last first, then what is kept and was not cleared.
+    /// Returns the quarantined requests to store, given those already stored: first the ones known
+    /// here, most recently requested first, then stored ones that have not been cleared.
     pub fn lasting(&self, now_ms: i64, kept: &[SuspectNews], max_count: usize) -> Vec<SuspectNews> {
         let suspects = self.suspects.iter();
         let quarantined = suspects.filter(|(_, suspect)| suspect.suspicion().is_quarantined);
@@ -167,8 +168,8 @@
         own.chain(others.cloned()).take(max_count).collect()
     }
 
-    /// Chooses what the next digest tells: what has changed lately, then what lasts, by
-    /// chance, then single ends, the newest first.
+    /// Chooses the content of the next digest: recent changes first, then persistent entries
+    /// and surplus recent ones in random order, then single ends, newest first.
     pub fn news<R: Rng>(&self, now_ms: i64, rng: &mut R) -> Vec<SuspectNews> {
         let mut recent = Vec::new();
         let mut persistent = Vec::new();
--- a/crates/cranereach-fleet/src/quarantine/local.rs
+++ b/crates/cranereach-fleet/src/quarantine/local.rs
@@ -1,4 +1,4 @@
-//! What one instance has seen of requests under which workers ended, for operators.
+//! Observations of this instance about requests under which workers ended, shown to operators.
 
 use std::sync::Arc;
 
@@ -9,34 +9,34 @@
 use super::WorkerEnd;
 use crate::fingerprint::Fingerprint;
 
-/// What this instance itself has seen of a request, for operators.
+/// What this instance itself has observed of a request, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<str>,
-    /// Its client account in metrics; empty where there is none.
+    /// Client account as labeled in metrics; empty if there is none.
     pub account: Arc<str>,
-    /// Workers that ended under it, with the keys of their starts.
+    /// Workers that ended while they ran the request: keys of their starts, and their identities.
     pub workers: Vec<(u64, Arc<str>)>,
-    /// Times that it was refused.
+    /// Number of times that the request was refused.
     pub refused_count: u64,
 }
 
-/// A request as operators see it.
+/// A request as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
-    /// What is asked for.
+    /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
-    /// What is held against it.
+    /// Evidence against the request.
     pub suspicion: Suspicion,
-    /// The ends.
+    /// Ends of workers that ran it.
     pub ends: Vec<WorkerEnd>,
-    /// What this instance has seen of it.
+    /// What this instance has observed.
     pub seen: Seen,
 }
 
 impl Quarantine {
-    /// Notes that a request was refused; returns how often it was here.
+    /// Records that a request was refused; returns how often this instance has refused it.
     pub fn refused(&mut self, now_ms: i64, mark: RequestMark) -> u64 {
         self.suspects.get_mut(&mark).map_or(0, |suspect| {
             suspect.requested_at_ms = now_ms;
@@ -45,7 +45,8 @@
         })
     }
 
-    /// Notes what a known request looks like, and a worker that ended under it here.
+    /// Records route and account of a known request and, if given, a worker that ended while
+    /// running it for this instance.
     pub fn note(
         &mut self,
         mark: RequestMark,
@@ -74,7 +75,7 @@
             .copied()
     }
 
-    /// Lists the requests that something is held against.
+    /// Lists the requests with evidence against them.
     pub fn list(&self) -> impl Iterator<Item = Listed> {
         let listed = self
             .suspects
--- a/crates/cranereach-fleet/src/retry_window.rs
+++ b/crates/cranereach-fleet/src/retry_window.rs
@@ -1,14 +1,14 @@
-//! Repeats as a bounded fraction of requests within a sliding window.
+//! Retry budget: limits retries to a fraction of the requests within a sliding window.
 //!
-//! The bound holds over all instances together: each spends the ratio of its
-//! own requests, and its part of the fixed allowance.
+//! The limit holds over all instances together: each spends the ratio of its own requests, plus its
+//! part of a fixed allowance.
 
 use std::collections::VecDeque;
 
-/// Part of the bound that is spent; the rest covers what instances can't see.
+/// Share of the budget that is spent; the rest covers what instances can't observe.
 const SPENT_SHARE: f64 = 0.6;
 
-/// Bound of repeats towards one service, on one instance.
+/// Retry budget of one instance towards one service.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     ratio: f64,
@@ -19,7 +19,7 @@
 }
 
 impl RetryWindow {
-    /// Makes the bound of an instance that shares `allowance_count` with others.
+    /// Creates the budget of an instance that shares `allowance_count` with others.
     pub fn new(ratio: f64, allowance_count: f64, window_ms: u64) -> Self {
         Self {
             ratio,
@@ -30,13 +30,14 @@
         }
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn request(&mut self, now_ms: u64) {
         self.forget(now_ms);
         self.requests_at_ms.push_back(now_ms);
     }
 
-    /// Spends one repeat if the bound allows it, shared by `instance_count`.
+    /// Spends one retry if the budget allows it; the allowance is shared by `instance_count`
+    /// instances.
     ///
     /// ```
     /// use cranereach_fleet::retry_window::RetryWindow;
@@ -57,7 +58,7 @@
         is_allowed
     }
 
-    /// Forgets what lies before the window.
+    /// Removes entries from before the window.
     fn forget(&mut self, now_ms: u64) {
         let from_ms = now_ms.saturating_sub(self.window_ms);
         for times in [&mut self.requests_at_ms, &mut self.repeats_at_ms] {
--- a/crates/cranereach-fleet/src/send_grants.rs
+++ b/crates/cranereach-fleet/src/send_grants.rs
@@ -1,12 +1,12 @@
-//! The right to send one request to a worker that may be sent only so many by all instances
-//! together: it has just started, or names a limit.
+//! Grants for sending one request to a worker that all instances together may send only a limited
+//! number of requests: a worker that has just started, or one that names a limit.
 //!
-//! The right is granted by the worker's owner alone, and lapses at once if it isn't used:
-//! whoever gets no answer sends nothing. So what all instances send is what owners grant.
-//! Nobody stands in for an owner that doesn't answer, as others do elsewhere: until its
-//! signs of life have ended, nothing is granted. While another one takes over there may
-//! be two, so that a new one grants half. An instance that hears only a minority of those
-//! it knows may be the one that is cut off: it grants nothing, or a share by their number.
+//! Only the worker's owner grants, and an unused grant expires at once: an instance that gets no
+//! answer sends nothing. So the total that all instances send is what owners grant. Unlike
+//! elsewhere, no other instance stands in for an owner that does not answer: nothing is granted
+//! until its heartbeats have expired. While another owner takes over there may be two, so a new
+//! owner grants only half. An instance that hears only a minority of the instances it knows may be
+//! the partitioned one: it grants nothing, or a share in proportion to their number.
 
 mod rule;
 
@@ -18,76 +18,76 @@
 use crate::load::RANK_COUNT;
 use crate::membership::Membership;
 
-/// Time after its question in which a grant must be used, in milliseconds: an owner's
-/// answer comes within some ten.
+/// Time after the query within which a grant must be used, in milliseconds; an owner's answer takes
+/// some ten milliseconds.
 pub const USE_WITHIN_MS: u64 = 40;
 
-/// Time for which the members must have been the same, in milliseconds, for an owner to
-/// grant its whole part: until all know of it.
+/// Time for which the membership must not have changed before an owner grants its full part, in
+/// milliseconds: until all instances know of it.
 pub const SETTLED_AFTER_MS: u64 = 2_500;
 
-/// Time after its start in which an instance grants nothing, in milliseconds: where many
-/// start at once, each hears only some of the others for five rounds of digests, and
-/// several would take themselves for the first.
+/// Time after its start during which an instance grants nothing, in milliseconds. If many instances
+/// start at once, each hears only some of the others for five rounds of digests, and several would
+/// take themselves for the owner.
 const STARTUP_HOLD_MS: u64 = 1_250;
 
-/// Share of its grants that an owner keeps for more urgent requests that it refused.
+/// Share of its grants that an owner reserves for more urgent requests that it has refused.
 const URGENT_RESERVE_SHARE: f64 = 0.5;
 
-/// Refused questions of a worker that an owner remembers at most.
+/// Maximum number of refused queries that an owner remembers per worker.
 const REFUSED_MAX_COUNT: usize = 64;
 
-/// Grants of a worker that an owner remembers at most: more than any rule counts.
+/// Maximum number of grants that an owner remembers per worker; more than any rule counts.
 const GRANTED_MAX_COUNT: usize = 4_096;
 
-/// Workers that an owner remembers at most.
+/// Number of workers from which on an owner removes old entries.
 const WORKER_MAX_COUNT: usize = 65_536;
 
-/// Time until it is worth asking again where somebody else may be the owner, in
-/// milliseconds.
+/// Time until the next query is worthwhile if another instance may be the owner, in milliseconds.
 const OTHER_OWNER_RETRY_MS: u64 = 250;
 
-/// Shortest time until a refused request may ask again, in milliseconds.
+/// Minimum time until a refused request may query again, in milliseconds.
 const RETRY_MIN_MS: u64 = 50;
 
-/// Longest time by which refused instances are spread, in milliseconds: so late they learn
-/// at most that there is room again.
+/// Maximum time over which the retries of refused instances are spread, in milliseconds: they learn
+/// that there is room again at most this late.
 const RETRY_SPREAD_MAX_MS: u64 = 5_000;
 
-/// Questions for each grant to which refused instances are spread: with fewer, grants lie
-/// idle until one comes; with more, most questions are in vain.
+/// Retries that are scheduled per grant: with fewer, grants stay unused until the next query
+/// arrives; with more, most queries are refused.
 const QUERIES_PER_GRANT: f64 = 16.0;
 
-/// What an owner answers.
+/// An owner's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendAnswer {
-    /// One request may be sent, at once.
+    /// One request may be sent now.
     Send,
-    /// None until after a time, in milliseconds.
+    /// Nothing is granted until this time has passed, in milliseconds.
     After(u64),
 }
 
-/// What an instance is for a worker that is asked as its owner.
+/// Role of an instance that is queried as the owner of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ownership {
-    /// Somebody else owns the worker, or may: this one has just started.
+    /// Another instance owns the worker, or may own it because this one has just started.
     Other,
-    /// It is the first of those that it hears, a minority of those that it knows.
+    /// It ranks first among the instances that it hears, but these are a minority of those that it
+    /// knows.
     Minority {
-        /// Their share.
+        /// Share of the known instances that it hears.
         share: f64,
-        /// Time for which it has heard a minority, in milliseconds.
+        /// Time for which it has heard only a minority, in milliseconds.
         for_ms: u64,
     },
-    /// Another one owned the worker until lately, or may have: it went, this one has just
-    /// started, or was cut off.
+    /// It owns the worker, but another instance owned it until recently or may have: that one has
+    /// left, or this one has just started or was partitioned.
     New,
-    /// All know of it.
+    /// It owns the worker, and all instances know of it.
     Settled,
 }
 
 impl Ownership {
-    /// Returns what an instance that has been up for a time is for a worker.
+    /// Returns the role, for a worker, of an instance that has been up for `up_for_ms`.
     pub fn of(members: &Membership, now_ms: u64, worker: u64, up_for_ms: u64) -> Self {
         if up_for_ms < STARTUP_HOLD_MS || !members.is_own(now_ms, worker) {
             return Self::Other;
@@ -110,28 +110,28 @@
     members.first_other(now_ms, worker)
 }
 
-/// What an owner did for one worker.
+/// Counts of an owner's answers for one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantCounts {
-    /// Requests that it granted.
+    /// Queries that it granted.
     pub granted_count: u64,
-    /// Questions that it refused.
+    /// Queries that it refused.
     pub refused_count: u64,
 }
 
-/// What an owner granted for one worker within a window.
+/// An owner's recent answers for one worker.
 #[derive(Clone, Debug, Default)]
 struct GrantLog {
-    /// When, in milliseconds.
+    /// Times of the grants, in milliseconds.
     granted_at_ms: VecDeque<u64>,
-    /// Questions that were refused: when, in milliseconds, and of which rank.
+    /// Refused queries: time in milliseconds, and rank.
     refused: VecDeque<(u64, u8)>,
-    /// Questions that were refused since the last grant.
+    /// Number of queries refused since the last grant.
     consecutive_refusals: u32,
     counts: GrantCounts,
 }
 
-/// What one instance granted for the workers that it owns.
+/// Grants of one instance for the workers that it owns.
 ///
 /// ```
 /// use cranereach_fleet::send_grants::Ownership;
@@ -153,8 +153,8 @@
 }
 
 impl SendGrants {
-    /// Answers a question for one request of a rank, zero the most urgent, to a worker to
-    /// which some rules apply; where there is none, it may be sent.
+    /// Answers a query for one request of a rank, zero being the most urgent, to a worker that the
+    /// given rules apply to. Without rules the request may be sent.
     pub fn ask(
         &mut self,
         now_ms: u64,
@@ -188,13 +188,13 @@
         SendAnswer::After((wait_ms + spread_ms).max(RETRY_MIN_MS))
     }
 
-    /// Returns what was done for a worker.
+    /// Returns the counts of answers for a worker.
     pub fn counts(&self, worker: u64) -> GrantCounts {
         let granted = self.by_worker.get(&worker);
         granted.map_or(GrantCounts::default(), |granted| granted.counts)
     }
 
-    /// Forgets workers that nothing was granted for lately, when there are too many.
+    /// Removes workers without recent grants once there are too many entries.
     fn forget(&mut self, now_ms: u64, worker: u64) {
         if self.by_worker.len() >= WORKER_MAX_COUNT && !self.by_worker.contains_key(&worker) {
             let kept_for_ms = RETRY_SPREAD_MAX_MS;
@@ -207,7 +207,7 @@
 }
 
 impl GrantLog {
-    /// Forgets what is older than all windows; the last grant is kept.
+    /// Removes what is older than all windows, but keeps the last grant.
     fn forget(&mut self, now_ms: u64, rules: &[SendRule]) {
         let kept_for_ms = rules.iter().map(|rule| rule.window_ms as u64 + 1).max();
         let kept_for_ms = kept_for_ms.unwrap_or(0).max(RETRY_SPREAD_MAX_MS);
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Returns the time until a rule has room for a request of a rank, in milliseconds;
-    /// none if it has.
+    /// Returns the time until a rule has room for a request of a rank, in milliseconds; none if it
+    /// has room now.
     fn wait_ms(&self, now_ms: u64, rule: &SendRule, rank: u8) -> Option<u64> {
         let window_ms = rule.window_ms.ceil() as u64;
         let from_ms = (now_ms + 1).saturating_sub(window_ms);
@@ -243,15 +243,16 @@
         if granted_count + reserved_count < rule.count {
             return None;
         }
-        // The oldest of the last so many makes way; room that is kept comes up any time.
+        // The window has room once the oldest of the last `count` grants leaves it; reserved room
+        // may be released at any time.
         let index = self.granted_at_ms.len().checked_sub(rule.count.max(1));
         let oldest_ms = index.and_then(|index| self.granted_at_ms.get(index));
         let free_ms = oldest_ms.map_or(now_ms, |at_ms| at_ms + window_ms);
         Some(free_ms.saturating_sub(now_ms))
     }
 
-    /// Returns by how much the instance that is refused now comes back later than the
-    /// first one, in milliseconds: they come one after the other, not all at once.
+    /// Returns by how much the instance that is refused now should retry later than the first one
+    /// that was refused, in milliseconds, so that retries do not all come at once.
     fn spread_ms(&self, rules: &[SendRule]) -> u64 {
         let interval_ms = rules
             .iter()
@@ -261,7 +262,7 @@
         spread_ms.min(RETRY_SPREAD_MAX_MS as f64) as u64
     }
 
-    /// Remembers a grant.
+    /// Records a grant.
     fn note_granted(&mut self, now_ms: u64) {
         if self.granted_at_ms.len() >= GRANTED_MAX_COUNT {
             self.granted_at_ms.pop_front();
@@ -271,8 +272,8 @@
         self.counts.granted_count += 1;
     }
 
-    /// Remembers a refused question; where there are too many, in place of a less urgent
-    /// one: those that wait in numbers must not hide the urgent ones.
+    /// Records a refused query; at capacity it replaces a less urgent one, so that many waiting
+    /// requests do not hide urgent ones.
     fn note_refused(&mut self, now_ms: u64, rank: u8) {
         self.consecutive_refusals = self.consecutive_refusals.saturating_add(1);
         self.counts.refused_count += 1;
@@ -287,7 +288,7 @@
         self.refused.push_back((now_ms, rank));
     }
 
-    /// Counts the questions refused from a time on that are more urgent than a rank.
+    /// Counts the queries that were refused since `from_ms` and are more urgent than a rank.
     fn more_urgent_count(&self, from_ms: u64, rank: u8) -> usize {
         let refused = self.refused.iter();
         refused
@@ -296,8 +297,8 @@
     }
 }
 
-/// Until when this instance doesn't ask for a worker's grants, by rank: what is refused to
-/// one may be kept for a more urgent one.
+/// Times until which this instance does not query the owner of a worker, by rank: a grant that is
+/// refused to one rank may be reserved for a more urgent one.
 ///
 /// ```
 /// use cranereach_fleet::send_grants::AskPause;
@@ -314,25 +315,25 @@
 }
 
 impl AskPause {
-    /// Notes that the worker's owner grants nothing, or doesn't answer, until a time for a
-    /// rank, and for those less urgent.
+    /// Records that the worker's owner grants nothing to a rank and those less urgent, or does not
+    /// answer, until the given time.
     pub fn refused_until(&mut self, rank: usize, at_ms: u64) {
         for until_ms in &mut self.until_ms[rank.min(RANK_COUNT - 1)..] {
             *until_ms = at_ms;
         }
     }
 
-    /// Whether its owner was ever asked in vain.
+    /// Returns whether a query was ever refused or unanswered.
     pub fn was_refused(&self) -> bool {
         self.until_ms.iter().any(|until_ms| *until_ms > 0)
     }
 
-    /// Whether it is worth asking its owner for a rank.
+    /// Returns whether it is worthwhile to query the owner for a rank.
     pub fn may_ask(&self, now_ms: u64, rank: usize) -> bool {
         now_ms >= self.ask_at_ms(rank)
     }
 
-    /// Returns from when it is worth asking its owner for a rank, in milliseconds.
+    /// Returns the time from which it is worthwhile to query the owner for a rank, in milliseconds.
     pub fn ask_at_ms(&self, rank: usize) -> u64 {
         self.until_ms[rank.min(RANK_COUNT - 1)]
     }
--- a/crates/cranereach-fleet/src/send_grants/rule.rs
+++ b/crates/cranereach-fleet/src/send_grants/rule.rs
@@ -1,42 +1,42 @@
-//! How many requests an owner grants in a window, by why the worker gets only so many and
-//! by how the owner stands.
+//! Rules for how many requests an owner grants in a window, by the reason why the worker is limited
+//! and by the owner's role.
 
 use super::Ownership;
 use super::USE_WITHIN_MS;
 use crate::named_limit::LEAST_RATE_PER_S;
 
-/// Time that a request takes at most from its sender to the worker, in milliseconds.
+/// Maximum time that a request takes from its sender to the worker, in milliseconds.
 const TRANSIT_MAX_MS: u64 = 60;
 
-/// Window in which an owner counts its grants for a cold worker, in milliseconds: those
-/// of one second at the worker may have been granted that much apart.
+/// Window in which an owner counts its grants for a cold worker, in milliseconds: requests that
+/// reach the worker within one second may have been granted this far apart.
 const COLD_WINDOW_MS: u64 = 1_000 + USE_WITHIN_MS + TRANSIT_MAX_MS;
 
 /// Share of its part that a new owner grants.
 const NEW_OWNER_SHARE: f64 = 0.5;
 
-/// Time whose requests of a limit may be sent at once, in seconds: a quarter of what is
-/// allowed in one second. With it, a busy worker gets nine tenths of what it names
-/// (`tests/sends`), and all windows stay within what is tolerated.
+/// Burst that a named limit allows, in seconds of its rate: a quarter of what one second allows.
+/// With it, a busy worker gets nine tenths of the rate that it names (`tests/sends`), and all
+/// windows stay within the tolerance.
 const LIMIT_BURST_S: f64 = 0.25;
 
-/// Grants of a limit that a window counts at most.
+/// Maximum number of grants for a named limit that a window counts.
 const LIMIT_MAX_COUNT: f64 = 1_024.0;
 
-/// How many requests may be sent in a window.
+/// How many requests may be sent within a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SendRule {
-    /// Grants of one owner in a window.
+    /// Grants of one owner within a window.
     pub(super) count: usize,
     /// Length of the window, in milliseconds.
     pub(super) window_ms: f64,
-    /// Whether an owner that hears a minority grants its share.
+    /// Whether an owner that hears only a minority grants in proportion to it.
     has_minority_share: bool,
 }
 
 impl SendRule {
-    /// Makes the rule for cold workers that bear a rate, where so many times that rate and
-    /// some requests besides are tolerated in one second.
+    /// Creates the rule for cold workers that sustain `rate_per_s`, where `excess_ratio` times that
+    /// rate plus `allowance_count` requests are tolerated within one second.
     ///
     /// ```
     /// use cranereach_fleet::send_grants::SendRule;
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Makes the rule for workers that name a limit: so many a second on average, with a
-    /// small burst. In any four seconds one owner grants 4.4 times the limit and two more
-    /// at most, and another one that takes over 1.5 times and two.
+    /// Creates the rule for workers that name a limit: an average rate with a small burst. Within
+    /// any four seconds one owner grants at most 4.4 times the limit plus two requests, and another
+    /// one that takes over 1.5 times the limit plus two.
     ///
     /// ```
     /// use cranereach_fleet::send_grants::SendRule;
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Returns how many requests one owner grants in a window.
+    /// Returns how many requests one owner grants within a window.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Returns the rule by which an owner grants, as it stands; none if it grants nothing.
+    /// Returns the rule for an owner in the given role; none if it grants nothing.
     pub(super) fn for_ownership(self, ownership: Ownership) -> Option<Self> {
         match ownership {
             Ownership::Settled => Some(self),
--- a/crates/cranereach-fleet/src/tenure.rs
+++ b/crates/cranereach-fleet/src/tenure.rs
@@ -1,13 +1,14 @@
-//! The lease that lets one instance order workers, for workers without fences.
+//! The lease that lets one instance send orders to workers, for workers that do not check fencing
+//! tokens.
 //!
-//! The lease is a row that is only changed under the condition that nobody else
-//! changed it. The holder counts its term from before it sent the write, on its
-//! own clock. A successor must have seen the row unchanged for a whole term and
-//! the pause that must lie between two holders' orders. No clocks are compared.
+//! The lease is a row that is written only if nobody else has changed it (compare and swap). The
+//! holder counts its term, on its own clock, from before it sent the write. A successor must have
+//! seen the row unchanged for a whole term plus the pause that must lie between the orders of two
+//! holders. Clocks of different instances are never compared.
 //!
-//! A store that comes back from a copy may have lost the row, or name an earlier holder
-//! while the last one orders on by its own clock. So what such a store says of holders
-//! saves nobody the whole wait; who held the lease then may write it again within its term.
+//! A store that was restored from a copy may have lost the row, or name an earlier holder while the
+//! last holder still sends orders by its own clock. So what a restored store says about holders
+//! shortens nobody's wait; the instance that held the lease may write it again within its term.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -20,7 +21,7 @@
 /// Time between two renewals, in milliseconds.
 pub const RENEW_EVERY_MS: u64 = 500;
 
-/// Time added to what a successor waits, in milliseconds.
+/// Safety margin added to a successor's wait, in milliseconds.
 pub const MARGIN_MS: u64 = 300;
 
 /// Content of the lease row.
@@ -28,25 +29,25 @@
 pub struct LeaseRow {
     /// Machine that holds the lease, or held it last.
     pub holder: String,
-    /// Start of the process that wrote the row.
+    /// Number of the start of the process that wrote the row.
     pub boot: u64,
-    /// Whether the holder has given the lease up.
+    /// Whether the holder has released the lease.
     pub is_released: bool,
-    /// Era of the store that the row was written in, as its writer knew.
+    /// Era of the store, as known to the writer of the row.
     #[serde(default)]
     pub era: u64,
 }
 
-/// What to do about the lease now.
+/// Next action for the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing.
+    /// Do nothing.
     Wait,
     /// Read the row.
     Read,
-    /// Write it, if its position still is this.
+    /// Write the row if its position is unchanged.
     Write {
-        /// Position that the row must have; the start of the era if there is none.
+        /// Position that the row must have; the start of the era if there is no row.
         expected: StorePosition,
     },
 }
@@ -54,23 +55,23 @@
 /// A term that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedTerm {
-    /// Position of the row that it was held under.
+    /// Position of the row under which the lease was held.
     pub position: StorePosition,
-    /// When it ended, in milliseconds.
+    /// When the term ended, in milliseconds.
     pub at_ms: u64,
 }
 
-/// The row as last seen.
+/// The row as last read.
 #[derive(Clone, Debug)]
 struct SeenRow {
     position: StorePosition,
     row: Option<LeaseRow>,
     first_seen_at_ms: u64,
-    /// When its holder was heard to say that it no longer orders under it.
+    /// When its holder said that it no longer sends orders under it, in milliseconds.
     ended_at_ms: Option<u64>,
 }
 
-/// The lease as held.
+/// The lease while this instance holds it.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     token: u64,
@@ -91,7 +92,7 @@
 }
 
 impl Tenure {
-    /// Makes the view of a machine; `pause_ms` must lie between two holders.
+    /// Creates the view of a machine; `pause_ms` must lie between the orders of two holders.
     pub fn new(machine: &str, pause_ms: u64) -> Self {
         Self {
             machine: machine.to_owned(),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Begins an era of the store: what was seen of the row counts no more.
+    /// Begins an era of the store; earlier reads of the row no longer count.
     pub fn enter_era(&mut self, era: u64) {
         if era > self.era {
             self.era = era;
@@ -116,24 +117,25 @@
         self.era
     }
 
-    /// Whether orders may be sent now; ask right before each.
+    /// Returns whether orders may be sent now; must be checked right before each order.
     pub fn may_order(&self, now_ms: u64) -> bool {
         self.token(now_ms).is_some()
     }
 
-    /// Returns the fencing token while orders may be sent.
+    /// Returns the fencing token, as long as orders may be sent.
     pub fn token(&self, now_ms: u64) -> Option<u64> {
         self.held
             .filter(|held| now_ms < held.until_ms && !self.is_stopping)
             .map(|held| held.token)
     }
 
-    /// Whether this instance has the lease, also when its term has run out.
+    /// Returns whether this instance has the lease, even if its term is over.
     pub fn is_holder(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Says what to do; `is_holder_heard` if the row's holder is heard to hold.
+    /// Returns the next action; `is_holder_heard` tells whether the row's holder announces to its
+    /// peers that it holds the lease.
     pub fn step(&mut self, now_ms: u64, is_holder_heard: bool) -> Step {
         if let Some(held) = self.held {
             if held.position.era < self.era {
@@ -147,7 +149,7 @@
             };
         }
         if self.is_stopping || is_holder_heard {
-            // The row goes on changing: what was read of it is of no more use.
+            // The row keeps changing, so the last read is of no further use.
             self.seen = None;
             return Step::Wait;
         }
@@ -166,9 +168,10 @@
         }
     }
 
-    /// Says what the holder does whose row a restored store may have lost.
+    /// Returns the next action of a holder whose row may be lost in a restored store.
     ///
-    /// Within its term nobody else writes the row: it goes on from the row that is there.
+    /// Nobody else writes the row within its term, so the holder continues from the row that is
+    /// there.
     fn step_after_restore(&mut self, now_ms: u64, held: HeldLease) -> Step {
         if self.is_stopping {
             return Step::Wait;
@@ -182,7 +185,7 @@
         })
     }
 
-    /// Takes the row as read at a position; the start of the era if there is none.
+    /// Records the row as read at a position; the start of the era if there is no row.
     pub fn read(&mut self, now_ms: u64, position: StorePosition, row: Option<LeaseRow>) {
         if position.era < self.era {
             return;
@@ -203,8 +206,8 @@
         });
     }
 
-    /// Returns the position under which this instance held the lease and, its term
-    /// over, orders no more, and since when; only another write would let it.
+    /// Returns the term of this instance that is over, so that it sends no more orders under that
+    /// position until another write succeeds.
     pub fn ended(&self, now_ms: u64) -> Option<EndedTerm> {
         let held = self.held.filter(|held| now_ms >= held.until_ms)?;
         Some(EndedTerm {
@@ -213,10 +216,10 @@
         })
     }
 
-    /// Takes the holder's word that it no longer orders under a position.
+    /// Records the holder's announcement that it no longer sends orders under a position.
     ///
-    /// The time is on the own clock, and never before the true one: what the holder
-    /// says takes a while to arrive.
+    /// The time is on this instance's clock and never earlier than the true one, since the
+    /// announcement takes time to arrive.
     pub fn heard_ended(&mut self, ended: EndedTerm) {
         let seen = self.seen.as_mut();
         if let Some(seen) = seen.filter(|seen| seen.position == ended.position) {
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Takes a write that was done; `sent_at_ms` is from before it was sent.
+    /// Records a successful write; `sent_at_ms` is a time before it was sent.
     pub fn written(&mut self, sent_at_ms: u64, position: StorePosition) {
         let token = self.held.map_or(position.token(), |held| held.token);
         self.held = Some(HeldLease {
@@ -237,35 +240,35 @@
         self.seen = None;
     }
 
-    /// Takes a write that another one was ahead of.
+    /// Records a write that failed because another instance had written the row.
     pub fn conflicted(&mut self) {
         self.held = None;
         self.seen = None;
     }
 
-    /// Takes a write without an answer: it may have been done, or be done later.
+    /// Records a write without an answer; it may have been applied, or may be applied later.
     pub fn unanswered(&mut self, now_ms: u64) {
-        // Whatever the row now says, a new term starts from a row that was read:
-        // a renewal that arrives late changes the version, and is read again.
+        // In either case a new term starts only from a row that was read: a renewal that arrives
+        // late changes the position, and the row is read again.
         if let Some(held) = &mut self.held {
             held.renew_at_ms = now_ms + RENEW_EVERY_MS / 4;
         }
         self.seen = None;
     }
 
-    /// Stops ordering for good and returns the position to release, if held.
+    /// Stops sending orders for good and returns the position to release if the lease is held.
     pub fn release(&mut self) -> Option<StorePosition> {
         self.is_stopping = true;
         self.held.map(|held| held.position)
     }
 
-    /// Returns how long the row must have stood unchanged, in milliseconds.
+    /// Returns how long the row must have been unchanged, in milliseconds.
     fn wait_ms(&self, row: Option<&LeaseRow>) -> u64 {
         let of_era = row.filter(|row| row.era == self.era);
         match of_era {
-            // A store of the first era has lost nothing: nobody has held the lease.
+            // A store of the first era has lost nothing, so nobody has held the lease.
             None if row.is_none() && self.era == 0 => 0,
-            // The machine's own earlier orders are no other holder's.
+            // The machine's own earlier orders are not those of another holder.
             Some(row) if row.holder == self.machine => 0,
             Some(row) if row.is_released => self.pause_ms + MARGIN_MS,
             None | Some(_) => TERM_MS + self.pause_ms + MARGIN_MS,
