--- a/crates/cranereach-fleet/src/outage_pace.rs
+++ b/crates/cranereach-fleet/src/outage_pace.rs
@@ -7,11 +7,11 @@
 //! in a fleet of any size.
 
 /// Calls per second that all other instances together make to an unreachable store.
-const OTHERS_PER_S: f64 = 12.0;
+const OTHERS_CALLS_PER_S: f64 = 12.0;
 
 /// Minimum mean pause of one instance between two probes, in milliseconds; a small fleet makes
 /// fewer calls.
-const PAUSE_LEAST_MS: f64 = 1_500.0;
+const MEAN_PAUSE_MIN_MS: f64 = 1_500.0;
 
 /// Returns whether an instance that leaves retries to others probes the store now.
 ///
@@ -28,6 +28,7 @@
 /// assert!(!tries_now(10_000, 100, 0.001));
 /// ```
 pub fn tries_now(instance_count: usize, looked_ms: u64, chance: f64) -> bool {
-    let mean_pause_ms = (instance_count as f64 * 1_000.0 / OTHERS_PER_S).max(PAUSE_LEAST_MS);
+    let mean_pause_ms =
+        (instance_count as f64 * 1_000.0 / OTHERS_CALLS_PER_S).max(MEAN_PAUSE_MIN_MS);
     chance < looked_ms as f64 / mean_pause_ms
 }
--- a/crates/cranereach-fleet/src/retry_window.rs
+++ b/crates/cranereach-fleet/src/retry_window.rs
@@ -15,7 +15,7 @@
     allowance_count: f64,
     window_ms: u64,
     requests_at_ms: VecDeque<u64>,
-    repeats_at_ms: VecDeque<u64>,
+    retries_at_ms: VecDeque<u64>,
 }
 
 impl RetryWindow {
@@ -26,7 +26,7 @@
             allowance_count,
             window_ms,
             requests_at_ms: VecDeque::new(),
-            repeats_at_ms: VecDeque::new(),
+            retries_at_ms: VecDeque::new(),
         }
     }
 
@@ -51,9 +51,9 @@
         let shared = self.allowance_count / instance_count.max(1) as f64;
         let earned = self.ratio * self.requests_at_ms.len() as f64;
         let bound = (shared + earned) * SPENT_SHARE;
-        let is_allowed = (self.repeats_at_ms.len() as f64) + 1.0 <= bound;
+        let is_allowed = (self.retries_at_ms.len() as f64) + 1.0 <= bound;
         if is_allowed {
-            self.repeats_at_ms.push_back(now_ms);
+            self.retries_at_ms.push_back(now_ms);
         }
         is_allowed
     }
@@ -61,7 +61,7 @@
     /// Removes entries from before the window.
     fn forget(&mut self, now_ms: u64) {
         let from_ms = now_ms.saturating_sub(self.window_ms);
-        for times in [&mut self.requests_at_ms, &mut self.repeats_at_ms] {
+        for times in [&mut self.requests_at_ms, &mut self.retries_at_ms] {
             while times.front().is_some_and(|at_ms| *at_ms < from_ms) {
                 times.pop_front();
             }
