--- /dev/null
+++ b/crates/cranereach-fleet/src/quarantine/gossip.rs
@@ -0,0 +1,198 @@
+//! Gossip between instances about requests under which workers ended.
+
+use rand::Rng;
+use rand::seq::SliceRandom;
+use serde::Deserialize;
+use serde::Serialize;
+
+use super::KEPT_END_COUNT;
+use super::Quarantine;
+use super::RequestMark;
+use super::Suspect;
+use super::WorkerEnd;
+use crate::fingerprint::Fingerprint;
+
+/// Maximum number of requests in one digest: 1.5 KB, however many are known.
+pub const TOLD_MAX_COUNT: usize = 16;
+
+/// Maximum number of them that are chosen because they changed recently, so that instances that
+/// have just started hear of the others too.
+const RECENT_MAX_COUNT: usize = 12;
+
+/// Time for which a change is sent first, in milliseconds: until it has reached all instances, some
+/// ten gossip rounds.
+const RECENT_FOR_MS: i64 = 2_500;
+
+/// Ends from which on a request is gossiped for as long as it is known: a single end is mostly a
+/// coincidence, and there are many of them when a worker ends.
+const PERSISTENT_END_COUNT: usize = 2;
+
+/// An end of a worker, as gossiped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct GossipedEnd {
+    /// Key of the worker.
+    pub worker: u64,
+    /// Time since the end, in milliseconds.
+    pub age_ms: u32,
+}
+
+/// What is gossiped about one request.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SuspectNews {
+    /// Fingerprint of the content.
+    pub fingerprint: Fingerprint,
+    /// Size of the body, in bytes.
+    pub body_bytes: u32,
+    /// Ends of workers that ran it.
+    pub ends: Vec<GossipedEnd>,
+    /// Whether one of the ends came under an attempt whose sender knew of an earlier one.
+    pub is_repeated: bool,
+    /// Time since the last complete response, in milliseconds.
+    pub cleared_age_ms: Option<u32>,
+    /// Time since the request was last received, in milliseconds.
+    pub asked_age_ms: u32,
+}
+
+/// Effect of an update from another instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Change {
+    /// Nothing changed.
+    None,
+    /// A change that can wait for the next digest.
+    Minor,
+    /// A change of whether or where the request may be sent: other instances must hear of it at
+    /// once.
+    Suspicion,
+}
+
+impl SuspectNews {
+    /// Returns the mark that identifies the request.
+    pub fn mark(&self) -> RequestMark {
+        RequestMark {
+            body_bytes: self.body_bytes,
+            fingerprint: self.fingerprint,
+        }
+    }
+
+    /// Creates the update that describes a local entry.
+    fn from_suspect(now_ms: i64, mark: RequestMark, suspect: &Suspect) -> Self {
+        let age_ms =
+            |at_ms: i64| u32::try_from(now_ms.saturating_sub(at_ms).max(0)).unwrap_or(u32::MAX);
+        let ends = suspect.ends.iter().map(|end| GossipedEnd {
+            worker: end.worker,
+            age_ms: age_ms(end.at_ms),
+        });
+        Self {
+            fingerprint: mark.fingerprint,
+            body_bytes: mark.body_bytes,
+            ends: ends.collect(),
+            is_repeated: suspect.is_repeated,
+            cleared_age_ms: suspect.cleared_at_ms.map(age_ms),
+            asked_age_ms: age_ms(suspect.requested_at_ms),
+        }
+    }
+}
+
+impl Suspect {
+    /// Merges an update from another instance. Returns whether anything changed.
+    fn merge(&mut self, now_ms: i64, update: &SuspectNews) -> bool {
+        let at_ms = |age_ms: u32| now_ms - i64::from(age_ms);
+        let cleared_at_ms = update.cleared_age_ms.map(at_ms);
+        // Each gossip hop makes the time of clearing a little later: it counts as new only if it
+        // clears something.
+        let clears_something = |at_ms: &i64| {
+            self.cleared_at_ms.is_none() || self.ends.iter().any(|end| end.at_ms <= *at_ms)
+        };
+        let mut has_changed = cleared_at_ms
+            .filter(clears_something)
+            .is_some_and(|at_ms| self.clear(at_ms));
+        for end in update.ends.iter().take(KEPT_END_COUNT) {
+            has_changed |= self.add(WorkerEnd {
+                worker: end.worker,
+                at_ms: at_ms(end.age_ms),
+            });
+        }
+        let is_known =
+            |reported: &GossipedEnd| self.ends.iter().any(|end| end.worker == reported.worker);
+        if update.is_repeated && !self.is_repeated && update.ends.iter().any(is_known) {
+            self.is_repeated = true;
+            has_changed = true;
+        }
+        self.requested_at_ms = self.requested_at_ms.max(at_ms(update.asked_age_ms));
+        has_changed
+    }
+}
+
+impl Quarantine {
+    /// Applies an update from another instance.
+    pub fn take(&mut self, now_ms: i64, update: &SuspectNews) -> Change {
+        let mark = update.mark();
+        let before = self.suspicion(mark);
+        let is_known = self.suspects.contains_key(&mark);
+        if !is_known && update.ends.is_empty() && update.cleared_age_ms.is_none() {
+            return Change::None;
+        }
+        let suspect = self.suspect_mut(now_ms, mark);
+        if !suspect.merge(now_ms, update) && is_known {
+            return Change::None;
+        }
+        suspect.changed_at_ms = now_ms;
+        let after = suspect.suspicion();
+        let max_end_count = before.end_count.max(after.end_count);
+        if before != after && max_end_count >= PERSISTENT_END_COUNT {
+            Change::Suspicion
+        } else {
+            Change::Minor
+        }
+    }
+
+    /// Returns what is known about a request, if anything.
+    pub fn news_of(&self, now_ms: i64, mark: RequestMark) -> Option<SuspectNews> {
+        let suspect = self.suspects.get(&mark)?;
+        Some(SuspectNews::from_suspect(now_ms, mark, suspect))
+    }
+
+    /// Returns the quarantined requests to store, given those already stored: first the ones known
+    /// here, most recently requested first, then stored ones that have not been cleared.
+    pub fn lasting(&self, now_ms: i64, kept: &[SuspectNews], max_count: usize) -> Vec<SuspectNews> {
+        let suspects = self.suspects.iter();
+        let quarantined = suspects.filter(|(_, suspect)| suspect.suspicion().is_quarantined);
+        let mut quarantined: Vec<_> = quarantined.collect();
+        quarantined.sort_unstable_by_key(|(_, suspect)| -suspect.requested_at_ms);
+        let own = quarantined.into_iter();
+        let own = own.map(|(mark, suspect)| SuspectNews::from_suspect(now_ms, *mark, suspect));
+        let others = kept.iter().filter(|entry| {
+            let mark = entry.mark();
+            !self.is_cleared(mark) && !self.suspicion(mark).is_quarantined
+        });
+        own.chain(others.cloned()).take(max_count).collect()
+    }
+
+    /// Chooses the content of the next digest: recent changes first, then persistent entries
+    /// and surplus recent ones in random order, then single ends, newest first.
+    pub fn news<R: Rng>(&self, now_ms: i64, rng: &mut R) -> Vec<SuspectNews> {
+        let mut recent = Vec::new();
+        let mut persistent = Vec::new();
+        let mut single = Vec::new();
+        for (mark, suspect) in &self.suspects {
+            let is_recent = now_ms < suspect.changed_at_ms + RECENT_FOR_MS;
+            let entry = (suspect.changed_at_ms, mark, suspect);
+            if is_recent && suspect.max_end_count >= PERSISTENT_END_COUNT {
+                recent.push(entry);
+            } else if suspect.ends.len() >= PERSISTENT_END_COUNT {
+                persistent.push(entry);
+            } else if is_recent {
+                single.push(entry);
+            }
+        }
+        recent.sort_unstable_by_key(|(changed_at_ms, ..)| -changed_at_ms);
+        single.sort_unstable_by_key(|(changed_at_ms, ..)| -changed_at_ms);
+        persistent.extend(recent.drain(recent.len().min(RECENT_MAX_COUNT)..));
+        persistent.shuffle(rng);
+        let selected = recent.into_iter().chain(persistent).chain(single);
+        let selected = selected.take(TOLD_MAX_COUNT);
+        selected
+            .map(|(_, mark, suspect)| SuspectNews::from_suspect(now_ms, *mark, suspect))
+            .collect()
+    }
+}
