--- a/crates/cranereach-fleet/src/admission.rs
+++ b/crates/cranereach-fleet/src/admission.rs
@@ -7,24 +7,24 @@
 //! far off wait for their turn meanwhile; the others are refused.
 
 /// Share of the aim up to which a call is offered, by the time predicted until it begins.
-const LATE_SHARE: f64 = 1.3;
+const STREAM_LIMIT_SHARE: f64 = 1.3;
 
 /// Share of the aim up to which a call is offered that is answered whole, by the time
 /// predicted until its answer. Callers of a service all wait in one queue: in overload
 /// it stands just there, and a longer one would make all answers late.
-const WHOLE_LATE_SHARE: f64 = 0.7;
+const WHOLE_LIMIT_SHARE: f64 = 0.7;
 
 /// The same where routes of the service are more urgent, as a share of their shortest
 /// aim: what is left is for them.
-const LEAVING_ROOM_SHARE: f64 = 0.8;
+const HEADROOM_LIMIT_SHARE: f64 = 0.8;
 
 /// Share of its aim for which a call waits that leaves room: as much again and more is
 /// left for its prompt.
-const WAIT_SHARE: f64 = 0.25;
+const MAX_WAIT_SHARE: f64 = 0.25;
 
 /// Longest and shortest pause between two looks of a call that waits, in milliseconds:
 /// each look asks some owners.
-const LOOK_EVERY_MS: (f64, f64) = (40.0, 200.0);
+const RECHECK_BOUNDS_MS: (f64, f64) = (40.0, 200.0);
 
 /// What is to be done with a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -64,27 +64,27 @@
     /// for another, both in milliseconds.
     pub fn judge(&self, begins_in_ms: f64, waited_ms: f64) -> Verdict {
         let Some(urgent_aim_ms) = self.urgent_aim_ms.filter(|_| !self.is_whole) else {
-            return self.judge_alone(begins_in_ms);
+            return self.judge_without_headroom(begins_in_ms);
         };
-        let in_time_ms = self.aim_ms * LEAVING_ROOM_SHARE - waited_ms;
-        if begins_in_ms > in_time_ms {
+        let latest_begin_ms = self.aim_ms * HEADROOM_LIMIT_SHARE - waited_ms;
+        if begins_in_ms > latest_begin_ms {
             return Verdict::Refuse;
         }
-        let over_ms = begins_in_ms - urgent_aim_ms * LEAVING_ROOM_SHARE;
-        if over_ms <= 0.0 || waited_ms >= self.aim_ms * WAIT_SHARE {
+        let excess_ms = begins_in_ms - urgent_aim_ms * HEADROOM_LIMIT_SHARE;
+        if excess_ms <= 0.0 || waited_ms >= self.aim_ms * MAX_WAIT_SHARE {
             return Verdict::Send;
         }
-        Verdict::LookAgain(over_ms.clamp(LOOK_EVERY_MS.0, LOOK_EVERY_MS.1))
+        Verdict::LookAgain(excess_ms.clamp(RECHECK_BOUNDS_MS.0, RECHECK_BOUNDS_MS.1))
     }
 
     /// Judges a call that leaves room for nobody.
-    fn judge_alone(&self, begins_in_ms: f64) -> Verdict {
-        let late_share = if self.is_whole {
-            WHOLE_LATE_SHARE
+    fn judge_without_headroom(&self, begins_in_ms: f64) -> Verdict {
+        let limit_share = if self.is_whole {
+            WHOLE_LIMIT_SHARE
         } else {
-            LATE_SHARE
+            STREAM_LIMIT_SHARE
         };
-        if begins_in_ms <= self.aim_ms * late_share {
+        if begins_in_ms <= self.aim_ms * limit_share {
             Verdict::Send
         } else {
             Verdict::Refuse
--- a/crates/cranereach-fleet/src/demand.rs
+++ b/crates/cranereach-fleet/src/demand.rs
@@ -6,7 +6,7 @@
 const HALF_LIFE_MS: f64 = 2_500.0;
 
 /// Demand below which an entry is dropped, in milliseconds per second.
-const LEAST_MS_PER_S: f64 = 0.005;
+const MIN_RATE_MS_PER_S: f64 = 0.005;
 
 /// A model, or an adapter of it; adapter zero stands for the bare model.
 pub type ModelKey = (u16, u16);
@@ -41,7 +41,7 @@
         let kept = 0.5_f64.powf(passed_ms / HALF_LIFE_MS);
         self.rates.retain(|_, rate| {
             *rate *= kept;
-            *rate > LEAST_MS_PER_S
+            *rate > MIN_RATE_MS_PER_S
         });
         self.decayed_at_ms = now_ms;
     }
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -19,21 +19,21 @@
 use crate::load::Load;
 use crate::load::RANK_COUNT;
 use crate::pauses::Place;
-use crate::pausing::Pausing;
+use crate::pausing::PauseMonitor;
 use crate::prefixes::KeptPrefixes;
 use crate::prefixes::PromptPart;
 use crate::reading_plan::ReadingPlan;
 
 /// Time for which a request counts as waiting beyond what was predicted, in
 /// milliseconds: then the word that it was read must have been lost.
-const LOST_WORD_MS: u64 = 1_000;
+const LOST_MESSAGE_SLACK_MS: u64 = 1_000;
 
 /// How many times the predicted time that holds for.
-const LOST_WORD_TIMES: f64 = 4.0;
+const LOST_MESSAGE_FACTOR: f64 = 4.0;
 
 /// How many times longer than predicted a begin may take before a request that its
 /// caller gives up speaks against the worker.
-const STALLED_TIMES: f64 = 3.0;
+const STALLED_FACTOR: f64 = 3.0;
 
 /// Time by which it may take longer besides, in milliseconds.
 const STALLED_SLACK_MS: f64 = 1_000.0;
@@ -45,21 +45,21 @@
 const WORKER_MAX_COUNT: usize = 1_024;
 
 /// Time after which a worker that nobody asks about is forgotten, in milliseconds.
-const FORGOTTEN_AFTER_MS: u64 = 30_000;
+const IDLE_EVICTION_MS: u64 = 30_000;
 
 /// Part of the old pace that one more answer leaves; some five answers count.
-const PACE_KEPT_SHARE: f64 = 0.8;
+const SLOWDOWN_DECAY_FACTOR: f64 = 0.8;
 
 /// Time after which half of a worker's deviation from its pace is forgotten, in
 /// milliseconds, so that a slow worker is tried again.
-const PACE_HALF_LIFE_MS: f64 = 4_000.0;
+const SLOWDOWN_HALF_LIFE_MS: f64 = 4_000.0;
 
 /// Least and most that one answer's pace counts for.
-const PACE_BOUNDS: (f64, f64) = (0.5, 20.0);
+const SLOWDOWN_RATIO_BOUNDS: (f64, f64) = (0.5, 20.0);
 
 /// Time that every answer may take beyond its prediction without saying anything of
 /// its worker's pace, in milliseconds.
-const PACE_SLACK_MS: f64 = 30.0;
+const SLOWDOWN_SLACK_MS: f64 = 30.0;
 
 /// A request that is sent to a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -86,20 +86,24 @@
 }
 
 /// Longest time that is believed of a request, in milliseconds.
-const TIME_MAX_MS: f32 = 600_000.0;
+const REPORTED_TIME_MAX_MS: f32 = 600_000.0;
 
 impl Opening {
     /// Returns it with times that no request takes cut off, as a stranger may tell.
     fn bounded(self) -> Self {
-        let bounded_ms = |told_ms: f32| {
-            let finite_ms = if told_ms.is_finite() { told_ms } else { 0.0 };
-            finite_ms.clamp(0.0, TIME_MAX_MS)
+        let bounded_ms = |reported_ms: f32| {
+            let finite_ms = if reported_ms.is_finite() {
+                reported_ms
+            } else {
+                0.0
+            };
+            finite_ms.clamp(0.0, REPORTED_TIME_MAX_MS)
         };
         Self {
             unread_ms: bounded_ms(self.unread_ms),
             stay_ms: bounded_ms(self.stay_ms),
-            ends_within_ms: self.ends_within_ms.min(TIME_MAX_MS as u32),
-            send_in_ms: self.send_in_ms.min(TIME_MAX_MS as u32),
+            ends_within_ms: self.ends_within_ms.min(REPORTED_TIME_MAX_MS as u32),
+            send_in_ms: self.send_in_ms.min(REPORTED_TIME_MAX_MS as u32),
             ..self
         }
     }
@@ -148,34 +152,34 @@
 
 /// A request that is open at a worker.
 #[derive(Clone, Copy, Debug)]
-struct Open {
-    of: Opening,
+struct OpenRequest {
+    request: Opening,
     /// Until when it counts as waiting without word, in milliseconds; none once read.
-    waits_until_ms: Option<u64>,
+    waiting_until_ms: Option<u64>,
     begun_at_ms: u64,
     /// What its begin was predicted to take, in milliseconds.
     predicted_ms: f64,
     /// When it counts as over without word, in milliseconds.
-    gone_at_ms: u64,
+    expires_at_ms: u64,
 }
 
-impl Open {
+impl OpenRequest {
     /// Whether the worker should have begun long ago and hasn't.
     fn is_stalled(&self, now_ms: u64) -> bool {
-        let allowed_ms = self.predicted_ms * STALLED_TIMES + STALLED_SLACK_MS;
-        self.waits_until_ms.is_some() && (now_ms - self.begun_at_ms) as f64 > allowed_ms
+        let allowed_ms = self.predicted_ms * STALLED_FACTOR + STALLED_SLACK_MS;
+        self.waiting_until_ms.is_some() && (now_ms - self.begun_at_ms) as f64 > allowed_ms
     }
 }
 
 /// A worker that this instance owns.
 #[derive(Clone, Debug)]
 struct OwnedWorker {
-    open: HashMap<Ticket, Open>,
+    open: HashMap<Ticket, OpenRequest>,
     kept: KeptPrefixes,
     health: Health,
     pace_ratio: f64,
-    paced_at_ms: u64,
-    pausing: Pausing,
+    slowdown_updated_at_ms: u64,
+    pause_monitor: PauseMonitor,
     plan: ReadingPlan,
     used_at_ms: u64,
 }
@@ -187,8 +191,8 @@
             kept: KeptPrefixes::default(),
             health: Health::default(),
             pace_ratio: 1.0,
-            paced_at_ms: 0,
-            pausing: Pausing::default(),
+            slowdown_updated_at_ms: 0,
+            pause_monitor: PauseMonitor::default(),
             plan: ReadingPlan::default(),
             used_at_ms: 0,
         }
@@ -220,14 +224,14 @@
         parts: &[u64],
         reading_ms: f64,
     ) -> Standing {
-        let Some(known) = self.worker(now_ms, worker) else {
+        let Some(known) = self.worker_entry(now_ms, worker) else {
             return Standing {
                 pace_ratio: 1.0,
                 ..Standing::default()
             };
         };
         let load = known.load(now_ms);
-        let place = known.place(now_ms, reading_ms);
+        let place = known.schedule(now_ms, reading_ms);
         Standing {
             load,
             send_in_ms: place.at_ms - now_ms as f64,
@@ -235,7 +239,7 @@
             pace_ratio: known.pace_ratio(now_ms),
             failed_share: known.health.failed_share(),
             is_aside: known.health.is_aside(now_ms),
-            has_suspect: known.open.values().any(|open| open.of.runs_alone),
+            has_suspect: known.open.values().any(|open| open.request.runs_alone),
             pause_ms: place.pause_ms,
         }
     }
@@ -268,32 +272,34 @@
         now_ms: u64,
         worker: u64,
         ticket: Ticket,
-        of: Opening,
+        request: Opening,
         parts: &[PromptPart],
     ) {
-        let of = of.bounded();
-        let Some(known) = self.worker(now_ms, worker) else {
+        let request = request.bounded();
+        let Some(known) = self.worker_entry(now_ms, worker) else {
             return;
         };
         if known.open.len() >= OPEN_MAX_COUNT {
             return;
         }
         let load = known.load(now_ms);
-        let ahead_ms = load.ahead_ms(usize::from(of.rank));
-        let reading_ms = f64::from(of.unread_ms);
-        known.plan.allow(f64::from(of.gap_aim_ms), of.event_tokens);
-        let paced_ms = reading_ms * known.pace_ratio(now_ms);
-        let held_ms = f64::from(of.send_in_ms);
-        let at_ms = now_ms as f64 + held_ms;
-        known.plan.sent(now_ms, ticket, at_ms, paced_ms);
-        let predicted_ms = ahead_ms.max(held_ms) + reading_ms;
-        let word_ms = (predicted_ms * LOST_WORD_TIMES) as u64 + LOST_WORD_MS;
-        let open = Open {
-            of,
-            waits_until_ms: Some(now_ms + word_ms),
+        let ahead_ms = load.ahead_ms(usize::from(request.rank));
+        let reading_ms = f64::from(request.unread_ms);
+        known
+            .plan
+            .allow(f64::from(request.gap_aim_ms), request.event_tokens);
+        let scaled_ms = reading_ms * known.pace_ratio(now_ms);
+        let send_delay_ms = f64::from(request.send_in_ms);
+        let at_ms = now_ms as f64 + send_delay_ms;
+        known.plan.sent(now_ms, ticket, at_ms, scaled_ms);
+        let predicted_ms = ahead_ms.max(send_delay_ms) + reading_ms;
+        let lost_after_ms = (predicted_ms * LOST_MESSAGE_FACTOR) as u64 + LOST_MESSAGE_SLACK_MS;
+        let open = OpenRequest {
+            request,
+            waiting_until_ms: Some(now_ms + lost_after_ms),
             begun_at_ms: now_ms,
             predicted_ms,
-            gone_at_ms: now_ms + u64::from(of.ends_within_ms),
+            expires_at_ms: now_ms + u64::from(request.ends_within_ms),
         };
         known.open.insert(ticket, open);
         known.kept.sent(now_ms, parts);
@@ -301,21 +307,21 @@
 
     /// Notes that a worker has read a request's prompt after a time.
     pub fn read(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
-        let Some(known) = self.worker(now_ms, worker) else {
+        let Some(known) = self.worker_entry(now_ms, worker) else {
             return;
         };
         let Some(open) = known.open.get_mut(&ticket) else {
             return;
         };
-        open.waits_until_ms = None;
+        open.waiting_until_ms = None;
         let predicted_ms = open.predicted_ms;
         known.plan.read(now_ms, ticket);
-        known.note_pace(now_ms, predicted_ms, took_ms);
+        known.record_slowdown(now_ms, predicted_ms, took_ms);
     }
 
     /// Notes that a request at a worker has ended.
     pub fn ended(&mut self, now_ms: u64, worker: u64, ticket: Ticket, outcome: Outcome) {
-        let Some(known) = self.worker(now_ms, worker) else {
+        let Some(known) = self.worker_entry(now_ms, worker) else {
             return;
         };
         let open = known.open.remove(&ticket);
@@ -326,7 +332,9 @@
             Outcome::Whole | Outcome::Paused => {
                 known.health.reached();
                 known.health.succeeded(now_ms);
-                known.pausing.answered(now_ms, outcome == Outcome::Paused);
+                known
+                    .pause_monitor
+                    .record_answer(now_ms, outcome == Outcome::Paused);
             }
             Outcome::Failed => known.health.failed(now_ms),
             Outcome::Unreachable => known.health.unreachable(now_ms),
@@ -335,10 +343,10 @@
     }
 
     /// Returns a worker; none if too many are known already.
-    fn worker(&mut self, now_ms: u64, worker: u64) -> Option<&mut OwnedWorker> {
+    fn worker_entry(&mut self, now_ms: u64, worker: u64) -> Option<&mut OwnedWorker> {
         if self.by_key.len() >= WORKER_MAX_COUNT && !self.by_key.contains_key(&worker) {
             self.by_key
-                .retain(|_, known| now_ms < known.used_at_ms + FORGOTTEN_AFTER_MS);
+                .retain(|_, known| now_ms < known.used_at_ms + IDLE_EVICTION_MS);
             if self.by_key.len() >= WORKER_MAX_COUNT {
                 return None;
             }
@@ -352,48 +360,48 @@
 impl OwnedWorker {
     /// Sums the requests up, those left out that must be over.
     fn load(&mut self, now_ms: u64) -> Load {
-        self.open.retain(|_, open| now_ms < open.gone_at_ms);
+        self.open.retain(|_, open| now_ms < open.expires_at_ms);
         let mut load = Load::default();
         for open in self.open.values() {
-            let rank = usize::from(open.of.rank).min(RANK_COUNT - 1);
+            let rank = usize::from(open.request.rank).min(RANK_COUNT - 1);
             load.open_count += 1;
-            load.stay_ms += f64::from(open.of.stay_ms);
-            load.held_tokens += f64::from(open.of.held_tokens);
+            load.stay_ms += f64::from(open.request.stay_ms);
+            load.held_tokens += f64::from(open.request.held_tokens);
             if open
-                .waits_until_ms
+                .waiting_until_ms
                 .is_some_and(|until_ms| now_ms < until_ms)
             {
                 load.waiting_count[rank] += 1;
-                load.unread_ms[rank] += f64::from(open.of.unread_ms);
+                load.unread_ms[rank] += f64::from(open.request.unread_ms);
             }
         }
         load
     }
 
     /// Returns the place of a prompt: at once unless the worker's streams pause.
-    fn place(&self, now_ms: u64, reading_ms: f64) -> Place {
-        let paced_ms = reading_ms * self.pace_ratio(now_ms);
-        if self.pausing.is_planned(now_ms) {
-            self.plan.place(now_ms, paced_ms)
+    fn schedule(&self, now_ms: u64, reading_ms: f64) -> Place {
+        let scaled_ms = reading_ms * self.pace_ratio(now_ms);
+        if self.pause_monitor.needs_scheduling(now_ms) {
+            self.plan.place(now_ms, scaled_ms)
         } else {
-            self.plan.at_once(now_ms, paced_ms)
+            self.plan.at_once(now_ms, scaled_ms)
         }
     }
 
     /// Takes how long a begin took against its prediction.
-    fn note_pace(&mut self, now_ms: u64, predicted_ms: f64, took_ms: f64) {
-        let allowed_ms = predicted_ms + PACE_SLACK_MS;
-        let ratio = (took_ms / allowed_ms).clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
+    fn record_slowdown(&mut self, now_ms: u64, predicted_ms: f64, took_ms: f64) {
+        let allowed_ms = predicted_ms + SLOWDOWN_SLACK_MS;
+        let ratio = (took_ms / allowed_ms).clamp(SLOWDOWN_RATIO_BOUNDS.0, SLOWDOWN_RATIO_BOUNDS.1);
         let before = self.pace_ratio(now_ms);
-        self.pace_ratio = before * PACE_KEPT_SHARE + ratio * (1.0 - PACE_KEPT_SHARE);
-        self.paced_at_ms = now_ms;
+        self.pace_ratio = before * SLOWDOWN_DECAY_FACTOR + ratio * (1.0 - SLOWDOWN_DECAY_FACTOR);
+        self.slowdown_updated_at_ms = now_ms;
     }
 
     /// Returns how many times longer than predicted the worker takes to begin; one
     /// that is faster counts as one that is not.
     fn pace_ratio(&self, now_ms: u64) -> f64 {
-        let passed_ms = now_ms.saturating_sub(self.paced_at_ms) as f64;
-        let kept = 0.5_f64.powf(passed_ms / PACE_HALF_LIFE_MS);
+        let passed_ms = now_ms.saturating_sub(self.slowdown_updated_at_ms) as f64;
+        let kept = 0.5_f64.powf(passed_ms / SLOWDOWN_HALF_LIFE_MS);
         1.0 + (self.pace_ratio - 1.0).max(0.0) * kept
     }
 }
--- a/crates/cranereach-fleet/src/pauses.rs
+++ b/crates/cranereach-fleet/src/pauses.rs
@@ -38,7 +38,7 @@
 }
 
 /// Times at which one prompt is tried at most.
-const TRY_MAX_COUNT: usize = 64;
+const CANDIDATE_MAX_COUNT: usize = 64;
 
 /// Steps that are looked at for one prediction at most: some seconds of reading.
 const STEP_MAX_COUNT: usize = 512;
@@ -54,25 +54,25 @@
 fn steps(stepping: &Stepping, arrivals: &[Arrival]) -> Vec<Step> {
     let mut steps: Vec<Step> = Vec::with_capacity(arrivals.len() * 2 + stepping.event_steps);
     let mut waiting: Vec<Arrival> = Vec::new();
-    let mut coming = arrivals.iter().copied().peekable();
+    let mut upcoming = arrivals.iter().copied().peekable();
     let mut now_ms = arrivals.first().map_or(0.0, |first| first.at_ms);
     let mut idle_count = 0;
     while steps.len() < STEP_MAX_COUNT {
-        while let Some(arrival) = coming.next_if(|arrival| arrival.at_ms <= now_ms) {
+        while let Some(arrival) = upcoming.next_if(|arrival| arrival.at_ms <= now_ms) {
             waiting.push(arrival);
         }
-        waiting.retain(|of| of.read_at_ms.is_none_or(|read_ms| read_ms > now_ms));
-        let reads_ms = read(&mut waiting, stepping.chunk_ms);
-        let ends_ms = now_ms + stepping.step_ms + reads_ms;
+        waiting.retain(|prompt| prompt.read_at_ms.is_none_or(|read_ms| read_ms > now_ms));
+        let prefill_ms = prefill(&mut waiting, stepping.chunk_ms);
+        let ends_ms = now_ms + stepping.step_ms + prefill_ms;
         steps.push(Step {
             starts_ms: now_ms,
             ends_ms,
         });
         now_ms = ends_ms;
-        idle_count = if reads_ms > 0.0 { 0 } else { idle_count + 1 };
+        idle_count = if prefill_ms > 0.0 { 0 } else { idle_count + 1 };
         if idle_count >= stepping.event_steps {
             // Nothing is left of what was read: on to the next prompt.
-            let Some(next) = coming.peek() else {
+            let Some(next) = upcoming.peek() else {
                 break;
             };
             now_ms = now_ms.max(next.at_ms);
@@ -82,17 +82,17 @@
 }
 
 /// Reads what waits, first come first read, for a time at most; returns for how long.
-fn read(waiting: &mut Vec<Arrival>, chunk_ms: f64) -> f64 {
-    let mut left_ms = chunk_ms;
-    let mut reads_ms = 0.0;
+fn prefill(waiting: &mut Vec<Arrival>, chunk_ms: f64) -> f64 {
+    let mut budget_ms = chunk_ms;
+    let mut prefill_ms = 0.0;
     for arrival in waiting.iter_mut() {
-        let part_ms = arrival.reading_ms.min(left_ms);
+        let part_ms = arrival.reading_ms.min(budget_ms);
         arrival.reading_ms -= part_ms;
-        left_ms -= part_ms;
-        reads_ms += part_ms;
+        budget_ms -= part_ms;
+        prefill_ms += part_ms;
     }
     waiting.retain(|arrival| arrival.reading_ms > 0.0);
-    reads_ms
+    prefill_ms
 }
 
 /// Returns the longest pause of streams that ends after a time, in milliseconds, if
@@ -107,7 +107,7 @@
 /// let prompt = |at_ms| Arrival { at_ms, reading_ms: 100.0, read_at_ms: None };
 /// // All at once: three full chunks.
 /// assert_eq!(longest_ms(&stepping, &[prompt(0.0); 8], 0.0), 630.0);
-/// // One after the other, with a rest between.
+/// // One after the other, with_prompt a rest between.
 /// let spread: Vec<_> = (0..8).map(|number| prompt(f64::from(number) * 150.0)).collect();
 /// assert!(longest_ms(&stepping, &spread, 0.0) < 300.0);
 /// ```
@@ -136,19 +136,22 @@
     let alone_ms = reading_ms.min(stepping.chunk_ms * stepping.event_steps as f64)
         + stepping.step_ms * stepping.event_steps as f64;
     let allowed_ms = limit_ms.max(alone_ms + stepping.step_ms);
-    let later = steps(stepping, arrivals).into_iter();
-    let later = later.flat_map(|step| [step.starts_ms, step.ends_ms]);
-    let later = later.filter(|at_ms| *at_ms > now_ms);
-    let mut with = arrivals.to_vec();
-    let mut least: Option<Place> = None;
-    let mut tried_ms = f64::NEG_INFINITY;
-    for at_ms in std::iter::once(now_ms).chain(later).take(TRY_MAX_COUNT) {
-        if at_ms <= tried_ms {
+    let candidates = steps(stepping, arrivals).into_iter();
+    let candidates = candidates.flat_map(|step| [step.starts_ms, step.ends_ms]);
+    let candidates = candidates.filter(|at_ms| *at_ms > now_ms);
+    let mut with_prompt = arrivals.to_vec();
+    let mut best: Option<Place> = None;
+    let mut last_tried_ms = f64::NEG_INFINITY;
+    for at_ms in std::iter::once(now_ms)
+        .chain(candidates)
+        .take(CANDIDATE_MAX_COUNT)
+    {
+        if at_ms <= last_tried_ms {
             continue;
         }
-        tried_ms = at_ms;
+        last_tried_ms = at_ms;
         let index = arrivals.partition_point(|arrival| arrival.at_ms <= at_ms);
-        with.insert(
+        with_prompt.insert(
             index,
             Arrival {
                 at_ms,
@@ -156,16 +159,16 @@
                 read_at_ms: None,
             },
         );
-        let pause_ms = longest_ms(stepping, &with, at_ms);
-        with.remove(index);
+        let pause_ms = longest_ms(stepping, &with_prompt, at_ms);
+        with_prompt.remove(index);
         if pause_ms <= allowed_ms {
             return Place { at_ms, pause_ms };
         }
-        if least.is_none_or(|least| pause_ms < least.pause_ms) {
-            least = Some(Place { at_ms, pause_ms });
+        if best.is_none_or(|best| pause_ms < best.pause_ms) {
+            best = Some(Place { at_ms, pause_ms });
         }
     }
-    least.unwrap_or(Place {
+    best.unwrap_or(Place {
         at_ms: now_ms,
         pause_ms: allowed_ms,
     })
--- a/crates/cranereach-fleet/src/placement.rs
+++ b/crates/cranereach-fleet/src/placement.rs
@@ -10,16 +10,16 @@
 use crate::pressure::Pressure;
 
 /// How much more a swap must bring than it costs.
-const SWAP_GAIN: f64 = 1.6;
+const MIN_SWAP_GAIN_RATIO: f64 = 1.6;
 
 /// Least gain of an order, in milliseconds of workers' time per second.
-const LEAST_GAIN_MS: f64 = 25.0;
+const MIN_GAIN_MS: f64 = 25.0;
 
 /// Time for which a gain is counted, in seconds.
-const HORIZON_S: f64 = 14.0;
+const GAIN_HORIZON_S: f64 = 14.0;
 
 /// Time of a load from a copy that the worker has, in seconds.
-const COPY_LOAD_S: f64 = 2.0;
+const LOCAL_COPY_LOAD_S: f64 = 2.0;
 
 /// What the plan needs to know of a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -123,69 +123,69 @@
             return Some(planned);
         }
         let pressure = Pressure::of(self.models.len(), self.demand, self.workers);
-        self.best(&pressure, may_load_from_store)
+        self.best_order(&pressure, may_load_from_store)
     }
 
     /// Finds the load, or the unload that makes room for one, that brings most.
-    fn best(&self, pressure: &Pressure, may_load_from_store: bool) -> Option<Planned> {
+    fn best_order(&self, pressure: &Pressure, may_load_from_store: bool) -> Option<Planned> {
         let wanted: Vec<usize> = (0..self.models.len())
-            .filter(|model| pressure.most_gain(*model) > LEAST_GAIN_MS)
+            .filter(|model| pressure.max_gain(*model) > MIN_GAIN_MS)
             .collect();
-        let going_count = self
+        let unloading_count = self
             .workers
             .iter()
             .filter(|worker| is_going(worker))
             .count();
-        let may_swap = going_count < (self.workers.len() / 3).max(2);
-        let mut best: Option<(f64, Planned)> = None;
+        let may_swap = unloading_count < (self.workers.len() / 3).max(2);
+        let mut best_order: Option<(f64, Planned)> = None;
         for (index, worker) in self.workers.iter().enumerate() {
             if !worker.is_free || !worker.carries_demand() || is_going(worker) {
                 continue;
             }
             let used_mb = self.used_mb(worker);
-            let cheapest = cheapest(index, worker, pressure);
+            let cheapest_unload = cheapest_unload(index, worker, pressure);
             for model in &wanted {
-                let is_copy = has_copy(worker, *model);
-                if holds(worker, *model) || !(is_copy || may_load_from_store) {
+                let is_local_copy = has_copy(worker, *model);
+                if holds(worker, *model) || !(is_local_copy || may_load_from_store) {
                     continue;
                 }
                 let has_room = used_mb + self.models[*model].weights_mb <= self.weights_mb;
-                let found = if has_room {
+                let candidate = if has_room {
                     let gain = pressure.gain(*model, index, None);
-                    let gain = self.gain_in_time(*model, gain, is_copy);
+                    let gain = self.discounted_gain(*model, gain, is_local_copy);
                     Some((gain, Order::Load(*model as u16)))
-                } else if let (true, Some((loss, other))) = (may_swap, cheapest) {
+                } else if let (true, Some((loss, other))) = (may_swap, cheapest_unload) {
                     let gain = pressure.gain(*model, index, Some(other));
-                    let gain = self.gain_in_time(*model, gain, is_copy);
-                    Some((gain / SWAP_GAIN - loss, Order::Unload(other)))
+                    let gain = self.discounted_gain(*model, gain, is_local_copy);
+                    Some((gain / MIN_SWAP_GAIN_RATIO - loss, Order::Unload(other)))
                 } else {
                     None
                 };
-                let Some((net, order)) = found.filter(|(net, _)| *net > LEAST_GAIN_MS) else {
+                let Some((net, order)) = candidate.filter(|(net, _)| *net > MIN_GAIN_MS) else {
                     continue;
                 };
-                if best.as_ref().is_none_or(|(most, _)| net > *most) {
-                    let is_from_store = matches!(order, Order::Load(_)) && !is_copy;
+                if best_order.as_ref().is_none_or(|(most, _)| net > *most) {
+                    let is_from_store = matches!(order, Order::Load(_)) && !is_local_copy;
                     let planned = Planned {
                         worker: index,
                         order,
                         is_from_store,
                     };
-                    best = Some((net, planned));
+                    best_order = Some((net, planned));
                 }
             }
         }
-        best.map(|(_, planned)| planned)
+        best_order.map(|(_, planned)| planned)
     }
 
     /// Returns the part of a gain that is left when a load has been done.
-    fn gain_in_time(&self, model: usize, gain: f64, is_copy: bool) -> f64 {
-        let load_s = if is_copy {
-            COPY_LOAD_S
+    fn discounted_gain(&self, model: usize, gain: f64, is_local_copy: bool) -> f64 {
+        let load_s = if is_local_copy {
+            LOCAL_COPY_LOAD_S
         } else {
             self.models[model].load_s
         };
-        gain * ((HORIZON_S - load_s) / HORIZON_S).max(0.1)
+        gain * ((GAIN_HORIZON_S - load_s) / GAIN_HORIZON_S).max(0.1)
     }
 
     /// Finds the most wanted adapter that too few workers hold.
@@ -200,7 +200,7 @@
         let holders = self.ready_holders();
         wanted
             .iter()
-            .find_map(|(key, _)| self.adapter(*key, holders.get(usize::from(key.0))?))
+            .find_map(|(key, _)| self.adapter_order(*key, holders.get(usize::from(key.0))?))
     }
 
     /// Lists by model who serves it, by their places in the view.
@@ -222,7 +222,7 @@
     }
 
     /// Orders an adapter that none of the workers that serve its model holds yet.
-    fn adapter(&self, key: ModelKey, holders: &[usize]) -> Option<Planned> {
+    fn adapter_order(&self, key: ModelKey, holders: &[usize]) -> Option<Planned> {
         let (model, adapter) = key;
         let size = self.models.get(usize::from(model))?;
         if adapter > size.adapter_count {
@@ -259,7 +259,7 @@
             adapters.map(move |adapter| (place.model, *adapter))
         });
         let least = held.min_by(|left, right| rate_of(left).total_cmp(&rate_of(right)))?;
-        (rate_of(&least) * SWAP_GAIN < rate_of(&key)).then_some(least)
+        (rate_of(&least) * MIN_SWAP_GAIN_RATIO < rate_of(&key)).then_some(least)
     }
 
     /// Returns the memory that counts as used, in megabytes.
@@ -275,7 +275,7 @@
 }
 
 /// Finds the model on a worker whose unload costs least.
-fn cheapest(index: usize, worker: &WorkerView, pressure: &Pressure) -> Option<(f64, u16)> {
+fn cheapest_unload(index: usize, worker: &WorkerView, pressure: &Pressure) -> Option<(f64, u16)> {
     let ready = worker.places.iter().filter(|place| !place.is_coming);
     let losses = ready.map(|place| (pressure.loss(usize::from(place.model), index), place.model));
     losses.min_by(|left, right| left.0.total_cmp(&right.0))
--- a/crates/cranereach-fleet/src/service_time.rs
+++ b/crates/cranereach-fleet/src/service_time.rs
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 
 /// Part of the old estimate that one more answer leaves; some fifty answers count.
-const KEPT_SHARE: f64 = 0.98;
+const DECAY_FACTOR: f64 = 0.98;
 
 /// Answers of a service, and of a route, from which the estimate counts: until then
 /// calls are admitted whatever the queue. One instance among a hundred sees an answer
 /// or two a second, so that twenty answers left it without admission for its first ten
 /// seconds; three are right within a quarter, as answers of one route vary by a half.
-const SURE_FROM_COUNT: u32 = 3;
+const MIN_ANSWER_COUNT: u32 = 3;
 
 /// Services that are remembered at most.
 const SERVICE_MAX_COUNT: usize = 4_096;
@@ -27,17 +27,17 @@
 
 /// What is known of the calls of a service, or of one route.
 #[derive(Clone, Copy, Debug, Default)]
-struct Learned {
+struct Estimate {
     time_ms: f64,
     answer_count: u32,
 }
 
-impl Learned {
+impl Estimate {
     /// Takes how long one more call took by itself.
     fn learn(&mut self, time_ms: f64) {
         let answers = f64::from(self.answer_count);
         // The first answers count alike.
-        let kept_share = KEPT_SHARE.min(answers / (answers + 1.0));
+        let kept_share = DECAY_FACTOR.min(answers / (answers + 1.0));
         self.time_ms = self.time_ms * kept_share + time_ms * (1.0 - kept_share);
         self.answer_count = self.answer_count.saturating_add(1);
     }
@@ -45,9 +45,9 @@
 
 /// What is known of one service.
 #[derive(Clone, Debug, Default)]
-struct OfService {
-    all: Learned,
-    by_route: HashMap<Arc<str>, Learned>,
+struct ServiceEstimates {
+    overall: Estimate,
+    by_route: HashMap<Arc<str>, Estimate>,
 }
 
 /// Times by service and route.
@@ -60,14 +60,14 @@
 /// let mut times = ServiceTimes::default();
 /// let (service, route) = (Arc::from("registry"), Arc::from("fetch"));
 /// for _answer in 0..100 {
-///     // Eleven calls before it at six slots: it waited for one turn.
+///     // Eleven calls queued_ahead it at six slots: it waited for one turn.
 ///     times.learn(&service, &route, 100.0, 11, 6);
 /// }
 /// assert_eq!(times.expected_ms("registry", "fetch").round(), 50.0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTimes {
-    by_service: HashMap<Arc<str>, OfService>,
+    by_service: HashMap<Arc<str>, ServiceEstimates>,
 }
 
 impl ServiceTimes {
@@ -78,11 +78,11 @@
             return 0.0;
         };
         let of_route = known.by_route.get(route);
-        let sure = of_route.filter(|learned| learned.answer_count >= SURE_FROM_COUNT);
-        if known.all.answer_count < SURE_FROM_COUNT {
+        let reliable = of_route.filter(|estimate| estimate.answer_count >= MIN_ANSWER_COUNT);
+        if known.overall.answer_count < MIN_ANSWER_COUNT {
             return 0.0;
         }
-        sure.unwrap_or(&known.all).time_ms
+        reliable.unwrap_or(&known.overall).time_ms
     }
 
     /// Takes how long a whole answer took, with so many calls at the worker before it.
@@ -91,16 +91,16 @@
         service: &Arc<str>,
         route: &Arc<str>,
         took_ms: f64,
-        before: u32,
+        queued_ahead: u32,
         slot_count: u32,
     ) {
-        let turns = f64::from(before + 1) / f64::from(slot_count.max(1));
+        let turns = f64::from(queued_ahead + 1) / f64::from(slot_count.max(1));
         let time_ms = took_ms / turns.max(1.0);
         if !self.by_service.contains_key(service) && self.by_service.len() >= SERVICE_MAX_COUNT {
             return;
         }
         let known = self.by_service.entry(Arc::clone(service)).or_default();
-        known.all.learn(time_ms);
+        known.overall.learn(time_ms);
         if known.by_route.contains_key(route) || known.by_route.len() < ROUTE_MAX_COUNT {
             let of_route = known.by_route.entry(Arc::clone(route)).or_default();
             of_route.learn(time_ms);
--- a/crates/cranereach-fleet/src/shortage.rs
+++ b/crates/cranereach-fleet/src/shortage.rs
@@ -10,18 +10,18 @@
 
 /// Time without a refusal after which a shortage is over, in milliseconds: an instance
 /// among many sees a caller of the same kind every second or so.
-const OVER_AFTER_MS: u64 = 2_000;
+const ENDED_AFTER_MS: u64 = 2_000;
 
 /// Longest time that a caller is told to stay away for by this, in milliseconds: few
 /// deadlines are further off.
-const BACK_AFTER_MAX_MS: u64 = 10_000;
+const RETRY_AFTER_MAX_MS: u64 = 10_000;
 
 /// Share by which the time is varied either way, so that callers who were refused
 /// together don't come back together.
-const SPREAD_SHARE: f64 = 0.3;
+const JITTER_SHARE: f64 = 0.3;
 
 /// Shortages that are remembered at most.
-const REMEMBERED_MAX_COUNT: usize = 4_096;
+const SHORTAGE_MAX_COUNT: usize = 4_096;
 
 /// Refusals of one kind that follow each other.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
 /// use cranereach_fleet::shortage::Shortages;
 ///
 /// let mut shortages = Shortages::default();
-/// // With 0.5 the time isn't varied.
+/// // With 0.5 the time isn't random.
 /// assert_eq!(shortages.back_after_ms(1_000, 7, 60, 0.5), 60);
 /// assert_eq!(shortages.back_after_ms(2_000, 7, 60, 0.5), 1_000);
 /// assert_eq!(shortages.back_after_ms(3_500, 7, 60, 0.5), 2_500);
@@ -52,25 +52,25 @@
     /// better come back, in milliseconds, at least `room_in_ms`.
     ///
     /// `varied` is a number by chance from 0 to 1.
-    pub fn back_after_ms(&mut self, now_ms: u64, key: u64, room_in_ms: u64, varied: f64) -> u64 {
-        if self.by_key.len() >= REMEMBERED_MAX_COUNT {
+    pub fn back_after_ms(&mut self, now_ms: u64, key: u64, room_in_ms: u64, random: f64) -> u64 {
+        if self.by_key.len() >= SHORTAGE_MAX_COUNT {
             self.by_key
-                .retain(|_, shortage| now_ms < shortage.last_ms + OVER_AFTER_MS);
+                .retain(|_, shortage| now_ms < shortage.last_ms + ENDED_AFTER_MS);
         }
-        if self.by_key.len() >= REMEMBERED_MAX_COUNT && !self.by_key.contains_key(&key) {
+        if self.by_key.len() >= SHORTAGE_MAX_COUNT && !self.by_key.contains_key(&key) {
             return room_in_ms;
         }
-        let begins = Shortage {
+        let started = Shortage {
             since_ms: now_ms,
             last_ms: now_ms,
         };
-        let shortage = self.by_key.entry(key).or_insert(begins);
-        if now_ms >= shortage.last_ms + OVER_AFTER_MS {
-            *shortage = begins;
+        let shortage = self.by_key.entry(key).or_insert(started);
+        if now_ms >= shortage.last_ms + ENDED_AFTER_MS {
+            *shortage = started;
         }
         shortage.last_ms = now_ms;
-        let lasted_ms = (now_ms - shortage.since_ms).min(BACK_AFTER_MAX_MS) as f64;
-        let spread = 1.0 + (varied - 0.5) * 2.0 * SPREAD_SHARE;
-        room_in_ms.max((lasted_ms * spread) as u64)
+        let lasted_ms = (now_ms - shortage.since_ms).min(RETRY_AFTER_MAX_MS) as f64;
+        let jitter = 1.0 + (random - 0.5) * 2.0 * JITTER_SHARE;
+        room_in_ms.max((lasted_ms * jitter) as u64)
     }
 }
