--- a/crates/cranereach-fleet/src/placement.rs
+++ b/crates/cranereach-fleet/src/placement.rs
@@ -1,45 +1,45 @@
-//! What each worker should hold: which load or unload comes next.
+//! Chooses the next load or unload of a model or adapter on the workers of a service.
 //!
-//! Each order is the one that takes most off what is served badly, as
-//! [`crate::pressure`] sees it, less what a model that makes way adds, and less
-//! what the time of the load costs.
+//! Each order is the one with the highest net gain: the reduction of the congestion cost that
+//! [`crate::pressure`] computes, discounted by the time that the load takes, minus the cost of the
+//! model that is evicted to make room.
 
 use std::collections::HashMap;
 
 use crate::demand::ModelKey;
 use crate::pressure::Pressure;
 
-/// How much more a swap must bring than it costs.
+/// Minimum ratio of the gain of a swap (evicting one model or adapter for another) to its cost.
 const MIN_SWAP_GAIN_RATIO: f64 = 1.6;
 
-/// Least gain of an order, in milliseconds of workers' time per second.
+/// Minimum net gain of an order, in milliseconds of worker time per second.
 const MIN_GAIN_MS: f64 = 25.0;
 
-/// Time for which a gain is counted, in seconds.
+/// Period over which a gain is counted, in seconds; the load time is subtracted from it.
 const GAIN_HORIZON_S: f64 = 14.0;
 
-/// Time of a load from a copy that the worker has, in seconds.
+/// Load time from a copy in the worker's memory or on its disk, in seconds.
 const LOCAL_COPY_LOAD_S: f64 = 2.0;
 
-/// What the plan needs to know of a model.
+/// Size and load time of a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModelSize {
-    /// Memory of its weights, in megabytes.
+    /// Memory that its weights take, in megabytes.
     pub weights_mb: f64,
-    /// Memory of one adapter, in megabytes.
+    /// Memory that one adapter takes, in megabytes.
     pub adapter_mb: f64,
-    /// Adapters that it has.
+    /// Number of its adapters.
     pub adapter_count: u16,
-    /// Time of a load from the weight store, in seconds.
+    /// Load time from the weight store, in seconds.
     pub load_s: f64,
 }
 
-/// A model on a worker.
+/// A model on a worker, in any state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Place {
-    /// The model's place in the declared list.
+    /// Index of the model in the declared list.
     pub model: u16,
-    /// Its adapters, numbered from one.
+    /// Its adapters on the worker, numbered from one.
     pub adapters: Vec<u16>,
     /// Whether it is being unloaded.
     pub is_going: bool,
@@ -54,30 +54,30 @@
     }
 }
 
-/// A worker as the plan sees it.
+/// Planning view of a worker.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerView {
-    /// What it holds, loads in flight included.
+    /// Models on the worker, including those being loaded or unloaded.
     pub places: Vec<Place>,
-    /// Whether an order may be sent to it now.
+    /// Whether an order may be sent to the worker now.
     pub is_free: bool,
-    /// Whether it takes requests: not leaving, not failing.
+    /// Whether the worker takes requests, that is, is neither leaving nor failing.
     pub is_serving: bool,
-    /// Whether its failure domain is being evacuated: what it holds is kept, but serves
-    /// nobody, so that demand needs copies elsewhere.
+    /// Whether its failure domain is being evacuated: its models stay loaded but get no requests,
+    /// so the demand needs replicas elsewhere.
     pub is_evacuated: bool,
-    /// Models that it loads cheaply, from memory or disk.
+    /// Models of which the worker has a copy in memory or on disk, so that it loads them quickly.
     pub copies: Vec<u16>,
 }
 
 impl WorkerView {
-    /// Whether demand may be laid on the worker.
+    /// Whether demand may be assigned to the worker.
     pub fn carries_demand(&self) -> bool {
         self.is_serving && !self.is_evacuated
     }
 }
 
-/// One order.
+/// An order to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Load a model.
@@ -90,34 +90,34 @@
     UnloadAdapter(ModelKey),
 }
 
-/// An order for one worker, by its place in the view.
+/// An order and the worker that it is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Planned {
-    /// The worker's place in the view.
+    /// Index of the worker in [`Plan::workers`].
     pub worker: usize,
     /// The order.
     pub order: Order,
-    /// Whether it needs a load from the weight store.
+    /// Whether the order is a load from the weight store.
     pub is_from_store: bool,
 }
 
-/// What the plan looks at.
+/// Input of the planner, for one service.
 #[derive(Clone, Debug)]
 pub struct Plan<'a> {
-    /// Models, in the declared order.
+    /// Models in the declared order.
     pub models: &'a [ModelSize],
-    /// Memory of one worker, in megabytes.
+    /// Memory of one worker for weights and adapters, in megabytes.
     pub weights_mb: f64,
-    /// Adapters that one worker holds at most.
+    /// Maximum number of adapters on one worker.
     pub adapter_slot_count: usize,
-    /// Demand, in milliseconds of workers' time per second.
+    /// Demand by model and adapter, in milliseconds of worker time per second.
     pub demand: &'a HashMap<ModelKey, f64>,
-    /// Workers.
+    /// Workers of the service.
     pub workers: &'a [WorkerView],
 }
 
 impl Plan<'_> {
-    /// Returns the order that brings most of those that can be sent now.
+    /// Returns the best order that can be sent now; missing adapters come before models.
     pub fn next(&self, may_load_from_store: bool) -> Option<Planned> {
         if let Some(planned) = self.missing_adapter() {
             return Some(planned);
@@ -126,7 +126,7 @@
         self.best_order(&pressure, may_load_from_store)
     }
 
-    /// Finds the load, or the unload that makes room for one, that brings most.
+    /// Finds the load with the highest net gain, or the unload that makes room for it.
     fn best_order(&self, pressure: &Pressure, may_load_from_store: bool) -> Option<Planned> {
         let wanted: Vec<usize> = (0..self.models.len())
             .filter(|model| pressure.max_gain(*model) > MIN_GAIN_MS)
@@ -178,7 +178,7 @@
         best_order.map(|(_, planned)| planned)
     }
 
-    /// Returns the part of a gain that is left when a load has been done.
+    /// Discounts a gain by the part of the horizon that the load takes.
     fn discounted_gain(&self, model: usize, gain: f64, is_local_copy: bool) -> f64 {
         let load_s = if is_local_copy {
             LOCAL_COPY_LOAD_S
@@ -188,7 +188,8 @@
         gain * ((GAIN_HORIZON_S - load_s) / GAIN_HORIZON_S).max(0.1)
     }
 
-    /// Finds the most wanted adapter that too few workers hold.
+    /// Returns an order for the adapter with the highest demand among those that no worker serves
+    /// and for which an order can be made.
     fn missing_adapter(&self) -> Option<Planned> {
         let mut wanted: Vec<(ModelKey, f64)> = self
             .demand
@@ -203,10 +204,10 @@
             .find_map(|(key, _)| self.adapter_order(*key, holders.get(usize::from(key.0))?))
     }
 
-    /// Lists by model who serves it, by their places in the view.
+    /// Lists, for each model, the indices of the workers that serve it.
     ///
-    /// Made once for all adapters: a look at all workers for each would take 1,171 times as
-    /// long where so many adapters are asked for.
+    /// Computed once for all adapters: scanning all workers for each adapter would take 1,171 times
+    /// as long with that many adapters in demand.
     fn ready_holders(&self) -> Vec<Vec<usize>> {
         let mut holders = vec![Vec::new(); self.models.len()];
         let carrying = self.workers.iter().enumerate();
@@ -221,7 +222,8 @@
         holders
     }
 
-    /// Orders an adapter that none of the workers that serve its model holds yet.
+    /// Returns the order for an adapter that is on none of the workers serving its model: a load on
+    /// the worker with the fewest adapters, or an unload there if it is full.
     fn adapter_order(&self, key: ModelKey, holders: &[usize]) -> Option<Planned> {
         let (model, adapter) = key;
         let size = self.models.get(usize::from(model))?;
@@ -251,7 +253,8 @@
         })
     }
 
-    /// Returns the adapter of a worker that is wanted least, less than `key`.
+    /// Returns the worker's adapter with the lowest demand, if its demand is far enough below that
+    /// of `key` to evict it.
     fn least_wanted_adapter(&self, worker: &WorkerView, key: ModelKey) -> Option<ModelKey> {
         let rate_of = |key: &ModelKey| self.demand.get(key).copied().unwrap_or_default();
         let held = worker.places.iter().flat_map(|place| {
@@ -262,7 +265,7 @@
         (rate_of(&least) * MIN_SWAP_GAIN_RATIO < rate_of(&key)).then_some(least)
     }
 
-    /// Returns the memory that counts as used, in megabytes.
+    /// Returns the memory that the models and adapters on a worker take, in megabytes.
     fn used_mb(&self, worker: &WorkerView) -> f64 {
         let places = worker.places.iter();
         places
@@ -274,7 +277,8 @@
     }
 }
 
-/// Finds the model on a worker whose unload costs least.
+/// Returns the model that is cheapest to unload from a worker, with the cost; models being loaded
+/// don't count.
 fn cheapest_unload(index: usize, worker: &WorkerView, pressure: &Pressure) -> Option<(f64, u16)> {
     let ready = worker.places.iter().filter(|place| !place.is_coming);
     let losses = ready.map(|place| (pressure.loss(usize::from(place.model), index), place.model));
@@ -298,7 +302,7 @@
     ready.any(|place| place.model == model && place.adapters.contains(&adapter))
 }
 
-/// Whether a worker has a copy of a model's weights.
+/// Whether a worker has a copy of a model's weights in memory or on disk.
 fn has_copy(worker: &WorkerView, model: usize) -> bool {
     worker.copies.iter().any(|copy| usize::from(*copy) == model)
 }
--- a/crates/cranereach-fleet/src/pressure.rs
+++ b/crates/cranereach-fleet/src/pressure.rs
@@ -1,76 +1,76 @@
-//! How much demand is served badly, and what a replica more or less changes.
+//! Estimates the congestion cost of the current placement, and how one replica more or less changes
+//! it.
 //!
-//! Several models share a worker, and each model's demand goes to whichever of
-//! its holders has time. So the demand of all models is first laid over the
-//! workers as evenly as what they hold allows. A worker of which the share `u` of
-//! its time is requested for serves `u^3` badly while `u` is below one, and
-//! `u (2 u - 1)` above, where queues grow, up to where nothing more is served. A
-//! model that no worker holds has all of its demand served badly, several times
-//! over.
+//! Several models share a worker, and requests for a model go to whichever of its replicas has
+//! capacity. So the demand of all models is first distributed over the workers as evenly as their
+//! replicas allow (water-filling). At a utilization `u`, the congestion cost of a worker is `u^3`
+//! for `u < 1` and `u (2 u - 1)` above, where queues grow; beyond the saturation point it grows
+//! linearly, because further demand is not served at all. For a model without any replica, all of
+//! its demand counts, weighted by `NO_REPLICA_WEIGHT`.
 
 use std::collections::HashMap;
 
 use crate::demand::ModelKey;
 use crate::placement::WorkerView;
 
-/// How much worse it is to have no worker than to have one that is full.
+/// Cost of demand for a model without a replica, relative to the cost at a fully utilized worker.
 const NO_REPLICA_WEIGHT: f64 = 8.0;
 
-/// Share of a worker's time from which all further demand is served equally badly:
-/// below the weight of a model that nobody holds, so that some are served.
+/// Utilization from which the congestion cost grows linearly. The slope there, `4 u - 1`, is below
+/// `NO_REPLICA_WEIGHT`, so that under overload a model without a replica still gets one.
 const SATURATION_UTILIZATION: f64 = 1.75;
 
-/// Workers' time that one worker gives, in milliseconds per second.
+/// Capacity of one worker, in milliseconds of worker time per second.
 const WORKER_MS_PER_S: f64 = 1_000.0;
 
-/// Times that the demand of each model is laid out anew, given that of the others.
+/// Number of passes in which the demand of each model is redistributed, given that of the others.
 const SWEEP_COUNT: usize = 6;
 
-/// Demand that is spread over all models alike, as a share of all demand.
+/// Share of the total demand that is spread evenly over all models as a minimum.
 ///
-/// It keeps a model that nobody asks for on its last worker, but no longer than a
-/// busy one needs the place.
+/// It keeps the last replica of a model without requests, until a model with demand needs the
+/// memory.
 const BASELINE_DEMAND_SHARE: f64 = 0.05;
 
-/// A model on a worker.
+/// A replica of a model on a worker.
 #[derive(Clone, Copy, Debug)]
 struct Replica {
-    /// The worker's place in the view.
+    /// Index of the worker in the list of views.
     worker: usize,
-    /// Share of the worker's time that the model's demand takes there.
+    /// Utilization of the worker caused by the demand for this model.
     share: f64,
-    /// Whether the model is served there already.
+    /// Whether the replica serves requests, that is, is not still being loaded.
     is_ready: bool,
 }
 
-/// The demand for a model and who serves it.
+/// Demand for a model and the state of its replicas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WantedModel {
-    /// The model's place in the declared list.
+    /// Index of the model in the declared list.
     pub model: usize,
-    /// Demand, in workers.
+    /// Demand, as a number of fully utilized workers.
     pub demand: f64,
-    /// Workers that serve it.
+    /// Number of replicas that serve requests.
     pub ready_count: usize,
-    /// Workers that are loading it.
+    /// Number of replicas being loaded.
     pub coming_count: usize,
-    /// Share of its time that is requested of the least busy worker that serves it.
+    /// Lowest utilization among the workers that serve it; infinite if there is none.
     pub level: f64,
 }
 
-/// Demand of all models of one service, laid over the workers.
+/// Demand for all models of one service, distributed over the workers.
 #[derive(Clone, Debug)]
 pub struct Pressure {
-    /// Demand by model, in workers.
+    /// Demand by model, as a number of fully utilized workers.
     demand: Vec<f64>,
-    /// Who holds each model.
+    /// Replicas by model, without those being unloaded.
     replicas: Vec<Vec<Replica>>,
-    /// Share of each worker's time that is requested for.
+    /// Utilization by worker; above one, the worker gets more demand than it can serve.
     levels: Vec<f64>,
 }
 
 impl Pressure {
-    /// Works the pressure out from what is requested for and what workers hold.
+    /// Distributes the demand over the replicas on the workers.
     pub fn of(
         model_count: usize,
         requested: &HashMap<ModelKey, f64>,
@@ -108,20 +108,21 @@
         pressure
     }
 
-    /// Returns the most that one more replica of a model could take off, in
-    /// milliseconds of workers' time per second.
+    /// Returns the largest cost reduction that one more replica of a model could bring, on an idle
+    /// worker, in milliseconds of worker time per second.
     pub fn max_gain(&self, model: usize) -> f64 {
         self.gain_at(model, 0.0)
     }
 
-    /// Returns what a replica of a model on a worker takes off, after another model
-    /// has made way if one is named.
+    /// Returns the cost reduction by a new replica of a model on a worker, after the eviction of
+    /// another model if one is given, in milliseconds of worker time per second.
     pub fn gain(&self, model: usize, worker: usize, evicted: Option<u16>) -> f64 {
         let freed = evicted.map_or(0.0, |other| self.share(usize::from(other), worker));
         self.gain_at(model, (self.levels[worker] - freed).max(0.0))
     }
 
-    /// Returns what one less of a model's ready replicas adds, taken from a worker.
+    /// Returns the cost increase when a model's replica is removed from a worker, in milliseconds
+    /// of worker time per second.
     pub fn loss(&self, model: usize, worker: usize) -> f64 {
         let others = self.replicas[model]
             .iter()
@@ -141,7 +142,7 @@
         (added - relieved) * WORKER_MS_PER_S
     }
 
-    /// Lists the models by demand, the most wanted first.
+    /// Returns the `count` models with the highest demand, in descending order.
     pub fn most_wanted(&self, count: usize) -> Vec<WantedModel> {
         let mut wanted: Vec<WantedModel> = self
             .demand
@@ -165,15 +166,14 @@
         wanted
     }
 
-    /// Returns the share of their time that is requested of the busiest worker, and of
-    /// all on the average.
+    /// Returns the maximum and the mean utilization of the workers.
     pub fn levels(&self) -> (f64, f64) {
         let most = self.levels.iter().copied().fold(0.0, f64::max);
         let sum: f64 = self.levels.iter().sum();
         (most, sum / self.levels.len().max(1) as f64)
     }
 
-    /// Returns what a replica takes off on a worker that is busy so far already.
+    /// Returns the cost reduction by a new replica on a worker of a given utilization.
     fn gain_at(&self, model: usize, level: f64) -> f64 {
         let demand = self.demand[model];
         let serving = self.replicas[model].iter();
@@ -185,21 +185,21 @@
         }
         let count = levels.len() as f64;
         let before = levels.iter().sum::<f64>() / count;
-        // What moves over evens the levels out.
+        // Demand moves to the new replica until the utilizations are equal.
         let moved = ((before - level) / (1.0 + 1.0 / count)).clamp(0.0, demand);
         let relieved = count * (congestion_cost(before) - congestion_cost(before - moved / count));
         let added = congestion_cost(level + moved) - congestion_cost(level);
         (relieved - added) * WORKER_MS_PER_S
     }
 
-    /// Returns the share of a worker's time that a model's demand takes there.
+    /// Returns the utilization of a worker caused by the demand for a model.
     fn share(&self, model: usize, worker: usize) -> f64 {
         let mut replicas = self.replicas[model].iter();
         let found = replicas.find(|replica| replica.worker == worker);
         found.map_or(0.0, |replica| replica.share)
     }
 
-    /// Lays the demand of each model over its holders, given that of the others.
+    /// Redistributes the demand of each model over its replicas, given that of the others.
     fn distribute(&mut self) {
         for (replicas, demand) in self.replicas.iter_mut().zip(&self.demand) {
             for replica in &*replicas {
@@ -218,8 +218,8 @@
     }
 }
 
-/// Returns the level up to which an amount fills vessels that are filled already
-/// up to levels of their own.
+/// Returns the common level that workers of the given levels reach when an amount is added to the
+/// lowest ones (water-filling).
 fn water_fill(levels: &[f64], amount: f64) -> f64 {
     let mut sorted = levels.to_vec();
     sorted.sort_unstable_by(f64::total_cmp);
@@ -237,7 +237,7 @@
     0.0
 }
 
-/// Returns the demand per model, with a little of all for models that nobody asks for.
+/// Returns the demand by model, raised to a minimum for each model; the total stays the same.
 fn expected_demand(model_count: usize, requested: &HashMap<ModelKey, f64>) -> Vec<f64> {
     let mut by_model = vec![0.0; model_count];
     for ((model, _adapter), rate) in requested {
@@ -248,7 +248,7 @@
     let total: f64 = by_model.iter().sum();
     let least = BASELINE_DEMAND_SHARE * total / model_count.max(1) as f64;
     let mut expected: Vec<f64> = by_model.iter().map(|own| own.max(least)).collect();
-    // That little is taken off the others.
+    // Scale all down so that the minimum doesn't add to the total.
     let expected_total: f64 = expected.iter().sum();
     if expected_total > 0.0 {
         for demand in &mut expected {
@@ -258,8 +258,7 @@
     expected
 }
 
-/// Returns how much is served badly, in workers, by one of whose time a share is
-/// requested for.
+/// Returns the congestion cost of a worker at a given utilization, as a number of workers.
 fn congestion_cost(share: f64) -> f64 {
     if share < 1.0 {
         share * share * share
