--- a/crates/cranereach-fleet/src/admission.rs
+++ b/crates/cranereach-fleet/src/admission.rs
@@ -1,43 +1,45 @@
-//! Whether a call is sent to the worker that was chosen for it, waits, or is refused.
+//! Admission control: whether a call is sent to the worker chosen for it, waits, or is refused.
 //!
-//! Prompts of one model queue at its workers, whatever their routes. In overload the
-//! queue stands where callers begin to be refused: were that the same for all, urgent
-//! calls would wait behind less urgent ones. So the less urgent leave room: a queue
-//! that would make urgent calls late is none that they add to. Those whose own aim is
-//! far off wait for their turn meanwhile; the others are refused.
+//! Prompts for a model queue at its workers, whatever their routes. Under overload, the queue grows
+//! up to the length at which calls are refused: if that were the same for all, urgent calls would
+//! wait behind less urgent ones. So less urgent calls leave headroom: they aren't added to a queue
+//! that would make urgent calls late. Those with enough time left until their own target wait in
+//! the meantime; the others are refused.
 
-/// Share of the aim up to which a call is offered, by the time predicted until it begins.
-const STREAM_LIMIT_SHARE: f64 = 1.3;
+/// Maximum predicted time until the answer begins, as a share of the target, at which a call is
+/// sent.
+const BEGIN_LIMIT_SHARE: f64 = 1.3;
 
-/// Share of the aim up to which a call is offered that is answered whole, by the time
-/// predicted until its answer. Callers of a service all wait in one queue: in overload
-/// it stands just there, and a longer one would make all answers late.
+/// Maximum predicted time until the complete answer, as a share of the target, at which a call is
+/// sent that is answered as a whole. All calls of a service wait in one queue: under overload it
+/// stays at just this length, and a longer one would make all answers late.
 const WHOLE_LIMIT_SHARE: f64 = 0.7;
 
-/// The same where routes of the service are more urgent, as a share of their shortest
-/// aim: what is left is for them.
+/// Maximum predicted time for a call whose service has more urgent routes: above this share of
+/// their shortest target it waits, above this share of its own target it is refused. The rest is
+/// headroom for the more urgent calls.
 const HEADROOM_LIMIT_SHARE: f64 = 0.8;
 
-/// Share of its aim for which a call waits that leaves room: as much again and more is
-/// left for its prompt.
+/// Maximum time that a call waits to leave headroom, as a share of its target: more than as much
+/// again is left for its prompt.
 const MAX_WAIT_SHARE: f64 = 0.25;
 
-/// Longest and shortest pause between two looks of a call that waits, in milliseconds:
-/// each look asks some owners.
+/// Shortest and longest time between two checks of a waiting call, in milliseconds: each check
+/// queries the owners of several workers.
 const RECHECK_BOUNDS_MS: (f64, f64) = (40.0, 200.0);
 
-/// What is to be done with a call.
+/// Decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is sent.
+    /// Send it.
     Send,
-    /// It looks again after a time, in milliseconds.
+    /// Check again after a time, in milliseconds.
     LookAgain(f64),
-    /// It is refused.
+    /// Refuse it.
     Refuse,
 }
 
-/// What a call may wait for.
+/// Latency targets that decide on a call.
 ///
 /// ```
 /// use cranereach_fleet::admission::Admission;
@@ -51,17 +53,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// Time within which the call is to begin, in milliseconds.
+    /// Latency target of the call, in milliseconds: until its answer begins, or is complete if
+    /// `is_whole`.
     pub aim_ms: f64,
-    /// Shortest such time of more urgent routes of its service, in milliseconds.
+    /// Shortest latency target among the more urgent routes of its service, in milliseconds; none
+    /// if there are none.
     pub urgent_aim_ms: Option<f64>,
-    /// Whether it is answered whole: it is in time with its answer.
+    /// Whether the call is answered as a whole, so that the target applies to the complete answer.
     pub is_whole: bool,
 }
 
 impl Admission {
-    /// Judges a call that would begin, or be answered, within a time, and has waited
-    /// for another, both in milliseconds.
+    /// Decides on a call by the predicted time until its answer begins (or is complete if
+    /// `is_whole`) and the time that it has waited, both in milliseconds.
     pub fn judge(&self, begins_in_ms: f64, waited_ms: f64) -> Verdict {
         let Some(urgent_aim_ms) = self.urgent_aim_ms.filter(|_| !self.is_whole) else {
             return self.judge_without_headroom(begins_in_ms);
@@ -77,12 +81,12 @@
         Verdict::LookAgain(excess_ms.clamp(RECHECK_BOUNDS_MS.0, RECHECK_BOUNDS_MS.1))
     }
 
-    /// Judges a call that leaves room for nobody.
+    /// Decides on a call that leaves no headroom for others.
     fn judge_without_headroom(&self, begins_in_ms: f64) -> Verdict {
         let limit_share = if self.is_whole {
             WHOLE_LIMIT_SHARE
         } else {
-            STREAM_LIMIT_SHARE
+            BEGIN_LIMIT_SHARE
         };
         if begins_in_ms <= self.aim_ms * limit_share {
             Verdict::Send
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -1,14 +1,15 @@
-//! Requests open at the workers that this instance owns, as all instances tell it.
+//! Tracks the open requests and the health of the workers that this instance owns, as reported by
+//! all instances.
 //!
-//! Each worker has one owner among the instances (see [`crate::membership`]). Whoever
-//! is about to send a request asks the owners of a few workers how these stand, and
-//! tells the chosen worker's owner when the request is sent, when its prompt has been
-//! read and when it ends. So the owner knows the load of its worker to within the way
-//! of a datagram, and what a worker kept, failed and took long for is known to all,
-//! at a cost that grows with the worker's own requests alone.
+//! Each worker has one owner among the instances (see [`crate::membership`]). An instance that is
+//! about to send a request queries the owners of a few workers, and notifies the owner of the
+//! chosen worker when the request is sent, when its prompt has been prefilled and when it ends. So
+//! an owner knows the load of its worker to within the latency of a datagram, and a worker's cached
+//! prefixes, failures and slow answers are known to all, at a cost that grows only with the
+//! worker's own requests.
 //!
-//! Nothing here is agreed on. An owner that is new knows little for a second or two,
-//! lost messages age out, and whoever gets no answer goes by what it knows itself.
+//! There is no consensus on any of this. A new owner knows little for a second or two, entries
+//! whose messages were lost expire, and an instance that gets no reply uses what it knows itself.
 
 use std::collections::HashMap;
 
@@ -24,72 +25,70 @@
 use crate::prefixes::PromptPart;
 use crate::reading_plan::ReadingPlan;
 
-/// Time for which a request counts as waiting beyond what was predicted, in
-/// milliseconds: then the word that it was read must have been lost.
+/// Time beyond the multiple of the prediction after which a request no longer counts as waiting, in
+/// milliseconds: the message that its prompt was prefilled must have been lost.
 const LOST_MESSAGE_SLACK_MS: u64 = 1_000;
 
-/// How many times the predicted time that holds for.
+/// Multiple of the predicted time for which a request counts as waiting.
 const LOST_MESSAGE_FACTOR: f64 = 4.0;
 
-/// How many times longer than predicted a begin may take before a request that its
-/// caller gives up speaks against the worker.
+/// Multiple of the predicted time to first token after which a request that its caller cancels
+/// counts as a failure of the worker.
 const STALLED_FACTOR: f64 = 3.0;
 
-/// Time by which it may take longer besides, in milliseconds.
+/// Time added to that multiple, in milliseconds.
 const STALLED_SLACK_MS: f64 = 1_000.0;
 
-/// Requests at one worker that are remembered at most.
+/// Maximum number of open requests tracked per worker.
 const OPEN_MAX_COUNT: usize = 1_024;
 
-/// Workers that are remembered at most: none is asked about by so many.
+/// Maximum number of workers tracked; an owner is never queried about this many.
 const WORKER_MAX_COUNT: usize = 1_024;
 
-/// Time after which a worker that nobody asks about is forgotten, in milliseconds.
+/// Time without any query or notification after which a worker may be evicted, in milliseconds.
 const IDLE_EVICTION_MS: u64 = 30_000;
 
-/// Part of the old pace that one more answer leaves; some five answers count.
+/// Weight of the old slowdown when an answer is added; the effective window is some five answers.
 const SLOWDOWN_DECAY_FACTOR: f64 = 0.8;
 
-/// Time after which half of a worker's deviation from its pace is forgotten, in
-/// milliseconds, so that a slow worker is tried again.
+/// Half-life of a worker's slowdown, in milliseconds, so that a slow worker is tried again.
 const SLOWDOWN_HALF_LIFE_MS: f64 = 4_000.0;
 
-/// Least and most that one answer's pace counts for.
+/// Bounds of the slowdown that one answer may show.
 const SLOWDOWN_RATIO_BOUNDS: (f64, f64) = (0.5, 20.0);
 
-/// Time that every answer may take beyond its prediction without saying anything of
-/// its worker's pace, in milliseconds.
+/// Time by which an answer may exceed its prediction without counting as slow, in milliseconds.
 const SLOWDOWN_SLACK_MS: f64 = 30.0;
 
-/// A request that is sent to a worker.
+/// A request that is being sent to a worker, as its owner is notified of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Opening {
-    /// Rank of urgency.
+    /// Priority rank, zero first.
     pub rank: u8,
-    /// Time to read its prompt, in milliseconds.
+    /// Prefill time of the uncached part of its prompt, in milliseconds.
     pub unread_ms: f32,
-    /// Time for which it is expected to keep a slot, in milliseconds.
+    /// Expected time for which it occupies a slot, in milliseconds.
     pub stay_ms: f32,
-    /// Tokens that it may come to hold.
+    /// Maximum number of tokens that it holds in the KV cache: the prompt and the longest answer.
     pub held_tokens: u32,
-    /// Time after which it is over whatever happens, in milliseconds.
+    /// Time until its deadline, after which it no longer counts as open, in milliseconds.
     pub ends_within_ms: u32,
-    /// Longest pause that streams of the worker's service may make, in milliseconds;
-    /// zero if they may make any.
+    /// Maximum pause in streams of the worker's service, in milliseconds; zero for no limit.
     pub gap_aim_ms: u32,
-    /// Tokens that an event of those streams holds; zero if that isn't known.
+    /// Tokens per event of those streams; zero if unknown.
     pub event_tokens: u32,
-    /// Time for which it is held back before it is sent, in milliseconds.
+    /// Time for which it is delayed before it is sent, in milliseconds.
     pub send_in_ms: u32,
-    /// Whether it runs apart from others under which workers ended.
+    /// Whether it is suspected of crashing workers and must not run beside other suspects (see
+    /// [`crate::quarantine`]).
     pub runs_alone: bool,
 }
 
-/// Longest time that is believed of a request, in milliseconds.
+/// Maximum accepted for a reported time, in milliseconds.
 const REPORTED_TIME_MAX_MS: f32 = 600_000.0;
 
 impl Opening {
-    /// Returns it with times that no request takes cut off, as a stranger may tell.
+    /// Returns a copy with its times clamped, since values from the network may be implausible.
     fn bounded(self) -> Self {
         let bounded_ms = |reported_ms: f32| {
             let finite_ms = if reported_ms.is_finite() {
@@ -109,69 +108,72 @@
     }
 }
 
-/// How a request at a worker ended.
+/// Outcome of a request at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Its answer was whole.
+    /// The answer was complete.
     Whole,
-    /// Its answer was whole, with a pause longer than its route aims at.
+    /// The answer was complete, with a pause longer than the target of its route.
     Paused,
-    /// It failed after it was sent.
+    /// The request failed after it was sent.
     Failed,
     /// The worker could not be reached.
     Unreachable,
-    /// It says nothing of the worker: the caller left, or the worker put it back.
+    /// The outcome says nothing about the worker: the caller left, or the worker returned the
+    /// request.
     Neutral,
 }
 
-/// What an owner says of its worker.
+/// State of a worker as reported by its owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Standing {
-    /// Requests at the worker.
+    /// Load by the open requests at the worker.
     pub load: Load,
-    /// Leading parts of the prompt that it has probably kept.
+    /// Number of leading parts of the prompt that are probably in its prefix cache.
     pub kept_part_count: usize,
-    /// How many times longer than predicted it takes to begin.
+    /// Ratio of the actual to the predicted time to first token, at least one.
     pub pace_ratio: f64,
-    /// Share of the calls that failed lately.
+    /// Share of recent calls that failed.
     pub failed_share: f64,
-    /// Whether calls should go elsewhere for now.
+    /// Whether calls should go to other workers for now.
     pub is_aside: bool,
-    /// Whether a request is there that runs apart from others under which workers ended.
+    /// Whether it runs a request that is suspected of crashing workers (see
+    /// [`Opening::runs_alone`]).
     pub has_suspect: bool,
-    /// Time until the prompt is to be sent, so that no stream pauses for too long by it,
-    /// in milliseconds; mostly none.
+    /// Delay before the prompt is to be sent so that it makes no stream pause for too long, in
+    /// milliseconds; usually zero.
     pub send_in_ms: f64,
-    /// Longest pause between two pieces that the prompt's reading makes in the streams
-    /// that run, as predicted, in milliseconds; zero where nothing is predicted.
+    /// Longest predicted pause that the prefill of the prompt causes in the running streams, in
+    /// milliseconds; zero where nothing is predicted.
     pub pause_ms: f64,
 }
 
-/// One request, and who sent it.
+/// Identifies a request: its sender, and its number at that sender.
 type Ticket = (u32, u64);
 
-/// A request that is open at a worker.
+/// An open request at a worker.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     request: Opening,
-    /// Until when it counts as waiting without word, in milliseconds; none once read.
+    /// Until when it counts as waiting if no notification arrives, in milliseconds; none once its
+    /// prompt has been prefilled.
     waiting_until_ms: Option<u64>,
     begun_at_ms: u64,
-    /// What its begin was predicted to take, in milliseconds.
+    /// Predicted time until its prompt is prefilled, in milliseconds.
     predicted_ms: f64,
-    /// When it counts as over without word, in milliseconds.
+    /// When it counts as ended if no notification arrives, in milliseconds.
     expires_at_ms: u64,
 }
 
 impl OpenRequest {
-    /// Whether the worker should have begun long ago and hasn't.
+    /// Whether the answer has not begun long after its predicted time.
     fn is_stalled(&self, now_ms: u64) -> bool {
         let allowed_ms = self.predicted_ms * STALLED_FACTOR + STALLED_SLACK_MS;
         self.waiting_until_ms.is_some() && (now_ms - self.begun_at_ms) as f64 > allowed_ms
     }
 }
 
-/// A worker that this instance owns.
+/// State of a worker that this instance owns.
 #[derive(Clone, Debug)]
 struct OwnedWorker {
     open: HashMap<Ticket, OpenRequest>,
@@ -199,7 +201,7 @@
     }
 }
 
-/// All workers that this instance owns, by their key.
+/// Workers that this instance owns, by key.
 ///
 /// ```
 /// use cranereach_fleet::owned::Opening;
@@ -216,7 +218,7 @@
 }
 
 impl OwnedWorkers {
-    /// Returns how a worker stands for a prompt that takes a time to read.
+    /// Returns the state of a worker for a prompt with the given parts and prefill time.
     pub fn standing(
         &mut self,
         now_ms: u64,
@@ -244,14 +246,14 @@
         }
     }
 
-    /// Returns how many leading parts of a prompt a worker has probably kept.
+    /// Returns how many leading parts of a prompt are probably in a worker's prefix cache.
     pub fn kept_part_count(&self, worker: u64, parts: &[u64]) -> usize {
         let known = self.by_key.get(&worker);
         known.map_or(0, |known| known.kept.kept_part_count(parts))
     }
 
-    /// Returns how a worker stands for a call that may be sent elsewhere should it
-    /// fail: now and then one such call is let through to a worker that is put aside.
+    /// Returns the state of a worker for a call that may be retried at another worker: now and
+    /// then, one such call is let through to a worker that calls should avoid, to probe it.
     pub fn standing_for_repeatable(
         &mut self,
         now_ms: u64,
@@ -266,7 +268,7 @@
         standing
     }
 
-    /// Notes that a request is sent to a worker.
+    /// Records that a request is being sent to a worker.
     pub fn begun(
         &mut self,
         now_ms: u64,
@@ -305,7 +307,7 @@
         known.kept.sent(now_ms, parts);
     }
 
-    /// Notes that a worker has read a request's prompt after a time.
+    /// Records that a worker prefilled a request's prompt, and the time that it took.
     pub fn read(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
         let Some(known) = self.worker_entry(now_ms, worker) else {
             return;
@@ -319,7 +321,7 @@
         known.record_slowdown(now_ms, predicted_ms, took_ms);
     }
 
-    /// Notes that a request at a worker has ended.
+    /// Records that a request at a worker has ended.
     pub fn ended(&mut self, now_ms: u64, worker: u64, ticket: Ticket, outcome: Outcome) {
         let Some(known) = self.worker_entry(now_ms, worker) else {
             return;
@@ -342,7 +344,7 @@
         }
     }
 
-    /// Returns a worker; none if too many are known already.
+    /// Returns the entry of a worker, creating it if needed; none if there are too many.
     fn worker_entry(&mut self, now_ms: u64, worker: u64) -> Option<&mut OwnedWorker> {
         if self.by_key.len() >= WORKER_MAX_COUNT && !self.by_key.contains_key(&worker) {
             self.by_key
@@ -358,7 +360,7 @@
 }
 
 impl OwnedWorker {
-    /// Sums the requests up, those left out that must be over.
+    /// Returns the load by all open requests, after removing expired ones.
     fn load(&mut self, now_ms: u64) -> Load {
         self.open.retain(|_, open| now_ms < open.expires_at_ms);
         let mut load = Load::default();
@@ -378,7 +380,7 @@
         load
     }
 
-    /// Returns the place of a prompt: at once unless the worker's streams pause.
+    /// Returns when a prompt is to be sent: at once unless the worker's streams pause for too long.
     fn schedule(&self, now_ms: u64, reading_ms: f64) -> Place {
         let scaled_ms = reading_ms * self.pace_ratio(now_ms);
         if self.pause_monitor.needs_scheduling(now_ms) {
@@ -388,7 +390,7 @@
         }
     }
 
-    /// Takes how long a begin took against its prediction.
+    /// Updates the slowdown with the actual and the predicted time to first token of a request.
     fn record_slowdown(&mut self, now_ms: u64, predicted_ms: f64, took_ms: f64) {
         let allowed_ms = predicted_ms + SLOWDOWN_SLACK_MS;
         let ratio = (took_ms / allowed_ms).clamp(SLOWDOWN_RATIO_BOUNDS.0, SLOWDOWN_RATIO_BOUNDS.1);
@@ -397,8 +399,8 @@
         self.slowdown_updated_at_ms = now_ms;
     }
 
-    /// Returns how many times longer than predicted the worker takes to begin; one
-    /// that is faster counts as one that is not.
+    /// Returns the ratio of the actual to the predicted time to first token, decayed towards one; a
+    /// worker that is faster than predicted counts as one.
     fn pace_ratio(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.slowdown_updated_at_ms) as f64;
         let kept = 0.5_f64.powf(passed_ms / SLOWDOWN_HALF_LIFE_MS);
--- a/crates/cranereach-fleet/src/pace.rs
+++ b/crates/cranereach-fleet/src/pace.rs
@@ -1,37 +1,39 @@
-//! How long workers take until a prompt is read, learned from answers.
+//! Estimates how long workers take to prefill a prompt, learned from answers.
 //!
-//! Only requests that found no other prompt ahead of theirs teach: the time to
-//! their first piece is what every request takes, and the time to read the tokens
-//! of their own prompt. A straight line through the samples tells the two apart.
+//! Only requests without another prompt ahead of them give samples: their time to first token is
+//! the fixed time of every request plus the prefill time of their own uncached prompt tokens. A
+//! linear regression over the samples separates the two.
 
 use std::collections::HashMap;
 
-/// Time to read a token of a model that nothing is known of, in milliseconds.
+/// Prefill time per token assumed for a model without samples, in milliseconds.
 const DEFAULT_TOKEN_MS: f64 = 0.05;
 
-/// Time that every request takes where nothing is known, in milliseconds.
+/// Fixed time per request assumed for a model without samples, in milliseconds.
 const DEFAULT_FIXED_MS: f64 = 10.0;
 
-/// Weight of a model's first guess, in samples.
+/// Weight of the prior, in samples.
 const PRIOR_COUNT: f64 = 4.0;
 
-/// Tokens at which the first guess stands, besides none.
+/// Token count of the second point of the prior; the first is at zero tokens.
 const PRIOR_TOKENS: f64 = 1_000.0;
 
-/// Part of the old samples that one more leaves; some sixty samples count.
+/// Factor by which each new sample decays the older ones; the effective window is some sixty
+/// samples.
 const DECAY_FACTOR: f64 = 0.985;
 
-/// How many times longer than expected a sample may say that it took: one slow
-/// answer says less than a fast one, since others may have been ahead unseen.
+/// Cap on the time of a sample, as a multiple of the expected time. A slow answer is weaker
+/// evidence than a fast one, since prompts that this instance doesn't know of may have been ahead
+/// of it.
 const MAX_SLOW_FACTOR: f64 = 2.0;
 
-/// Least time to read a token, in milliseconds.
+/// Lower bound of the prefill time per token, in milliseconds.
 const MIN_TOKEN_MS: f64 = 0.001;
 
-/// Models that are remembered at most.
+/// Maximum number of models with samples; further models keep the defaults.
 const MODEL_MAX_COUNT: usize = 4_096;
 
-/// Sums of weighted samples, for a straight line.
+/// Weighted sums for a linear regression of the time over the tokens.
 #[derive(Clone, Copy, Debug)]
 struct LinearFit {
     count: f64,
@@ -42,8 +44,7 @@
 }
 
 impl LinearFit {
-    /// Makes a line from the first guess: half of its weight at no tokens, half at
-    /// some.
+    /// Returns the prior: half of its weight at zero tokens, half at `PRIOR_TOKENS`.
     fn prior() -> Self {
         let half = PRIOR_COUNT / 2.0;
         let read_ms = DEFAULT_FIXED_MS + PRIOR_TOKENS * DEFAULT_TOKEN_MS;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     fn add(&mut self, tokens: f64, took_ms: f64) {
         self.count = self.count * DECAY_FACTOR + 1.0;
         self.tokens = self.tokens * DECAY_FACTOR + tokens;
@@ -65,12 +66,12 @@
         self.tokens_took_ms = self.tokens_took_ms * DECAY_FACTOR + tokens * took_ms;
     }
 
-    /// Returns the pace of the line; never one that takes no time.
+    /// Returns slope and intercept of the fit; the slope is at least `MIN_TOKEN_MS`.
     fn pace(&self) -> Pace {
         let spread = self.count * self.tokens_squared - self.tokens * self.tokens;
         let slope = self.count * self.tokens_took_ms - self.tokens * self.took_ms;
         let token_ms = if spread > 0.0 { slope / spread } else { 0.0 };
-        // Nothing takes less than no time: all of it is reading then.
+        // The fixed time can't be negative: at most, all of the time is prefill.
         let max_token_ms = self.took_ms / self.tokens.max(1.0);
         let token_ms = token_ms.clamp(MIN_TOKEN_MS, max_token_ms.max(MIN_TOKEN_MS));
         let fixed_ms = (self.took_ms - token_ms * self.tokens) / self.count;
@@ -81,30 +82,30 @@
     }
 }
 
-/// How long a worker takes until a prompt of a model is read.
+/// Time that a worker takes to prefill a prompt of a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pace {
-    /// Time to read one token, in milliseconds.
+    /// Prefill time per token, in milliseconds.
     pub token_ms: f64,
-    /// Time that every request takes besides, in milliseconds: the way there and
-    /// back, and the first step.
+    /// Fixed time per request, in milliseconds: the network round trip and the first decode step.
     pub fixed_ms: f64,
 }
 
-/// Paces by model.
+/// Prefill times by model.
 #[derive(Clone, Debug, Default)]
 pub struct Paces {
     by_model: HashMap<String, LinearFit>,
 }
 
 impl Paces {
-    /// Returns the pace of a model.
+    /// Returns the prefill time of a model.
     pub fn of(&self, model: &str) -> Pace {
         let known = self.by_model.get(model);
         known.map_or_else(|| LinearFit::prior().pace(), LinearFit::pace)
     }
 
-    /// Takes the time that a prompt without others ahead took to be read.
+    /// Adds the time to first token of a request that had no other prompt ahead of it, and the
+    /// number of its prompt tokens that the worker had not cached.
     ///
     /// ```
     /// use cranereach_fleet::pace::Paces;
--- a/crates/cranereach-fleet/src/pauses.rs
+++ b/crates/cranereach-fleet/src/pauses.rs
@@ -1,56 +1,57 @@
-//! The longest pause that a worker makes in its streams, predicted from what it reads.
+//! Predicts the longest pause in a worker's streams, which the prefill of prompts causes.
 //!
-//! A worker works in steps. Each step makes one token of every answer that runs, and
-//! reads what waits of prompts, up to a chunk. An event of several tokens takes as many
-//! steps, so the pause between two events is the longest time of so many steps one
-//! after another: prompts that are spread over steps hold up less than the same prompts
-//! at once.
+//! A worker's engine runs in steps. Each step decodes one token of every running answer, and
+//! prefills waiting prompts, up to a chunk. An event that holds several tokens takes as many steps,
+//! so the pause between two events is the largest total duration of that many consecutive steps:
+//! prompts that are spread over several steps cause shorter pauses than the same prompts at once.
 
-/// How a worker makes its steps.
+/// Timing of a worker's steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stepping {
-    /// Steps that an event takes: the tokens that it holds.
+    /// Steps per event, which is the number of tokens that an event holds.
     pub event_steps: usize,
-    /// Time of a step in which nothing is read, in milliseconds.
+    /// Duration of a step without prefill, in milliseconds.
     pub step_ms: f64,
-    /// Longest time that one step reads for, in milliseconds; infinite if unknown.
+    /// Maximum prefill time in one step, in milliseconds; infinite if unknown.
     pub chunk_ms: f64,
 }
 
-/// A prompt that reaches a worker.
+/// A prompt that arrives at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in milliseconds.
+    /// Time of arrival, in milliseconds.
     pub at_ms: f64,
-    /// Time to read it, in milliseconds.
+    /// Prefill time of the prompt, in milliseconds.
     pub reading_ms: f64,
-    /// When it is known to have been read, in milliseconds; none if it isn't yet.
+    /// Time at which its prefill is known to have been complete, in milliseconds; none if it isn't
+    /// known to be.
     pub read_at_ms: Option<f64>,
 }
 
-/// When a prompt is to be sent, and what comes of it.
+/// When a prompt is to be sent, and the pause that results.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Place {
-    /// When, in milliseconds.
+    /// Time to send it, in milliseconds.
     pub at_ms: f64,
-    /// Longest pause from then on, in milliseconds.
+    /// Longest predicted pause from then on, in milliseconds.
     pub pause_ms: f64,
 }
 
-/// Times at which one prompt is tried at most.
+/// Maximum number of send times that are tried for one prompt.
 const CANDIDATE_MAX_COUNT: usize = 64;
 
-/// Steps that are looked at for one prediction at most: some seconds of reading.
+/// Maximum number of steps simulated for one prediction, which covers several seconds of prefill.
 const STEP_MAX_COUNT: usize = 512;
 
-/// One step: when it starts and ends, in milliseconds.
+/// Start and end of one step, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     starts_ms: f64,
     ends_ms: f64,
 }
 
-/// Follows a worker's steps from its first prompt until all are read, and an event more.
+/// Simulates a worker's steps from its first prompt until all are prefilled and the steps of one
+/// more event have passed.
 fn steps(stepping: &Stepping, arrivals: &[Arrival]) -> Vec<Step> {
     let mut steps: Vec<Step> = Vec::with_capacity(arrivals.len() * 2 + stepping.event_steps);
     let mut waiting: Vec<Arrival> = Vec::new();
@@ -71,7 +72,7 @@
         now_ms = ends_ms;
         idle_count = if prefill_ms > 0.0 { 0 } else { idle_count + 1 };
         if idle_count >= stepping.event_steps {
-            // Nothing is left of what was read: on to the next prompt.
+            // A whole event has passed without prefill: skip to the next prompt.
             let Some(next) = upcoming.peek() else {
                 break;
             };
@@ -81,7 +82,7 @@
     steps
 }
 
-/// Reads what waits, first come first read, for a time at most; returns for how long.
+/// Prefills the waiting prompts in order of arrival for at most `chunk_ms`; returns the time used.
 fn prefill(waiting: &mut Vec<Arrival>, chunk_ms: f64) -> f64 {
     let mut budget_ms = chunk_ms;
     let mut prefill_ms = 0.0;
@@ -95,8 +96,8 @@
     prefill_ms
 }
 
-/// Returns the longest pause of streams that ends after a time, in milliseconds, if
-/// prompts reach the worker as listed, in the order of time.
+/// Returns the longest pause in streams that ends after `from_ms`, in milliseconds, if prompts
+/// arrive as listed, in order of time.
 ///
 /// ```
 /// use cranereach_fleet::pauses::Arrival;
@@ -107,7 +108,7 @@
 /// let prompt = |at_ms| Arrival { at_ms, reading_ms: 100.0, read_at_ms: None };
 /// // All at once: three full chunks.
 /// assert_eq!(longest_ms(&stepping, &[prompt(0.0); 8], 0.0), 630.0);
-/// // One after the other, with_prompt a rest between.
+/// // One after the other, with a gap between.
 /// let spread: Vec<_> = (0..8).map(|number| prompt(f64::from(number) * 150.0)).collect();
 /// assert!(longest_ms(&stepping, &spread, 0.0) < 300.0);
 /// ```
@@ -122,10 +123,10 @@
     lengths.fold(0.0, f64::max)
 }
 
-/// Finds the first time from now on at which a prompt makes no stream pause for longer
-/// than a limit; the least bad one of those tried if there is none.
+/// Finds the earliest time from now on at which sending a prompt makes no stream pause for longer
+/// than a limit; if there is none, the time with the shortest pause of those tried.
 ///
-/// A prompt that takes longer by itself is let in where it meets no other.
+/// A prompt that exceeds the limit by itself is placed where it doesn't overlap with others.
 pub fn place(
     stepping: &Stepping,
     arrivals: &[Arrival],
--- a/crates/cranereach-fleet/src/pausing.rs
+++ b/crates/cranereach-fleet/src/pausing.rs
@@ -1,40 +1,40 @@
-//! Whether a worker's streams pause for too long, by how its answers ended.
+//! Detects workers whose streams pause for too long, from how their answers ended.
 //!
-//! Where events are short, or what a step reads is little, prompts may be read without
-//! any plan. So prompts are planned (see [`crate::reading_plan`]) only at workers whose
-//! streams paused, and for a while after: while the plan holds, they don't.
+//! Where events are short, or a step prefills little, prompts need no scheduling. So prompts are
+//! scheduled (see [`crate::reading_plan`]) only at workers whose streams paused, and for a while
+//! after, since streams don't pause while the schedule is in effect.
 
-/// Share of a worker's answers that paused for too long from which its prompts are
-/// planned.
+/// Share of answers with too long a pause from which a worker's prompts are scheduled.
 const PAUSED_SHARE_THRESHOLD: f64 = 0.03;
 
-/// Good answers that a worker is given before its share of paused ones counts: one that
-/// paused alone makes no plan.
+/// Number of good answers assumed in advance, so that a single paused answer doesn't start
+/// scheduling.
 const GOOD_ANSWER_PRIOR_COUNT: f64 = 40.0;
 
-/// Time after which half of the answers are forgotten, in milliseconds.
+/// Half-life of the answer counts, in milliseconds.
 const PAUSED_HALF_LIFE_MS: f64 = 10_000.0;
 
-/// Time for which prompts are planned once streams have paused, in milliseconds: long
-/// against the half-life, or each worker would pause anew every time that its plan ends.
+/// Time for which prompts are scheduled once streams have paused, in milliseconds: long compared to
+/// the half-life, or streams would pause again each time that scheduling stops.
 const SCHEDULING_PERIOD_MS: u64 = 60_000;
 
-/// How the answers of one worker fare.
+/// Answers of one worker, and whether its prompts are scheduled.
 ///
 /// ```
 /// use cranereach_fleet::pausing::PauseMonitor;
 ///
-/// let mut pausing = PauseMonitor::default();
-/// assert!(!pausing.needs_scheduling(1_000));
+/// let mut monitor = PauseMonitor::default();
+/// assert!(!monitor.needs_scheduling(1_000));
 /// for _answer in 0..5 {
-///     pausing.record_answer(1_000, true);
+///     monitor.record_answer(1_000, true);
 /// }
-/// assert!(pausing.needs_scheduling(1_000) && pausing.needs_scheduling(60_000));
-/// assert!(!pausing.needs_scheduling(61_000));
+/// assert!(monitor.needs_scheduling(1_000) && monitor.needs_scheduling(60_000));
+/// assert!(!monitor.needs_scheduling(61_000));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseMonitor {
-    /// Whole answers, those that paused for too long, and when they were counted.
+    /// Decayed counts of complete answers and of those among them that paused for too long, the
+    /// time of the last update, and the time until which prompts are scheduled.
     answers: f64,
     paused_answers: f64,
     counted_at_ms: u64,
@@ -42,7 +42,7 @@
 }
 
 impl PauseMonitor {
-    /// Counts a whole answer.
+    /// Counts a complete answer.
     pub fn record_answer(&mut self, now_ms: u64, is_paused: bool) {
         let passed_ms = now_ms.saturating_sub(self.counted_at_ms) as f64;
         let kept = 0.5_f64.powf(passed_ms / PAUSED_HALF_LIFE_MS);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether prompts are planned.
+    /// Whether prompts for the worker are scheduled.
     pub fn needs_scheduling(&self, now_ms: u64) -> bool {
         now_ms < self.scheduling_until_ms
     }
--- a/crates/cranereach-fleet/src/service_time.rs
+++ b/crates/cranereach-fleet/src/service_time.rs
@@ -1,31 +1,33 @@
-//! How long calls of a plain service take once they run, learned from whole answers.
+//! Estimates how long calls of a plain service take once they run, learned from complete answers.
 //!
-//! A worker runs so many calls at once and queues some more, so that the time from
-//! sending to the whole answer grows with the calls that were there before. What a
-//! call takes by itself is that time, divided by how often a slot had to be given on.
+//! A worker runs a limited number of calls at once and queues the rest, so the time from sending to
+//! the complete answer grows with the calls that were there before. The service time of a call is
+//! estimated as that time divided by the rounds of calls that the slots had to serve, its own
+//! included.
 //!
-//! Calls of one route do like work, those of two routes of a service need not: one that
-//! looks something up in a millisecond says nothing of one that fetches a file.
+//! Calls of one route do similar work; calls of two routes of a service may not: the time of a
+//! lookup that takes a millisecond says nothing about a route that fetches a file.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Part of the old estimate that one more answer leaves; some fifty answers count.
+/// Weight of the old estimate when an answer is added; the effective window is some fifty answers.
 const DECAY_FACTOR: f64 = 0.98;
 
-/// Answers of a service, and of a route, from which the estimate counts: until then
-/// calls are admitted whatever the queue. One instance among a hundred sees an answer
-/// or two a second, so that twenty answers left it without admission for its first ten
-/// seconds; three are right within a quarter, as answers of one route vary by a half.
+/// Minimum number of answers of a service, and of a route, for its estimate to be used. Until then,
+/// calls are admitted whatever the queue. One instance among a hundred sees one or two answers a
+/// second, so a minimum of twenty answers left it without admission control for its first ten
+/// seconds; three answers are accurate to within a quarter, since answers of one route vary by a
+/// half.
 const MIN_ANSWER_COUNT: u32 = 3;
 
-/// Services that are remembered at most.
+/// Maximum number of services that are tracked.
 const SERVICE_MAX_COUNT: usize = 4_096;
 
-/// Routes of one service that are remembered at most.
+/// Maximum number of routes of one service that are tracked.
 const ROUTE_MAX_COUNT: usize = 256;
 
-/// What is known of the calls of a service, or of one route.
+/// Estimated service time of the calls of a service or a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     time_ms: f64,
@@ -33,24 +35,24 @@
 }
 
 impl Estimate {
-    /// Takes how long one more call took by itself.
+    /// Adds the service time of one call.
     fn learn(&mut self, time_ms: f64) {
         let answers = f64::from(self.answer_count);
-        // The first answers count alike.
+        // Until there are enough answers, this is their arithmetic mean.
         let kept_share = DECAY_FACTOR.min(answers / (answers + 1.0));
         self.time_ms = self.time_ms * kept_share + time_ms * (1.0 - kept_share);
         self.answer_count = self.answer_count.saturating_add(1);
     }
 }
 
-/// What is known of one service.
+/// Estimates for one service and its routes.
 #[derive(Clone, Debug, Default)]
 struct ServiceEstimates {
     overall: Estimate,
     by_route: HashMap<Arc<str>, Estimate>,
 }
 
-/// Times by service and route.
+/// Estimated service times by service and route.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -60,7 +62,7 @@
 /// let mut times = ServiceTimes::default();
 /// let (service, route) = (Arc::from("registry"), Arc::from("fetch"));
 /// for _answer in 0..100 {
-///     // Eleven calls queued_ahead it at six slots: it waited for one turn.
+///     // Eleven calls ahead at six slots: the call ran in the second round.
 ///     times.learn(&service, &route, 100.0, 11, 6);
 /// }
 /// assert_eq!(times.expected_ms("registry", "fetch").round(), 50.0);
@@ -71,8 +73,9 @@
 }
 
 impl ServiceTimes {
-    /// Returns how long a call of a route is expected to run, in milliseconds; as long
-    /// as others of its service while little is known of it, zero while nothing is.
+    /// Returns the expected service time of a call of a route, in milliseconds: that of the whole
+    /// service while there are too few answers of the route, zero while there are too few of the
+    /// service.
     pub fn expected_ms(&self, service: &str, route: &str) -> f64 {
         let Some(known) = self.by_service.get(service) else {
             return 0.0;
@@ -85,7 +88,8 @@
         reliable.unwrap_or(&known.overall).time_ms
     }
 
-    /// Takes how long a whole answer took, with so many calls at the worker before it.
+    /// Adds the time that a complete answer took, with `queued_ahead` calls at the worker before
+    /// it.
     pub fn learn(
         &mut self,
         service: &Arc<str>,
--- a/crates/cranereach-fleet/src/shortage.rs
+++ b/crates/cranereach-fleet/src/shortage.rs
@@ -1,43 +1,42 @@
-//! When refused callers had better come back, from how long there has been no room.
+//! Chooses the retry delay of refused callers, from how long the shortage has lasted.
 //!
-//! What a refusal knows is when there would be room for this one caller. In overload
-//! that time is near and wrong: new callers take the room first, and who comes back
-//! at once is refused again. Nothing tells how long an overload goes on; the best
-//! guess is that it lasts for as long again as it has lasted so far. So the first
-//! callers are told to come back soon, and the later ones are spread ever wider.
+//! A refusal knows when there would be room for this one caller. Under overload, that time is short
+//! and wrong: new callers take the room first, and a caller that comes back at once is refused
+//! again. How long an overload will last is unknown; the best guess is that it lasts as long again
+//! as it has so far. So the first callers are told to come back soon, and later ones are spread
+//! over ever longer times.
 
 use std::collections::HashMap;
 
-/// Time without a refusal after which a shortage is over, in milliseconds: an instance
-/// among many sees a caller of the same kind every second or so.
+/// Time without a refusal after which a shortage is over, in milliseconds: one instance among many
+/// sees a caller of the same kind about every second.
 const ENDED_AFTER_MS: u64 = 2_000;
 
-/// Longest time that a caller is told to stay away for by this, in milliseconds: few
-/// deadlines are further off.
+/// Upper bound of the delay before jitter, in milliseconds: few requests have a later deadline.
 const RETRY_AFTER_MAX_MS: u64 = 10_000;
 
-/// Share by which the time is varied either way, so that callers who were refused
+/// Maximum jitter in either direction, as a share of the delay, so that callers that were refused
 /// together don't come back together.
 const JITTER_SHARE: f64 = 0.3;
 
-/// Shortages that are remembered at most.
+/// Maximum number of shortages that are tracked.
 const SHORTAGE_MAX_COUNT: usize = 4_096;
 
-/// Refusals of one kind that follow each other.
+/// A series of refusals for the same reason.
 #[derive(Clone, Copy, Debug)]
 struct Shortage {
     since_ms: u64,
     last_ms: u64,
 }
 
-/// Shortages by what there is none of: an account's limit, a service's or model's
-/// workers, each by a key of the caller's choice.
+/// Ongoing shortages by what is lacking (an account's limit, a service's or model's workers), each
+/// under a key that the caller chooses.
 ///
 /// ```
 /// use cranereach_fleet::shortage::Shortages;
 ///
 /// let mut shortages = Shortages::default();
-/// // With 0.5 the time isn't random.
+/// // A random number of 0.5 means no jitter.
 /// assert_eq!(shortages.back_after_ms(1_000, 7, 60, 0.5), 60);
 /// assert_eq!(shortages.back_after_ms(2_000, 7, 60, 0.5), 1_000);
 /// assert_eq!(shortages.back_after_ms(3_500, 7, 60, 0.5), 2_500);
@@ -48,10 +47,10 @@
 }
 
 impl Shortages {
-    /// Notes a refusal for want of something; returns after what time its caller had
-    /// better come back, in milliseconds, at least `room_in_ms`.
+    /// Records a refusal; returns the delay after which the caller should retry, in milliseconds,
+    /// at least `room_in_ms`.
     ///
-    /// `varied` is a number by chance from 0 to 1.
+    /// `random` is a random number from 0 to 1, for the jitter.
     pub fn back_after_ms(&mut self, now_ms: u64, key: u64, room_in_ms: u64, random: f64) -> u64 {
         if self.by_key.len() >= SHORTAGE_MAX_COUNT {
             self.by_key
