--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -158,7 +158,7 @@
     /// Until when it counts as waiting if no notification arrives, in milliseconds; none once its
     /// prompt has been prefilled.
     waiting_until_ms: Option<u64>,
-    begun_at_ms: u64,
+    sent_at_ms: u64,
     /// Predicted time until its prompt is prefilled, in milliseconds.
     predicted_ms: f64,
     /// When it counts as ended if no notification arrives, in milliseconds.
@@ -169,7 +169,7 @@
     /// Whether the answer has not begun long after its predicted time.
     fn is_stalled(&self, now_ms: u64) -> bool {
         let allowed_ms = self.predicted_ms * STALLED_FACTOR + STALLED_SLACK_MS;
-        self.waiting_until_ms.is_some() && (now_ms - self.begun_at_ms) as f64 > allowed_ms
+        self.waiting_until_ms.is_some() && (now_ms - self.sent_at_ms) as f64 > allowed_ms
     }
 }
 
@@ -183,7 +183,7 @@
     slowdown_updated_at_ms: u64,
     pause_monitor: PauseMonitor,
     plan: ReadingPlan,
-    used_at_ms: u64,
+    last_used_ms: u64,
 }
 
 impl Default for OwnedWorker {
@@ -196,7 +196,7 @@
             slowdown_updated_at_ms: 0,
             pause_monitor: PauseMonitor::default(),
             plan: ReadingPlan::default(),
-            used_at_ms: 0,
+            last_used_ms: 0,
         }
     }
 }
@@ -226,30 +226,30 @@
         parts: &[u64],
         reading_ms: f64,
     ) -> Standing {
-        let Some(known) = self.worker_entry(now_ms, worker) else {
+        let Some(state) = self.worker_entry(now_ms, worker) else {
             return Standing {
                 pace_ratio: 1.0,
                 ..Standing::default()
             };
         };
-        let load = known.load(now_ms);
-        let place = known.schedule(now_ms, reading_ms);
+        let load = state.load(now_ms);
+        let place = state.schedule(now_ms, reading_ms);
         Standing {
             load,
             send_in_ms: place.at_ms - now_ms as f64,
-            kept_part_count: known.kept.kept_part_count(parts),
-            pace_ratio: known.pace_ratio(now_ms),
-            failed_share: known.health.failed_share(),
-            is_aside: known.health.is_aside(now_ms),
-            has_suspect: known.open.values().any(|open| open.request.runs_alone),
+            kept_part_count: state.kept.kept_part_count(parts),
+            pace_ratio: state.pace_ratio(now_ms),
+            failed_share: state.health.failed_share(),
+            is_aside: state.health.is_aside(now_ms),
+            has_suspect: state.open.values().any(|open| open.request.runs_alone),
             pause_ms: place.pause_ms,
         }
     }
 
     /// Returns how many leading parts of a prompt are probably in a worker's prefix cache.
     pub fn kept_part_count(&self, worker: u64, parts: &[u64]) -> usize {
-        let known = self.by_key.get(&worker);
-        known.map_or(0, |known| known.kept.kept_part_count(parts))
+        let state = self.by_key.get(&worker);
+        state.map_or(0, |state| state.kept.kept_part_count(parts))
     }
 
     /// Returns the state of a worker for a call that may be retried at another worker: now and
@@ -262,8 +262,8 @@
         reading_ms: f64,
     ) -> Standing {
         let mut standing = self.standing(now_ms, worker, parts, reading_ms);
-        if let (true, Some(known)) = (standing.is_aside, self.by_key.get_mut(&worker)) {
-            standing.is_aside = !known.health.may_probe_aside(now_ms);
+        if let (true, Some(state)) = (standing.is_aside, self.by_key.get_mut(&worker)) {
+            standing.is_aside = !state.health.may_probe_aside(now_ms);
         }
         standing
     }
@@ -278,68 +278,68 @@
         parts: &[PromptPart],
     ) {
         let request = request.bounded();
-        let Some(known) = self.worker_entry(now_ms, worker) else {
+        let Some(state) = self.worker_entry(now_ms, worker) else {
             return;
         };
-        if known.open.len() >= OPEN_MAX_COUNT {
+        if state.open.len() >= OPEN_MAX_COUNT {
             return;
         }
-        let load = known.load(now_ms);
+        let load = state.load(now_ms);
         let ahead_ms = load.ahead_ms(usize::from(request.rank));
         let reading_ms = f64::from(request.unread_ms);
-        known
+        state
             .plan
             .allow(f64::from(request.gap_aim_ms), request.event_tokens);
-        let scaled_ms = reading_ms * known.pace_ratio(now_ms);
+        let scaled_ms = reading_ms * state.pace_ratio(now_ms);
         let send_delay_ms = f64::from(request.send_in_ms);
         let at_ms = now_ms as f64 + send_delay_ms;
-        known.plan.sent(now_ms, ticket, at_ms, scaled_ms);
+        state.plan.sent(now_ms, ticket, at_ms, scaled_ms);
         let predicted_ms = ahead_ms.max(send_delay_ms) + reading_ms;
         let lost_after_ms = (predicted_ms * LOST_MESSAGE_FACTOR) as u64 + LOST_MESSAGE_SLACK_MS;
         let open = OpenRequest {
             request,
             waiting_until_ms: Some(now_ms + lost_after_ms),
-            begun_at_ms: now_ms,
+            sent_at_ms: now_ms,
             predicted_ms,
             expires_at_ms: now_ms + u64::from(request.ends_within_ms),
         };
-        known.open.insert(ticket, open);
-        known.kept.sent(now_ms, parts);
+        state.open.insert(ticket, open);
+        state.kept.sent(now_ms, parts);
     }
 
     /// Records that a worker prefilled a request's prompt, and the time that it took.
     pub fn read(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
-        let Some(known) = self.worker_entry(now_ms, worker) else {
+        let Some(state) = self.worker_entry(now_ms, worker) else {
             return;
         };
-        let Some(open) = known.open.get_mut(&ticket) else {
+        let Some(open) = state.open.get_mut(&ticket) else {
             return;
         };
         open.waiting_until_ms = None;
         let predicted_ms = open.predicted_ms;
-        known.plan.read(now_ms, ticket);
-        known.record_slowdown(now_ms, predicted_ms, took_ms);
+        state.plan.read(now_ms, ticket);
+        state.record_slowdown(now_ms, predicted_ms, took_ms);
     }
 
     /// Records that a request at a worker has ended.
     pub fn ended(&mut self, now_ms: u64, worker: u64, ticket: Ticket, outcome: Outcome) {
-        let Some(known) = self.worker_entry(now_ms, worker) else {
+        let Some(state) = self.worker_entry(now_ms, worker) else {
             return;
         };
-        let open = known.open.remove(&ticket);
-        known.plan.ended(now_ms, ticket);
+        let open = state.open.remove(&ticket);
+        state.plan.ended(now_ms, ticket);
         let is_stalled = open.is_some_and(|open| open.is_stalled(now_ms));
         match outcome {
-            Outcome::Neutral if is_stalled => known.health.failed(now_ms),
+            Outcome::Neutral if is_stalled => state.health.failed(now_ms),
             Outcome::Whole | Outcome::Paused => {
-                known.health.reached();
-                known.health.succeeded(now_ms);
-                known
+                state.health.reached();
+                state.health.succeeded(now_ms);
+                state
                     .pause_monitor
                     .record_answer(now_ms, outcome == Outcome::Paused);
             }
-            Outcome::Failed => known.health.failed(now_ms),
-            Outcome::Unreachable => known.health.unreachable(now_ms),
+            Outcome::Failed => state.health.failed(now_ms),
+            Outcome::Unreachable => state.health.unreachable(now_ms),
             Outcome::Neutral => {}
         }
     }
@@ -348,14 +348,14 @@
     fn worker_entry(&mut self, now_ms: u64, worker: u64) -> Option<&mut OwnedWorker> {
         if self.by_key.len() >= WORKER_MAX_COUNT && !self.by_key.contains_key(&worker) {
             self.by_key
-                .retain(|_, known| now_ms < known.used_at_ms + IDLE_EVICTION_MS);
+                .retain(|_, state| now_ms < state.last_used_ms + IDLE_EVICTION_MS);
             if self.by_key.len() >= WORKER_MAX_COUNT {
                 return None;
             }
         }
-        let known = self.by_key.entry(worker).or_default();
-        known.used_at_ms = now_ms;
-        Some(known)
+        let state = self.by_key.entry(worker).or_default();
+        state.last_used_ms = now_ms;
+        Some(state)
     }
 }
 
--- a/crates/cranereach-fleet/src/pace.rs
+++ b/crates/cranereach-fleet/src/pace.rs
@@ -100,8 +100,8 @@
 impl Paces {
     /// Returns the prefill time of a model.
     pub fn of(&self, model: &str) -> Pace {
-        let known = self.by_model.get(model);
-        known.map_or_else(|| LinearFit::prior().pace(), LinearFit::pace)
+        let fit = self.by_model.get(model);
+        fit.map_or_else(|| LinearFit::prior().pace(), LinearFit::pace)
     }
 
     /// Adds the time to first token of a request that had no other prompt ahead of it, and the
--- a/crates/cranereach-fleet/src/service_time.rs
+++ b/crates/cranereach-fleet/src/service_time.rs
@@ -77,15 +77,15 @@
     /// service while there are too few answers of the route, zero while there are too few of the
     /// service.
     pub fn expected_ms(&self, service: &str, route: &str) -> f64 {
-        let Some(known) = self.by_service.get(service) else {
+        let Some(estimates) = self.by_service.get(service) else {
             return 0.0;
         };
-        let of_route = known.by_route.get(route);
+        let of_route = estimates.by_route.get(route);
         let reliable = of_route.filter(|estimate| estimate.answer_count >= MIN_ANSWER_COUNT);
-        if known.overall.answer_count < MIN_ANSWER_COUNT {
+        if estimates.overall.answer_count < MIN_ANSWER_COUNT {
             return 0.0;
         }
-        reliable.unwrap_or(&known.overall).time_ms
+        reliable.unwrap_or(&estimates.overall).time_ms
     }
 
     /// Adds the time that a complete answer took, with `queued_ahead` calls at the worker before
@@ -103,10 +103,10 @@
         if !self.by_service.contains_key(service) && self.by_service.len() >= SERVICE_MAX_COUNT {
             return;
         }
-        let known = self.by_service.entry(Arc::clone(service)).or_default();
-        known.overall.learn(time_ms);
-        if known.by_route.contains_key(route) || known.by_route.len() < ROUTE_MAX_COUNT {
-            let of_route = known.by_route.entry(Arc::clone(route)).or_default();
+        let estimates = self.by_service.entry(Arc::clone(service)).or_default();
+        estimates.overall.learn(time_ms);
+        if estimates.by_route.contains_key(route) || estimates.by_route.len() < ROUTE_MAX_COUNT {
+            let of_route = estimates.by_route.entry(Arc::clone(route)).or_default();
             of_route.learn(time_ms);
         }
     }
