--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -127,7 +127,7 @@
 /// State of a worker as reported by its owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Standing {
-    /// Load by the open requests at the worker.
+    /// Load of the open requests at the worker.
     pub load: Load,
     /// Number of leading parts of the prompt that are probably in its prefix cache.
     pub kept_part_count: usize,
@@ -360,7 +360,7 @@
 }
 
 impl OwnedWorker {
-    /// Returns the load by all open requests, after removing expired ones.
+    /// Returns the load of all open requests, after removing expired ones.
     fn load(&mut self, now_ms: u64) -> Load {
         self.open.retain(|_, open| now_ms < open.expires_at_ms);
         let mut load = Load::default();
--- a/crates/cranereach-fleet/src/pace.rs
+++ b/crates/cranereach-fleet/src/pace.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns slope and intercept of the fit; the slope is at least `MIN_TOKEN_MS`.
-    fn pace(&self) -> Pace {
+    fn coefficients(&self) -> Pace {
         let spread = self.count * self.tokens_squared - self.tokens * self.tokens;
         let slope = self.count * self.tokens_took_ms - self.tokens * self.took_ms;
         let token_ms = if spread > 0.0 { slope / spread } else { 0.0 };
@@ -101,7 +101,10 @@
     /// Returns the prefill time of a model.
     pub fn of(&self, model: &str) -> Pace {
         let fit = self.by_model.get(model);
-        fit.map_or_else(|| LinearFit::prior().pace(), LinearFit::pace)
+        fit.map_or_else(
+            || LinearFit::prior().coefficients(),
+            LinearFit::coefficients,
+        )
     }
 
     /// Adds the time to first token of a request that had no other prompt ahead of it, and the
@@ -123,8 +126,8 @@
             .by_model
             .entry(model.to_owned())
             .or_insert_with(LinearFit::prior);
-        let pace = fit.pace();
-        let expected_ms = pace.fixed_ms + tokens * pace.token_ms;
+        let coefficients = fit.coefficients();
+        let expected_ms = coefficients.fixed_ms + tokens * coefficients.token_ms;
         fit.add(tokens, took_ms.min(expected_ms * MAX_SLOW_FACTOR));
     }
 }
