--- a/crates/cranereach-fleet/src/pace.rs
+++ b/crates/cranereach-fleet/src/pace.rs
@@ -1,39 +1,41 @@
-//! How long workers take until a prompt is read, learned from answers.
+//! Estimates how long workers take to prefill a prompt, learned from answers.
 //!
-//! Only requests that found no other prompt ahead of theirs teach: the time to
-//! their first piece is what every request takes, and the time to read the tokens
-//! of their own prompt. A straight line through the samples tells the two apart.
+//! Only requests without another prompt ahead of them give samples: their time to first token is
+//! the fixed time of every request plus the prefill time of their own uncached prompt tokens. A
+//! linear regression over the samples separates the two.
 
 use std::collections::HashMap;
 
-/// Time to read a token of a model that nothing is known of, in milliseconds.
-const UNKNOWN_TOKEN_MS: f64 = 0.05;
+/// Prefill time per token assumed for a model without samples, in milliseconds.
+const DEFAULT_TOKEN_MS: f64 = 0.05;
 
-/// Time that every request takes where nothing is known, in milliseconds.
-const UNKNOWN_FIXED_MS: f64 = 10.0;
+/// Fixed time per request assumed for a model without samples, in milliseconds.
+const DEFAULT_FIXED_MS: f64 = 10.0;
 
-/// Weight of a model's first guess, in samples.
+/// Weight of the prior, in samples.
 const PRIOR_COUNT: f64 = 4.0;
 
-/// Tokens at which the first guess stands, besides none.
+/// Token count of the second point of the prior; the first is at zero tokens.
 const PRIOR_TOKENS: f64 = 1_000.0;
 
-/// Part of the old samples that one more leaves; some sixty samples count.
-const KEPT_SHARE: f64 = 0.985;
+/// Factor by which each new sample decays the older ones; the effective window is some sixty
+/// samples.
+const DECAY_FACTOR: f64 = 0.985;
 
-/// How many times longer than expected a sample may say that it took: one slow
-/// answer says less than a fast one, since others may have been ahead unseen.
-const SLOW_MAX_TIMES: f64 = 2.0;
+/// Cap on the time of a sample, as a multiple of the expected time. A slow answer is weaker
+/// evidence than a fast one, since prompts that this instance doesn't know of may have been ahead
+/// of it.
+const MAX_SLOW_FACTOR: f64 = 2.0;
 
-/// Least time to read a token, in milliseconds.
-const TOKEN_LEAST_MS: f64 = 0.001;
+/// Lower bound of the prefill time per token, in milliseconds.
+const MIN_TOKEN_MS: f64 = 0.001;
 
-/// Models that are remembered at most.
+/// Maximum number of models with samples; further models keep the defaults.
 const MODEL_MAX_COUNT: usize = 4_096;
 
-/// Sums of weighted samples, for a straight line.
+/// Weighted sums for a linear regression of the time over the tokens.
 #[derive(Clone, Copy, Debug)]
-struct Line {
+struct LinearFit {
     count: f64,
     tokens: f64,
     tokens_squared: f64,
@@ -41,38 +43,37 @@
     tokens_took_ms: f64,
 }
 
-impl Line {
-    /// Makes a line from the first guess: half of its weight at no tokens, half at
-    /// some.
-    fn guess() -> Self {
+impl LinearFit {
+    /// Returns the prior: half of its weight at zero tokens, half at `PRIOR_TOKENS`.
+    fn prior() -> Self {
         let half = PRIOR_COUNT / 2.0;
-        let read_ms = UNKNOWN_FIXED_MS + PRIOR_TOKENS * UNKNOWN_TOKEN_MS;
+        let read_ms = DEFAULT_FIXED_MS + PRIOR_TOKENS * DEFAULT_TOKEN_MS;
         Self {
             count: PRIOR_COUNT,
             tokens: half * PRIOR_TOKENS,
             tokens_squared: half * PRIOR_TOKENS * PRIOR_TOKENS,
-            took_ms: half * (UNKNOWN_FIXED_MS + read_ms),
+            took_ms: half * (DEFAULT_FIXED_MS + read_ms),
             tokens_took_ms: half * PRIOR_TOKENS * read_ms,
         }
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     fn add(&mut self, tokens: f64, took_ms: f64) {
-        self.count = self.count * KEPT_SHARE + 1.0;
-        self.tokens = self.tokens * KEPT_SHARE + tokens;
-        self.tokens_squared = self.tokens_squared * KEPT_SHARE + tokens * tokens;
-        self.took_ms = self.took_ms * KEPT_SHARE + took_ms;
-        self.tokens_took_ms = self.tokens_took_ms * KEPT_SHARE + tokens * took_ms;
+        self.count = self.count * DECAY_FACTOR + 1.0;
+        self.tokens = self.tokens * DECAY_FACTOR + tokens;
+        self.tokens_squared = self.tokens_squared * DECAY_FACTOR + tokens * tokens;
+        self.took_ms = self.took_ms * DECAY_FACTOR + took_ms;
+        self.tokens_took_ms = self.tokens_took_ms * DECAY_FACTOR + tokens * took_ms;
     }
 
-    /// Returns the pace of the line; never one that takes no time.
-    fn pace(&self) -> Pace {
+    /// Returns slope and intercept of the fit; the slope is at least `MIN_TOKEN_MS`.
+    fn coefficients(&self) -> Pace {
         let spread = self.count * self.tokens_squared - self.tokens * self.tokens;
         let slope = self.count * self.tokens_took_ms - self.tokens * self.took_ms;
         let token_ms = if spread > 0.0 { slope / spread } else { 0.0 };
-        // Nothing takes less than no time: all of it is reading then.
-        let longest_ms = self.took_ms / self.tokens.max(1.0);
-        let token_ms = token_ms.clamp(TOKEN_LEAST_MS, longest_ms.max(TOKEN_LEAST_MS));
+        // The fixed time can't be negative: at most, all of the time is prefill.
+        let max_token_ms = self.took_ms / self.tokens.max(1.0);
+        let token_ms = token_ms.clamp(MIN_TOKEN_MS, max_token_ms.max(MIN_TOKEN_MS));
         let fixed_ms = (self.took_ms - token_ms * self.tokens) / self.count;
         Pace {
             token_ms,
@@ -81,30 +82,33 @@
     }
 }
 
-/// How long a worker takes until a prompt of a model is read.
+/// Time that a worker takes to prefill a prompt of a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pace {
-    /// Time to read one token, in milliseconds.
+    /// Prefill time per token, in milliseconds.
     pub token_ms: f64,
-    /// Time that every request takes besides, in milliseconds: the way there and
-    /// back, and the first step.
+    /// Fixed time per request, in milliseconds: the network round trip and the first decode step.
     pub fixed_ms: f64,
 }
 
-/// Paces by model.
+/// Prefill times by model.
 #[derive(Clone, Debug, Default)]
 pub struct Paces {
-    by_model: HashMap<String, Line>,
+    by_model: HashMap<String, LinearFit>,
 }
 
 impl Paces {
-    /// Returns the pace of a model.
+    /// Returns the prefill time of a model.
     pub fn of(&self, model: &str) -> Pace {
-        let known = self.by_model.get(model);
-        known.map_or_else(|| Line::guess().pace(), Line::pace)
+        let fit = self.by_model.get(model);
+        fit.map_or_else(
+            || LinearFit::prior().coefficients(),
+            LinearFit::coefficients,
+        )
     }
 
-    /// Takes the time that a prompt without others ahead took to be read.
+    /// Adds the time to first token of a request that had no other prompt ahead of it, and the
+    /// number of its prompt tokens that the worker had not cached.
     ///
     /// ```
     /// use cranereach_fleet::pace::Paces;
@@ -113,17 +117,17 @@
     /// paces.learn("m1", 1_000, 20.0);
     /// assert!(paces.of("m1").token_ms < paces.of("m2").token_ms);
     /// ```
-    pub fn learn(&mut self, model: &str, unread_tokens: u32, took_ms: f64) {
-        let tokens = f64::from(unread_tokens);
+    pub fn learn(&mut self, model: &str, uncached_tokens: u32, took_ms: f64) {
+        let tokens = f64::from(uncached_tokens);
         if !self.by_model.contains_key(model) && self.by_model.len() >= MODEL_MAX_COUNT {
             return;
         }
-        let line = self
+        let fit = self
             .by_model
             .entry(model.to_owned())
-            .or_insert_with(Line::guess);
-        let pace = line.pace();
-        let expected_ms = pace.fixed_ms + tokens * pace.token_ms;
-        line.add(tokens, took_ms.min(expected_ms * SLOW_MAX_TIMES));
+            .or_insert_with(LinearFit::prior);
+        let coefficients = fit.coefficients();
+        let expected_ms = coefficients.fixed_ms + tokens * coefficients.token_ms;
+        fit.add(tokens, took_ms.min(expected_ms * MAX_SLOW_FACTOR));
     }
 }
