--- a/crates/cranereach-gateway/src/forward/caller.rs
+++ b/crates/cranereach-gateway/src/forward/authentication.rs
@@ -15,10 +15,10 @@
 
 /// Longest time for which a request with an unknown key waits for a
 /// configuration that peers have told of and that is being fetched, in milliseconds.
-const NEWER_WITHIN_MS: u64 = 400;
+const NEWER_CONFIGURATION_WAIT_MS: u64 = 400;
 
 /// Finds the account of a request; none where the route needs no key.
-pub async fn account(
+pub async fn authenticate(
     node: &Node,
     configuration: &Configuration,
     route: &Route,
@@ -55,7 +55,7 @@
 
 /// Says by what a key is refused, for the log: the age of the proof, and the newest
 /// version that peers have told of.
-pub fn inputs(node: &Node) -> String {
+pub fn rejection_context(node: &Node) -> String {
     let age_ms = lock(&node.proof).age_ms(node.now_ms());
     let age = age_ms.map_or("never".to_owned(), |age_ms| format!("{age_ms} ms ago"));
     let heard = node.configuration_heard.load(Ordering::Acquire);
@@ -64,15 +64,15 @@
 
 /// Waits for a configuration that peers have told of; none if there is none, or it
 /// doesn't come soon. Requests that can't be served cost no call to the store.
-async fn newer_configuration(node: &Node, than: u64) -> Option<Arc<Configuration>> {
-    let is_newer = |known: &Arc<Configuration>| known.version > than;
-    let until_ms = node.now_ms() + NEWER_WITHIN_MS;
+async fn newer_configuration(node: &Node, than_version: u64) -> Option<Arc<Configuration>> {
+    let is_newer = |known: &Arc<Configuration>| known.version > than_version;
+    let until_ms = node.now_ms() + NEWER_CONFIGURATION_WAIT_MS;
     loop {
         let changed = node.configuration_changed.notified();
         if let Some(newer) = node.configuration().filter(is_newer) {
             return Some(newer);
         }
-        if node.configuration_heard.load(Ordering::Acquire) <= than {
+        if node.configuration_heard.load(Ordering::Acquire) <= than_version {
             return None;
         }
         let waited = tokio::time::timeout_at(node.instant(until_ms), changed).await;
--- a/crates/cranereach-gateway/src/forward/broken.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -14,11 +14,11 @@
 /// Finds out, beside the call, what became of the worker that a call broke off at, and
 /// holds its end against the call. `knew_of_others` says whether an earlier end under it
 /// was known when it was sent.
-pub(super) fn note(
+pub(super) fn investigate(
     node: &Arc<Node>,
     call: &Arc<Call>,
     worker: &Arc<str>,
-    knew_of_others: bool,
+    earlier_end_known: bool,
 ) -> JoinHandle<Found> {
     let start = node
         .roster()
@@ -38,7 +38,7 @@
                 "fingerprint" => call.fingerprint(&node).to_string());
             // One that isn't listed any more was to end.
             if let Some(start) = start {
-                quarantine::ended(&node, &call, (start, &worker), knew_of_others).await;
+                quarantine::ended(&node, &call, (start, &worker), earlier_end_known).await;
             }
         }
         found
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use super::exchange::Exchange;
-use super::refusal::MODEL_BACK_AFTER_MS;
+use super::refusal::NO_HOLDER_RETRY_AFTER_MS;
 use super::refusal::RETRY_AFTER_DEFAULT_MS;
 use super::refusal::Refusal;
-use super::work;
+use super::workload;
 use crate::expected::Word;
 use crate::node::lock;
 use crate::node::pause;
@@ -24,10 +24,10 @@
 
 /// Time within which the holder of a lease says when a model is expected, in
 /// milliseconds: it answers at once, and demand is told every 20 ms at the most.
-const WORD_WITHIN_MS: u64 = 40;
+const LOAD_EXPECTATION_WAIT_MS: u64 = 40;
 
 /// Time from a model's load to its worker's row here, in milliseconds.
-const LISTED_WITHIN_MS: u64 = 400;
+const LISTING_DELAY_MS: u64 = 400;
 
 /// Share of the aim for which a call waits for its adapter: one is loaded within
 /// some hundred milliseconds, so that most calls that wait are served in time.
@@ -40,24 +40,24 @@
 /// Share of the aim for which a call under whose like workers ended waits until none of
 /// the others runs where it could: one that ends its worker does so within some tenths of
 /// a second.
-const ALONE_WAIT_SHARE: f64 = 0.4;
+const ISOLATION_WAIT_SHARE: f64 = 0.4;
 
 /// When such a call should come back, in milliseconds: a worker that has ended is back,
 /// and the answers of the others are whole, after some seconds.
-const ALONE_AFTER_MS: u64 = 1_500;
+const ISOLATION_RETRY_AFTER_MS: u64 = 1_500;
 
 /// Workers whose owners are asked before one is chosen: with exact loads of three by
 /// chance, a call rarely meets a queue while others are idle.
 const CANDIDATE_COUNT: usize = 3;
 
 /// Longest pause between two looks for a worker, in milliseconds.
-const LOOK_EVERY_MS: u64 = 40;
+const RECHECK_INTERVAL_MS: u64 = 40;
 
 impl Exchange<'_> {
     /// Chooses a worker, waiting a little for one that holds the model.
     pub(super) async fn choose(&self) -> Result<Choice, Refusal> {
         let call = self.call;
-        let mut has_asked = false;
+        let mut has_signaled_demand = false;
         loop {
             let now_ms = self.node.now_ms();
             let wanted = self.wanted();
@@ -67,22 +67,22 @@
             let chosen = self.choose_by_owners(&wanted, engine).await;
             let why = match chosen {
                 Ok(choice) => match self.admit(&choice)? {
-                    Some(look_in_ms) => {
-                        pause(look_in_ms).await;
+                    Some(recheck_in_ms) => {
+                        pause(recheck_in_ms).await;
                         continue;
                     }
                     None => return Ok(choice),
                 },
                 Err(why) => why,
             };
-            if !has_asked {
-                has_asked = true;
+            if !has_signaled_demand {
+                has_signaled_demand = true;
                 // The holder learns of the demand at once.
-                work::note_lack(self.node, call, why);
+                workload::note_missing_model(self.node, call, why);
                 self.node.demand_wanted.notify_one();
                 self.node.controller_wanted.notify_one();
             }
-            let wait_until_ms = self.wait_until_ms(why, &wanted).min(call.end_by_ms);
+            let wait_until_ms = self.wait_until_ms(why, &wanted).min(call.deadline_at_ms);
             if now_ms >= wait_until_ms {
                 let code = match why {
                     _ if self.may_have_run => ResultCode::OutcomeUnknown,
@@ -99,23 +99,25 @@
                 let mut refusal = self.refusal(code, &format!("{why:?} {:?}", call.model()));
                 match why {
                     NoWorker::NoModel | NoWorker::Evacuated => {
-                        refusal.retry_after_ms = self.model_back_after_ms();
+                        refusal.retry_after_ms = self.model_retry_after_ms();
                     }
                     NoWorker::Cold | NoWorker::Limited | NoWorker::Resting => {
                         refusal.retry_after_ms = self.free_after_ms(&wanted);
-                        refusal.short_of = (why == NoWorker::Limited).then(|| self.shortage());
+                        refusal.shortage_key =
+                            (why == NoWorker::Limited).then(|| self.model_shortage_key());
                     }
-                    NoWorker::NotAlone => refusal.retry_after_ms = ALONE_AFTER_MS,
+                    NoWorker::NotAlone => refusal.retry_after_ms = ISOLATION_RETRY_AFTER_MS,
                     NoWorker::Unreachable | NoWorker::Leaving => {
-                        refusal.retry_after_ms = MODEL_BACK_AFTER_MS;
+                        refusal.retry_after_ms = NO_HOLDER_RETRY_AFTER_MS;
                     }
                     NoWorker::None | NoWorker::NotAllowed | NoWorker::NoAdapter => {}
                 }
                 return Err(refusal);
             }
-            let look = Duration::from_millis(LOOK_EVERY_MS.min(wait_until_ms - now_ms + 1));
+            let recheck_in =
+                Duration::from_millis(RECHECK_INTERVAL_MS.min(wait_until_ms - now_ms + 1));
             tokio::select! {
-                _changed = tokio::time::timeout(look, changed) => {}
+                _changed = tokio::time::timeout(recheck_in, changed) => {}
                 () = expected => {}
             }
         }
@@ -142,27 +144,29 @@
                 received_ms + (self.call.route.aim_ms as f64 * ADAPTER_WAIT_SHARE) as u64
             }
             NoWorker::NotAlone => {
-                received_ms + (self.call.route.aim_ms as f64 * ALONE_WAIT_SHARE) as u64
+                received_ms + (self.call.route.aim_ms as f64 * ISOLATION_WAIT_SHARE) as u64
             }
-            NoWorker::NoModel | NoWorker::Evacuated => match work::word(self.node, self.call) {
-                Some(Word::At(at_ms)) if at_ms < aim_at_ms => {
-                    aim_at_ms.min(at_ms + LISTED_WITHIN_MS)
+            NoWorker::NoModel | NoWorker::Evacuated => {
+                match workload::load_expectation(self.node, self.call) {
+                    Some(Word::At(at_ms)) if at_ms < aim_at_ms => {
+                        aim_at_ms.min(at_ms + LISTING_DELAY_MS)
+                    }
+                    Some(Word::At(_) | Word::NotComing) => received_ms,
+                    None => received_ms + LOAD_EXPECTATION_WAIT_MS,
                 }
-                Some(Word::At(_) | Word::NotComing) => received_ms,
-                None => received_ms + WORD_WITHIN_MS,
-            },
+            }
         }
     }
 
     /// Returns when a call whose model isn't there should come back, in milliseconds:
     /// when it is expected, or after the time of a load.
-    fn model_back_after_ms(&self) -> u64 {
+    fn model_retry_after_ms(&self) -> u64 {
         let now_ms = self.node.now_ms();
-        let back_after_ms = match work::word(self.node, self.call) {
-            Some(Word::At(at_ms)) => at_ms.saturating_sub(now_ms) + LISTED_WITHIN_MS,
-            Some(Word::NotComing) | None => work::load_ms(self.call).unwrap_or_default(),
+        let retry_after_ms = match workload::load_expectation(self.node, self.call) {
+            Some(Word::At(at_ms)) => at_ms.saturating_sub(now_ms) + LISTING_DELAY_MS,
+            Some(Word::NotComing) | None => workload::model_load_ms(self.call).unwrap_or_default(),
         };
-        back_after_ms.max(RETRY_AFTER_DEFAULT_MS)
+        retry_after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
 
     /// Returns from when it is worth asking for a worker that gets no more for now, and from
@@ -181,7 +185,7 @@
     }
 
     /// Returns the key of what there is too little of for the call.
-    fn shortage(&self) -> u64 {
+    fn model_shortage_key(&self) -> u64 {
         let of_model = self.call.model().map(|(model, _)| model);
         worker_key(of_model.unwrap_or(&self.call.service.name))
     }
@@ -197,7 +201,7 @@
         let mut candidates =
             node.roster()
                 .candidates(now_ms, wanted, engine, CANDIDATE_COUNT, &mut rand::rng())?;
-        self.ask(wanted, &candidates).await;
+        self.ask_owners(wanted, &candidates).await;
         if engine.is_some() {
             let now_ms = node.now_ms();
             let further = node.roster().further_candidates(
@@ -208,7 +212,7 @@
                 CANDIDATE_COUNT,
                 &mut rand::rng(),
             );
-            self.ask(wanted, &further).await;
+            self.ask_owners(wanted, &further).await;
             candidates.extend(further);
         }
         let now_ms = node.now_ms();
@@ -217,7 +221,7 @@
     }
 
     /// Asks the owners of some workers how these stand for the call.
-    async fn ask(&self, wanted: &Wanted<'_>, workers: &[Arc<str>]) {
+    async fn ask_owners(&self, wanted: &Wanted<'_>, workers: &[Arc<str>]) {
         if workers.is_empty() {
             return;
         }
@@ -227,13 +231,13 @@
             wanted.parts,
             wanted.prompt_tokens,
             wanted.token_ms,
-            self.may_repeat(),
+            self.may_retry(),
         )
         .await;
     }
 
     /// Whether the call may be sent to another worker should this one fail.
-    fn may_repeat(&self) -> bool {
+    fn may_retry(&self) -> bool {
         let route = &self.call.route;
         route.may_repeat() && self.run_count + 1 < route.attempt_max_count
     }
@@ -263,13 +267,13 @@
         let detail = format!("begins in {:.0} ms", choice.begins_in_ms);
         let mut refusal = self.refusal(ResultCode::DeadlineUnreachable, &detail);
         refusal.retry_after_ms = (choice.begins_in_ms - aim_ms / 2.0).max(0.0) as u64;
-        refusal.short_of = Some(self.shortage());
+        refusal.shortage_key = Some(self.model_shortage_key());
         Err(refusal)
     }
 
     /// Returns what the call wants of a worker.
     pub(super) fn wanted(&self) -> Wanted<'_> {
-        let pace = work::pace(self.node, self.call);
+        let pace = workload::pace(self.node, self.call);
         let engine = self.call.service.engine.as_ref();
         Wanted {
             service: &self.call.service.name,
@@ -278,7 +282,7 @@
             prompt_tokens: self.call.prompt_tokens,
             token_ms: pace.token_ms,
             fixed_ms: pace.fixed_ms,
-            stay_ms: work::stay_ms(self.node, self.call),
+            stay_ms: workload::stay_ms(self.node, self.call),
             gap_aim_ms: self.call.gap_aim_ms.map(|gap_aim_ms| gap_aim_ms as f64),
             event_tokens: engine.map_or(0, |engine| engine.event_tokens),
             rank: usize::from(self.call.rank),
@@ -287,7 +291,7 @@
             crossings_ms: lock(&self.node.ways).crossings_ms(),
             regions: &self.call.regions,
             end_count: quarantine::suspicion(self.node, self.call).end_count,
-            needs_no_grant: self.has_asked_enough(),
+            needs_no_grant: self.has_exhausted_permits(),
             tried: &self.tried,
         }
     }
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -11,15 +11,15 @@
 use slog::info;
 use tokio::task::JoinHandle;
 
-use super::AnswerBody;
-use super::broken;
-use super::head::Failure;
-use super::record;
-use super::refusal::MODEL_BACK_AFTER_MS;
+use super::ResponseBody;
+use super::broken_connection;
+use super::refusal::NO_HOLDER_RETRY_AFTER_MS;
 use super::refusal::Refusal;
 use super::request::Call;
-use super::taking_up::Begun;
-use super::work;
+use super::response_head::Failure;
+use super::resumption::StartedStream;
+use super::telemetry;
+use super::workload;
 use crate::node::Node;
 use crate::quarantine;
 use crate::worker_ends::Found;
@@ -38,7 +38,7 @@
 
 /// Time for which a repeat waits until it is known whether the worker that broke off has
 /// ended, in milliseconds: it is tried after 10, and one that refuses says so at once.
-const FOUND_WITHIN_MS: u64 = 60;
+const WORKER_CHECK_WAIT_MS: u64 = 60;
 
 /// A call on its way.
 pub(super) struct Exchange<'a> {
@@ -49,7 +49,7 @@
     /// The last event that the caller has, where a stream is taken up.
     pub(super) last_event: Option<String>,
     /// A worker's whole answer of a failure, kept while a repeat is hoped for.
-    pub(super) failed_answer: Option<Response<AnswerBody>>,
+    pub(super) failed_response: Option<Response<ResponseBody>>,
     offer_count: usize,
     /// Choices that were not to be sent any more.
     no_permit_count: usize,
@@ -57,26 +57,26 @@
     pub(super) may_have_run: bool,
     pub(super) may_run_now: bool,
     /// Whether an end of a worker under equal calls was known when it was sent last.
-    pub(super) knew_of_end: bool,
+    pub(super) earlier_end_known: bool,
 }
 
 /// What a call has taken so far, so that its stream may be taken up within its bounds.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Taken {
+pub(super) struct OfferHistory {
     tried: Vec<Arc<str>>,
     offer_count: usize,
     run_count: u32,
     /// Whether an end of a worker under equal calls was known when it was sent last.
-    pub(super) knew_of_end: bool,
+    pub(super) earlier_end_known: bool,
 }
 
 /// Runs a call to its answer or refusal, both in time.
-pub async fn run(node: &Arc<Node>, call: &Arc<Call>) -> Result<Response<AnswerBody>, Refusal> {
+pub async fn run(node: &Arc<Node>, call: &Arc<Call>) -> Result<Response<ResponseBody>, Refusal> {
     node.note_request(&call.service.name);
-    work::note_demand(node, call);
-    let due = node.instant(call.end_by_ms);
+    workload::note_demand(node, call);
+    let deadline = node.instant(call.deadline_at_ms);
     let mut exchange = Exchange::new(node, call);
-    let ended = tokio::time::timeout_at(due, exchange.run()).await;
+    let ended = tokio::time::timeout_at(deadline, exchange.run()).await;
     let result = ended.unwrap_or_else(|_elapsed| {
         let code = if exchange.may_run_now || exchange.may_have_run {
             ResultCode::DeadlinePassedRunning
@@ -91,16 +91,16 @@
         }
         Err(exchange.refusal(code, "deadline"))
     });
-    let result = match (result, exchange.failed_answer.take()) {
-        (Err(refusal), Some(answer)) => {
+    let result = match (result, exchange.failed_response.take()) {
+        (Err(refusal), Some(response)) => {
             info!(node.log, "failure passed on"; "request" => call.id.clone(),
-                "status" => answer.status().as_u16(), "repeat" => refusal.detail);
-            Ok(answer)
+                "status" => response.status().as_u16(), "repeat" => refusal.detail);
+            Ok(response)
         }
         (result, _) => result,
     };
-    if let Ok(answer) = &result {
-        record::answered(node, call, answer, exchange.last_choice.as_ref());
+    if let Ok(response) = &result {
+        telemetry::record_response(node, call, response, exchange.last_choice.as_ref());
     }
     result
 }
@@ -108,37 +108,37 @@
 /// Takes a stream up at another worker after the last event that its caller has, once
 /// its worker has broken off, of which is being found out what became; returns how it goes
 /// on.
-pub(super) async fn take_up(
+pub(super) async fn resume_stream(
     node: &Arc<Node>,
     call: &Arc<Call>,
-    taken: Taken,
+    history: OfferHistory,
     last_event: Option<String>,
-    finding: JoinHandle<Found>,
-) -> Result<(Begun, Taken), Refusal> {
+    worker_check: JoinHandle<Found>,
+) -> Result<(StartedStream, OfferHistory), Refusal> {
     let mut exchange = Exchange::new(node, call);
-    exchange.tried = taken.tried;
-    exchange.offer_count = taken.offer_count;
-    exchange.run_count = taken.run_count;
+    exchange.tried = history.tried;
+    exchange.offer_count = history.offer_count;
+    exchange.run_count = history.run_count;
     exchange.last_event = last_event;
-    exchange.knew_of_end = taken.knew_of_end;
-    until_found(finding).await;
-    exchange.judge(Failure::BrokenOff)?;
+    exchange.earlier_end_known = history.earlier_end_known;
+    wait_for_worker_check(worker_check).await;
+    exchange.check_retry(Failure::BrokenOff)?;
     loop {
         let choice = exchange.next_choice().await?;
-        let failure = match exchange.offer_rest(&choice).await {
-            Ok(begun) => return Ok((begun, exchange.taken())),
+        let failure = match exchange.offer_resumption(&choice).await {
+            Ok(started) => return Ok((started, exchange.history())),
             Err(failure) => failure,
         };
-        exchange.after_failure(&choice, failure).await?;
+        exchange.handle_failure(&choice, failure).await?;
     }
 }
 
 /// Waits for what became of a worker that broke a call off: before the call is sent once
 /// more, it must be known whether workers end under it.
-async fn until_found(finding: JoinHandle<Found>) {
-    let within = Duration::from_millis(FOUND_WITHIN_MS);
+async fn wait_for_worker_check(worker_check: JoinHandle<Found>) {
+    let within = Duration::from_millis(WORKER_CHECK_WAIT_MS);
     // What takes longer goes on by itself.
-    let _found = tokio::time::timeout(within, finding).await;
+    let _found = tokio::time::timeout(within, worker_check).await;
 }
 
 impl<'a> Exchange<'a> {
@@ -150,42 +150,42 @@
             tried: Vec::new(),
             last_choice: None,
             last_event: None,
-            failed_answer: None,
+            failed_response: None,
             offer_count: 0,
             no_permit_count: 0,
             run_count: 0,
             may_have_run: false,
             may_run_now: false,
-            knew_of_end: false,
+            earlier_end_known: false,
         }
     }
 }
 
 impl Exchange<'_> {
     /// Returns what the call has taken so far.
-    pub(super) fn taken(&self) -> Taken {
-        Taken {
+    pub(super) fn history(&self) -> OfferHistory {
+        OfferHistory {
             tried: self.tried.clone(),
             offer_count: self.offer_count,
             run_count: self.run_count,
-            knew_of_end: self.knew_of_end,
+            earlier_end_known: self.earlier_end_known,
         }
     }
 
     /// Offers the call to workers until there is an answer or an end.
-    async fn run(&mut self) -> Result<Response<AnswerBody>, Refusal> {
+    async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let choice = self.next_choice().await?;
             let failure = match self.offer(&choice).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            self.after_failure(&choice, failure).await?;
+            self.handle_failure(&choice, failure).await?;
         }
     }
 
     /// Takes an offer back that wasn't to be sent any more: another worker is chosen.
-    fn without_permit(&mut self) {
+    fn revert_offer(&mut self) {
         self.offer_count -= 1;
         self.tried.pop();
         self.no_permit_count += 1;
@@ -193,7 +193,7 @@
 
     /// Whether so many workers were asked for in vain that only those count now that need
     /// no grant.
-    pub(super) fn has_asked_enough(&self) -> bool {
+    pub(super) fn has_exhausted_permits(&self) -> bool {
         self.no_permit_count >= NO_PERMIT_MAX_COUNT
     }
 
@@ -202,8 +202,8 @@
         let choice = self.choose().await?;
         let before = self.tried.iter().filter(|tried| **tried == choice.id);
         if before.count() >= SAME_WORKER_MAX_COUNT {
-            let mut refusal = self.refusal(self.end_code(), "nobody else left");
-            refusal.retry_after_ms = MODEL_BACK_AFTER_MS;
+            let mut refusal = self.refusal(self.no_worker_code(), "nobody else left");
+            refusal.retry_after_ms = NO_HOLDER_RETRY_AFTER_MS;
             return Err(refusal);
         }
         self.offer_count += 1;
@@ -213,10 +213,10 @@
     }
 
     /// Decides what follows an offer that failed: another one, or the end.
-    async fn after_failure(&mut self, choice: &Choice, failure: Failure) -> Result<(), Refusal> {
+    async fn handle_failure(&mut self, choice: &Choice, failure: Failure) -> Result<(), Refusal> {
         self.may_run_now = false;
         if failure == Failure::NoPermit {
-            self.without_permit();
+            self.revert_offer();
             return Ok(());
         }
         info!(self.node.log, "offer failed"; "request" => self.call.id.clone(),
@@ -232,14 +232,19 @@
             return Err(self.suspect_refusal(code, &detail));
         }
         if failure == Failure::BrokenOff {
-            let finding = broken::note(self.node, self.call, &choice.id, self.knew_of_end);
-            until_found(finding).await;
+            let worker_check = broken_connection::investigate(
+                self.node,
+                self.call,
+                &choice.id,
+                self.earlier_end_known,
+            );
+            wait_for_worker_check(worker_check).await;
         }
-        self.judge(failure)
+        self.check_retry(failure)
     }
 
     /// Returns the code of a call that nobody is left for.
-    fn end_code(&self) -> ResultCode {
+    fn no_worker_code(&self) -> ResultCode {
         if self.may_have_run {
             ResultCode::OutcomeUnknown
         } else {
@@ -248,7 +253,7 @@
     }
 
     /// Decides whether a failed call goes to another worker.
-    fn judge(&mut self, failure: Failure) -> Result<(), Refusal> {
+    fn check_retry(&mut self, failure: Failure) -> Result<(), Refusal> {
         if failure.may_have_run() {
             self.may_have_run = true;
             self.run_count += 1;
@@ -265,7 +270,7 @@
         }
         let is_counted = failure != Failure::NotSent;
         if self.offer_count >= OFFER_MAX_COUNT {
-            return Err(self.refusal(self.end_code(), "offered too often"));
+            return Err(self.refusal(self.no_worker_code(), "offered too often"));
         }
         if is_counted && !self.node.spend_repeat(&self.call.service.name) {
             let code = if self.may_have_run {
@@ -290,7 +295,7 @@
 
     /// Makes the refusal of the call.
     pub(super) fn refusal(&self, code: ResultCode, detail: &str) -> Refusal {
-        let mut refusal = Refusal::of(code, &self.call.id);
+        let mut refusal = Refusal::new(code, &self.call.id);
         refusal.detail = format!("{detail}; offers {}", self.offer_count);
         refusal.route = Some(Arc::clone(&self.call.route.name));
         refusal
--- a/crates/cranereach-gateway/src/forward/open.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -16,47 +16,47 @@
 
 /// Counts a request at a worker; its end is counted when this is dropped.
 #[derive(Debug)]
-pub struct OpenCall {
+pub struct InFlightCall {
     node: Arc<Node>,
     worker: Arc<str>,
     /// The worker's failure domain.
     domain: Arc<str>,
-    unread: Option<Unread>,
+    pending_prefill: Option<PendingPrefill>,
     /// When the answer began.
     answering_since: Option<Instant>,
     model: Option<String>,
     /// Where no model is named: the service, and what was at the worker before.
-    plain: Option<Plain>,
+    plain_call: Option<PlainCall>,
     answer_tokens: u32,
     held_tokens: u32,
     stay_ms: f64,
     /// What the worker's owner knows of the request.
-    told: Told,
+    owner_ticket: Told,
     outcome: Outcome,
     distance: Distance,
 }
 
 /// A call of a plain service.
 #[derive(Debug)]
-struct Plain {
+struct PlainCall {
     service: Arc<str>,
     route: Arc<str>,
-    before_count: u32,
+    open_before_count: u32,
     slot_count: u32,
-    begun: Instant,
+    started_at: Instant,
 }
 
 /// A prompt that the worker is believed to read.
 #[derive(Debug)]
-struct Unread {
+struct PendingPrefill {
     tokens: u32,
     reading_ms: f64,
     rank: usize,
     is_first: bool,
-    begun: Instant,
+    started_at: Instant,
 }
 
-impl OpenCall {
+impl InFlightCall {
     /// Notes that a request is being sent.
     ///
     /// `answer_tokens` is what its caller expects to come out; `send_in_ms` is for how
@@ -67,7 +67,7 @@
         wanted: &Wanted<'_>,
         (service, route): (&Arc<str>, &Arc<str>),
         answer_tokens: u32,
-        end_by_ms: u64,
+        deadline_at_ms: u64,
         send_in_ms: u64,
     ) -> Self {
         let now_ms = node.now_ms();
@@ -87,35 +87,35 @@
             unread_ms: reading_ms as f32,
             stay_ms: (wanted.stay_ms + reading_ms) as f32,
             held_tokens: wanted.held_tokens,
-            ends_within_ms: end_by_ms.saturating_sub(now_ms) as u32,
+            ends_within_ms: deadline_at_ms.saturating_sub(now_ms) as u32,
             gap_aim_ms: wanted.gap_aim_ms.unwrap_or_default() as u32,
             event_tokens: wanted.event_tokens,
             send_in_ms: send_in_ms as u32,
             runs_alone: wanted.end_count >= ALONE_FROM_COUNT,
         };
-        let told = owners::begun(node, &choice.id, opening, wanted.parts);
+        let owner_ticket = owners::begun(node, &choice.id, opening, wanted.parts);
         Self {
-            told,
+            owner_ticket,
             outcome: Outcome::Neutral,
             distance,
             node: Arc::clone(node),
             worker: Arc::clone(&choice.id),
             domain,
-            unread: Some(Unread {
+            pending_prefill: Some(PendingPrefill {
                 tokens: choice.unread_tokens,
                 reading_ms,
                 rank: wanted.rank,
                 is_first: choice.is_first,
-                begun: Instant::now(),
+                started_at: Instant::now(),
             }),
             answering_since: None,
             model: wanted.model.map(|(model, _)| model.to_owned()),
-            plain: wanted.model.is_none().then(|| Plain {
+            plain_call: wanted.model.is_none().then(|| PlainCall {
                 service: Arc::clone(service),
                 route: Arc::clone(route),
-                before_count: choice.load.open_count,
+                open_before_count: choice.load.open_count,
                 slot_count: choice.slot_count,
-                begun: Instant::now(),
+                started_at: Instant::now(),
             }),
             answer_tokens,
             held_tokens: wanted.held_tokens,
@@ -124,39 +124,41 @@
     }
 
     /// Notes that the prompt has been read: the answer has begun.
-    pub fn read(&mut self) {
-        let Some(unread) = self.forget_unread() else {
+    pub fn prefill_done(&mut self) {
+        let Some(pending_prefill) = self.clear_pending_prefill() else {
             return;
         };
         self.answering_since = Some(Instant::now());
-        let took_ms = unread.begun.elapsed().as_secs_f64() * 1_000.0;
-        self.told.read(&self.node, took_ms);
-        if let (true, Some(model)) = (unread.is_first, &self.model) {
-            self.node.paces().learn(model, unread.tokens, took_ms);
+        let took_ms = pending_prefill.started_at.elapsed().as_secs_f64() * 1_000.0;
+        self.owner_ticket.read(&self.node, took_ms);
+        if let (true, Some(model)) = (pending_prefill.is_first, &self.model) {
+            self.node
+                .paces()
+                .learn(model, pending_prefill.tokens, took_ms);
         }
     }
 
     /// Counts the prompt as no longer to be read.
-    fn forget_unread(&mut self) -> Option<Unread> {
-        let unread = self.unread.take()?;
+    fn clear_pending_prefill(&mut self) -> Option<PendingPrefill> {
+        let pending_prefill = self.pending_prefill.take()?;
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
-            worker.read(unread.rank, unread.reading_ms);
+            worker.read(pending_prefill.rank, pending_prefill.reading_ms);
         }
-        Some(unread)
+        Some(pending_prefill)
     }
 
     /// Notes a whole answer.
     pub fn succeeded(&mut self) {
-        self.ended_whole(Outcome::Whole);
+        self.completed(Outcome::Whole);
     }
 
     /// Notes a whole answer with a pause longer than its route aims at.
     pub fn paused(&mut self) {
-        self.ended_whole(Outcome::Paused);
+        self.completed(Outcome::Paused);
     }
 
     /// Notes how a whole answer ended.
-    fn ended_whole(&mut self, outcome: Outcome) {
+    fn completed(&mut self, outcome: Outcome) {
         self.outcome = outcome;
         let now_ms = self.node.now_ms();
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
@@ -167,15 +169,15 @@
             let mut stays = self.node.stays();
             stays.learn(model, self.answer_tokens, stayed_ms);
         }
-        if let Some(plain) = &self.plain {
-            let took_ms = plain.begun.elapsed().as_secs_f64() * 1_000.0;
+        if let Some(plain_call) = &self.plain_call {
+            let took_ms = plain_call.started_at.elapsed().as_secs_f64() * 1_000.0;
             let mut times = self.node.service_times();
             times.learn(
-                &plain.service,
-                &plain.route,
+                &plain_call.service,
+                &plain_call.route,
                 took_ms,
-                plain.before_count,
-                plain.slot_count,
+                plain_call.open_before_count,
+                plain_call.slot_count,
             );
         }
     }
@@ -200,16 +202,16 @@
 
     /// Counts bytes of the call that were sent.
     pub fn sent(&self, byte_count: usize) {
-        self.count("sent", byte_count);
+        self.count_bytes("sent", byte_count);
     }
 
     /// Counts bytes of the answer.
     pub fn received(&self, byte_count: usize) {
-        self.count("received", byte_count);
+        self.count_bytes("received", byte_count);
     }
 
     /// Counts bytes in one direction.
-    fn count(&self, direction: &str, byte_count: usize) {
+    fn count_bytes(&self, direction: &str, byte_count: usize) {
         let labels = [direction, self.distance.name()];
         let bytes = self
             .node
@@ -225,10 +227,10 @@
     }
 }
 
-impl Drop for OpenCall {
+impl Drop for InFlightCall {
     fn drop(&mut self) {
-        self.forget_unread();
-        self.told.ended(&self.node, self.outcome);
+        self.clear_pending_prefill();
+        self.owner_ticket.ended(&self.node, self.outcome);
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
             worker.ended(self.held_tokens, self.stay_ms);
         }
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -8,19 +8,19 @@
 //! a stream on as it comes and lets [`taking_up`] take it up elsewhere,
 //! [`record`] counts it, and [`refusal`] answers what could not be served.
 
-mod broken;
-mod caller;
+mod authentication;
+mod broken_connection;
 mod choosing;
 mod exchange;
-mod head;
-mod open;
-mod passing;
-mod record;
+mod in_flight;
 mod refusal;
 mod request;
+mod response_head;
+mod resumption;
 mod sending;
-mod taking_up;
-mod work;
+mod stream_relay;
+mod telemetry;
+mod workload;
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -39,10 +39,10 @@
 use hyper::header::HeaderValue;
 use slog::info;
 
-use self::passing::BrokenOff;
-use self::passing::Passing;
 use self::refusal::Refusal;
 pub use self::request::Call;
+use self::stream_relay::StreamInterrupted;
+use self::stream_relay::StreamRelay;
 use crate::limits;
 use crate::limits::Charge;
 use crate::limits::Denied;
@@ -55,44 +55,44 @@
 
 /// Share of the aim for which a call waits for an owner of its account's limit to come
 /// up: what is left is enough for its work.
-const ASK_SHARE: f64 = 0.4;
+const OWNER_WAIT_SHARE: f64 = 0.4;
 
 /// Body of an answer to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Whole.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// As it comes.
-    Passing(Box<Passing>),
+    Streaming(Box<StreamRelay>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamInterrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamInterrupted>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body)
+            Self::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            Self::Passing(passing) => passing.poll_next(cx),
+            Self::Streaming(relay) => relay.poll_next(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Passing(_) => false,
+            Self::Buffered(body) => body.is_end_stream(),
+            Self::Streaming(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Passing(_) => SizeHint::default(),
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streaming(_) => SizeHint::default(),
         }
     }
 }
@@ -101,17 +101,17 @@
 pub async fn answer(
     node: Arc<Node>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Closed> {
+) -> Result<Response<ResponseBody>, Closed> {
     let received_ms = node.now_ms();
-    let mut answer = match serve(&node, request, received_ms).await {
-        Ok(answer) => answer,
-        Err(mut refusal) => refused(&node, received_ms, &mut refusal),
+    let mut response = match serve(&node, request, received_ms).await {
+        Ok(response) => response,
+        Err(mut refusal) => refusal_response(&node, received_ms, &mut refusal),
     };
     if node.is_stopping() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// Reads a call and sends it on.
@@ -119,7 +119,7 @@
     node: &Arc<Node>,
     request: Request<Incoming>,
     received_ms: u64,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let call = Arc::new(Call::read(node, request, received_ms).await?);
     if quarantine::suspicion(node, &call).is_quarantined {
         return Err(quarantined(node, &call));
@@ -132,13 +132,13 @@
     {
         charge.give_back(node);
     }
-    record::of_account(node, &call, &result);
+    telemetry::record_account_usage(node, &call, &result);
     result
 }
 
 /// Refuses a call that is like those under which worker after worker ended.
 fn quarantined(node: &Node, call: &Call) -> Refusal {
-    let mut refusal = Refusal::of(ResultCode::Quarantined, &call.id);
+    let mut refusal = Refusal::new(ResultCode::Quarantined, &call.id);
     refusal.detail = quarantine::refused(node, call);
     refusal.fingerprint = Some(call.fingerprint(node));
     refusal.route = Some(Arc::clone(&call.route.name));
@@ -150,7 +150,7 @@
     let Some(account) = &call.account else {
         return Ok(Charge::default());
     };
-    let ask_until_ms = call.received_ms + (call.route.aim_ms as f64 * ASK_SHARE) as u64;
+    let ask_until_ms = call.received_ms + (call.route.aim_ms as f64 * OWNER_WAIT_SHARE) as u64;
     let charged = limits::charge(node, account, call.cost, ask_until_ms).await;
     charged.map_err(|denied| {
         let code = match denied {
@@ -162,11 +162,11 @@
             "account {}, cost {}, rate and burst {limit:?}",
             account.name, call.cost
         );
-        let mut refusal = Refusal::of(code, &call.id).with_detail(detail);
+        let mut refusal = Refusal::new(code, &call.id).with_detail(detail);
         refusal.route = Some(Arc::clone(&call.route.name));
         if let Denied::Beyond(wait_ms) = denied {
             refusal.retry_after_ms = wait_ms;
-            refusal.short_of = Some(account.key());
+            refusal.shortage_key = Some(account.key());
         }
         let results = &node.metrics.account_requests_total;
         let label = call.account_label.as_str();
@@ -176,12 +176,16 @@
 }
 
 /// Answers a refusal, counts and logs it.
-fn refused(node: &Node, received_ms: u64, refusal: &mut Refusal) -> Response<AnswerBody> {
-    if let Some(short_of) = refusal.short_of {
-        let room_in_ms = refusal.retry_after_ms;
+fn refusal_response(
+    node: &Node,
+    received_ms: u64,
+    refusal: &mut Refusal,
+) -> Response<ResponseBody> {
+    if let Some(shortage_key) = refusal.shortage_key {
+        let available_in_ms = refusal.retry_after_ms;
         let mut shortages = lock(&node.shortages);
         refusal.retry_after_ms =
-            shortages.back_after_ms(node.now_ms(), short_of, room_in_ms, rand::random());
+            shortages.back_after_ms(node.now_ms(), shortage_key, available_in_ms, rand::random());
     }
     let row = refusal.code.row();
     let route = refusal.route.as_deref().unwrap_or("");
@@ -195,5 +199,5 @@
             "configuration" => node.configuration_version(),
             "retry_after_ms" => refusal.retry_after_ms);
     }
-    refusal.answer(node.adapter.headers.request_id)
+    refusal.to_response(node.adapter.headers.request_id)
 }
--- a/crates/cranereach-gateway/src/forward/refusal.rs
+++ b/crates/cranereach-gateway/src/forward/refusal.rs
@@ -12,7 +12,7 @@
 use hyper::header::RETRY_AFTER;
 use serde_json::json;
 
-use super::AnswerBody;
+use super::ResponseBody;
 use cranereach_core::codes::Repeat;
 use cranereach_core::codes::ResultCode;
 use cranereach_fleet::fingerprint::Fingerprint;
@@ -21,7 +21,7 @@
 pub const RETRY_AFTER_DEFAULT_MS: u64 = 300;
 
 /// Retry-After where the workers that hold the model can't be reached, in milliseconds.
-pub const MODEL_BACK_AFTER_MS: u64 = 1_500;
+pub const NO_HOLDER_RETRY_AFTER_MS: u64 = 1_500;
 
 /// A request that gets an error in place of an answer.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     pub retry_after_ms: u64,
     /// Key of what there is none of for now, where more callers want it than there is
     /// room for; the time to come back then depends on how long that has lasted.
-    pub short_of: Option<u64>,
+    pub shortage_key: Option<u64>,
     /// Identity of the request, if it has one.
     pub request_id: String,
     /// Route, if there is one.
@@ -45,12 +45,12 @@
 
 impl Refusal {
     /// Makes a refusal.
-    pub fn of(code: ResultCode, request_id: &str) -> Self {
+    pub fn new(code: ResultCode, request_id: &str) -> Self {
         Self {
             code,
             detail: String::new(),
             retry_after_ms: RETRY_AFTER_DEFAULT_MS,
-            short_of: None,
+            shortage_key: None,
             request_id: request_id.to_owned(),
             route: None,
             fingerprint: None,
@@ -65,14 +65,14 @@
     }
 
     /// Makes the answer.
-    pub fn answer(&self, request_id_header: &'static str) -> Response<AnswerBody> {
+    pub fn to_response(&self, request_id_header: &'static str) -> Response<ResponseBody> {
         let row = self.code.row();
         let error = json!({ "code": row.number, "name": row.name, "message": row.meaning });
         let text = json!({ "error": error }).to_string();
-        let mut answer = Response::new(AnswerBody::Whole(Full::new(Bytes::from(text))));
-        *answer.status_mut() =
+        let mut response = Response::new(ResponseBody::Buffered(Full::new(Bytes::from(text))));
+        *response.status_mut() =
             StatusCode::from_u16(row.http_status).unwrap_or(StatusCode::BAD_GATEWAY);
-        let headers = answer.headers_mut();
+        let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Ok(id) = HeaderValue::from_str(&self.request_id) {
             headers.insert(HeaderName::from_static(request_id_header), id);
@@ -83,6 +83,6 @@
                 headers.insert(RETRY_AFTER, seconds);
             }
         }
-        answer
+        response
     }
 }
--- a/crates/cranereach-gateway/src/forward/request.rs
+++ b/crates/cranereach-gateway/src/forward/request.rs
@@ -19,7 +19,7 @@
 use hyper::header::HeaderValue;
 use hyper::header::TRANSFER_ENCODING;
 
-use super::caller;
+use super::authentication;
 use super::refusal::Refusal;
 use crate::node::Node;
 use cranereach_core::codes::ResultCode;
@@ -38,7 +38,7 @@
 use cranereach_http::body::BodyError;
 
 /// Headers that concern one connection only.
-const OF_ONE_CONNECTION: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -52,7 +52,7 @@
 
 /// The model that a request names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WantedModel {
+pub struct RequestedModel {
     /// Model.
     pub name: String,
     /// Adapter, without the model's name.
@@ -71,7 +71,7 @@
     /// When it was received, in milliseconds.
     pub received_ms: u64,
     /// When the final answer is due, in milliseconds.
-    pub end_by_ms: u64,
+    pub deadline_at_ms: u64,
     /// The caller's account; none where no key is needed.
     pub account: Option<Arc<Account>>,
     /// The account in metrics.
@@ -85,7 +85,7 @@
     /// Regions in which it may be served.
     pub regions: AllowedRegions,
     /// Model, if the service holds models.
-    pub model: Option<WantedModel>,
+    pub model: Option<RequestedModel>,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens of the prompt and of the longest answer.
@@ -116,24 +116,26 @@
         let id = text(names.request_id).unwrap_or_default().to_owned();
         let configuration = node
             .configuration()
-            .ok_or_else(|| Refusal::of(ResultCode::ConfigUnknown, &id))?;
+            .ok_or_else(|| Refusal::new(ResultCode::ConfigUnknown, &id))?;
         let host = request
             .uri()
             .host()
             .or_else(|| text("host"))
             .unwrap_or_default();
         let route = configuration.route(host, request.uri().path());
-        let route = Arc::clone(route.ok_or_else(|| Refusal::of(ResultCode::NoSuchPath, &id))?);
-        let account = caller::account(node, &configuration, &route, request.headers()).await;
+        let route = Arc::clone(route.ok_or_else(|| Refusal::new(ResultCode::NoSuchPath, &id))?);
+        let account =
+            authentication::authenticate(node, &configuration, &route, request.headers()).await;
         let refuse = |code: ResultCode, detail: &str| {
-            let mut refusal = Refusal::of(code, &id).with_detail(detail);
+            let mut refusal = Refusal::new(code, &id).with_detail(detail);
             refusal.route = Some(Arc::clone(&route.name));
             refusal
         };
         if id.is_empty() {
             return Err(refuse(ResultCode::BadRequest, "no identity"));
         }
-        let account = account.map_err(|code| refuse(code, &caller::inputs(node)))?;
+        let account =
+            account.map_err(|code| refuse(code, &authentication::rejection_context(node)))?;
         let cost = cost(account.as_deref(), text(names.tokens))
             .map_err(|detail| refuse(ResultCode::BadRequest, detail))?;
         let label = account
@@ -148,15 +150,18 @@
             .ok_or_else(|| refuse(ResultCode::NoUpstream, "no such service"))?;
         let allowed_ms = text(names.deadline_ms).and_then(|text| text.trim().parse::<f64>().ok());
         let allowed_ms = allowed_ms.map_or(route.timeout_ms, |given_ms| given_ms.max(0.0) as u64);
-        let end_by_ms = received_ms + allowed_ms.min(route.timeout_ms);
-        let model = text(names.model).map(wanted_model);
+        let deadline_at_ms = received_ms + allowed_ms.min(route.timeout_ms);
+        let model = text(names.model).map(parse_model);
         let model = model.filter(|_| service.engine.is_some());
-        let (prompt_tokens, answer_max_tokens) = text(names.tokens).map_or((0, 0), token_counts);
-        let hinted = text(names.expected_tokens).and_then(expected_tokens);
+        let (prompt_tokens, answer_max_tokens) =
+            text(names.tokens).map_or((0, 0), parse_token_counts);
+        let hinted = text(names.expected_tokens).and_then(parse_expected_tokens);
         let answer_tokens =
             hinted.map_or(answer_max_tokens, |hinted| hinted.min(answer_max_tokens));
         let parts = match (&model, text(names.prompt_parts)) {
-            (Some(_), Some(listed)) => prompt_parts(text(names.model).unwrap_or_default(), listed),
+            (Some(_), Some(listed)) => {
+                parse_prompt_parts(text(names.model).unwrap_or_default(), listed)
+            }
             _ => Vec::new(),
         };
         let route_rank = route.priority;
@@ -167,8 +172,8 @@
         let urgent_aim_ms = configuration.urgent_aim_ms(&service.name, route_rank);
         let gap_aim_ms = configuration.gap_aim_ms(&service.name);
         let (head, incoming) = request.into_parts();
-        let left_ms = end_by_ms.saturating_sub(node.now_ms());
-        let collected = body::collect(incoming, configuration.limits.body_max_bytes, left_ms);
+        let remaining_ms = deadline_at_ms.saturating_sub(node.now_ms());
+        let collected = body::collect(incoming, configuration.limits.body_max_bytes, remaining_ms);
         let body = collected.await.map_err(|error| match error {
             BodyError::TooLarge => refuse(ResultCode::BodyTooLarge, "body"),
             BodyError::TooSlow => refuse(ResultCode::RequestTooSlow, "body"),
@@ -179,7 +184,7 @@
             route,
             service,
             received_ms,
-            end_by_ms,
+            deadline_at_ms,
             rank: account_rank.unwrap_or(route_rank),
             account,
             account_label,
@@ -194,7 +199,7 @@
             parts,
             method: head.method,
             uri: head.uri,
-            headers: passed_headers(&head.headers, names.reserved),
+            headers: forwarded_headers(&head.headers, names.reserved),
             body,
             fingerprint: OnceLock::new(),
         })
@@ -251,10 +256,10 @@
             .ok()?;
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        let left_ms = self.end_by_ms.saturating_sub(node.now_ms()).max(1);
+        let remaining_ms = self.deadline_at_ms.saturating_sub(node.now_ms()).max(1);
         headers.insert(
             HeaderName::from_static(names.deadline_ms),
-            HeaderValue::from(left_ms),
+            HeaderValue::from(remaining_ms),
         );
         headers.insert(
             HeaderName::from_static(names.expected_worker),
@@ -295,40 +300,40 @@
 
 /// Copies the headers that are passed on: neither a caller's key nor what only this
 /// system may set.
-pub fn passed_headers(headers: &Headers, reserved: &[&str]) -> Headers {
-    let named: Vec<String> = headers
+pub fn forwarded_headers(headers: &Headers, reserved: &[&str]) -> Headers {
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let is_passed = |name: &HeaderName| {
+    let is_forwarded = |name: &HeaderName| {
         let name = name.as_str();
-        !OF_ONE_CONNECTION.contains(&name)
+        !HOP_BY_HOP_HEADERS.contains(&name)
             && name != AUTHORIZATION.as_str()
             && !reserved.contains(&name)
-            && (name == HOST.as_str() || !named.iter().any(|listed| listed == name))
+            && (name == HOST.as_str() || !connection_options.iter().any(|listed| listed == name))
     };
-    let mut passed = Headers::with_capacity(headers.len() + 4);
+    let mut forwarded = Headers::with_capacity(headers.len() + 4);
     for (name, value) in headers {
-        if is_passed(name) {
-            passed.append(name.clone(), value.clone());
+        if is_forwarded(name) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
     if headers.contains_key(TRANSFER_ENCODING) {
-        passed.remove(CONTENT_LENGTH);
+        forwarded.remove(CONTENT_LENGTH);
     }
-    passed
+    forwarded
 }
 
 /// Splits a model's name from its adapter's.
-fn wanted_model(text: &str) -> WantedModel {
+fn parse_model(text: &str) -> RequestedModel {
     let (name, adapter) = match text.trim().split_once('/') {
         Some((name, adapter)) => (name, Some(adapter.to_owned())),
         None => (text.trim(), None),
     };
-    WantedModel {
+    RequestedModel {
         name: name.to_owned(),
         adapter,
     }
@@ -336,16 +341,16 @@
 
 /// Returns what a request that names some tokens counts against its account's limit; an
 /// error where a limit rests on numbers that can't be read.
-fn cost(account: Option<&Account>, named: Option<&str>) -> Result<f64, &'static str> {
+fn cost(account: Option<&Account>, listed_counts: Option<&str>) -> Result<f64, &'static str> {
     let Some(account) = account.filter(|account| account.limit.is_some()) else {
         return Ok(0.0);
     };
-    let named = named.filter(|_| account.unit != LimitUnit::Requests);
-    let Some(named) = named else {
+    let listed_counts = listed_counts.filter(|_| account.unit != LimitUnit::Requests);
+    let Some(listed_counts) = listed_counts else {
         return Ok(account.cost(None));
     };
     let mut sum = 0_u64;
-    for count in named.split(',') {
+    for count in listed_counts.split(',') {
         let count: Result<u64, _> = count.trim().parse();
         let Ok(count) = count else {
             return Err("numbers of tokens that can't be read");
@@ -356,7 +361,7 @@
 }
 
 /// Reads the tokens of the prompt and of the longest answer.
-fn token_counts(text: &str) -> (u32, u32) {
+fn parse_token_counts(text: &str) -> (u32, u32) {
     let mut counts = text
         .split(',')
         .map(|count| count.trim().parse().unwrap_or(0));
@@ -364,13 +369,13 @@
 }
 
 /// Reads how many tokens the caller expects to come out; none if that is no number.
-fn expected_tokens(text: &str) -> Option<u32> {
+fn parse_expected_tokens(text: &str) -> Option<u32> {
     let expected: f64 = text.trim().parse().ok()?;
     (expected.is_finite() && expected > 0.0).then_some(expected as u32)
 }
 
 /// Reads the parts of a prompt, each `ID:TOKENS`.
-fn prompt_parts(model: &str, text: &str) -> Vec<PromptPart> {
+fn parse_prompt_parts(model: &str, text: &str) -> Vec<PromptPart> {
     let parts: Vec<(&str, u32)> = text
         .split(',')
         .filter_map(|part| part.trim().split_once(':'))
--- a/crates/cranereach-gateway/src/forward/head.rs
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -9,7 +9,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::header::TRANSFER_ENCODING;
 
-use super::open::OpenCall;
+use super::in_flight::InFlightCall;
 use super::request::Call;
 use crate::node::Node;
 use crate::send_permit::Permit;
@@ -44,15 +44,15 @@
 }
 
 /// The head of a worker's answer with all that belongs to it.
-pub struct Head {
+pub struct ResponseHead {
     /// The answer.
-    pub answer: Response<Incoming>,
+    pub response: Response<Incoming>,
     /// The connection that it came on.
     pub connection: Connection<Full<Bytes>>,
     /// How long that may rest, in milliseconds; none if it closes.
-    pub rest_ms: Option<u64>,
+    pub keep_alive_ms: Option<u64>,
     /// The count of the call at the worker.
-    pub open: OpenCall,
+    pub in_flight: InFlightCall,
 }
 
 /// Hears an answer's head, and checks that it is to this call and that something ran;
@@ -61,11 +61,11 @@
     node: &Node,
     call: &Call,
     permit: &Permit,
-    open: &mut OpenCall,
-    answer: &Response<Incoming>,
+    in_flight: &mut InFlightCall,
+    response: &Response<Incoming>,
 ) -> Result<WorkerWords, Failure> {
-    let headers = answer.headers();
-    let status = answer.status();
+    let headers = response.headers();
+    let status = response.status();
     let request_id = headers.get(node.adapter.headers.request_id);
     let is_ours = request_id.is_none_or(|id| id.as_bytes() == call.id.as_bytes());
     let words = worker_words::hear(node, permit, (status, headers), is_ours);
@@ -74,11 +74,11 @@
             .bad_input_total
             .with_label_values(&["answer"])
             .inc();
-        open.failed();
+        in_flight.failed();
         return Err(Failure::Unknown);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        note_lacking(node, call, permit);
+        note_worker_lacks_model(node, call, permit);
         return Err(Failure::NotThere);
     }
     if words.is_not_run {
@@ -88,7 +88,7 @@
 }
 
 /// Notes that a worker lacks the model of a call, or is another one.
-fn note_lacking(node: &Node, call: &Call, permit: &Permit) {
+fn note_worker_lacks_model(node: &Node, call: &Call, permit: &Permit) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
     if let (Some(worker), Some((model, adapter))) = (roster.get_mut(&permit.worker), call.model()) {
@@ -98,6 +98,6 @@
 
 /// Whether the answer's head says where it ends: only then does its end show that the
 /// worker lived to make it.
-pub fn says_its_end(headers: &HeaderMap) -> bool {
+pub fn has_explicit_framing(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/cranereach-gateway/src/forward/taking_up.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -19,96 +19,96 @@
 use tokio::task::JoinHandle;
 
 use super::exchange;
-use super::exchange::Taken;
-use super::head::Failure;
-use super::head::Head;
-use super::head::says_its_end;
-use super::open::OpenCall;
+use super::exchange::OfferHistory;
+use super::in_flight::InFlightCall;
 use super::refusal::Refusal;
 use super::request::Call;
+use super::response_head::Failure;
+use super::response_head::ResponseHead;
+use super::response_head::has_explicit_framing;
 use crate::node::Node;
 use crate::worker_ends;
 use cranereach_http::pool::Connection;
 
 /// A connection with the time that it may rest afterwards, if it may.
-pub(super) type Kept = (Connection<Full<Bytes>>, Option<u64>);
+pub(super) type ReusableConnection = (Connection<Full<Bytes>>, Option<u64>);
 
 /// A worker's stream whose first piece is here.
 #[derive(Debug)]
-pub(super) struct Begun {
+pub(super) struct StartedStream {
     /// The first piece.
-    pub first: Bytes,
+    pub first_chunk: Bytes,
     /// What follows.
     pub incoming: Incoming,
     /// Where it comes from.
-    pub connection: Kept,
+    pub connection: ReusableConnection,
     /// The count of the call at the worker.
-    pub open: OpenCall,
+    pub in_flight: InFlightCall,
     /// Whether its head says where it ends.
-    pub says_its_end: bool,
+    pub has_explicit_framing: bool,
 }
 
-impl Begun {
+impl StartedStream {
     /// Waits for the first piece after the head of an answer.
-    pub(super) async fn of(head: Head) -> Result<(Parts, Self), Failure> {
-        let Head {
-            answer,
+    pub(super) async fn from_head(head: ResponseHead) -> Result<(Parts, Self), Failure> {
+        let ResponseHead {
+            response,
             connection,
-            rest_ms,
-            mut open,
+            keep_alive_ms,
+            mut in_flight,
         } = head;
-        let (parts, mut incoming) = answer.into_parts();
-        let first = match incoming.frame().await {
-            Some(Ok(first)) => first,
+        let (parts, mut incoming) = response.into_parts();
+        let first_chunk = match incoming.frame().await {
+            Some(Ok(first_chunk)) => first_chunk,
             Some(Err(_broken)) => {
-                open.failed();
+                in_flight.failed();
                 return Err(Failure::BrokenOff);
             }
             None => {
-                open.failed();
+                in_flight.failed();
                 return Err(Failure::Unknown);
             }
         };
-        open.read();
-        let begun = Self {
-            first: first.into_data().unwrap_or_default(),
+        in_flight.prefill_done();
+        let started = Self {
+            first_chunk: first_chunk.into_data().unwrap_or_default(),
             incoming,
-            connection: (connection, rest_ms),
-            open,
-            says_its_end: says_its_end(&parts.headers),
+            connection: (connection, keep_alive_ms),
+            in_flight,
+            has_explicit_framing: has_explicit_framing(&parts.headers),
         };
-        Ok((parts, begun))
+        Ok((parts, started))
     }
 }
 
 /// What comes of the search for a worker that goes on.
-type Found = Result<(Begun, Taken), Refusal>;
+type ResumeResult = Result<(StartedStream, OfferHistory), Refusal>;
 
 /// The search for a worker that goes on with a stream; it ends when this is dropped.
 #[derive(Debug)]
-pub(super) struct TakingUp {
-    found: JoinHandle<Found>,
-    since: Instant,
+pub(super) struct StreamResumption {
+    task: JoinHandle<ResumeResult>,
+    started_at: Instant,
 }
 
-impl TakingUp {
+impl StreamResumption {
     /// Begins to look for a worker that goes on after an event; from the start if the
     /// caller has none yet. What became of the worker that broke off is being found out.
-    pub(super) fn begin(
+    pub(super) fn spawn(
         node: &Arc<Node>,
         call: &Arc<Call>,
-        taken: Taken,
+        history: OfferHistory,
         last_event: Option<String>,
-        finding: JoinHandle<worker_ends::Found>,
+        worker_check: JoinHandle<worker_ends::Found>,
     ) -> Self {
         let node = Arc::clone(node);
         let call = Arc::clone(call);
-        let found = tokio::spawn(async move {
-            exchange::take_up(&node, &call, taken, last_event, finding).await
+        let task = tokio::spawn(async move {
+            exchange::resume_stream(&node, &call, history, last_event, worker_check).await
         });
         Self {
-            found,
-            since: Instant::now(),
+            task,
+            started_at: Instant::now(),
         }
     }
 
@@ -117,19 +117,19 @@
     /// # Panics
     ///
     /// If the search panicked.
-    pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Found> {
-        let found = ready!(Pin::new(&mut self.found).poll(cx));
-        Poll::Ready(found.expect("a search is ended early by its own drop alone"))
+    pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<ResumeResult> {
+        let result = ready!(Pin::new(&mut self.task).poll(cx));
+        Poll::Ready(result.expect("a search is ended early by its own drop alone"))
     }
 
     /// Returns for how long it has been looked for, in milliseconds.
-    pub(super) fn took_ms(&self) -> u64 {
-        self.since.elapsed().as_millis() as u64
+    pub(super) fn elapsed_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
     }
 }
 
-impl Drop for TakingUp {
+impl Drop for StreamResumption {
     fn drop(&mut self) {
-        self.found.abort();
+        self.task.abort();
     }
 }
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -6,16 +6,16 @@
 use hyper::Response;
 use hyper::StatusCode;
 
-use super::AnswerBody;
+use super::ResponseBody;
 use super::exchange::Exchange;
-use super::head::Failure;
-use super::head::Head;
-use super::head::check_head;
-use super::head::says_its_end;
-use super::open::OpenCall;
-use super::passing::Passing;
-use super::request::passed_headers;
-use super::taking_up::Begun;
+use super::in_flight::InFlightCall;
+use super::request::forwarded_headers;
+use super::response_head::Failure;
+use super::response_head::ResponseHead;
+use super::response_head::check_head;
+use super::response_head::has_explicit_framing;
+use super::resumption::StartedStream;
+use super::stream_relay::StreamRelay;
 use crate::cold;
 use crate::quarantine;
 use crate::send_permit;
@@ -27,10 +27,10 @@
 use cranereach_http::pool::SendError;
 
 /// Largest answer that is kept whole before it is passed on, in bytes.
-const WHOLE_ANSWER_MAX_BYTES: usize = 4 * 1024 * 1024;
+const BUFFERED_RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// Time to connect to a worker, in milliseconds.
-const CONNECT_WITHIN_MS: u64 = 250;
+const CONNECT_TIMEOUT_MS: u64 = 250;
 
 /// Share of the aim for which a call is held until no stream pauses for too long by its
 /// prompt. At half of it, prompts that were sent before their place made half of all
@@ -39,29 +39,32 @@
 
 impl Exchange<'_> {
     /// Offers the call to one worker and makes the answer.
-    pub(super) async fn offer(&mut self, choice: &Choice) -> Result<Response<AnswerBody>, Failure> {
+    pub(super) async fn offer(
+        &mut self,
+        choice: &Choice,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let head = self.send(choice).await?;
-        let status = head.answer.status();
+        let status = head.response.status();
         if self.call.is_stream() && status == StatusCode::OK {
             return self.begin_stream(head).await;
         }
-        self.read_whole(head).await
+        self.read_full_response(head).await
     }
 
     /// Sends the call to one worker and waits for the head of the answer.
-    async fn send(&mut self, choice: &Choice) -> Result<Head, Failure> {
+    async fn send(&mut self, choice: &Choice) -> Result<ResponseHead, Failure> {
         let node = self.node;
         let call = self.call;
         let wanted = self.wanted();
         let hold_max_ms = (call.route.aim_ms as f64 * HOLD_MAX_SHARE) as u64;
         let hold_ms = choice.send_in_ms.min(hold_max_ms);
-        let mut open = OpenCall::begin(
+        let mut in_flight = InFlightCall::begin(
             node,
             choice,
             &wanted,
             (&call.service.name, &call.route.name),
             call.answer_tokens,
-            call.end_by_ms,
+            call.deadline_at_ms,
             hold_ms,
         );
         if hold_ms > 0 {
@@ -69,10 +72,10 @@
         }
         self.hold(choice, hold_ms).await?;
         let pool = node.pool(&choice.id, &choice.address);
-        let within = Duration::from_millis(CONNECT_WITHIN_MS);
+        let within = Duration::from_millis(CONNECT_TIMEOUT_MS);
         let taken = tokio::time::timeout(within, pool.take()).await;
         let Ok(Ok(mut connection)) = taken else {
-            open.unreachable();
+            in_flight.unreachable();
             return Err(Failure::NotSent);
         };
         if !connection.is_reused() {
@@ -90,28 +93,28 @@
         if suspicion.is_quarantined {
             return Err(Failure::Quarantined);
         }
-        self.knew_of_end = suspicion.end_count > 0;
+        self.earlier_end_known = suspicion.end_count > 0;
         self.count_send(choice);
         let request = self
             .call
             .to_worker(node, &choice.id, self.last_event.as_deref())
             .ok_or(Failure::NotSent)?;
         self.may_run_now = true;
-        open.sent(self.call.body.len());
-        let answer = match connection.send(request).await {
-            Ok(answer) => answer,
+        in_flight.sent(self.call.body.len());
+        let response = match connection.send(request).await {
+            Ok(response) => response,
             Err(SendError::Unsent(_)) => return Err(Failure::NotSent),
             Err(SendError::Broken(_)) => {
-                open.failed();
+                in_flight.failed();
                 return Err(Failure::BrokenOff);
             }
         };
-        let words = check_head(node, self.call, &permit, &mut open, &answer)?;
-        Ok(Head {
-            answer,
+        let words = check_head(node, self.call, &permit, &mut in_flight, &response)?;
+        Ok(ResponseHead {
+            response,
             connection,
-            rest_ms: words.connection_rest_ms,
-            open,
+            keep_alive_ms: words.connection_rest_ms,
+            in_flight,
         })
     }
 
@@ -140,65 +143,71 @@
     }
 
     /// Offers the rest of a stream to one worker and waits until it goes on.
-    pub(super) async fn offer_rest(&mut self, choice: &Choice) -> Result<Begun, Failure> {
+    pub(super) async fn offer_resumption(
+        &mut self,
+        choice: &Choice,
+    ) -> Result<StartedStream, Failure> {
         let mut head = self.send(choice).await?;
-        if head.answer.status() != StatusCode::OK {
-            head.open.failed();
+        if head.response.status() != StatusCode::OK {
+            head.in_flight.failed();
             return Err(Failure::Unknown);
         }
-        let (_head, begun) = Begun::of(head).await?;
-        Ok(begun)
+        let (_head, started) = StartedStream::from_head(head).await?;
+        Ok(started)
     }
 
     /// Waits for the first piece, so that a stream that never began can be repeated.
-    async fn begin_stream(&self, head: Head) -> Result<Response<AnswerBody>, Failure> {
-        let (parts, begun) = Begun::of(head).await?;
-        let passing = Passing::new(self.node, self.call, begun, self.taken());
-        let mut answer = Response::new(AnswerBody::Passing(Box::new(passing)));
-        *answer.status_mut() = parts.status;
-        *answer.headers_mut() = passed_headers(&parts.headers, &[]);
-        Ok(answer)
+    async fn begin_stream(&self, head: ResponseHead) -> Result<Response<ResponseBody>, Failure> {
+        let (parts, started) = StartedStream::from_head(head).await?;
+        let relay = StreamRelay::new(self.node, self.call, started, self.history());
+        let mut response = Response::new(ResponseBody::Streaming(Box::new(relay)));
+        *response.status_mut() = parts.status;
+        *response.headers_mut() = forwarded_headers(&parts.headers, &[]);
+        Ok(response)
     }
 
     /// Reads a whole answer before any of it is passed on.
-    async fn read_whole(&mut self, head: Head) -> Result<Response<AnswerBody>, Failure> {
-        let Head {
-            answer,
+    async fn read_full_response(
+        &mut self,
+        head: ResponseHead,
+    ) -> Result<Response<ResponseBody>, Failure> {
+        let ResponseHead {
+            response,
             connection,
-            rest_ms,
-            mut open,
+            keep_alive_ms,
+            mut in_flight,
         } = head;
-        let (parts, incoming) = answer.into_parts();
-        let left_ms = self.call.end_by_ms.saturating_sub(self.node.now_ms()) + 1_000;
-        let collected = body::collect(incoming, WHOLE_ANSWER_MAX_BYTES, left_ms).await;
+        let (parts, incoming) = response.into_parts();
+        let remaining_ms = self.call.deadline_at_ms.saturating_sub(self.node.now_ms()) + 1_000;
+        let collected = body::collect(incoming, BUFFERED_RESPONSE_MAX_BYTES, remaining_ms).await;
         let bytes = collected.map_err(|error| {
-            open.failed();
+            in_flight.failed();
             match error {
                 BodyError::Broken => Failure::BrokenOff,
                 BodyError::TooLarge | BodyError::TooSlow => Failure::Unknown,
             }
         })?;
-        open.received(bytes.len());
+        in_flight.received(bytes.len());
         let is_failure = parts.status.is_server_error();
         if is_failure {
-            open.failed();
+            in_flight.failed();
         } else {
-            open.succeeded();
+            in_flight.succeeded();
         }
-        if says_its_end(&parts.headers) {
+        if has_explicit_framing(&parts.headers) {
             quarantine::answered(self.node, self.call);
         }
-        if let Some(rest_ms) = rest_ms {
-            connection.keep_for(rest_ms);
+        if let Some(keep_alive_ms) = keep_alive_ms {
+            connection.keep_for(keep_alive_ms);
         }
-        let mut answer = Response::new(AnswerBody::Whole(Full::new(bytes)));
-        *answer.status_mut() = parts.status;
-        *answer.headers_mut() = passed_headers(&parts.headers, &[]);
+        let mut response = Response::new(ResponseBody::Buffered(Full::new(bytes)));
+        *response.status_mut() = parts.status;
+        *response.headers_mut() = forwarded_headers(&parts.headers, &[]);
         let may_repeat = self.call.route.may_repeat();
         if is_failure && may_repeat && self.run_count + 1 < self.call.route.attempt_max_count {
-            self.failed_answer = Some(answer);
+            self.failed_response = Some(response);
             return Err(Failure::Unknown);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
--- /dev/null
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -0,0 +1,281 @@
+//! A stream on its way to the caller, piece by piece.
+//!
+//! Nothing is buffered but the part of an event: the caller's pace is the worker's. A
+//! stream whose worker breaks off goes on at another one if its route allows that and if
+//! it is known which event came last; else it ends its connection, so that it never looks
+//! complete.
+
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::Context;
+use std::task::Poll;
+use std::task::ready;
+use std::time::Instant;
+
+use bytes::Bytes;
+use hyper::body::Body;
+use hyper::body::Frame;
+use hyper::body::Incoming;
+use slog::info;
+use thiserror::Error;
+use tokio::task::JoinHandle;
+use tokio::time::Sleep;
+
+use super::broken_connection;
+use super::exchange::OfferHistory;
+use super::in_flight::InFlightCall;
+use super::request::Call;
+use super::resumption::ReusableConnection;
+use super::resumption::StartedStream;
+use super::resumption::StreamResumption;
+use crate::node::Node;
+use crate::quarantine;
+use crate::worker_ends::Found;
+use cranereach_http::events::Reached;
+use cranereach_http::events::WholeEvents;
+
+/// The stream ended before it was whole.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the stream broke off")]
+pub struct StreamInterrupted;
+
+/// A stream that is being passed on.
+#[derive(Debug)]
+pub struct StreamRelay {
+    node: Arc<Node>,
+    call: Arc<Call>,
+    first_chunk: Option<Bytes>,
+    incoming: Incoming,
+    connection: Option<ReusableConnection>,
+    in_flight: Option<InFlightCall>,
+    deadline: Pin<Box<Sleep>>,
+    gaps: ChunkGaps,
+    /// The events, if the stream may go on elsewhere.
+    events: Option<WholeEvents>,
+    /// Whether the head of the present worker's answer says where it ends.
+    has_explicit_framing: bool,
+    /// What the call has taken so far.
+    history: OfferHistory,
+    resumption: Option<StreamResumption>,
+}
+
+/// The pauses between the pieces of a stream.
+#[derive(Debug)]
+struct ChunkGaps {
+    target_ms: Option<u64>,
+    last_chunk_at: Instant,
+    longest_ms: u64,
+}
+
+impl ChunkGaps {
+    /// Notes a piece.
+    fn record_chunk(&mut self) {
+        let now = Instant::now();
+        let gap_ms = now.duration_since(self.last_chunk_at).as_millis() as u64;
+        self.longest_ms = self.longest_ms.max(gap_ms);
+        self.last_chunk_at = now;
+    }
+
+    /// Whether some pause was longer than the route aims at.
+    fn exceed_target(&self) -> bool {
+        self.target_ms
+            .is_some_and(|target_ms| self.longest_ms > target_ms)
+    }
+}
+
+impl StreamRelay {
+    /// Starts to pass a call's stream on that has begun.
+    pub(super) fn new(
+        node: &Arc<Node>,
+        call: &Arc<Call>,
+        started: StartedStream,
+        history: OfferHistory,
+    ) -> Self {
+        Self {
+            node: Arc::clone(node),
+            call: Arc::clone(call),
+            first_chunk: Some(started.first_chunk),
+            incoming: started.incoming,
+            connection: Some(started.connection),
+            in_flight: Some(started.in_flight),
+            deadline: Box::pin(tokio::time::sleep_until(node.instant(call.deadline_at_ms))),
+            gaps: ChunkGaps {
+                target_ms: call.route.gap_aim_ms,
+                last_chunk_at: Instant::now(),
+                longest_ms: 0,
+            },
+            has_explicit_framing: started.has_explicit_framing,
+            events: call.route.may_repeat().then(WholeEvents::default),
+            history,
+            resumption: None,
+        }
+    }
+
+    /// Passes the next piece on.
+    pub fn poll_next(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamInterrupted>>> {
+        loop {
+            if self.in_flight.is_none() && self.resumption.is_none() {
+                return Poll::Ready(None);
+            }
+            if self.deadline.as_mut().poll(cx).is_ready() {
+                return Poll::Ready(Some(Err(self.abort("deadline"))));
+            }
+            if let Some(resumption) = &mut self.resumption {
+                let took_ms = resumption.elapsed_ms();
+                match ready!(resumption.poll(cx)) {
+                    Ok((started, history)) => self.continue_with(started, history, took_ms),
+                    Err(refusal) => {
+                        let reason = format!("not taken up: {}", refusal.detail);
+                        return Poll::Ready(Some(Err(self.abort(&reason))));
+                    }
+                }
+            }
+            let chunk = match self.first_chunk.take() {
+                Some(first_chunk) => Some(Ok(Frame::data(first_chunk))),
+                None => ready!(Pin::new(&mut self.incoming).poll_frame(cx)),
+            };
+            match chunk {
+                Some(Ok(frame)) => {
+                    if let (Some(in_flight), Some(chunk)) = (&self.in_flight, frame.data_ref()) {
+                        in_flight.received(chunk.len());
+                    }
+                    let Some(frame) = self.take_forwardable(frame) else {
+                        continue;
+                    };
+                    if self.events.as_ref().is_some_and(WholeEvents::has_gone_back) {
+                        return Poll::Ready(Some(Err(self.abort("events went back"))));
+                    }
+                    self.gaps.record_chunk();
+                    return Poll::Ready(Some(Ok(frame)));
+                }
+                Some(Err(_broken)) => {
+                    if !self.start_resumption() {
+                        // Nobody goes on, so nobody waits for what is found.
+                        drop(self.investigate_worker());
+                        return Poll::Ready(Some(Err(self.abort("worker broke off"))));
+                    }
+                }
+                None => return Poll::Ready(self.finish().map(|rest| Ok(Frame::data(rest)))),
+            }
+        }
+    }
+
+    /// Returns what of a piece may be passed on now: all of it, or whole events if the
+    /// stream may go on elsewhere; none if that is nothing.
+    fn take_forwardable(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
+        let Some(events) = &mut self.events else {
+            return Some(frame);
+        };
+        match frame.into_data() {
+            Ok(bytes) => {
+                let complete_events = events.take(&bytes);
+                (!complete_events.is_empty()).then(|| Frame::data(complete_events))
+            }
+            Err(other) => Some(other),
+        }
+    }
+
+    /// Begins to look for a worker that goes on; returns whether one may.
+    fn start_resumption(&mut self) -> bool {
+        let Some(in_flight) = &mut self.in_flight else {
+            return false;
+        };
+        in_flight.failed();
+        let Some(events) = &mut self.events else {
+            return false;
+        };
+        events.forget_part();
+        let last_event = match events.reached() {
+            Reached::Start => None,
+            Reached::Event(id) => Some(id.clone()),
+            Reached::Unknown => return false,
+        };
+        let Some(worker_check) = self.investigate_worker() else {
+            return false;
+        };
+        // The count at the worker that broke off ends here.
+        self.in_flight = None;
+        self.connection = None;
+        let history = std::mem::take(&mut self.history);
+        let started =
+            StreamResumption::spawn(&self.node, &self.call, history, last_event, worker_check);
+        self.resumption = Some(started);
+        true
+    }
+
+    /// Notes that the worker broke off, and finds out what became of it.
+    fn investigate_worker(&self) -> Option<JoinHandle<Found>> {
+        let worker = self.in_flight.as_ref()?.worker();
+        let earlier_end_known = self.history.earlier_end_known;
+        Some(broken_connection::investigate(
+            &self.node,
+            &self.call,
+            worker,
+            earlier_end_known,
+        ))
+    }
+
+    /// Goes on with the stream of another worker.
+    fn continue_with(&mut self, started: StartedStream, history: OfferHistory, took_ms: u64) {
+        info!(self.node.log, "stream taken up"; "request" => self.call.id.clone(),
+            "worker" => started.in_flight.worker().as_ref(), "took_ms" => took_ms,
+            "after" => format!("{:?}", self.events.as_ref().map(WholeEvents::reached)));
+        let counter = &self.node.metrics.streams_broken_total;
+        counter.with_label_values(&["taken_up"]).inc();
+        self.resumption = None;
+        self.first_chunk = Some(started.first_chunk);
+        self.incoming = started.incoming;
+        self.connection = Some(started.connection);
+        self.in_flight = Some(started.in_flight);
+        self.has_explicit_framing = started.has_explicit_framing;
+        self.history = history;
+        // The pause until here says nothing of the worker that goes on.
+        self.gaps.last_chunk_at = Instant::now();
+        self.gaps.longest_ms = 0;
+    }
+
+    /// Notes a whole answer, and its pauses if they were longer than the route aims at;
+    /// returns what is still to be passed on.
+    fn finish(&mut self) -> Option<Bytes> {
+        if self.has_explicit_framing {
+            quarantine::answered(&self.node, &self.call);
+        }
+        if let Some(mut in_flight) = self.in_flight.take() {
+            if self.gaps.exceed_target() {
+                in_flight.paused();
+                self.node.metrics.streams_paused_total.inc();
+                info!(self.node.log, "paused"; "request" => self.call.id.clone(),
+                    "worker" => in_flight.worker().as_ref(),
+                    "longest_ms" => self.gaps.longest_ms);
+            } else {
+                in_flight.succeeded();
+            }
+        }
+        if let Some((connection, Some(keep_alive_ms))) = self.connection.take() {
+            connection.keep_for(keep_alive_ms);
+        }
+        let rest = self.events.as_mut().map(WholeEvents::take_rest)?;
+        (!rest.is_empty()).then_some(rest)
+    }
+
+    /// Ends the stream before it is whole.
+    fn abort(&mut self, reason: &str) -> StreamInterrupted {
+        let worker = self
+            .in_flight
+            .as_ref()
+            .map(|in_flight| in_flight.worker().to_string());
+        info!(self.node.log, "stream broken off"; "request" => self.call.id.clone(),
+            "worker" => worker, "why" => reason);
+        let counter = &self.node.metrics.requests_total;
+        counter.with_label_values(&["", "broken_midway"]).inc();
+        let counter = &self.node.metrics.streams_broken_total;
+        counter.with_label_values(&["ended"]).inc();
+        self.in_flight = None;
+        self.connection = None;
+        self.resumption = None;
+        StreamInterrupted
+    }
+}
--- a/crates/cranereach-gateway/src/forward/record.rs
+++ b/crates/cranereach-gateway/src/forward/telemetry.rs
@@ -3,15 +3,20 @@
 use hyper::Response;
 use slog::info;
 
-use super::AnswerBody;
+use super::ResponseBody;
 use super::refusal::Refusal;
 use super::request::Call;
 use crate::node::Node;
 use cranereach_fleet::roster::Choice;
 
 /// Counts an answer that begins now, and logs it if it is late.
-pub fn answered(node: &Node, call: &Call, answer: &Response<AnswerBody>, choice: Option<&Choice>) {
-    let result_name = if answer.status().is_success() {
+pub fn record_response(
+    node: &Node,
+    call: &Call,
+    response: &Response<ResponseBody>,
+    choice: Option<&Choice>,
+) {
+    let result_name = if response.status().is_success() {
         "served"
     } else {
         "passed"
@@ -20,7 +25,7 @@
     counter
         .with_label_values(&[&call.route.name, result_name])
         .inc();
-    note_late(node, call, choice);
+    log_late_response(node, call, choice);
     let took_s = node.now_ms().saturating_sub(call.received_ms) as f64 / 1_000.0;
     let seconds = &node.metrics.first_byte_seconds;
     seconds
@@ -29,13 +34,17 @@
 }
 
 /// Counts how a call of a client account ended, and the units it was charged.
-pub fn of_account(node: &Node, call: &Call, result: &Result<Response<AnswerBody>, Refusal>) {
+pub fn record_account_usage(
+    node: &Node,
+    call: &Call,
+    result: &Result<Response<ResponseBody>, Refusal>,
+) {
     if call.account.is_none() {
         return;
     }
     let label = call.account_label.as_str();
     let result_name = match result {
-        Ok(answer) if answer.status().is_success() => "served",
+        Ok(response) if response.status().is_success() => "served",
         Ok(_) => "passed",
         Err(refusal) => refusal.code.row().name,
     };
@@ -54,7 +63,7 @@
 
 /// Logs an answer that begins later than the route aims at, with what its worker
 /// was chosen by.
-fn note_late(node: &Node, call: &Call, choice: Option<&Choice>) {
+fn log_late_response(node: &Node, call: &Call, choice: Option<&Choice>) {
     let took_ms = node.now_ms().saturating_sub(call.received_ms);
     let Some(choice) = choice.filter(|_| took_ms > call.route.aim_ms) else {
         return;
--- a/crates/cranereach-gateway/src/forward/work.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -27,7 +27,7 @@
 }
 
 /// Notes that the call lacks a model, or an adapter, that nobody is known to hold.
-pub fn note_lack(node: &Node, call: &Call, why: NoWorker) {
+pub fn note_missing_model(node: &Node, call: &Call, why: NoWorker) {
     let Some((model, adapter)) = model_key(call) else {
         return;
     };
@@ -41,14 +41,14 @@
 }
 
 /// Returns what the holder of the lease says of the model that a call lacks.
-pub fn word(node: &Node, call: &Call) -> Option<Word> {
+pub fn load_expectation(node: &Node, call: &Call) -> Option<Word> {
     let (model, _) = model_key(call)?;
     expected::word(node, &call.service.name, model)
 }
 
 /// Returns for how long a load of the call's model takes from the weight store, in
 /// milliseconds.
-pub fn load_ms(call: &Call) -> Option<u64> {
+pub fn model_load_ms(call: &Call) -> Option<u64> {
     let (model, _) = model_key(call)?;
     let engine = call.service.engine.as_ref()?;
     let model = engine.models.get(usize::from(model))?;
