--- a/crates/cranereach-gateway/src/forward/authentication.rs
+++ b/crates/cranereach-gateway/src/forward/authentication.rs
@@ -1,4 +1,4 @@
-//! Who calls: the client account that a request's key belongs to.
+//! Authentication: finds the client account that a request's key belongs to.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,11 +13,11 @@
 use cranereach_fleet::configuration::Route;
 use cranereach_http::bearer::bearer;
 
-/// Longest time for which a request with an unknown key waits for a
-/// configuration that peers have told of and that is being fetched, in milliseconds.
+/// Longest time that a request with an unknown key waits for a newer configuration that peers
+/// have announced and that is being fetched, in milliseconds.
 const NEWER_CONFIGURATION_WAIT_MS: u64 = 400;
 
-/// Finds the account of a request; none where the route needs no key.
+/// Finds the client account of a request; `None` if the route needs no key.
 pub async fn authenticate(
     node: &Node,
     configuration: &Configuration,
@@ -42,8 +42,8 @@
     Err(refusal_code(node, ResultCode::Unauthenticated))
 }
 
-/// Returns the code of a refusal that rests on the configuration: where that may be
-/// behind, the request may well be proper.
+/// Returns the code of a refusal that depends on the configuration. If the configuration may be
+/// out of date, the request may be valid, and the code is `ConfigUnknown`.
 fn refusal_code(node: &Node, code: ResultCode) -> ResultCode {
     let bound_ms = node.settings.bounds.configuration_ms;
     if lock(&node.proof).may_be_behind(node.now_ms(), bound_ms) {
@@ -53,8 +53,8 @@
     }
 }
 
-/// Says by what a key is refused, for the log: the age of the proof, and the newest
-/// version that peers have told of.
+/// Describes for the log what the rejection of a key was based on: when the configuration was
+/// last proved to be the newest, and the newest version that peers have announced.
 pub fn rejection_context(node: &Node) -> String {
     let age_ms = lock(&node.proof).age_ms(node.now_ms());
     let age = age_ms.map_or("never".to_owned(), |age_ms| format!("{age_ms} ms ago"));
@@ -62,8 +62,8 @@
     format!("key; configuration last proved the newest: {age}; version heard of: {heard}")
 }
 
-/// Waits for a configuration that peers have told of; none if there is none, or it
-/// doesn't come soon. Requests that can't be served cost no call to the store.
+/// Waits for a newer configuration that peers have announced. Returns `None` if there is none or
+/// it does not arrive in time. Requests that cannot be served cause no call to the store.
 async fn newer_configuration(node: &Node, than_version: u64) -> Option<Arc<Configuration>> {
     let is_newer = |known: &Arc<Configuration>| known.version > than_version;
     let until_ms = node.now_ms() + NEWER_CONFIGURATION_WAIT_MS;
--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -1,4 +1,4 @@
-//! Calls whose connection to their worker broke: whether the worker ended under them.
+//! Calls whose connection to a worker broke: checks whether the worker ended while it ran them.
 
 use std::sync::Arc;
 
@@ -11,9 +11,9 @@
 use crate::worker_ends;
 use crate::worker_ends::Found;
 
-/// Finds out, beside the call, what became of the worker that a call broke off at, and
-/// holds its end against the call. `knew_of_others` says whether an earlier end under it
-/// was known when it was sent.
+/// Checks in the background what became of the worker whose connection broke during a call. If
+/// the worker has ended, records that against the call's fingerprint. `earlier_end_known` says
+/// whether this instance knew of an earlier end under the same fingerprint when it sent the call.
 pub(super) fn investigate(
     node: &Arc<Node>,
     call: &Arc<Call>,
@@ -36,7 +36,7 @@
                 "route" => call.route.name.as_ref(), "worker" => worker.as_ref(),
                 "found" => found.name(),
                 "fingerprint" => call.fingerprint(&node).to_string());
-            // One that isn't listed any more was to end.
+            // A worker that is no longer listed was meant to end.
             if let Some(start) = start {
                 quarantine::ended(&node, &call, (start, &worker), earlier_end_known).await;
             }
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -1,4 +1,4 @@
-//! Chooses the worker that a call is offered to next.
+//! Selection of the worker that a call is offered to next.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,39 +22,40 @@
 use cranereach_fleet::roster::Choice;
 use cranereach_fleet::wanted::Wanted;
 
-/// Time within which the holder of a lease says when a model is expected, in
-/// milliseconds: it answers at once, and demand is told every 20 ms at the most.
+/// Time to wait for the lease holder to say when a model is expected to be loaded, in
+/// milliseconds. The holder answers at once, and demand is reported every 20 ms at most.
 const LOAD_EXPECTATION_WAIT_MS: u64 = 40;
 
-/// Time from a model's load to its worker's row here, in milliseconds.
+/// Time from the end of a model load until the updated row of the worker is known to this
+/// instance, in milliseconds.
 const LISTING_DELAY_MS: u64 = 400;
 
-/// Share of the aim for which a call waits for its adapter: one is loaded within
+/// Share of the latency target for which a call waits for its adapter. An adapter loads within
 /// some hundred milliseconds, so that most calls that wait are served in time.
 const ADAPTER_WAIT_SHARE: f64 = 0.6;
 
-/// Share of the aim for which a call waits until a worker that gets only so many requests,
-/// or rests, may be sent one.
+/// Share of the latency target for which a call waits until it may be sent to a worker that is
+/// cold, rate-limited or resting.
 const GRANT_WAIT_SHARE: f64 = 0.4;
 
-/// Share of the aim for which a call under whose like workers ended waits until none of
-/// the others runs where it could: one that ends its worker does so within some tenths of
-/// a second.
+/// Share of the latency target for which a call that is suspected of ending workers waits for a
+/// worker that runs no other suspected request. A request that ends its worker does so within
+/// some tenths of a second.
 const ISOLATION_WAIT_SHARE: f64 = 0.4;
 
-/// When such a call should come back, in milliseconds: a worker that has ended is back,
-/// and the answers of the others are whole, after some seconds.
+/// Retry-After of such a call, in milliseconds. After some seconds, a worker that has ended is
+/// back, and the other suspected requests have been answered in full.
 const ISOLATION_RETRY_AFTER_MS: u64 = 1_500;
 
-/// Workers whose owners are asked before one is chosen: with exact loads of three by
-/// chance, a call rarely meets a queue while others are idle.
+/// Number of workers whose owners are asked before one is chosen. With the exact loads of three
+/// random workers, a call rarely queues while other workers are idle.
 const CANDIDATE_COUNT: usize = 3;
 
-/// Longest pause between two looks for a worker, in milliseconds.
+/// Longest pause between two attempts to find a worker, in milliseconds.
 const RECHECK_INTERVAL_MS: u64 = 40;
 
 impl Exchange<'_> {
-    /// Chooses a worker, waiting a little for one that holds the model.
+    /// Chooses a worker; waits a limited time if none can take the call yet.
     pub(super) async fn choose(&self) -> Result<Choice, Refusal> {
         let call = self.call;
         let mut has_signaled_demand = false;
@@ -77,7 +78,7 @@
             };
             if !has_signaled_demand {
                 has_signaled_demand = true;
-                // The holder learns of the demand at once.
+                // Reports the demand to the lease holder immediately.
                 workload::note_missing_model(self.node, call, why);
                 self.node.demand_wanted.notify_one();
                 self.node.controller_wanted.notify_one();
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Returns until when the call waits for what it lacks, in milliseconds: for a model
-    /// only if it is expected while the answer would still be in time.
+    /// Returns the time until which the call waits for what it lacks, in milliseconds. It waits
+    /// for a model only if that is expected early enough to answer within the latency target.
     fn wait_until_ms(&self, why: NoWorker, wanted: &Wanted<'_>) -> u64 {
         let received_ms = self.call.received_ms;
         let aim_at_ms = received_ms + self.call.route.aim_ms;
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Returns when a call whose model isn't there should come back, in milliseconds:
-    /// when it is expected, or after the time of a load.
+    /// Returns the Retry-After of a call whose model is not loaded, in milliseconds: the time
+    /// until the model is expected, or else the duration of a load.
     fn model_retry_after_ms(&self) -> u64 {
         let now_ms = self.node.now_ms();
         let retry_after_ms = match workload::load_expectation(self.node, self.call) {
@@ -169,14 +170,15 @@
         retry_after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
 
-    /// Returns from when it is worth asking for a worker that gets no more for now, and from
-    /// when one needs no grant, in milliseconds.
+    /// Returns when asking for a grant is first worthwhile among the workers that currently
+    /// accept no more calls, and when one of them can be used without a grant, both in
+    /// milliseconds.
     fn free_from_ms(&self, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
         let now_ms = self.node.now_ms();
         self.node.roster().free_from_ms(now_ms, wanted)
     }
 
-    /// Returns when a call should come back whose workers get no more for now, in
+    /// Returns the Retry-After of a call whose workers accept no more calls for now, in
     /// milliseconds.
     fn free_after_ms(&self, wanted: &Wanted<'_>) -> u64 {
         let free_at_ms = self.free_from_ms(wanted).map(|(_, at_ms)| at_ms);
@@ -184,13 +186,13 @@
         after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
 
-    /// Returns the key of what there is too little of for the call.
+    /// Returns the key of the model or service that the call finds too few workers for.
     fn model_shortage_key(&self) -> u64 {
         let of_model = self.call.model().map(|(model, _)| model);
         worker_key(of_model.unwrap_or(&self.call.service.name))
     }
 
-    /// Chooses among a few workers by what their owners say of them now.
+    /// Chooses among a few candidates by the current state that their owners report.
     async fn choose_by_owners(
         &self,
         wanted: &Wanted<'_>,
@@ -220,7 +222,7 @@
         roster.choose_among(now_ms, &candidates, wanted, engine, &mut rand::rng())
     }
 
-    /// Asks the owners of some workers how these stand for the call.
+    /// Asks the owners of some workers for the state of these workers.
     async fn ask_owners(&self, wanted: &Wanted<'_>, workers: &[Arc<str>]) {
         if workers.is_empty() {
             return;
@@ -236,18 +238,20 @@
         .await;
     }
 
-    /// Whether the call may be sent to another worker should this one fail.
+    /// Whether the call may be retried on another worker if this one fails.
     fn may_retry(&self) -> bool {
         let route = &self.call.route;
         route.may_repeat() && self.run_count + 1 < route.attempt_max_count
     }
 
-    /// Refuses a call that would begin so late that coming back is better; returns when
-    /// one looks again that leaves room for more urgent ones, in milliseconds.
+    /// Applies admission control: rejects a call that would begin so late that a later retry is
+    /// better. Returns the delay in milliseconds after which to check again if the call must
+    /// leave room for more urgent ones.
     fn admit(&self, choice: &Choice) -> Result<Option<u64>, Refusal> {
         let call = self.call;
         let is_whole = call.service.engine.is_none();
-        // What takes so long by itself isn't faster for coming back.
+        // On an idle worker, all the time is the call's own work, so a later retry would not be
+        // faster.
         let is_idle = is_whole && choice.load.open_count < choice.slot_count;
         if is_idle || self.may_have_run {
             return Ok(None);
@@ -271,7 +275,7 @@
         Err(refusal)
     }
 
-    /// Returns what the call wants of a worker.
+    /// Returns the requirements of the call for the choice of a worker.
     pub(super) fn wanted(&self) -> Wanted<'_> {
         let pace = workload::pace(self.node, self.call);
         let engine = self.call.service.engine.as_ref();
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -1,8 +1,9 @@
-//! Sends a call to workers until there is an answer or an end.
+//! Offers a call to workers until there is a response or a final failure.
 //!
-//! What decides is what may have run: a call that never reached a worker, or
-//! that a worker says it did not run, may go elsewhere within the bound of
-//! repeats. One that may have run goes elsewhere only if it may be repeated.
+//! An offer is one attempt to send the call to one worker. Whether another one follows depends on
+//! whether the call may have run: a call that never reached a worker, or that a worker says it
+//! did not run, may be offered to another one within the retry budget. A call that may have run
+//! is offered again only if its route allows it to be repeated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,51 +27,55 @@
 use cranereach_core::codes::ResultCode;
 use cranereach_fleet::roster::Choice;
 
-/// Workers that one call is offered to at most.
+/// Maximum number of offers of one call.
 const OFFER_MAX_COUNT: usize = 5;
 
-/// Workers at most that a call was chosen for and then wasn't to be sent to: a question
-/// each.
+/// Maximum number of times that a worker is chosen for a call but the permit to send is then not
+/// given. Each time costs a message.
 const NO_PERMIT_MAX_COUNT: usize = 6;
 
-/// Offers of one call to the same worker at most.
+/// Maximum number of offers of one call to the same worker.
 const SAME_WORKER_MAX_COUNT: usize = 2;
 
-/// Time for which a repeat waits until it is known whether the worker that broke off has
-/// ended, in milliseconds: it is tried after 10, and one that refuses says so at once.
+/// Time that a retry waits for the check whether the worker whose connection broke has ended, in
+/// milliseconds. The worker is probed after 10 ms, and a refused connection is reported at once.
 const WORKER_CHECK_WAIT_MS: u64 = 60;
 
-/// A call on its way.
+/// State of a call while it is offered to workers.
 pub(super) struct Exchange<'a> {
     pub(super) node: &'a Arc<Node>,
     pub(super) call: &'a Arc<Call>,
     pub(super) tried: Vec<Arc<str>>,
     last_choice: Option<Choice>,
-    /// The last event that the caller has, where a stream is taken up.
+    /// Id of the last event that the caller has received, if a stream is resumed.
     pub(super) last_event: Option<String>,
-    /// A worker's whole answer of a failure, kept while a repeat is hoped for.
+    /// Complete error response of a worker, kept while the call is retried. It is passed on if no
+    /// retry succeeds.
     pub(super) failed_response: Option<Response<ResponseBody>>,
     offer_count: usize,
-    /// Choices that were not to be sent any more.
+    /// Number of times that a worker was chosen and no permit to send was given.
     no_permit_count: usize,
     pub(super) run_count: u32,
     pub(super) may_have_run: bool,
     pub(super) may_run_now: bool,
-    /// Whether an end of a worker under equal calls was known when it was sent last.
+    /// Whether an end of a worker under the same fingerprint was already known when the call was
+    /// last sent.
     pub(super) earlier_end_known: bool,
 }
 
-/// What a call has taken so far, so that its stream may be taken up within its bounds.
+/// Offers that a call has used so far. A resumed stream continues with these counts, so that the
+/// limits of the call apply to it as a whole.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OfferHistory {
     tried: Vec<Arc<str>>,
     offer_count: usize,
     run_count: u32,
-    /// Whether an end of a worker under equal calls was known when it was sent last.
+    /// Whether an end of a worker under the same fingerprint was already known when the call was
+    /// last sent.
     pub(super) earlier_end_known: bool,
 }
 
-/// Runs a call to its answer or refusal, both in time.
+/// Runs a call until it has a response or a refusal, either within its deadline.
 pub async fn run(node: &Arc<Node>, call: &Arc<Call>) -> Result<Response<ResponseBody>, Refusal> {
     node.note_request(&call.service.name);
     workload::note_demand(node, call);
@@ -105,9 +110,9 @@
     result
 }
 
-/// Takes a stream up at another worker after the last event that its caller has, once
-/// its worker has broken off, of which is being found out what became; returns how it goes
-/// on.
+/// Resumes an interrupted stream on another worker, after the last event that the caller has
+/// received. `worker_check` returns what became of the worker whose connection broke. Returns the
+/// resumed stream and the offers used so far.
 pub(super) async fn resume_stream(
     node: &Arc<Node>,
     call: &Arc<Call>,
@@ -133,16 +138,16 @@
     }
 }
 
-/// Waits for what became of a worker that broke a call off: before the call is sent once
-/// more, it must be known whether workers end under it.
+/// Waits a limited time for the check of a worker whose connection broke. Before the call is sent
+/// again, it should be known whether workers end under it.
 async fn wait_for_worker_check(worker_check: JoinHandle<Found>) {
     let within = Duration::from_millis(WORKER_CHECK_WAIT_MS);
-    // What takes longer goes on by itself.
+    // A check that takes longer continues in the background.
     let _found = tokio::time::timeout(within, worker_check).await;
 }
 
 impl<'a> Exchange<'a> {
-    /// Makes the exchange of a call that nobody was offered yet.
+    /// Creates the state of a call that has not been offered to any worker yet.
     fn new(node: &'a Arc<Node>, call: &'a Arc<Call>) -> Self {
         Self {
             node,
@@ -162,7 +167,7 @@
 }
 
 impl Exchange<'_> {
-    /// Returns what the call has taken so far.
+    /// Returns the offers used so far.
     pub(super) fn history(&self) -> OfferHistory {
         OfferHistory {
             tried: self.tried.clone(),
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Offers the call to workers until there is an answer or an end.
+    /// Offers the call to workers until there is a response or a final failure.
     async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let choice = self.next_choice().await?;
@@ -184,20 +189,20 @@
         }
     }
 
-    /// Takes an offer back that wasn't to be sent any more: another worker is chosen.
+    /// Undoes an offer for which no permit to send was given, so that another worker can be
+    /// chosen.
     fn revert_offer(&mut self) {
         self.offer_count -= 1;
         self.tried.pop();
         self.no_permit_count += 1;
     }
 
-    /// Whether so many workers were asked for in vain that only those count now that need
-    /// no grant.
+    /// Whether permits were denied so often that only workers that need no grant are considered.
     pub(super) fn has_exhausted_permits(&self) -> bool {
         self.no_permit_count >= NO_PERMIT_MAX_COUNT
     }
 
-    /// Chooses the next worker and notes that the call is offered to it.
+    /// Chooses the next worker and records that the call is offered to it.
     async fn next_choice(&mut self) -> Result<Choice, Refusal> {
         let choice = self.choose().await?;
         let before = self.tried.iter().filter(|tried| **tried == choice.id);
@@ -212,7 +217,7 @@
         Ok(choice)
     }
 
-    /// Decides what follows an offer that failed: another one, or the end.
+    /// Decides what follows a failed offer: another offer, or the end of the call.
     async fn handle_failure(&mut self, choice: &Choice, failure: Failure) -> Result<(), Refusal> {
         self.may_run_now = false;
         if failure == Failure::NoPermit {
@@ -243,7 +248,7 @@
         self.check_retry(failure)
     }
 
-    /// Returns the code of a call that nobody is left for.
+    /// Returns the result code of a call for which no worker is left.
     fn no_worker_code(&self) -> ResultCode {
         if self.may_have_run {
             ResultCode::OutcomeUnknown
@@ -252,7 +257,7 @@
         }
     }
 
-    /// Decides whether a failed call goes to another worker.
+    /// Decides whether a failed call is retried on another worker, and spends the retry budget.
     fn check_retry(&mut self, failure: Failure) -> Result<(), Refusal> {
         if failure.may_have_run() {
             self.may_have_run = true;
@@ -262,8 +267,9 @@
                 return Err(self.refusal(ResultCode::OutcomeUnknown, "no whole answer"));
             }
         }
-        // Others that broke off with it come again now, too: what ends their workers shows
-        // only once they come one at a time.
+        // Other calls that the same worker was running are being retried now as well. Which of
+        // them ends workers shows only when they run one at a time, so this call is not retried
+        // here.
         if failure.may_have_run() && quarantine::suspicion(self.node, self.call).runs_alone() {
             let detail = "workers ended under it";
             return Err(self.suspect_refusal(ResultCode::OutcomeUnknown, detail));
@@ -286,14 +292,14 @@
         Ok(())
     }
 
-    /// Makes the refusal of a call under whose equals workers ended.
+    /// Makes the refusal of a call under whose fingerprint workers have ended.
     fn suspect_refusal(&self, code: ResultCode, detail: &str) -> Refusal {
         let mut refusal = self.refusal(code, detail);
         refusal.fingerprint = Some(self.call.fingerprint(self.node));
         refusal
     }
 
-    /// Makes the refusal of the call.
+    /// Makes a refusal of the call.
     pub(super) fn refusal(&self, code: ResultCode, detail: &str) -> Refusal {
         let mut refusal = Refusal::new(code, &self.call.id);
         refusal.detail = format!("{detail}; offers {}", self.offer_count);
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that is open at a worker, counted until it is dropped.
+//! Requests in flight at a worker, each counted until it is dropped.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,29 +14,30 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::wanted::Wanted;
 
-/// Counts a request at a worker; its end is counted when this is dropped.
+/// Counts a request as in flight at a worker. Dropping it ends the count and reports the outcome
+/// to the worker's owner.
 #[derive(Debug)]
 pub struct InFlightCall {
     node: Arc<Node>,
     worker: Arc<str>,
-    /// The worker's failure domain.
+    /// Failure domain of the worker.
     domain: Arc<str>,
     pending_prefill: Option<PendingPrefill>,
-    /// When the answer began.
+    /// When the response began.
     answering_since: Option<Instant>,
     model: Option<String>,
-    /// Where no model is named: the service, and what was at the worker before.
+    /// Set if no model is named: the service, and the load of the worker before the call.
     plain_call: Option<PlainCall>,
     answer_tokens: u32,
     held_tokens: u32,
     stay_ms: f64,
-    /// What the worker's owner knows of the request.
+    /// Registration of the request at the instance that owns the worker.
     owner_ticket: Told,
     outcome: Outcome,
     distance: Distance,
 }
 
-/// A call of a plain service.
+/// Call of a service without models.
 #[derive(Debug)]
 struct PlainCall {
     service: Arc<str>,
@@ -46,7 +47,7 @@
     started_at: Instant,
 }
 
-/// A prompt that the worker is believed to read.
+/// Prompt whose prefill at the worker has not finished, as far as known.
 #[derive(Debug)]
 struct PendingPrefill {
     tokens: u32,
@@ -57,10 +58,10 @@
 }
 
 impl InFlightCall {
-    /// Notes that a request is being sent.
+    /// Records that a request is about to be sent.
     ///
-    /// `answer_tokens` is what its caller expects to come out; `send_in_ms` is for how
-    /// long it is held back.
+    /// `answer_tokens` is the number of output tokens that the caller expects; `send_in_ms` is
+    /// the time for which the request is held back.
     pub fn begin(
         node: &Arc<Node>,
         choice: &Choice,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Notes that the prompt has been read: the answer has begun.
+    /// Records that the prefill is complete: the response has begun.
     pub fn prefill_done(&mut self) {
         let Some(pending_prefill) = self.clear_pending_prefill() else {
             return;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Counts the prompt as no longer to be read.
+    /// Removes the prompt from the pending prefill work of the worker.
     fn clear_pending_prefill(&mut self) -> Option<PendingPrefill> {
         let pending_prefill = self.pending_prefill.take()?;
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
@@ -147,17 +148,17 @@
         Some(pending_prefill)
     }
 
-    /// Notes a whole answer.
+    /// Records a complete response.
     pub fn succeeded(&mut self) {
         self.completed(Outcome::Whole);
     }
 
-    /// Notes a whole answer with a pause longer than its route aims at.
+    /// Records a complete response with a longer pause than the route's target for streams.
     pub fn paused(&mut self) {
         self.completed(Outcome::Paused);
     }
 
-    /// Notes how a whole answer ended.
+    /// Records the outcome of a complete response, and learns from its duration.
     fn completed(&mut self, outcome: Outcome) {
         self.outcome = outcome;
         let now_ms = self.node.now_ms();
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Notes a call that failed after it was sent.
+    /// Records a call that failed after it was sent.
     pub fn failed(&mut self) {
         self.outcome = Outcome::Failed;
         let now_ms = self.node.now_ms();
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Notes that the worker could not be reached.
+    /// Records that the worker could not be reached.
     pub fn unreachable(&mut self) {
         self.outcome = Outcome::Unreachable;
         let now_ms = self.node.now_ms();
@@ -205,7 +206,7 @@
         self.count_bytes("sent", byte_count);
     }
 
-    /// Counts bytes of the answer.
+    /// Counts bytes of the response.
     pub fn received(&self, byte_count: usize) {
         self.count_bytes("received", byte_count);
     }
@@ -221,7 +222,7 @@
         bytes.inc_by(byte_count as u64);
     }
 
-    /// Returns the worker.
+    /// Returns the identity of the worker.
     pub fn worker(&self) -> &Arc<str> {
         &self.worker
     }
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -1,12 +1,13 @@
-//! A caller's request on its way: route, send, answer.
+//! Forwarding of a caller's request: routing, sending to workers, and the response.
 //!
-//! [`request`] reads what the caller asks for, [`caller`] finds whose key it is,
-//! [`exchange`] offers it to workers
-//! until there is an answer or an end, [`choosing`] picks each one, [`sending`] is one offer,
-//! [`broken`] notes a worker that ended under it, [`work`] says how much work a call makes,
-//! [`head`] checks an answer's head, [`passing`] hands
-//! a stream on as it comes and lets [`taking_up`] take it up elsewhere,
-//! [`record`] counts it, and [`refusal`] answers what could not be served.
+//! [`request`] parses the request, and [`authentication`] finds the client account of its key.
+//! [`exchange`] offers the call to workers until there is a response or a final failure:
+//! [`choosing`] selects each worker, [`sending`] makes one offer, [`in_flight`] counts the call
+//! at the worker, and [`broken_connection`] checks whether a worker ended while it ran the call.
+//! [`workload`] estimates the work of a call. [`response_head`] checks the head of a response,
+//! [`stream_relay`] relays a stream to the caller, and [`resumption`] resumes it on another
+//! worker. [`telemetry`] counts and logs results, and [`refusal`] makes the response to a call
+//! that could not be served.
 
 mod authentication;
 mod broken_connection;
@@ -53,16 +54,16 @@
 use cranereach_core::codes::ResultCode;
 use cranereach_http::server::Closed;
 
-/// Share of the aim for which a call waits for an owner of its account's limit to come
-/// up: what is left is enough for its work.
+/// Share of the latency target for which a call waits until an owner of its account's limit is
+/// available. The rest of the target is enough for the work of the call.
 const OWNER_WAIT_SHARE: f64 = 0.4;
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// Whole.
+    /// Complete body.
     Buffered(Full<Bytes>),
-    /// As it comes.
+    /// Body that is relayed from the worker as it arrives.
     Streaming(Box<StreamRelay>),
 }
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// Answers a caller.
+/// Handles a request of a caller.
 pub async fn answer(
     node: Arc<Node>,
     request: Request<Incoming>,
@@ -114,7 +115,7 @@
     Ok(response)
 }
 
-/// Reads a call and sends it on.
+/// Reads a call and forwards it.
 async fn serve(
     node: &Arc<Node>,
     request: Request<Incoming>,
@@ -136,7 +137,8 @@
     result
 }
 
-/// Refuses a call that is like those under which worker after worker ended.
+/// Refuses a call that is quarantined: workers ended in a row under requests with its
+/// fingerprint.
 fn quarantined(node: &Node, call: &Call) -> Refusal {
     let mut refusal = Refusal::new(ResultCode::Quarantined, &call.id);
     refusal.detail = quarantine::refused(node, call);
@@ -175,7 +177,7 @@
     })
 }
 
-/// Answers a refusal, counts and logs it.
+/// Makes the response to a refused call, counts and logs it.
 fn refusal_response(
     node: &Node,
     received_ms: u64,
--- a/crates/cranereach-gateway/src/forward/refusal.rs
+++ b/crates/cranereach-gateway/src/forward/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that say why a request was not served.
+//! Error responses that say why a request was not served.
 
 use std::sync::Arc;
 
@@ -20,31 +20,32 @@
 /// Retry-After of a refusal without a better estimate, in milliseconds.
 pub const RETRY_AFTER_DEFAULT_MS: u64 = 300;
 
-/// Retry-After where the workers that hold the model can't be reached, in milliseconds.
+/// Retry-After in milliseconds if the workers that could serve the call cannot be reached, are
+/// leaving or have all been tried.
 pub const NO_HOLDER_RETRY_AFTER_MS: u64 = 1_500;
 
-/// A request that gets an error in place of an answer.
+/// Error that a request gets in place of a worker's response.
 #[derive(Clone, Debug)]
 pub struct Refusal {
-    /// Why.
+    /// Result code.
     pub code: ResultCode,
     /// What was tried, for the log.
     pub detail: String,
-    /// When a repeat is worth it, in milliseconds.
+    /// Time after which a retry is worthwhile, in milliseconds.
     pub retry_after_ms: u64,
-    /// Key of what there is none of for now, where more callers want it than there is
-    /// room for; the time to come back then depends on how long that has lasted.
+    /// Key of what is in short supply, if callers want more of it than there is. The Retry-After
+    /// then depends on how long the shortage has lasted.
     pub shortage_key: Option<u64>,
-    /// Identity of the request, if it has one.
+    /// Identity of the request; empty if it has none.
     pub request_id: String,
-    /// Route, if there is one.
+    /// Route, if one was found.
     pub route: Option<Arc<str>>,
-    /// Fingerprint of what was asked for, where that is the reason.
+    /// Fingerprint of the request, if that is the reason for the refusal.
     pub fingerprint: Option<Fingerprint>,
 }
 
 impl Refusal {
-    /// Makes a refusal.
+    /// Creates a refusal with the default Retry-After.
     pub fn new(code: ResultCode, request_id: &str) -> Self {
         Self {
             code,
@@ -57,14 +58,14 @@
         }
     }
 
-    /// Adds what was tried.
+    /// Adds what was tried, for the log.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Makes the answer.
+    /// Makes the error response.
     pub fn to_response(&self, request_id_header: &'static str) -> Response<ResponseBody> {
         let row = self.code.row();
         let error = json!({ "code": row.number, "name": row.name, "message": row.meaning });
--- a/crates/cranereach-gateway/src/forward/request.rs
+++ b/crates/cranereach-gateway/src/forward/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, read from the head and body of the request.
+//! A caller's request, parsed from its head and body.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -37,7 +37,7 @@
 use cranereach_http::body;
 use cranereach_http::body::BodyError;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern one connection only and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -50,62 +50,62 @@
     "upgrade",
 ];
 
-/// The model that a request names.
+/// Model that a request names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestedModel {
-    /// Model.
+    /// Name of the model.
     pub name: String,
-    /// Adapter, without the model's name.
+    /// Name of the adapter, without the model's name.
     pub adapter: Option<String>,
 }
 
-/// A request that may be sent to workers.
+/// Request that may be sent to workers.
 #[derive(Debug)]
 pub struct Call {
-    /// Identity, as the caller gave it.
+    /// Identity of the request, as given by the caller.
     pub id: String,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// Service that the request is routed to.
     pub service: Arc<Service>,
-    /// When it was received, in milliseconds.
+    /// When the request was received, in milliseconds.
     pub received_ms: u64,
-    /// When the final answer is due, in milliseconds.
+    /// Deadline of the final response, in milliseconds.
     pub deadline_at_ms: u64,
-    /// The caller's account; none where no key is needed.
+    /// Client account of the caller; `None` if the route needs no key.
     pub account: Option<Arc<Account>>,
-    /// The account in metrics.
+    /// Label of the account in metrics; empty if there is no account.
     pub account_label: String,
-    /// What the request counts against the account's limit, in its units.
+    /// Cost of the request, in units of the account's limit.
     pub cost: f64,
-    /// Rank, zero first: the account's where it has one, else the route's.
+    /// Rank of urgency, zero first: that of the account if it has one, else that of the route.
     pub rank: u8,
-    /// Shortest aim of more urgent routes of its service, in milliseconds.
+    /// Shortest latency target of more urgent routes of the service, in milliseconds.
     pub urgent_aim_ms: Option<u64>,
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: AllowedRegions,
-    /// Model, if the service holds models.
+    /// Model, if the service has models.
     pub model: Option<RequestedModel>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt and of the longest answer.
+    /// Number of tokens of the prompt and the longest response.
     pub held_tokens: u32,
-    /// Tokens that the caller expects to come out, at most those of the longest answer.
+    /// Number of output tokens that the caller expects, at most that of the longest response.
     pub answer_tokens: u32,
-    /// Shortest pause that streams of the service may make, in milliseconds.
+    /// Shortest target for the gaps in streams of the service, in milliseconds.
     pub gap_aim_ms: Option<u64>,
-    /// Parts of the prompt.
+    /// Parts of the prompt, used to find workers with a matching prefix cache.
     pub parts: Vec<PromptPart>,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Made when it is first asked for.
+    /// Computed on first use.
     fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Call {
-    /// Reads a request whole, and finds its route.
+    /// Reads a request with its whole body, and finds its route.
     pub async fn read(
         node: &Node,
         request: Request<Incoming>,
@@ -210,7 +210,7 @@
         u32::try_from(self.body.len()).unwrap_or(u32::MAX)
     }
 
-    /// Returns what equal calls are known by.
+    /// Returns the mark by which repeated requests are recognized.
     pub fn mark(&self, node: &Node) -> RequestMark {
         RequestMark {
             body_bytes: self.body_bytes(),
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Returns the fingerprint of what is asked for, equal for equal calls.
+    /// Returns the fingerprint of the request's content, which is equal for equal requests.
     pub fn fingerprint(&self, node: &Node) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let names = &node.adapter.headers;
@@ -286,20 +286,20 @@
         Some(request)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RouteKind::Stream
     }
 
-    /// Returns the model and adapter that are asked for.
+    /// Returns the requested model and adapter.
     pub fn model(&self) -> Option<(&str, Option<&str>)> {
         let model = self.model.as_ref()?;
         Some((model.name.as_str(), model.adapter.as_deref()))
     }
 }
 
-/// Copies the headers that are passed on: neither a caller's key nor what only this
-/// system may set.
+/// Copies the headers that are forwarded: all but hop-by-hop headers, the caller's key, and
+/// headers that only this system may set.
 pub fn forwarded_headers(headers: &Headers, reserved: &[&str]) -> Headers {
     let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
@@ -327,7 +327,7 @@
     forwarded
 }
 
-/// Splits a model's name from its adapter's.
+/// Splits the name of a model from that of its adapter.
 fn parse_model(text: &str) -> RequestedModel {
     let (name, adapter) = match text.trim().split_once('/') {
         Some((name, adapter)) => (name, Some(adapter.to_owned())),
@@ -339,8 +339,8 @@
     }
 }
 
-/// Returns what a request that names some tokens counts against its account's limit; an
-/// error where a limit rests on numbers that can't be read.
+/// Returns the cost of a request with the given token counts for its account's limit. Returns an
+/// error if the limit depends on token counts that are not valid numbers.
 fn cost(account: Option<&Account>, listed_counts: Option<&str>) -> Result<f64, &'static str> {
     let Some(account) = account.filter(|account| account.limit.is_some()) else {
         return Ok(0.0);
@@ -360,7 +360,7 @@
     Ok(account.cost(Some(sum)))
 }
 
-/// Reads the tokens of the prompt and of the longest answer.
+/// Parses the token counts of the prompt and the longest response.
 fn parse_token_counts(text: &str) -> (u32, u32) {
     let mut counts = text
         .split(',')
@@ -368,13 +368,14 @@
     (counts.next().unwrap_or(0), counts.next().unwrap_or(0))
 }
 
-/// Reads how many tokens the caller expects to come out; none if that is no number.
+/// Parses the number of output tokens that the caller expects; `None` if it is not a positive
+/// number.
 fn parse_expected_tokens(text: &str) -> Option<u32> {
     let expected: f64 = text.trim().parse().ok()?;
     (expected.is_finite() && expected > 0.0).then_some(expected as u32)
 }
 
-/// Reads the parts of a prompt, each `ID:TOKENS`.
+/// Parses the parts of a prompt, each in the form `ID:TOKENS`.
 fn parse_prompt_parts(model: &str, text: &str) -> Vec<PromptPart> {
     let parts: Vec<(&str, u32)> = text
         .split(',')
--- a/crates/cranereach-gateway/src/forward/response_head.rs
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -1,4 +1,5 @@
-//! The head of a worker's answer: whose it is, what ran, how long it may rest.
+//! Head of a worker's response: whether it belongs to the call, whether the call ran, and for how
+//! long the connection may be kept alive.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -17,22 +18,22 @@
 use crate::worker_words::WorkerWords;
 use cranereach_http::pool::Connection;
 
-/// How one offer to one worker failed.
+/// Reason why one offer to one worker failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It never left: no connection, or the connection closed before.
+    /// The call was not sent: no connection, or the connection closed before.
     NotSent,
-    /// It isn't to be sent to that worker any more (see [`crate::send_permit`]).
+    /// The call must not be sent to that worker any more (see [`crate::send_permit`]).
     NoPermit,
-    /// It isn't to be sent any more: workers end under requests equal to it.
+    /// The call must not be sent any more: workers end under requests with its fingerprint.
     Quarantined,
-    /// The worker says that it did not run it.
+    /// The worker says that it did not run the call.
     NotRun,
-    /// The worker does not hold the model, or is another one.
+    /// The worker does not hold the model, or another worker answers at its address.
     NotThere,
-    /// The connection broke: it may have run.
+    /// The connection broke: the call may have run.
     BrokenOff,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
@@ -43,20 +44,21 @@
     }
 }
 
-/// The head of a worker's answer with all that belongs to it.
+/// Head of a worker's response, with the state that belongs to the call.
 pub struct ResponseHead {
-    /// The answer.
+    /// Response whose body has not been read yet.
     pub response: Response<Incoming>,
-    /// The connection that it came on.
+    /// Connection that the response arrives on.
     pub connection: Connection<Full<Bytes>>,
-    /// How long that may rest, in milliseconds; none if it closes.
+    /// Time for which the connection may be kept idle afterwards, in milliseconds; `None` if it
+    /// closes.
     pub keep_alive_ms: Option<u64>,
-    /// The count of the call at the worker.
+    /// In-flight count of the call at the worker.
     pub in_flight: InFlightCall,
 }
 
-/// Hears an answer's head, and checks that it is to this call and that something ran;
-/// returns what it says of its worker.
+/// Processes the head of a response, and checks that it belongs to this call and that the worker
+/// ran the call. Returns what the headers say about the worker.
 pub fn check_head(
     node: &Node,
     call: &Call,
@@ -87,7 +89,7 @@
     Ok(words)
 }
 
-/// Notes that a worker lacks the model of a call, or is another one.
+/// Records that a worker lacks the model of a call, or is another worker than the one meant.
 fn note_worker_lacks_model(node: &Node, call: &Call, permit: &Permit) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
@@ -96,8 +98,8 @@
     }
 }
 
-/// Whether the answer's head says where it ends: only then does its end show that the
-/// worker lived to make it.
+/// Whether the head says where the body ends. Only then does the end of the body show that the
+/// worker was still running when it sent the last part.
 pub fn has_explicit_framing(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/cranereach-gateway/src/forward/resumption.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -1,8 +1,9 @@
-//! A stream that goes on at another worker, after the last event that its caller has.
+//! Resumption of a stream on another worker, after the last event that the caller has received.
 //!
-//! A worker that breaks off in the middle of an answer loses no answer whose route may
-//! be resumed: the rest is asked of another one, within the same bounds of attempts and
-//! repeats as a call that never began. The caller keeps the first worker's head.
+//! If the connection to a worker breaks in the middle of a response, and the route allows
+//! resumption, the rest is requested from another worker. The same limits on attempts and the
+//! same retry budget apply as to a call whose response never began. The caller keeps the head of
+//! the first worker's response.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -30,26 +31,27 @@
 use crate::worker_ends;
 use cranereach_http::pool::Connection;
 
-/// A connection with the time that it may rest afterwards, if it may.
+/// Connection with the time for which it may be kept idle afterwards, in milliseconds; `None` if
+/// it closes.
 pub(super) type ReusableConnection = (Connection<Full<Bytes>>, Option<u64>);
 
-/// A worker's stream whose first piece is here.
+/// Stream of a worker whose first chunk has arrived.
 #[derive(Debug)]
 pub(super) struct StartedStream {
-    /// The first piece.
+    /// First chunk.
     pub first_chunk: Bytes,
-    /// What follows.
+    /// Rest of the body.
     pub incoming: Incoming,
-    /// Where it comes from.
+    /// Connection that the stream arrives on.
     pub connection: ReusableConnection,
-    /// The count of the call at the worker.
+    /// In-flight count of the call at the worker.
     pub in_flight: InFlightCall,
-    /// Whether its head says where it ends.
+    /// Whether the head of the response says where its body ends.
     pub has_explicit_framing: bool,
 }
 
 impl StartedStream {
-    /// Waits for the first piece after the head of an answer.
+    /// Waits for the first chunk after the head of a response.
     pub(super) async fn from_head(head: ResponseHead) -> Result<(Parts, Self), Failure> {
         let ResponseHead {
             response,
@@ -81,10 +83,10 @@
     }
 }
 
-/// What comes of the search for a worker that goes on.
+/// Resumed stream with the offers used so far, or the reason why the stream is not resumed.
 type ResumeResult = Result<(StartedStream, OfferHistory), Refusal>;
 
-/// The search for a worker that goes on with a stream; it ends when this is dropped.
+/// Task that looks for a worker to resume a stream; dropping this aborts it.
 #[derive(Debug)]
 pub(super) struct StreamResumption {
     task: JoinHandle<ResumeResult>,
@@ -92,8 +94,9 @@
 }
 
 impl StreamResumption {
-    /// Begins to look for a worker that goes on after an event; from the start if the
-    /// caller has none yet. What became of the worker that broke off is being found out.
+    /// Starts to look for a worker that resumes the stream after `last_event`, or from the start
+    /// if the caller has received no event yet. `worker_check` returns what became of the worker
+    /// whose connection broke.
     pub(super) fn spawn(
         node: &Arc<Node>,
         call: &Arc<Call>,
@@ -112,17 +115,17 @@
         }
     }
 
-    /// Returns the stream that goes on, once it does, or why none does.
+    /// Returns the resumed stream once it has begun, or the reason why it is not resumed.
     ///
     /// # Panics
     ///
-    /// If the search panicked.
+    /// If the task panicked.
     pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<ResumeResult> {
         let result = ready!(Pin::new(&mut self.task).poll(cx));
         Poll::Ready(result.expect("a search is ended early by its own drop alone"))
     }
 
-    /// Returns for how long it has been looked for, in milliseconds.
+    /// Returns the time since the search began, in milliseconds.
     pub(super) fn elapsed_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -1,4 +1,5 @@
-//! One offer of a call to one worker: the send, and the answer as far as it decides.
+//! One offer of a call to one worker: sends the call, and reads as much of the response as is
+//! needed to decide whether to retry.
 
 use std::time::Duration;
 
@@ -26,19 +27,19 @@
 use cranereach_http::body::BodyError;
 use cranereach_http::pool::SendError;
 
-/// Largest answer that is kept whole before it is passed on, in bytes.
+/// Largest response that is buffered in full before it is passed on, in bytes.
 const BUFFERED_RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time to connect to a worker, in milliseconds.
+/// Timeout for connecting to a worker, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// Share of the aim for which a call is held until no stream pauses for too long by its
-/// prompt. At half of it, prompts that were sent before their place made half of all
-/// pauses.
+/// Share of the latency target for which a call may be held back so that its prefill does not
+/// make running streams pause for too long. With half of the latency target, prompts that were
+/// sent before their scheduled time caused half of all pauses.
 const HOLD_MAX_SHARE: f64 = 1.0;
 
 impl Exchange<'_> {
-    /// Offers the call to one worker and makes the answer.
+    /// Offers the call to one worker and makes the response to the caller.
     pub(super) async fn offer(
         &mut self,
         choice: &Choice,
@@ -51,7 +52,7 @@
         self.read_full_response(head).await
     }
 
-    /// Sends the call to one worker and waits for the head of the answer.
+    /// Sends the call to one worker and waits for the head of the response.
     async fn send(&mut self, choice: &Choice) -> Result<ResponseHead, Failure> {
         let node = self.node;
         let call = self.call;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Holds the call back for a time; ends early if its worker isn't to get it any more.
+    /// Holds the call back for a time; fails early if the worker must not get it any more.
     async fn hold(&self, choice: &Choice, hold_ms: u64) -> Result<(), Failure> {
         let due = self.node.instant(self.node.now_ms() + hold_ms);
         loop {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Offers the rest of a stream to one worker and waits until it goes on.
+    /// Offers the rest of an interrupted stream to one worker and waits for its first chunk.
     pub(super) async fn offer_resumption(
         &mut self,
         choice: &Choice,
@@ -156,7 +157,7 @@
         Ok(started)
     }
 
-    /// Waits for the first piece, so that a stream that never began can be repeated.
+    /// Waits for the first chunk, so that a stream that never began can be retried.
     async fn begin_stream(&self, head: ResponseHead) -> Result<Response<ResponseBody>, Failure> {
         let (parts, started) = StartedStream::from_head(head).await?;
         let relay = StreamRelay::new(self.node, self.call, started, self.history());
@@ -166,7 +167,7 @@
         Ok(response)
     }
 
-    /// Reads a whole answer before any of it is passed on.
+    /// Reads a response in full before any of it is passed on.
     async fn read_full_response(
         &mut self,
         head: ResponseHead,
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -1,9 +1,9 @@
-//! A stream on its way to the caller, piece by piece.
+//! Relay of a stream from a worker to the caller, chunk by chunk.
 //!
-//! Nothing is buffered but the part of an event: the caller's pace is the worker's. A
-//! stream whose worker breaks off goes on at another one if its route allows that and if
-//! it is known which event came last; else it ends its connection, so that it never looks
-//! complete.
+//! Nothing is buffered except an incomplete event, so that the caller's pace limits the worker's.
+//! A stream whose connection to the worker breaks is resumed on another worker if its route
+//! allows that and the id of the last event is known. Otherwise the connection to the caller is
+//! closed, so that the stream never looks complete.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -34,12 +34,12 @@
 use cranereach_http::events::Reached;
 use cranereach_http::events::WholeEvents;
 
-/// The stream ended before it was whole.
+/// The stream ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the stream broke off")]
 pub struct StreamInterrupted;
 
-/// A stream that is being passed on.
+/// Stream that is relayed to the caller.
 #[derive(Debug)]
 pub struct StreamRelay {
     node: Arc<Node>,
@@ -50,16 +50,16 @@
     in_flight: Option<InFlightCall>,
     deadline: Pin<Box<Sleep>>,
     gaps: ChunkGaps,
-    /// The events, if the stream may go on elsewhere.
+    /// Splits the stream into events; `None` if the stream may not be resumed on another worker.
     events: Option<WholeEvents>,
-    /// Whether the head of the present worker's answer says where it ends.
+    /// Whether the head of the current worker's response says where its body ends.
     has_explicit_framing: bool,
-    /// What the call has taken so far.
+    /// Offers that the call has used so far.
     history: OfferHistory,
     resumption: Option<StreamResumption>,
 }
 
-/// The pauses between the pieces of a stream.
+/// Gaps between the chunks of a stream.
 #[derive(Debug)]
 struct ChunkGaps {
     target_ms: Option<u64>,
@@ -68,7 +68,7 @@
 }
 
 impl ChunkGaps {
-    /// Notes a piece.
+    /// Records that a chunk has arrived.
     fn record_chunk(&mut self) {
         let now = Instant::now();
         let gap_ms = now.duration_since(self.last_chunk_at).as_millis() as u64;
@@ -76,7 +76,7 @@
         self.last_chunk_at = now;
     }
 
-    /// Whether some pause was longer than the route aims at.
+    /// Whether some gap was longer than the route's target.
     fn exceed_target(&self) -> bool {
         self.target_ms
             .is_some_and(|target_ms| self.longest_ms > target_ms)
@@ -84,7 +84,7 @@
 }
 
 impl StreamRelay {
-    /// Starts to pass a call's stream on that has begun.
+    /// Creates the relay of a call's stream that has begun.
     pub(super) fn new(
         node: &Arc<Node>,
         call: &Arc<Call>,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Passes the next piece on.
+    /// Relays the next chunk.
     pub fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
@@ -153,7 +153,8 @@
                 }
                 Some(Err(_broken)) => {
                     if !self.start_resumption() {
-                        // Nobody goes on, so nobody waits for what is found.
+                        // The stream is not resumed, so nothing waits for the result of the
+                        // check.
                         drop(self.investigate_worker());
                         return Poll::Ready(Some(Err(self.abort("worker broke off"))));
                     }
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Returns what of a piece may be passed on now: all of it, or whole events if the
-    /// stream may go on elsewhere; none if that is nothing.
+    /// Returns the part of a frame that can be forwarded now: all of it, or only complete events
+    /// if the stream may be resumed on another worker; `None` if that part is empty.
     fn take_forwardable(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
         let Some(events) = &mut self.events else {
             return Some(frame);
@@ -178,7 +179,8 @@
         }
     }
 
-    /// Begins to look for a worker that goes on; returns whether one may.
+    /// Starts to look for a worker that resumes the stream; returns whether the stream may be
+    /// resumed.
     fn start_resumption(&mut self) -> bool {
         let Some(in_flight) = &mut self.in_flight else {
             return false;
@@ -196,7 +198,7 @@
         let Some(worker_check) = self.investigate_worker() else {
             return false;
         };
-        // The count at the worker that broke off ends here.
+        // Ends the in-flight count at the worker whose connection broke.
         self.in_flight = None;
         self.connection = None;
         let history = std::mem::take(&mut self.history);
@@ -206,7 +208,7 @@
         true
     }
 
-    /// Notes that the worker broke off, and finds out what became of it.
+    /// Starts the check what became of the worker whose connection broke.
     fn investigate_worker(&self) -> Option<JoinHandle<Found>> {
         let worker = self.in_flight.as_ref()?.worker();
         let earlier_end_known = self.history.earlier_end_known;
@@ -218,7 +220,7 @@
         ))
     }
 
-    /// Goes on with the stream of another worker.
+    /// Continues with the stream of another worker.
     fn continue_with(&mut self, started: StartedStream, history: OfferHistory, took_ms: u64) {
         info!(self.node.log, "stream taken up"; "request" => self.call.id.clone(),
             "worker" => started.in_flight.worker().as_ref(), "took_ms" => took_ms,
@@ -232,13 +234,13 @@
         self.in_flight = Some(started.in_flight);
         self.has_explicit_framing = started.has_explicit_framing;
         self.history = history;
-        // The pause until here says nothing of the worker that goes on.
+        // The gap until the resumption does not count against the new worker.
         self.gaps.last_chunk_at = Instant::now();
         self.gaps.longest_ms = 0;
     }
 
-    /// Notes a whole answer, and its pauses if they were longer than the route aims at;
-    /// returns what is still to be passed on.
+    /// Records a complete response, and its longest gap if that exceeds the route's target.
+    /// Returns the remaining bytes to forward.
     fn finish(&mut self) -> Option<Bytes> {
         if self.has_explicit_framing {
             quarantine::answered(&self.node, &self.call);
@@ -261,7 +263,7 @@
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// Ends the stream before it is whole.
+    /// Ends the stream before it is complete.
     fn abort(&mut self, reason: &str) -> StreamInterrupted {
         let worker = self
             .in_flight
--- a/crates/cranereach-gateway/src/forward/telemetry.rs
+++ b/crates/cranereach-gateway/src/forward/telemetry.rs
@@ -1,4 +1,4 @@
-//! What is counted and logged of an answer.
+//! Metrics and log lines of responses.
 
 use hyper::Response;
 use slog::info;
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use cranereach_fleet::roster::Choice;
 
-/// Counts an answer that begins now, and logs it if it is late.
+/// Counts a response that begins now, and logs it if it is late.
 pub fn record_response(
     node: &Node,
     call: &Call,
@@ -33,7 +33,7 @@
         .observe(took_s);
 }
 
-/// Counts how a call of a client account ended, and the units it was charged.
+/// Counts the result of a client account's call, and the units it was charged.
 pub fn record_account_usage(
     node: &Node,
     call: &Call,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Logs an answer that begins later than the route aims at, with what its worker
-/// was chosen by.
+/// Logs a response that begins later than the route's latency target, with the data that its
+/// worker was chosen by.
 fn log_late_response(node: &Node, call: &Call, choice: Option<&Choice>) {
     let took_ms = node.now_ms().saturating_sub(call.received_ms);
     let Some(choice) = choice.filter(|_| took_ms > call.route.aim_ms) else {
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -1,4 +1,5 @@
-//! The work that a call makes for a worker, as it is learned, and the demand by it.
+//! Work that a call makes for a worker, as estimated from earlier calls, and the demand derived
+//! from it.
 
 use std::sync::Arc;
 
@@ -12,13 +13,13 @@
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::pace::Pace;
 
-/// Notes what the call asks for, so that it is loaded where that is needed.
+/// Records the demand of a call, so that its model is loaded where it is needed.
 pub fn note_demand(node: &Node, call: &Call) {
     let Some(key) = model_key(call) else { return };
     let now_ms = node.now_ms();
     let engine = call.service.engine.as_ref();
     let slot_count = engine.map_or(1, |engine| engine.slot_count.max(1));
-    // A worker reads one prompt at a time, and makes answers in all slots at once.
+    // A worker prefills one prompt at a time, but generates responses in all slots concurrently.
     let reading_ms = f64::from(call.prompt_tokens.max(1)) * pace(node, call).token_ms;
     let work_ms = reading_ms + stay_ms(node, call) / f64::from(slot_count);
     let mut demand = node.demand();
@@ -26,7 +27,7 @@
     of_service.asked(now_ms, key, work_ms);
 }
 
-/// Notes that the call lacks a model, or an adapter, that nobody is known to hold.
+/// Records that the call lacks a model or an adapter that no worker is known to hold.
 pub fn note_missing_model(node: &Node, call: &Call, why: NoWorker) {
     let Some((model, adapter)) = model_key(call) else {
         return;
@@ -40,14 +41,13 @@
     }
 }
 
-/// Returns what the holder of the lease says of the model that a call lacks.
+/// Returns what the lease holder says about when the model that a call lacks will be loaded.
 pub fn load_expectation(node: &Node, call: &Call) -> Option<Word> {
     let (model, _) = model_key(call)?;
     expected::word(node, &call.service.name, model)
 }
 
-/// Returns for how long a load of the call's model takes from the weight store, in
-/// milliseconds.
+/// Returns the time to load the call's model from the weight store, in milliseconds.
 pub fn model_load_ms(call: &Call) -> Option<u64> {
     let (model, _) = model_key(call)?;
     let engine = call.service.engine.as_ref()?;
@@ -55,13 +55,13 @@
     Some((model.load_s * 1_000.0) as u64)
 }
 
-/// Returns how fast the call's model is read; at once where there is none.
+/// Returns the prefill speed of the call's model; zero time if the call names no model.
 pub fn pace(node: &Node, call: &Call) -> Pace {
     let model = call.model();
     model.map_or(Pace::default(), |(model, _)| node.paces().of(model))
 }
 
-/// Returns for how long the call is expected to keep a slot once it runs, in
+/// Returns the time for which the call is expected to occupy a slot once it runs, in
 /// milliseconds.
 pub fn stay_ms(node: &Node, call: &Call) -> f64 {
     if let Some((model, _)) = call.model() {
@@ -71,7 +71,7 @@
     times.expected_ms(&call.service.name, &call.route.name)
 }
 
-/// Returns the place of the model and adapter that a call names.
+/// Returns the indexes of the model and adapter that a call names.
 fn model_key(call: &Call) -> Option<ModelKey> {
     let (name, adapter) = call.model()?;
     let model = call.service.engine.as_ref()?.model_index(name)?;
