--- a/crates/cranereach-gateway/src/forward/authentication.rs
+++ b/crates/cranereach-gateway/src/forward/authentication.rs
@@ -59,7 +59,7 @@
     let age_ms = lock(&node.proof).age_ms(node.now_ms());
     let age = age_ms.map_or("never".to_owned(), |age_ms| format!("{age_ms} ms ago"));
     let heard = node.configuration_heard.load(Ordering::Acquire);
-    format!("key; configuration last proved the newest: {age}; version heard of: {heard}")
+    format!("key not accepted; configuration last proved newest: {age}; newest announced: {heard}")
 }
 
 /// Waits for a newer configuration that peers have announced. Returns `None` if there is none or
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -268,7 +268,7 @@
             Verdict::LookAgain(in_ms) => return Ok(Some(in_ms as u64)),
             Verdict::Refuse => {}
         }
-        let detail = format!("begins in {:.0} ms", choice.begins_in_ms);
+        let detail = format!("predicted to begin in {:.0} ms", choice.begins_in_ms);
         let mut refusal = self.refusal(ResultCode::DeadlineUnreachable, &detail);
         refusal.retry_after_ms = (choice.begins_in_ms - aim_ms / 2.0).max(0.0) as u64;
         refusal.shortage_key = Some(self.model_shortage_key());
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -31,7 +31,7 @@
 const OFFER_MAX_COUNT: usize = 5;
 
 /// Maximum number of times that a worker is chosen for a call but the permit to send is then not
-/// given. Each time costs a message.
+/// given. Each one costs a request for a permit.
 const NO_PERMIT_MAX_COUNT: usize = 6;
 
 /// Maximum number of offers of one call to the same worker.
@@ -207,7 +207,7 @@
         let choice = self.choose().await?;
         let before = self.tried.iter().filter(|tried| **tried == choice.id);
         if before.count() >= SAME_WORKER_MAX_COUNT {
-            let mut refusal = self.refusal(self.no_worker_code(), "nobody else left");
+            let mut refusal = self.refusal(self.no_worker_code(), "no other worker left");
             refusal.retry_after_ms = NO_HOLDER_RETRY_AFTER_MS;
             return Err(refusal);
         }
@@ -271,12 +271,12 @@
         // them ends workers shows only when they run one at a time, so this call is not retried
         // here.
         if failure.may_have_run() && quarantine::suspicion(self.node, self.call).runs_alone() {
-            let detail = "workers ended under it";
+            let detail = "workers ended while running it";
             return Err(self.suspect_refusal(ResultCode::OutcomeUnknown, detail));
         }
         let is_counted = failure != Failure::NotSent;
         if self.offer_count >= OFFER_MAX_COUNT {
-            return Err(self.refusal(self.no_worker_code(), "offered too often"));
+            return Err(self.refusal(self.no_worker_code(), "maximum number of offers reached"));
         }
         if is_counted && !self.node.spend_repeat(&self.call.service.name) {
             let code = if self.may_have_run {
@@ -284,7 +284,7 @@
             } else {
                 ResultCode::RetryBudgetSpent
             };
-            return Err(self.refusal(code, "bound of repeats"));
+            return Err(self.refusal(code, "retry budget spent"));
         }
         let cause = format!("{failure:?}");
         let counter = &self.node.metrics.repeats_total;
--- a/crates/cranereach-gateway/src/forward/request.rs
+++ b/crates/cranereach-gateway/src/forward/request.rs
@@ -132,7 +132,7 @@
             refusal
         };
         if id.is_empty() {
-            return Err(refuse(ResultCode::BadRequest, "no identity"));
+            return Err(refuse(ResultCode::BadRequest, "missing request identity"));
         }
         let account =
             account.map_err(|code| refuse(code, &authentication::rejection_context(node)))?;
@@ -147,7 +147,12 @@
             .target(rand::random())
             .and_then(|target| configuration.services.get(target))
             .cloned()
-            .ok_or_else(|| refuse(ResultCode::NoUpstream, "no such service"))?;
+            .ok_or_else(|| {
+                refuse(
+                    ResultCode::NoUpstream,
+                    "no configured service for the route",
+                )
+            })?;
         let allowed_ms = text(names.deadline_ms).and_then(|text| text.trim().parse::<f64>().ok());
         let allowed_ms = allowed_ms.map_or(route.timeout_ms, |given_ms| given_ms.max(0.0) as u64);
         let deadline_at_ms = received_ms + allowed_ms.min(route.timeout_ms);
@@ -353,7 +358,7 @@
     for count in listed_counts.split(',') {
         let count: Result<u64, _> = count.trim().parse();
         let Ok(count) = count else {
-            return Err("numbers of tokens that can't be read");
+            return Err("invalid token counts");
         };
         sum = sum.saturating_add(count);
     }
--- a/crates/cranereach-gateway/src/forward/resumption.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -122,7 +122,7 @@
     /// If the task panicked.
     pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<ResumeResult> {
         let result = ready!(Pin::new(&mut self.task).poll(cx));
-        Poll::Ready(result.expect("a search is ended early by its own drop alone"))
+        Poll::Ready(result.expect("the resumption task is aborted only when it is dropped"))
     }
 
     /// Returns the time since the search began, in milliseconds.
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -36,7 +36,7 @@
 
 /// The stream ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the stream broke off")]
+#[error("the stream ended before it was complete")]
 pub struct StreamInterrupted;
 
 /// Stream that is relayed to the caller.
@@ -128,7 +128,7 @@
                 match ready!(resumption.poll(cx)) {
                     Ok((started, history)) => self.continue_with(started, history, took_ms),
                     Err(refusal) => {
-                        let reason = format!("not taken up: {}", refusal.detail);
+                        let reason = format!("not resumed: {}", refusal.detail);
                         return Poll::Ready(Some(Err(self.abort(&reason))));
                     }
                 }
@@ -146,7 +146,7 @@
                         continue;
                     };
                     if self.events.as_ref().is_some_and(WholeEvents::has_gone_back) {
-                        return Poll::Ready(Some(Err(self.abort("events went back"))));
+                        return Poll::Ready(Some(Err(self.abort("event ids are not increasing"))));
                     }
                     self.gaps.record_chunk();
                     return Poll::Ready(Some(Ok(frame)));
@@ -156,7 +156,9 @@
                         // The stream is not resumed, so nothing waits for the result of the
                         // check.
                         drop(self.investigate_worker());
-                        return Poll::Ready(Some(Err(self.abort("worker broke off"))));
+                        return Poll::Ready(Some(
+                            Err(self.abort("connection to the worker broke")),
+                        ));
                     }
                 }
                 None => return Poll::Ready(self.finish().map(|rest| Ok(Frame::data(rest)))),
@@ -222,7 +224,7 @@
 
     /// Continues with the stream of another worker.
     fn continue_with(&mut self, started: StartedStream, history: OfferHistory, took_ms: u64) {
-        info!(self.node.log, "stream taken up"; "request" => self.call.id.clone(),
+        info!(self.node.log, "stream resumed"; "request" => self.call.id.clone(),
             "worker" => started.in_flight.worker().as_ref(), "took_ms" => took_ms,
             "after" => format!("{:?}", self.events.as_ref().map(WholeEvents::reached)));
         let counter = &self.node.metrics.streams_broken_total;
