--- a/crates/cranereach-gateway/src/forward/authentication.rs
+++ b/crates/cranereach-gateway/src/forward/authentication.rs
@@ -58,8 +58,10 @@
 pub fn rejection_context(node: &Node) -> String {
     let age_ms = lock(&node.proof).age_ms(node.now_ms());
     let age = age_ms.map_or("never".to_owned(), |age_ms| format!("{age_ms} ms ago"));
-    let heard = node.configuration_heard.load(Ordering::Acquire);
-    format!("key not accepted; configuration last proved newest: {age}; newest announced: {heard}")
+    let announced = node.configuration_heard.load(Ordering::Acquire);
+    format!(
+        "key not accepted; configuration last proved newest: {age}; newest announced: {announced}"
+    )
 }
 
 /// Waits for a newer configuration that peers have announced. Returns `None` if there is none or
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -188,8 +188,8 @@
 
     /// Returns the key of the model or service that the call finds too few workers for.
     fn model_shortage_key(&self) -> u64 {
-        let of_model = self.call.model().map(|(model, _)| model);
-        worker_key(of_model.unwrap_or(&self.call.service.name))
+        let model_name = self.call.model().map(|(model, _)| model);
+        worker_key(model_name.unwrap_or(&self.call.service.name))
     }
 
     /// Chooses among a few candidates by the current state that their owners report.
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -205,8 +205,8 @@
     /// Chooses the next worker and records that the call is offered to it.
     async fn next_choice(&mut self) -> Result<Choice, Refusal> {
         let choice = self.choose().await?;
-        let before = self.tried.iter().filter(|tried| **tried == choice.id);
-        if before.count() >= SAME_WORKER_MAX_COUNT {
+        let earlier_offers = self.tried.iter().filter(|tried| **tried == choice.id);
+        if earlier_offers.count() >= SAME_WORKER_MAX_COUNT {
             let mut refusal = self.refusal(self.no_worker_code(), "no other worker left");
             refusal.retry_after_ms = NO_HOLDER_RETRY_AFTER_MS;
             return Err(refusal);
@@ -274,11 +274,11 @@
             let detail = "workers ended while running it";
             return Err(self.suspect_refusal(ResultCode::OutcomeUnknown, detail));
         }
-        let is_counted = failure != Failure::NotSent;
+        let spends_budget = failure != Failure::NotSent;
         if self.offer_count >= OFFER_MAX_COUNT {
             return Err(self.refusal(self.no_worker_code(), "maximum number of offers reached"));
         }
-        if is_counted && !self.node.spend_repeat(&self.call.service.name) {
+        if spends_budget && !self.node.spend_repeat(&self.call.service.name) {
             let code = if self.may_have_run {
                 ResultCode::OutcomeUnknown
             } else {
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -237,7 +237,7 @@
         }
         self.node.metrics.open_requests.dec();
         let open_in_domain = &self.node.metrics.open_in_domain;
-        let of_domain = open_in_domain.with_label_values(&[self.domain.as_ref()]);
-        of_domain.dec();
+        let domain_gauge = open_in_domain.with_label_values(&[self.domain.as_ref()]);
+        domain_gauge.dec();
     }
 }
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -197,7 +197,7 @@
         info!(node.log, "refused"; "request" => refusal.request_id.clone(), "route" => route,
             "code" => row.number, "name" => row.name, "detail" => refusal.detail.clone(),
             "took_ms" => node.now_ms().saturating_sub(received_ms),
-            "fingerprint" => refusal.fingerprint.map(|of| of.to_string()),
+            "fingerprint" => refusal.fingerprint.map(|fingerprint| fingerprint.to_string()),
             "configuration" => node.configuration_version(),
             "retry_after_ms" => refusal.retry_after_ms);
     }
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -74,8 +74,8 @@
         self.hold(choice, hold_ms).await?;
         let pool = node.pool(&choice.id, &choice.address);
         let within = Duration::from_millis(CONNECT_TIMEOUT_MS);
-        let taken = tokio::time::timeout(within, pool.take()).await;
-        let Ok(Ok(mut connection)) = taken else {
+        let connected = tokio::time::timeout(within, pool.take()).await;
+        let Ok(Ok(mut connection)) = connected else {
             in_flight.unreachable();
             return Err(Failure::NotSent);
         };
@@ -131,13 +131,13 @@
 
     /// Holds the call back for a time; fails early if the worker must not get it any more.
     async fn hold(&self, choice: &Choice, hold_ms: u64) -> Result<(), Failure> {
-        let due = self.node.instant(self.node.now_ms() + hold_ms);
+        let hold_until = self.node.instant(self.node.now_ms() + hold_ms);
         loop {
             let changed = self.node.roster_changed.notified();
             if send_permit::is_barred(self.node, &choice.id, Purpose::Call, self.call.rank) {
                 return Err(Failure::NoPermit);
             }
-            if tokio::time::timeout_at(due, changed).await.is_err() {
+            if tokio::time::timeout_at(hold_until, changed).await.is_err() {
                 return Ok(());
             }
         }
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -23,8 +23,8 @@
     let reading_ms = f64::from(call.prompt_tokens.max(1)) * pace(node, call).token_ms;
     let work_ms = reading_ms + stay_ms(node, call) / f64::from(slot_count);
     let mut demand = node.demand();
-    let of_service = demand.entry(Arc::clone(&call.service.name)).or_default();
-    of_service.asked(now_ms, key, work_ms);
+    let service_demand = demand.entry(Arc::clone(&call.service.name)).or_default();
+    service_demand.asked(now_ms, key, work_ms);
 }
 
 /// Records that the call lacks a model or an adapter that no worker is known to hold.
