--- a/crates/cranereach-gateway/src/forward/authentication.rs
+++ b/crates/cranereach-gateway/src/forward/authentication.rs
@@ -17,7 +17,8 @@
 /// have announced and that is being fetched, in milliseconds.
 const NEWER_CONFIGURATION_WAIT_MS: u64 = 400;
 
-/// Finds the client account of a request; `None` if the route needs no key.
+/// Finds the client account of a request; `None` if the route needs no key or no accounts are
+/// configured.
 pub async fn authenticate(
     node: &Node,
     configuration: &Configuration,
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -23,7 +23,7 @@
 use cranereach_fleet::wanted::Wanted;
 
 /// Time to wait for the lease holder to say when a model is expected to be loaded, in
-/// milliseconds. The holder answers at once, and demand is reported every 20 ms at most.
+/// milliseconds. Demand is reported after 20 ms at most, and the holder answers at once.
 const LOAD_EXPECTATION_WAIT_MS: u64 = 40;
 
 /// Time from the end of a model load until the updated row of the worker is known to this
@@ -43,8 +43,9 @@
 /// some tenths of a second.
 const ISOLATION_WAIT_SHARE: f64 = 0.4;
 
-/// Retry-After of such a call, in milliseconds. After some seconds, a worker that has ended is
-/// back, and the other suspected requests have been answered in full.
+/// Retry-After of a suspected call that finds no such worker, in milliseconds. After some
+/// seconds, a worker that has ended is back, and the other suspected requests have been answered
+/// in full.
 const ISOLATION_RETRY_AFTER_MS: u64 = 1_500;
 
 /// Number of workers whose owners are asked before one is chosen. With the exact loads of three
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -31,7 +31,7 @@
 const OFFER_MAX_COUNT: usize = 5;
 
 /// Maximum number of times that a worker is chosen for a call but the permit to send is then not
-/// given. Each one costs a request for a permit.
+/// given. Each time costs a question for a send grant.
 const NO_PERMIT_MAX_COUNT: usize = 6;
 
 /// Maximum number of offers of one call to the same worker.
@@ -45,6 +45,7 @@
 pub(super) struct Exchange<'a> {
     pub(super) node: &'a Arc<Node>,
     pub(super) call: &'a Arc<Call>,
+    /// Workers that the call was offered to, in order; a worker may be listed twice.
     pub(super) tried: Vec<Arc<str>>,
     last_choice: Option<Choice>,
     /// Id of the last event that the caller has received, if a stream is resumed.
@@ -52,11 +53,15 @@
     /// Complete error response of a worker, kept while the call is retried. It is passed on if no
     /// retry succeeds.
     pub(super) failed_response: Option<Response<ResponseBody>>,
+    /// Number of offers, including those that never reached a worker.
     offer_count: usize,
     /// Number of times that a worker was chosen and no permit to send was given.
     no_permit_count: usize,
+    /// Number of failed offers that a worker may have run; limited by the route.
     pub(super) run_count: u32,
+    /// Whether a worker may have run the call in an earlier offer.
     pub(super) may_have_run: bool,
+    /// Whether the call is being sent or has been sent in the current offer.
     pub(super) may_run_now: bool,
     /// Whether an end of a worker under the same fingerprint was already known when the call was
     /// last sent.
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -30,6 +30,7 @@
     plain_call: Option<PlainCall>,
     answer_tokens: u32,
     held_tokens: u32,
+    /// Time for which the call is expected to occupy a slot, in milliseconds, with its prefill.
     stay_ms: f64,
     /// Registration of the request at the instance that owns the worker.
     owner_ticket: Told,
@@ -42,6 +43,7 @@
 struct PlainCall {
     service: Arc<str>,
     route: Arc<str>,
+    /// Number of requests open at the worker when it was chosen.
     open_before_count: u32,
     slot_count: u32,
     started_at: Instant,
@@ -51,8 +53,10 @@
 #[derive(Debug)]
 struct PendingPrefill {
     tokens: u32,
+    /// Predicted duration of the prefill, in milliseconds.
     reading_ms: f64,
     rank: usize,
+    /// Whether no other prompt was queued ahead at the worker, as far as known.
     is_first: bool,
     started_at: Instant,
 }
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -8,6 +8,10 @@
 //! [`stream_relay`] relays a stream to the caller, and [`resumption`] resumes it on another
 //! worker. [`telemetry`] counts and logs results, and [`refusal`] makes the response to a call
 //! that could not be served.
+//!
+//! The owner of a worker is the instance that keeps count of all requests open at it (see
+//! [`crate::owners`]). Cold and rate-limited workers are sent a call only with a grant (see
+//! [`crate::send_grants`]).
 
 mod authentication;
 mod broken_connection;
@@ -197,7 +201,7 @@
         info!(node.log, "refused"; "request" => refusal.request_id.clone(), "route" => route,
             "code" => row.number, "name" => row.name, "detail" => refusal.detail.clone(),
             "took_ms" => node.now_ms().saturating_sub(received_ms),
-            "fingerprint" => refusal.fingerprint.map(|fingerprint| fingerprint.to_string()),
+            "fingerprint" => refusal.fingerprint.map(|value| value.to_string()),
             "configuration" => node.configuration_version(),
             "retry_after_ms" => refusal.retry_after_ms);
     }
--- a/crates/cranereach-gateway/src/forward/request.rs
+++ b/crates/cranereach-gateway/src/forward/request.rs
@@ -72,13 +72,14 @@
     pub received_ms: u64,
     /// Deadline of the final response, in milliseconds.
     pub deadline_at_ms: u64,
-    /// Client account of the caller; `None` if the route needs no key.
+    /// Client account of the caller; `None` if no key is needed.
     pub account: Option<Arc<Account>>,
     /// Label of the account in metrics; empty if there is no account.
     pub account_label: String,
     /// Cost of the request, in units of the account's limit.
     pub cost: f64,
-    /// Rank of urgency, zero first: that of the account if it has one, else that of the route.
+    /// Rank of urgency, zero for the most urgent: that of the account if it has one, else that of
+    /// the route.
     pub rank: u8,
     /// Shortest latency target of more urgent routes of the service, in milliseconds.
     pub urgent_aim_ms: Option<u64>,
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -71,7 +71,8 @@
     times.expected_ms(&call.service.name, &call.route.name)
 }
 
-/// Returns the indexes of the model and adapter that a call names.
+/// Returns the indexes of the model and adapter that a call names; the adapter index is 0 if there
+/// is none.
 fn model_key(call: &Call) -> Option<ModelKey> {
     let (name, adapter) = call.model()?;
     let model = call.service.engine.as_ref()?.model_index(name)?;
