--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -1,8 +1,9 @@
-//! Sends a call to workers until there is an answer or an end.
+//! Offers a call to workers until there is a response or a final failure.
 //!
-//! What decides is what may have run: a call that never reached a worker, or
-//! that a worker says it did not run, may go elsewhere within the bound of
-//! repeats. One that may have run goes elsewhere only if it may be repeated.
+//! An offer is one attempt to send the call to one worker. Whether another one follows depends on
+//! whether the call may have run: a call that never reached a worker, or that a worker says it
+//! did not run, may be offered to another one within the retry budget. A call that may have run
+//! is offered again only if its route allows it to be repeated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,72 +12,81 @@
 use slog::info;
 use tokio::task::JoinHandle;
 
-use super::AnswerBody;
-use super::broken;
-use super::head::Failure;
-use super::record;
-use super::refusal::MODEL_BACK_AFTER_MS;
+use super::ResponseBody;
+use super::broken_connection;
+use super::refusal::NO_HOLDER_RETRY_AFTER_MS;
 use super::refusal::Refusal;
 use super::request::Call;
-use super::taking_up::Begun;
-use super::work;
+use super::response_head::Failure;
+use super::resumption::StartedStream;
+use super::telemetry;
+use super::workload;
 use crate::node::Node;
 use crate::quarantine;
 use crate::worker_ends::Found;
 use cranereach_core::codes::ResultCode;
 use cranereach_fleet::roster::Choice;
 
-/// Workers that one call is offered to at most.
+/// Maximum number of offers of one call.
 const OFFER_MAX_COUNT: usize = 5;
 
-/// Workers at most that a call was chosen for and then wasn't to be sent to: a question
-/// each.
+/// Maximum number of times that a worker is chosen for a call but the permit to send is then not
+/// given. Each time costs a question for a send grant.
 const NO_PERMIT_MAX_COUNT: usize = 6;
 
-/// Offers of one call to the same worker at most.
+/// Maximum number of offers of one call to the same worker.
 const SAME_WORKER_MAX_COUNT: usize = 2;
 
-/// Time for which a repeat waits until it is known whether the worker that broke off has
-/// ended, in milliseconds: it is tried after 10, and one that refuses says so at once.
-const FOUND_WITHIN_MS: u64 = 60;
+/// Time that a retry waits for the check whether the worker whose connection broke has ended, in
+/// milliseconds. The worker is probed after 10 ms, and a refused connection is reported at once.
+const WORKER_CHECK_WAIT_MS: u64 = 60;
 
-/// A call on its way.
+/// State of a call while it is offered to workers.
 pub(super) struct Exchange<'a> {
     pub(super) node: &'a Arc<Node>,
     pub(super) call: &'a Arc<Call>,
+    /// Workers that the call was offered to, in order; a worker may be listed twice.
     pub(super) tried: Vec<Arc<str>>,
     last_choice: Option<Choice>,
-    /// The last event that the caller has, where a stream is taken up.
+    /// Id of the last event that the caller has received, if a stream is resumed.
     pub(super) last_event: Option<String>,
-    /// A worker's whole answer of a failure, kept while a repeat is hoped for.
-    pub(super) failed_answer: Option<Response<AnswerBody>>,
+    /// Complete error response of a worker, kept while the call is retried. It is passed on if no
+    /// retry succeeds.
+    pub(super) failed_response: Option<Response<ResponseBody>>,
+    /// Number of offers, including those that never reached a worker.
     offer_count: usize,
-    /// Choices that were not to be sent any more.
+    /// Number of times that a worker was chosen and no permit to send was given.
     no_permit_count: usize,
+    /// Number of failed offers that a worker may have run; limited by the route.
     pub(super) run_count: u32,
+    /// Whether a worker may have run the call in an earlier offer.
     pub(super) may_have_run: bool,
+    /// Whether the call is being sent or has been sent in the current offer.
     pub(super) may_run_now: bool,
-    /// Whether an end of a worker under equal calls was known when it was sent last.
-    pub(super) knew_of_end: bool,
+    /// Whether an end of a worker under the same fingerprint was already known when the call was
+    /// last sent.
+    pub(super) earlier_end_known: bool,
 }
 
-/// What a call has taken so far, so that its stream may be taken up within its bounds.
+/// Offers that a call has used so far. A resumed stream continues with these counts, so that the
+/// limits of the call apply to it as a whole.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Taken {
+pub(super) struct OfferHistory {
     tried: Vec<Arc<str>>,
     offer_count: usize,
     run_count: u32,
-    /// Whether an end of a worker under equal calls was known when it was sent last.
-    pub(super) knew_of_end: bool,
+    /// Whether an end of a worker under the same fingerprint was already known when the call was
+    /// last sent.
+    pub(super) earlier_end_known: bool,
 }
 
-/// Runs a call to its answer or refusal, both in time.
-pub async fn run(node: &Arc<Node>, call: &Arc<Call>) -> Result<Response<AnswerBody>, Refusal> {
+/// Runs a call until it has a response or a refusal, either within its deadline.
+pub async fn run(node: &Arc<Node>, call: &Arc<Call>) -> Result<Response<ResponseBody>, Refusal> {
     node.note_request(&call.service.name);
-    work::note_demand(node, call);
-    let due = node.instant(call.end_by_ms);
+    workload::note_demand(node, call);
+    let deadline = node.instant(call.deadline_at_ms);
     let mut exchange = Exchange::new(node, call);
-    let ended = tokio::time::timeout_at(due, exchange.run()).await;
+    let ended = tokio::time::timeout_at(deadline, exchange.run()).await;
     let result = ended.unwrap_or_else(|_elapsed| {
         let code = if exchange.may_run_now || exchange.may_have_run {
             ResultCode::DeadlinePassedRunning
@@ -91,58 +101,58 @@
         }
         Err(exchange.refusal(code, "deadline"))
     });
-    let result = match (result, exchange.failed_answer.take()) {
-        (Err(refusal), Some(answer)) => {
+    let result = match (result, exchange.failed_response.take()) {
+        (Err(refusal), Some(response)) => {
             info!(node.log, "failure passed on"; "request" => call.id.clone(),
-                "status" => answer.status().as_u16(), "repeat" => refusal.detail);
-            Ok(answer)
+                "status" => response.status().as_u16(), "repeat" => refusal.detail);
+            Ok(response)
         }
         (result, _) => result,
     };
-    if let Ok(answer) = &result {
-        record::answered(node, call, answer, exchange.last_choice.as_ref());
+    if let Ok(response) = &result {
+        telemetry::record_response(node, call, response, exchange.last_choice.as_ref());
     }
     result
 }
 
-/// Takes a stream up at another worker after the last event that its caller has, once
-/// its worker has broken off, of which is being found out what became; returns how it goes
-/// on.
-pub(super) async fn take_up(
+/// Resumes an interrupted stream on another worker, after the last event that the caller has
+/// received. `worker_check` returns what became of the worker whose connection broke. Returns the
+/// resumed stream and the offers used so far.
+pub(super) async fn resume_stream(
     node: &Arc<Node>,
     call: &Arc<Call>,
-    taken: Taken,
+    history: OfferHistory,
     last_event: Option<String>,
-    finding: JoinHandle<Found>,
-) -> Result<(Begun, Taken), Refusal> {
+    worker_check: JoinHandle<Found>,
+) -> Result<(StartedStream, OfferHistory), Refusal> {
     let mut exchange = Exchange::new(node, call);
-    exchange.tried = taken.tried;
-    exchange.offer_count = taken.offer_count;
-    exchange.run_count = taken.run_count;
+    exchange.tried = history.tried;
+    exchange.offer_count = history.offer_count;
+    exchange.run_count = history.run_count;
     exchange.last_event = last_event;
-    exchange.knew_of_end = taken.knew_of_end;
-    until_found(finding).await;
-    exchange.judge(Failure::BrokenOff)?;
+    exchange.earlier_end_known = history.earlier_end_known;
+    wait_for_worker_check(worker_check).await;
+    exchange.check_retry(Failure::BrokenOff)?;
     loop {
         let choice = exchange.next_choice().await?;
-        let failure = match exchange.offer_rest(&choice).await {
-            Ok(begun) => return Ok((begun, exchange.taken())),
+        let failure = match exchange.offer_resumption(&choice).await {
+            Ok(started) => return Ok((started, exchange.history())),
             Err(failure) => failure,
         };
-        exchange.after_failure(&choice, failure).await?;
+        exchange.handle_failure(&choice, failure).await?;
     }
 }
 
-/// Waits for what became of a worker that broke a call off: before the call is sent once
-/// more, it must be known whether workers end under it.
-async fn until_found(finding: JoinHandle<Found>) {
-    let within = Duration::from_millis(FOUND_WITHIN_MS);
-    // What takes longer goes on by itself.
-    let _found = tokio::time::timeout(within, finding).await;
+/// Waits a limited time for the check of a worker whose connection broke. Before the call is sent
+/// again, it should be known whether workers end under it.
+async fn wait_for_worker_check(worker_check: JoinHandle<Found>) {
+    let within = Duration::from_millis(WORKER_CHECK_WAIT_MS);
+    // A check that takes longer continues in the background.
+    let _found = tokio::time::timeout(within, worker_check).await;
 }
 
 impl<'a> Exchange<'a> {
-    /// Makes the exchange of a call that nobody was offered yet.
+    /// Creates the state of a call that has not been offered to any worker yet.
     fn new(node: &'a Arc<Node>, call: &'a Arc<Call>) -> Self {
         Self {
             node,
@@ -150,60 +160,60 @@
             tried: Vec::new(),
             last_choice: None,
             last_event: None,
-            failed_answer: None,
+            failed_response: None,
             offer_count: 0,
             no_permit_count: 0,
             run_count: 0,
             may_have_run: false,
             may_run_now: false,
-            knew_of_end: false,
+            earlier_end_known: false,
         }
     }
 }
 
 impl Exchange<'_> {
-    /// Returns what the call has taken so far.
-    pub(super) fn taken(&self) -> Taken {
-        Taken {
+    /// Returns the offers used so far.
+    pub(super) fn history(&self) -> OfferHistory {
+        OfferHistory {
             tried: self.tried.clone(),
             offer_count: self.offer_count,
             run_count: self.run_count,
-            knew_of_end: self.knew_of_end,
+            earlier_end_known: self.earlier_end_known,
         }
     }
 
-    /// Offers the call to workers until there is an answer or an end.
-    async fn run(&mut self) -> Result<Response<AnswerBody>, Refusal> {
+    /// Offers the call to workers until there is a response or a final failure.
+    async fn run(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let choice = self.next_choice().await?;
             let failure = match self.offer(&choice).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            self.after_failure(&choice, failure).await?;
+            self.handle_failure(&choice, failure).await?;
         }
     }
 
-    /// Takes an offer back that wasn't to be sent any more: another worker is chosen.
-    fn without_permit(&mut self) {
+    /// Undoes an offer for which no permit to send was given, so that another worker can be
+    /// chosen.
+    fn revert_offer(&mut self) {
         self.offer_count -= 1;
         self.tried.pop();
         self.no_permit_count += 1;
     }
 
-    /// Whether so many workers were asked for in vain that only those count now that need
-    /// no grant.
-    pub(super) fn has_asked_enough(&self) -> bool {
+    /// Whether permits were denied so often that only workers that need no grant are considered.
+    pub(super) fn has_exhausted_permits(&self) -> bool {
         self.no_permit_count >= NO_PERMIT_MAX_COUNT
     }
 
-    /// Chooses the next worker and notes that the call is offered to it.
+    /// Chooses the next worker and records that the call is offered to it.
     async fn next_choice(&mut self) -> Result<Choice, Refusal> {
         let choice = self.choose().await?;
-        let before = self.tried.iter().filter(|tried| **tried == choice.id);
-        if before.count() >= SAME_WORKER_MAX_COUNT {
-            let mut refusal = self.refusal(self.end_code(), "nobody else left");
-            refusal.retry_after_ms = MODEL_BACK_AFTER_MS;
+        let earlier_offers = self.tried.iter().filter(|tried| **tried == choice.id);
+        if earlier_offers.count() >= SAME_WORKER_MAX_COUNT {
+            let mut refusal = self.refusal(self.no_worker_code(), "no other worker left");
+            refusal.retry_after_ms = NO_HOLDER_RETRY_AFTER_MS;
             return Err(refusal);
         }
         self.offer_count += 1;
@@ -212,11 +222,11 @@
         Ok(choice)
     }
 
-    /// Decides what follows an offer that failed: another one, or the end.
-    async fn after_failure(&mut self, choice: &Choice, failure: Failure) -> Result<(), Refusal> {
+    /// Decides what follows a failed offer: another offer, or the end of the call.
+    async fn handle_failure(&mut self, choice: &Choice, failure: Failure) -> Result<(), Refusal> {
         self.may_run_now = false;
         if failure == Failure::NoPermit {
-            self.without_permit();
+            self.revert_offer();
             return Ok(());
         }
         info!(self.node.log, "offer failed"; "request" => self.call.id.clone(),
@@ -232,14 +242,19 @@
             return Err(self.suspect_refusal(code, &detail));
         }
         if failure == Failure::BrokenOff {
-            let finding = broken::note(self.node, self.call, &choice.id, self.knew_of_end);
-            until_found(finding).await;
+            let worker_check = broken_connection::investigate(
+                self.node,
+                self.call,
+                &choice.id,
+                self.earlier_end_known,
+            );
+            wait_for_worker_check(worker_check).await;
         }
-        self.judge(failure)
+        self.check_retry(failure)
     }
 
-    /// Returns the code of a call that nobody is left for.
-    fn end_code(&self) -> ResultCode {
+    /// Returns the result code of a call for which no worker is left.
+    fn no_worker_code(&self) -> ResultCode {
         if self.may_have_run {
             ResultCode::OutcomeUnknown
         } else {
@@ -247,8 +262,8 @@
         }
     }
 
-    /// Decides whether a failed call goes to another worker.
-    fn judge(&mut self, failure: Failure) -> Result<(), Refusal> {
+    /// Decides whether a failed call is retried on another worker, and spends the retry budget.
+    fn check_retry(&mut self, failure: Failure) -> Result<(), Refusal> {
         if failure.may_have_run() {
             self.may_have_run = true;
             self.run_count += 1;
@@ -257,23 +272,24 @@
                 return Err(self.refusal(ResultCode::OutcomeUnknown, "no whole answer"));
             }
         }
-        // Others that broke off with it come again now, too: what ends their workers shows
-        // only once they come one at a time.
+        // Other calls that the same worker was running are being retried now as well. Which of
+        // them ends workers shows only when they run one at a time, so this call is not retried
+        // here.
         if failure.may_have_run() && quarantine::suspicion(self.node, self.call).runs_alone() {
-            let detail = "workers ended under it";
+            let detail = "workers ended while running it";
             return Err(self.suspect_refusal(ResultCode::OutcomeUnknown, detail));
         }
-        let is_counted = failure != Failure::NotSent;
+        let spends_budget = failure != Failure::NotSent;
         if self.offer_count >= OFFER_MAX_COUNT {
-            return Err(self.refusal(self.end_code(), "offered too often"));
+            return Err(self.refusal(self.no_worker_code(), "maximum number of offers reached"));
         }
-        if is_counted && !self.node.spend_repeat(&self.call.service.name) {
+        if spends_budget && !self.node.spend_repeat(&self.call.service.name) {
             let code = if self.may_have_run {
                 ResultCode::OutcomeUnknown
             } else {
                 ResultCode::RetryBudgetSpent
             };
-            return Err(self.refusal(code, "bound of repeats"));
+            return Err(self.refusal(code, "retry budget spent"));
         }
         let cause = format!("{failure:?}");
         let counter = &self.node.metrics.repeats_total;
@@ -281,16 +297,16 @@
         Ok(())
     }
 
-    /// Makes the refusal of a call under whose equals workers ended.
+    /// Makes the refusal of a call under whose fingerprint workers have ended.
     fn suspect_refusal(&self, code: ResultCode, detail: &str) -> Refusal {
         let mut refusal = self.refusal(code, detail);
         refusal.fingerprint = Some(self.call.fingerprint(self.node));
         refusal
     }
 
-    /// Makes the refusal of the call.
+    /// Makes a refusal of the call.
     pub(super) fn refusal(&self, code: ResultCode, detail: &str) -> Refusal {
-        let mut refusal = Refusal::of(code, &self.call.id);
+        let mut refusal = Refusal::new(code, &self.call.id);
         refusal.detail = format!("{detail}; offers {}", self.offer_count);
         refusal.route = Some(Arc::clone(&self.call.route.name));
         refusal
--- a/crates/cranereach-gateway/src/forward/open.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that is open at a worker, counted until it is dropped.
+//! Requests in flight at a worker, each counted until it is dropped.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,60 +14,65 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::wanted::Wanted;
 
-/// Counts a request at a worker; its end is counted when this is dropped.
+/// Counts a request as in flight at a worker. Dropping it ends the count and reports the outcome
+/// to the worker's owner.
 #[derive(Debug)]
-pub struct OpenCall {
+pub struct InFlightCall {
     node: Arc<Node>,
     worker: Arc<str>,
-    /// The worker's failure domain.
+    /// Failure domain of the worker.
     domain: Arc<str>,
-    unread: Option<Unread>,
-    /// When the answer began.
+    pending_prefill: Option<PendingPrefill>,
+    /// When the response began.
     answering_since: Option<Instant>,
     model: Option<String>,
-    /// Where no model is named: the service, and what was at the worker before.
-    plain: Option<Plain>,
+    /// Set if no model is named: the service, and the load of the worker before the call.
+    plain_call: Option<PlainCall>,
     answer_tokens: u32,
     held_tokens: u32,
+    /// Time for which the call is expected to occupy a slot, in milliseconds, with its prefill.
     stay_ms: f64,
-    /// What the worker's owner knows of the request.
-    told: Told,
+    /// Registration of the request at the instance that owns the worker.
+    owner_ticket: Told,
     outcome: Outcome,
     distance: Distance,
 }
 
-/// A call of a plain service.
+/// Call of a service without models.
 #[derive(Debug)]
-struct Plain {
+struct PlainCall {
     service: Arc<str>,
     route: Arc<str>,
-    before_count: u32,
+    /// Number of requests open at the worker when it was chosen.
+    open_before_count: u32,
     slot_count: u32,
-    begun: Instant,
+    started_at: Instant,
 }
 
-/// A prompt that the worker is believed to read.
+/// Prompt whose prefill at the worker has not finished, as far as known.
 #[derive(Debug)]
-struct Unread {
+struct PendingPrefill {
     tokens: u32,
+    /// Predicted duration of the prefill, in milliseconds.
     reading_ms: f64,
     rank: usize,
+    /// Whether no other prompt was queued ahead at the worker, as far as known.
     is_first: bool,
-    begun: Instant,
+    started_at: Instant,
 }
 
-impl OpenCall {
-    /// Notes that a request is being sent.
+impl InFlightCall {
+    /// Records that a request is about to be sent.
     ///
-    /// `answer_tokens` is what its caller expects to come out; `send_in_ms` is for how
-    /// long it is held back.
+    /// `answer_tokens` is the number of output tokens that the caller expects; `send_in_ms` is
+    /// the time for which the request is held back.
     pub fn begin(
         node: &Arc<Node>,
         choice: &Choice,
         wanted: &Wanted<'_>,
         (service, route): (&Arc<str>, &Arc<str>),
         answer_tokens: u32,
-        end_by_ms: u64,
+        deadline_at_ms: u64,
         send_in_ms: u64,
     ) -> Self {
         let now_ms = node.now_ms();
@@ -87,35 +92,35 @@
             unread_ms: reading_ms as f32,
             stay_ms: (wanted.stay_ms + reading_ms) as f32,
             held_tokens: wanted.held_tokens,
-            ends_within_ms: end_by_ms.saturating_sub(now_ms) as u32,
+            ends_within_ms: deadline_at_ms.saturating_sub(now_ms) as u32,
             gap_aim_ms: wanted.gap_aim_ms.unwrap_or_default() as u32,
             event_tokens: wanted.event_tokens,
             send_in_ms: send_in_ms as u32,
             runs_alone: wanted.end_count >= ALONE_FROM_COUNT,
         };
-        let told = owners::begun(node, &choice.id, opening, wanted.parts);
+        let owner_ticket = owners::begun(node, &choice.id, opening, wanted.parts);
         Self {
-            told,
+            owner_ticket,
             outcome: Outcome::Neutral,
             distance,
             node: Arc::clone(node),
             worker: Arc::clone(&choice.id),
             domain,
-            unread: Some(Unread {
+            pending_prefill: Some(PendingPrefill {
                 tokens: choice.unread_tokens,
                 reading_ms,
                 rank: wanted.rank,
                 is_first: choice.is_first,
-                begun: Instant::now(),
+                started_at: Instant::now(),
             }),
             answering_since: None,
             model: wanted.model.map(|(model, _)| model.to_owned()),
-            plain: wanted.model.is_none().then(|| Plain {
+            plain_call: wanted.model.is_none().then(|| PlainCall {
                 service: Arc::clone(service),
                 route: Arc::clone(route),
-                before_count: choice.load.open_count,
+                open_before_count: choice.load.open_count,
                 slot_count: choice.slot_count,
-                begun: Instant::now(),
+                started_at: Instant::now(),
             }),
             answer_tokens,
             held_tokens: wanted.held_tokens,
@@ -123,40 +128,42 @@
         }
     }
 
-    /// Notes that the prompt has been read: the answer has begun.
-    pub fn read(&mut self) {
-        let Some(unread) = self.forget_unread() else {
+    /// Records that the prefill is complete: the response has begun.
+    pub fn prefill_done(&mut self) {
+        let Some(pending_prefill) = self.clear_pending_prefill() else {
             return;
         };
         self.answering_since = Some(Instant::now());
-        let took_ms = unread.begun.elapsed().as_secs_f64() * 1_000.0;
-        self.told.read(&self.node, took_ms);
-        if let (true, Some(model)) = (unread.is_first, &self.model) {
-            self.node.paces().learn(model, unread.tokens, took_ms);
+        let took_ms = pending_prefill.started_at.elapsed().as_secs_f64() * 1_000.0;
+        self.owner_ticket.read(&self.node, took_ms);
+        if let (true, Some(model)) = (pending_prefill.is_first, &self.model) {
+            self.node
+                .paces()
+                .learn(model, pending_prefill.tokens, took_ms);
         }
     }
 
-    /// Counts the prompt as no longer to be read.
-    fn forget_unread(&mut self) -> Option<Unread> {
-        let unread = self.unread.take()?;
+    /// Removes the prompt from the pending prefill work of the worker.
+    fn clear_pending_prefill(&mut self) -> Option<PendingPrefill> {
+        let pending_prefill = self.pending_prefill.take()?;
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
-            worker.read(unread.rank, unread.reading_ms);
+            worker.read(pending_prefill.rank, pending_prefill.reading_ms);
         }
-        Some(unread)
+        Some(pending_prefill)
     }
 
-    /// Notes a whole answer.
+    /// Records a complete response.
     pub fn succeeded(&mut self) {
-        self.ended_whole(Outcome::Whole);
+        self.completed(Outcome::Whole);
     }
 
-    /// Notes a whole answer with a pause longer than its route aims at.
+    /// Records a complete response with a longer pause than the route's target for streams.
     pub fn paused(&mut self) {
-        self.ended_whole(Outcome::Paused);
+        self.completed(Outcome::Paused);
     }
 
-    /// Notes how a whole answer ended.
-    fn ended_whole(&mut self, outcome: Outcome) {
+    /// Records the outcome of a complete response, and learns from its duration.
+    fn completed(&mut self, outcome: Outcome) {
         self.outcome = outcome;
         let now_ms = self.node.now_ms();
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
@@ -167,20 +174,20 @@
             let mut stays = self.node.stays();
             stays.learn(model, self.answer_tokens, stayed_ms);
         }
-        if let Some(plain) = &self.plain {
-            let took_ms = plain.begun.elapsed().as_secs_f64() * 1_000.0;
+        if let Some(plain_call) = &self.plain_call {
+            let took_ms = plain_call.started_at.elapsed().as_secs_f64() * 1_000.0;
             let mut times = self.node.service_times();
             times.learn(
-                &plain.service,
-                &plain.route,
+                &plain_call.service,
+                &plain_call.route,
                 took_ms,
-                plain.before_count,
-                plain.slot_count,
+                plain_call.open_before_count,
+                plain_call.slot_count,
             );
         }
     }
 
-    /// Notes a call that failed after it was sent.
+    /// Records a call that failed after it was sent.
     pub fn failed(&mut self) {
         self.outcome = Outcome::Failed;
         let now_ms = self.node.now_ms();
@@ -189,7 +196,7 @@
         }
     }
 
-    /// Notes that the worker could not be reached.
+    /// Records that the worker could not be reached.
     pub fn unreachable(&mut self) {
         self.outcome = Outcome::Unreachable;
         let now_ms = self.node.now_ms();
@@ -200,16 +207,16 @@
 
     /// Counts bytes of the call that were sent.
     pub fn sent(&self, byte_count: usize) {
-        self.count("sent", byte_count);
+        self.count_bytes("sent", byte_count);
     }
 
-    /// Counts bytes of the answer.
+    /// Counts bytes of the response.
     pub fn received(&self, byte_count: usize) {
-        self.count("received", byte_count);
+        self.count_bytes("received", byte_count);
     }
 
     /// Counts bytes in one direction.
-    fn count(&self, direction: &str, byte_count: usize) {
+    fn count_bytes(&self, direction: &str, byte_count: usize) {
         let labels = [direction, self.distance.name()];
         let bytes = self
             .node
@@ -219,22 +226,22 @@
         bytes.inc_by(byte_count as u64);
     }
 
-    /// Returns the worker.
+    /// Returns the identity of the worker.
     pub fn worker(&self) -> &Arc<str> {
         &self.worker
     }
 }
 
-impl Drop for OpenCall {
+impl Drop for InFlightCall {
     fn drop(&mut self) {
-        self.forget_unread();
-        self.told.ended(&self.node, self.outcome);
+        self.clear_pending_prefill();
+        self.owner_ticket.ended(&self.node, self.outcome);
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
             worker.ended(self.held_tokens, self.stay_ms);
         }
         self.node.metrics.open_requests.dec();
         let open_in_domain = &self.node.metrics.open_in_domain;
-        let of_domain = open_in_domain.with_label_values(&[self.domain.as_ref()]);
-        of_domain.dec();
+        let domain_gauge = open_in_domain.with_label_values(&[self.domain.as_ref()]);
+        domain_gauge.dec();
     }
 }
--- a/crates/cranereach-gateway/src/forward/request.rs
+++ b/crates/cranereach-gateway/src/forward/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, read from the head and body of the request.
+//! A caller's request, parsed from its head and body.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -19,7 +19,7 @@
 use hyper::header::HeaderValue;
 use hyper::header::TRANSFER_ENCODING;
 
-use super::caller;
+use super::authentication;
 use super::refusal::Refusal;
 use crate::node::Node;
 use cranereach_core::codes::ResultCode;
@@ -37,8 +37,8 @@
 use cranereach_http::body;
 use cranereach_http::body::BodyError;
 
-/// Headers that concern one connection only.
-const OF_ONE_CONNECTION: [&str; 9] = [
+/// Hop-by-hop headers, which concern one connection only and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -50,62 +50,63 @@
     "upgrade",
 ];
 
-/// The model that a request names.
+/// Model that a request names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WantedModel {
-    /// Model.
+pub struct RequestedModel {
+    /// Name of the model.
     pub name: String,
-    /// Adapter, without the model's name.
+    /// Name of the adapter, without the model's name.
     pub adapter: Option<String>,
 }
 
-/// A request that may be sent to workers.
+/// Request that may be sent to workers.
 #[derive(Debug)]
 pub struct Call {
-    /// Identity, as the caller gave it.
+    /// Identity of the request, as given by the caller.
     pub id: String,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// Service that the request is routed to.
     pub service: Arc<Service>,
-    /// When it was received, in milliseconds.
+    /// When the request was received, in milliseconds.
     pub received_ms: u64,
-    /// When the final answer is due, in milliseconds.
-    pub end_by_ms: u64,
-    /// The caller's account; none where no key is needed.
+    /// Deadline of the final response, in milliseconds.
+    pub deadline_at_ms: u64,
+    /// Client account of the caller; `None` if no key is needed.
     pub account: Option<Arc<Account>>,
-    /// The account in metrics.
+    /// Label of the account in metrics; empty if there is no account.
     pub account_label: String,
-    /// What the request counts against the account's limit, in its units.
+    /// Cost of the request, in units of the account's limit.
     pub cost: f64,
-    /// Rank, zero first: the account's where it has one, else the route's.
+    /// Rank of urgency, zero for the most urgent: that of the account if it has one, else that of
+    /// the route.
     pub rank: u8,
-    /// Shortest aim of more urgent routes of its service, in milliseconds.
+    /// Shortest latency target of more urgent routes of the service, in milliseconds.
     pub urgent_aim_ms: Option<u64>,
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: AllowedRegions,
-    /// Model, if the service holds models.
-    pub model: Option<WantedModel>,
-    /// Tokens of the prompt.
+    /// Model, if the service has models.
+    pub model: Option<RequestedModel>,
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt and of the longest answer.
+    /// Number of tokens of the prompt and the longest response.
     pub held_tokens: u32,
-    /// Tokens that the caller expects to come out, at most those of the longest answer.
+    /// Number of output tokens that the caller expects, at most that of the longest response.
     pub answer_tokens: u32,
-    /// Shortest pause that streams of the service may make, in milliseconds.
+    /// Shortest target for the gaps in streams of the service, in milliseconds.
     pub gap_aim_ms: Option<u64>,
-    /// Parts of the prompt.
+    /// Parts of the prompt, used to find workers with a matching prefix cache.
     pub parts: Vec<PromptPart>,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Made when it is first asked for.
+    /// Computed on first use.
     fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Call {
-    /// Reads a request whole, and finds its route.
+    /// Reads a request with its whole body, and finds its route.
     pub async fn read(
         node: &Node,
         request: Request<Incoming>,
@@ -116,24 +117,26 @@
         let id = text(names.request_id).unwrap_or_default().to_owned();
         let configuration = node
             .configuration()
-            .ok_or_else(|| Refusal::of(ResultCode::ConfigUnknown, &id))?;
+            .ok_or_else(|| Refusal::new(ResultCode::ConfigUnknown, &id))?;
         let host = request
             .uri()
             .host()
             .or_else(|| text("host"))
             .unwrap_or_default();
         let route = configuration.route(host, request.uri().path());
-        let route = Arc::clone(route.ok_or_else(|| Refusal::of(ResultCode::NoSuchPath, &id))?);
-        let account = caller::account(node, &configuration, &route, request.headers()).await;
+        let route = Arc::clone(route.ok_or_else(|| Refusal::new(ResultCode::NoSuchPath, &id))?);
+        let account =
+            authentication::authenticate(node, &configuration, &route, request.headers()).await;
         let refuse = |code: ResultCode, detail: &str| {
-            let mut refusal = Refusal::of(code, &id).with_detail(detail);
+            let mut refusal = Refusal::new(code, &id).with_detail(detail);
             refusal.route = Some(Arc::clone(&route.name));
             refusal
         };
         if id.is_empty() {
-            return Err(refuse(ResultCode::BadRequest, "no identity"));
+            return Err(refuse(ResultCode::BadRequest, "missing request identity"));
         }
-        let account = account.map_err(|code| refuse(code, &caller::inputs(node)))?;
+        let account =
+            account.map_err(|code| refuse(code, &authentication::rejection_context(node)))?;
         let cost = cost(account.as_deref(), text(names.tokens))
             .map_err(|detail| refuse(ResultCode::BadRequest, detail))?;
         let label = account
@@ -145,18 +148,26 @@
             .target(rand::random())
             .and_then(|target| configuration.services.get(target))
             .cloned()
-            .ok_or_else(|| refuse(ResultCode::NoUpstream, "no such service"))?;
+            .ok_or_else(|| {
+                refuse(
+                    ResultCode::NoUpstream,
+                    "no configured service for the route",
+                )
+            })?;
         let allowed_ms = text(names.deadline_ms).and_then(|text| text.trim().parse::<f64>().ok());
         let allowed_ms = allowed_ms.map_or(route.timeout_ms, |given_ms| given_ms.max(0.0) as u64);
-        let end_by_ms = received_ms + allowed_ms.min(route.timeout_ms);
-        let model = text(names.model).map(wanted_model);
+        let deadline_at_ms = received_ms + allowed_ms.min(route.timeout_ms);
+        let model = text(names.model).map(parse_model);
         let model = model.filter(|_| service.engine.is_some());
-        let (prompt_tokens, answer_max_tokens) = text(names.tokens).map_or((0, 0), token_counts);
-        let hinted = text(names.expected_tokens).and_then(expected_tokens);
+        let (prompt_tokens, answer_max_tokens) =
+            text(names.tokens).map_or((0, 0), parse_token_counts);
+        let hinted = text(names.expected_tokens).and_then(parse_expected_tokens);
         let answer_tokens =
             hinted.map_or(answer_max_tokens, |hinted| hinted.min(answer_max_tokens));
         let parts = match (&model, text(names.prompt_parts)) {
-            (Some(_), Some(listed)) => prompt_parts(text(names.model).unwrap_or_default(), listed),
+            (Some(_), Some(listed)) => {
+                parse_prompt_parts(text(names.model).unwrap_or_default(), listed)
+            }
             _ => Vec::new(),
         };
         let route_rank = route.priority;
@@ -167,8 +178,8 @@
         let urgent_aim_ms = configuration.urgent_aim_ms(&service.name, route_rank);
         let gap_aim_ms = configuration.gap_aim_ms(&service.name);
         let (head, incoming) = request.into_parts();
-        let left_ms = end_by_ms.saturating_sub(node.now_ms());
-        let collected = body::collect(incoming, configuration.limits.body_max_bytes, left_ms);
+        let remaining_ms = deadline_at_ms.saturating_sub(node.now_ms());
+        let collected = body::collect(incoming, configuration.limits.body_max_bytes, remaining_ms);
         let body = collected.await.map_err(|error| match error {
             BodyError::TooLarge => refuse(ResultCode::BodyTooLarge, "body"),
             BodyError::TooSlow => refuse(ResultCode::RequestTooSlow, "body"),
@@ -179,7 +190,7 @@
             route,
             service,
             received_ms,
-            end_by_ms,
+            deadline_at_ms,
             rank: account_rank.unwrap_or(route_rank),
             account,
             account_label,
@@ -194,7 +205,7 @@
             parts,
             method: head.method,
             uri: head.uri,
-            headers: passed_headers(&head.headers, names.reserved),
+            headers: forwarded_headers(&head.headers, names.reserved),
             body,
             fingerprint: OnceLock::new(),
         })
@@ -205,7 +216,7 @@
         u32::try_from(self.body.len()).unwrap_or(u32::MAX)
     }
 
-    /// Returns what equal calls are known by.
+    /// Returns the mark by which repeated requests are recognized.
     pub fn mark(&self, node: &Node) -> RequestMark {
         RequestMark {
             body_bytes: self.body_bytes(),
@@ -213,7 +224,7 @@
         }
     }
 
-    /// Returns the fingerprint of what is asked for, equal for equal calls.
+    /// Returns the fingerprint of the request's content, which is equal for equal requests.
     pub fn fingerprint(&self, node: &Node) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let names = &node.adapter.headers;
@@ -251,10 +262,10 @@
             .ok()?;
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        let left_ms = self.end_by_ms.saturating_sub(node.now_ms()).max(1);
+        let remaining_ms = self.deadline_at_ms.saturating_sub(node.now_ms()).max(1);
         headers.insert(
             HeaderName::from_static(names.deadline_ms),
-            HeaderValue::from(left_ms),
+            HeaderValue::from(remaining_ms),
         );
         headers.insert(
             HeaderName::from_static(names.expected_worker),
@@ -281,96 +292,97 @@
         Some(request)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RouteKind::Stream
     }
 
-    /// Returns the model and adapter that are asked for.
+    /// Returns the requested model and adapter.
     pub fn model(&self) -> Option<(&str, Option<&str>)> {
         let model = self.model.as_ref()?;
         Some((model.name.as_str(), model.adapter.as_deref()))
     }
 }
 
-/// Copies the headers that are passed on: neither a caller's key nor what only this
-/// system may set.
-pub fn passed_headers(headers: &Headers, reserved: &[&str]) -> Headers {
-    let named: Vec<String> = headers
+/// Copies the headers that are forwarded: all but hop-by-hop headers, the caller's key, and
+/// headers that only this system may set.
+pub fn forwarded_headers(headers: &Headers, reserved: &[&str]) -> Headers {
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let is_passed = |name: &HeaderName| {
+    let is_forwarded = |name: &HeaderName| {
         let name = name.as_str();
-        !OF_ONE_CONNECTION.contains(&name)
+        !HOP_BY_HOP_HEADERS.contains(&name)
             && name != AUTHORIZATION.as_str()
             && !reserved.contains(&name)
-            && (name == HOST.as_str() || !named.iter().any(|listed| listed == name))
+            && (name == HOST.as_str() || !connection_options.iter().any(|listed| listed == name))
     };
-    let mut passed = Headers::with_capacity(headers.len() + 4);
+    let mut forwarded = Headers::with_capacity(headers.len() + 4);
     for (name, value) in headers {
-        if is_passed(name) {
-            passed.append(name.clone(), value.clone());
+        if is_forwarded(name) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
     if headers.contains_key(TRANSFER_ENCODING) {
-        passed.remove(CONTENT_LENGTH);
+        forwarded.remove(CONTENT_LENGTH);
     }
-    passed
+    forwarded
 }
 
-/// Splits a model's name from its adapter's.
-fn wanted_model(text: &str) -> WantedModel {
+/// Splits the name of a model from that of its adapter.
+fn parse_model(text: &str) -> RequestedModel {
     let (name, adapter) = match text.trim().split_once('/') {
         Some((name, adapter)) => (name, Some(adapter.to_owned())),
         None => (text.trim(), None),
     };
-    WantedModel {
+    RequestedModel {
         name: name.to_owned(),
         adapter,
     }
 }
 
-/// Returns what a request that names some tokens counts against its account's limit; an
-/// error where a limit rests on numbers that can't be read.
-fn cost(account: Option<&Account>, named: Option<&str>) -> Result<f64, &'static str> {
+/// Returns the cost of a request with the given token counts for its account's limit. Returns an
+/// error if the limit depends on token counts that are not valid numbers.
+fn cost(account: Option<&Account>, listed_counts: Option<&str>) -> Result<f64, &'static str> {
     let Some(account) = account.filter(|account| account.limit.is_some()) else {
         return Ok(0.0);
     };
-    let named = named.filter(|_| account.unit != LimitUnit::Requests);
-    let Some(named) = named else {
+    let listed_counts = listed_counts.filter(|_| account.unit != LimitUnit::Requests);
+    let Some(listed_counts) = listed_counts else {
         return Ok(account.cost(None));
     };
     let mut sum = 0_u64;
-    for count in named.split(',') {
+    for count in listed_counts.split(',') {
         let count: Result<u64, _> = count.trim().parse();
         let Ok(count) = count else {
-            return Err("numbers of tokens that can't be read");
+            return Err("invalid token counts");
         };
         sum = sum.saturating_add(count);
     }
     Ok(account.cost(Some(sum)))
 }
 
-/// Reads the tokens of the prompt and of the longest answer.
-fn token_counts(text: &str) -> (u32, u32) {
+/// Parses the token counts of the prompt and the longest response.
+fn parse_token_counts(text: &str) -> (u32, u32) {
     let mut counts = text
         .split(',')
         .map(|count| count.trim().parse().unwrap_or(0));
     (counts.next().unwrap_or(0), counts.next().unwrap_or(0))
 }
 
-/// Reads how many tokens the caller expects to come out; none if that is no number.
-fn expected_tokens(text: &str) -> Option<u32> {
+/// Parses the number of output tokens that the caller expects; `None` if it is not a positive
+/// number.
+fn parse_expected_tokens(text: &str) -> Option<u32> {
     let expected: f64 = text.trim().parse().ok()?;
     (expected.is_finite() && expected > 0.0).then_some(expected as u32)
 }
 
-/// Reads the parts of a prompt, each `ID:TOKENS`.
-fn prompt_parts(model: &str, text: &str) -> Vec<PromptPart> {
+/// Parses the parts of a prompt, each in the form `ID:TOKENS`.
+fn parse_prompt_parts(model: &str, text: &str) -> Vec<PromptPart> {
     let parts: Vec<(&str, u32)> = text
         .split(',')
         .filter_map(|part| part.trim().split_once(':'))
--- /dev/null
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -0,0 +1,105 @@
+//! Head of a worker's response: whether it belongs to the call, whether the call ran, and for how
+//! long the connection may be kept alive.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::HeaderMap;
+use hyper::Response;
+use hyper::StatusCode;
+use hyper::body::Incoming;
+use hyper::header::CONTENT_LENGTH;
+use hyper::header::TRANSFER_ENCODING;
+
+use super::in_flight::InFlightCall;
+use super::request::Call;
+use crate::node::Node;
+use crate::send_permit::Permit;
+use crate::worker_words;
+use crate::worker_words::WorkerWords;
+use cranereach_http::pool::Connection;
+
+/// Reason why one offer to one worker failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Failure {
+    /// The call was not sent: no connection, or the connection closed before.
+    NotSent,
+    /// The call must not be sent to that worker any more (see [`crate::send_permit`]).
+    NoPermit,
+    /// The call must not be sent any more: workers end under requests with its fingerprint.
+    Quarantined,
+    /// The worker says that it did not run the call.
+    NotRun,
+    /// The worker does not hold the model, or another worker answers at its address.
+    NotThere,
+    /// The connection broke: the call may have run.
+    BrokenOff,
+    /// The call may have run.
+    Unknown,
+}
+
+impl Failure {
+    /// Whether the call may have run.
+    pub fn may_have_run(self) -> bool {
+        matches!(self, Self::BrokenOff | Self::Unknown)
+    }
+}
+
+/// Head of a worker's response, with the state that belongs to the call.
+pub struct ResponseHead {
+    /// Response whose body has not been read yet.
+    pub response: Response<Incoming>,
+    /// Connection that the response arrives on.
+    pub connection: Connection<Full<Bytes>>,
+    /// Time for which the connection may be kept idle afterwards, in milliseconds; `None` if it
+    /// closes.
+    pub keep_alive_ms: Option<u64>,
+    /// In-flight count of the call at the worker.
+    pub in_flight: InFlightCall,
+}
+
+/// Processes the head of a response, and checks that it belongs to this call and that the worker
+/// ran the call. Returns what the headers say about the worker.
+pub fn check_head(
+    node: &Node,
+    call: &Call,
+    permit: &Permit,
+    in_flight: &mut InFlightCall,
+    response: &Response<Incoming>,
+) -> Result<WorkerWords, Failure> {
+    let headers = response.headers();
+    let status = response.status();
+    let request_id = headers.get(node.adapter.headers.request_id);
+    let is_ours = request_id.is_none_or(|id| id.as_bytes() == call.id.as_bytes());
+    let words = worker_words::hear(node, permit, (status, headers), is_ours);
+    if !is_ours || (request_id.is_none() && !words.is_not_run) {
+        node.metrics
+            .bad_input_total
+            .with_label_values(&["answer"])
+            .inc();
+        in_flight.failed();
+        return Err(Failure::Unknown);
+    }
+    if status == StatusCode::MISDIRECTED_REQUEST {
+        note_worker_lacks_model(node, call, permit);
+        return Err(Failure::NotThere);
+    }
+    if words.is_not_run {
+        return Err(Failure::NotRun);
+    }
+    Ok(words)
+}
+
+/// Records that a worker lacks the model of a call, or is another worker than the one meant.
+fn note_worker_lacks_model(node: &Node, call: &Call, permit: &Permit) {
+    let now_ms = node.now_ms();
+    let mut roster = node.roster();
+    if let (Some(worker), Some((model, adapter))) = (roster.get_mut(&permit.worker), call.model()) {
+        worker.lacks(now_ms, model, adapter);
+    }
+}
+
+/// Whether the head says where the body ends. Only then does the end of the body show that the
+/// worker was still running when it sent the last part.
+pub fn has_explicit_framing(headers: &HeaderMap) -> bool {
+    headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
+}
--- /dev/null
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -0,0 +1,138 @@
+//! Resumption of a stream on another worker, after the last event that the caller has received.
+//!
+//! If the connection to a worker breaks in the middle of a response, and the route allows
+//! resumption, the rest is requested from another worker. The same limits on attempts and the
+//! same retry budget apply as to a call whose response never began. The caller keeps the head of
+//! the first worker's response.
+
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::Context;
+use std::task::Poll;
+use std::task::ready;
+use std::time::Instant;
+
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::http::response::Parts;
+use tokio::task::JoinHandle;
+
+use super::exchange;
+use super::exchange::OfferHistory;
+use super::in_flight::InFlightCall;
+use super::refusal::Refusal;
+use super::request::Call;
+use super::response_head::Failure;
+use super::response_head::ResponseHead;
+use super::response_head::has_explicit_framing;
+use crate::node::Node;
+use crate::worker_ends;
+use cranereach_http::pool::Connection;
+
+/// Connection with the time for which it may be kept idle afterwards, in milliseconds; `None` if
+/// it closes.
+pub(super) type ReusableConnection = (Connection<Full<Bytes>>, Option<u64>);
+
+/// Stream of a worker whose first chunk has arrived.
+#[derive(Debug)]
+pub(super) struct StartedStream {
+    /// First chunk.
+    pub first_chunk: Bytes,
+    /// Rest of the body.
+    pub incoming: Incoming,
+    /// Connection that the stream arrives on.
+    pub connection: ReusableConnection,
+    /// In-flight count of the call at the worker.
+    pub in_flight: InFlightCall,
+    /// Whether the head of the response says where its body ends.
+    pub has_explicit_framing: bool,
+}
+
+impl StartedStream {
+    /// Waits for the first chunk after the head of a response.
+    pub(super) async fn from_head(head: ResponseHead) -> Result<(Parts, Self), Failure> {
+        let ResponseHead {
+            response,
+            connection,
+            keep_alive_ms,
+            mut in_flight,
+        } = head;
+        let (parts, mut incoming) = response.into_parts();
+        let first_chunk = match incoming.frame().await {
+            Some(Ok(first_chunk)) => first_chunk,
+            Some(Err(_broken)) => {
+                in_flight.failed();
+                return Err(Failure::BrokenOff);
+            }
+            None => {
+                in_flight.failed();
+                return Err(Failure::Unknown);
+            }
+        };
+        in_flight.prefill_done();
+        let started = Self {
+            first_chunk: first_chunk.into_data().unwrap_or_default(),
+            incoming,
+            connection: (connection, keep_alive_ms),
+            in_flight,
+            has_explicit_framing: has_explicit_framing(&parts.headers),
+        };
+        Ok((parts, started))
+    }
+}
+
+/// Resumed stream with the offers used so far, or the reason why the stream is not resumed.
+type ResumeResult = Result<(StartedStream, OfferHistory), Refusal>;
+
+/// Task that looks for a worker to resume a stream; dropping this aborts it.
+#[derive(Debug)]
+pub(super) struct StreamResumption {
+    task: JoinHandle<ResumeResult>,
+    started_at: Instant,
+}
+
+impl StreamResumption {
+    /// Starts to look for a worker that resumes the stream after `last_event`, or from the start
+    /// if the caller has received no event yet. `worker_check` returns what became of the worker
+    /// whose connection broke.
+    pub(super) fn spawn(
+        node: &Arc<Node>,
+        call: &Arc<Call>,
+        history: OfferHistory,
+        last_event: Option<String>,
+        worker_check: JoinHandle<worker_ends::Found>,
+    ) -> Self {
+        let node = Arc::clone(node);
+        let call = Arc::clone(call);
+        let task = tokio::spawn(async move {
+            exchange::resume_stream(&node, &call, history, last_event, worker_check).await
+        });
+        Self {
+            task,
+            started_at: Instant::now(),
+        }
+    }
+
+    /// Returns the resumed stream once it has begun, or the reason why it is not resumed.
+    ///
+    /// # Panics
+    ///
+    /// If the task panicked.
+    pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<ResumeResult> {
+        let result = ready!(Pin::new(&mut self.task).poll(cx));
+        Poll::Ready(result.expect("the resumption task is aborted only when it is dropped"))
+    }
+
+    /// Returns the time since the search began, in milliseconds.
+    pub(super) fn elapsed_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
+    }
+}
+
+impl Drop for StreamResumption {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -1,4 +1,5 @@
-//! One offer of a call to one worker: the send, and the answer as far as it decides.
+//! One offer of a call to one worker: sends the call, and reads as much of the response as is
+//! needed to decide whether to retry.
 
 use std::time::Duration;
 
@@ -6,16 +7,16 @@
 use hyper::Response;
 use hyper::StatusCode;
 
-use super::AnswerBody;
+use super::ResponseBody;
 use super::exchange::Exchange;
-use super::head::Failure;
-use super::head::Head;
-use super::head::check_head;
-use super::head::says_its_end;
-use super::open::OpenCall;
-use super::passing::Passing;
-use super::request::passed_headers;
-use super::taking_up::Begun;
+use super::in_flight::InFlightCall;
+use super::request::forwarded_headers;
+use super::response_head::Failure;
+use super::response_head::ResponseHead;
+use super::response_head::check_head;
+use super::response_head::has_explicit_framing;
+use super::resumption::StartedStream;
+use super::stream_relay::StreamRelay;
 use crate::cold;
 use crate::quarantine;
 use crate::send_permit;
@@ -26,42 +27,45 @@
 use cranereach_http::body::BodyError;
 use cranereach_http::pool::SendError;
 
-/// Largest answer that is kept whole before it is passed on, in bytes.
-const WHOLE_ANSWER_MAX_BYTES: usize = 4 * 1024 * 1024;
+/// Largest response that is buffered in full before it is passed on, in bytes.
+const BUFFERED_RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time to connect to a worker, in milliseconds.
-const CONNECT_WITHIN_MS: u64 = 250;
+/// Timeout for connecting to a worker, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// Share of the aim for which a call is held until no stream pauses for too long by its
-/// prompt. At half of it, prompts that were sent before their place made half of all
-/// pauses.
+/// Share of the latency target for which a call may be held back so that its prefill does not
+/// make running streams pause for too long. With half of the latency target, prompts that were
+/// sent before their scheduled time caused half of all pauses.
 const HOLD_MAX_SHARE: f64 = 1.0;
 
 impl Exchange<'_> {
-    /// Offers the call to one worker and makes the answer.
-    pub(super) async fn offer(&mut self, choice: &Choice) -> Result<Response<AnswerBody>, Failure> {
+    /// Offers the call to one worker and makes the response to the caller.
+    pub(super) async fn offer(
+        &mut self,
+        choice: &Choice,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let head = self.send(choice).await?;
-        let status = head.answer.status();
+        let status = head.response.status();
         if self.call.is_stream() && status == StatusCode::OK {
             return self.begin_stream(head).await;
         }
-        self.read_whole(head).await
+        self.read_full_response(head).await
     }
 
-    /// Sends the call to one worker and waits for the head of the answer.
-    async fn send(&mut self, choice: &Choice) -> Result<Head, Failure> {
+    /// Sends the call to one worker and waits for the head of the response.
+    async fn send(&mut self, choice: &Choice) -> Result<ResponseHead, Failure> {
         let node = self.node;
         let call = self.call;
         let wanted = self.wanted();
         let hold_max_ms = (call.route.aim_ms as f64 * HOLD_MAX_SHARE) as u64;
         let hold_ms = choice.send_in_ms.min(hold_max_ms);
-        let mut open = OpenCall::begin(
+        let mut in_flight = InFlightCall::begin(
             node,
             choice,
             &wanted,
             (&call.service.name, &call.route.name),
             call.answer_tokens,
-            call.end_by_ms,
+            call.deadline_at_ms,
             hold_ms,
         );
         if hold_ms > 0 {
@@ -69,10 +73,10 @@
         }
         self.hold(choice, hold_ms).await?;
         let pool = node.pool(&choice.id, &choice.address);
-        let within = Duration::from_millis(CONNECT_WITHIN_MS);
-        let taken = tokio::time::timeout(within, pool.take()).await;
-        let Ok(Ok(mut connection)) = taken else {
-            open.unreachable();
+        let within = Duration::from_millis(CONNECT_TIMEOUT_MS);
+        let connected = tokio::time::timeout(within, pool.take()).await;
+        let Ok(Ok(mut connection)) = connected else {
+            in_flight.unreachable();
             return Err(Failure::NotSent);
         };
         if !connection.is_reused() {
@@ -90,28 +94,28 @@
         if suspicion.is_quarantined {
             return Err(Failure::Quarantined);
         }
-        self.knew_of_end = suspicion.end_count > 0;
+        self.earlier_end_known = suspicion.end_count > 0;
         self.count_send(choice);
         let request = self
             .call
             .to_worker(node, &choice.id, self.last_event.as_deref())
             .ok_or(Failure::NotSent)?;
         self.may_run_now = true;
-        open.sent(self.call.body.len());
-        let answer = match connection.send(request).await {
-            Ok(answer) => answer,
+        in_flight.sent(self.call.body.len());
+        let response = match connection.send(request).await {
+            Ok(response) => response,
             Err(SendError::Unsent(_)) => return Err(Failure::NotSent),
             Err(SendError::Broken(_)) => {
-                open.failed();
+                in_flight.failed();
                 return Err(Failure::BrokenOff);
             }
         };
-        let words = check_head(node, self.call, &permit, &mut open, &answer)?;
-        Ok(Head {
-            answer,
+        let words = check_head(node, self.call, &permit, &mut in_flight, &response)?;
+        Ok(ResponseHead {
+            response,
             connection,
-            rest_ms: words.connection_rest_ms,
-            open,
+            keep_alive_ms: words.connection_rest_ms,
+            in_flight,
         })
     }
 
@@ -125,80 +129,86 @@
         }
     }
 
-    /// Holds the call back for a time; ends early if its worker isn't to get it any more.
+    /// Holds the call back for a time; fails early if the worker must not get it any more.
     async fn hold(&self, choice: &Choice, hold_ms: u64) -> Result<(), Failure> {
-        let due = self.node.instant(self.node.now_ms() + hold_ms);
+        let hold_until = self.node.instant(self.node.now_ms() + hold_ms);
         loop {
             let changed = self.node.roster_changed.notified();
             if send_permit::is_barred(self.node, &choice.id, Purpose::Call, self.call.rank) {
                 return Err(Failure::NoPermit);
             }
-            if tokio::time::timeout_at(due, changed).await.is_err() {
+            if tokio::time::timeout_at(hold_until, changed).await.is_err() {
                 return Ok(());
             }
         }
     }
 
-    /// Offers the rest of a stream to one worker and waits until it goes on.
-    pub(super) async fn offer_rest(&mut self, choice: &Choice) -> Result<Begun, Failure> {
+    /// Offers the rest of an interrupted stream to one worker and waits for its first chunk.
+    pub(super) async fn offer_resumption(
+        &mut self,
+        choice: &Choice,
+    ) -> Result<StartedStream, Failure> {
         let mut head = self.send(choice).await?;
-        if head.answer.status() != StatusCode::OK {
-            head.open.failed();
+        if head.response.status() != StatusCode::OK {
+            head.in_flight.failed();
             return Err(Failure::Unknown);
         }
-        let (_head, begun) = Begun::of(head).await?;
-        Ok(begun)
+        let (_head, started) = StartedStream::from_head(head).await?;
+        Ok(started)
     }
 
-    /// Waits for the first piece, so that a stream that never began can be repeated.
-    async fn begin_stream(&self, head: Head) -> Result<Response<AnswerBody>, Failure> {
-        let (parts, begun) = Begun::of(head).await?;
-        let passing = Passing::new(self.node, self.call, begun, self.taken());
-        let mut answer = Response::new(AnswerBody::Passing(Box::new(passing)));
-        *answer.status_mut() = parts.status;
-        *answer.headers_mut() = passed_headers(&parts.headers, &[]);
-        Ok(answer)
+    /// Waits for the first chunk, so that a stream that never began can be retried.
+    async fn begin_stream(&self, head: ResponseHead) -> Result<Response<ResponseBody>, Failure> {
+        let (parts, started) = StartedStream::from_head(head).await?;
+        let relay = StreamRelay::new(self.node, self.call, started, self.history());
+        let mut response = Response::new(ResponseBody::Streaming(Box::new(relay)));
+        *response.status_mut() = parts.status;
+        *response.headers_mut() = forwarded_headers(&parts.headers, &[]);
+        Ok(response)
     }
 
-    /// Reads a whole answer before any of it is passed on.
-    async fn read_whole(&mut self, head: Head) -> Result<Response<AnswerBody>, Failure> {
-        let Head {
-            answer,
+    /// Reads a response in full before any of it is passed on.
+    async fn read_full_response(
+        &mut self,
+        head: ResponseHead,
+    ) -> Result<Response<ResponseBody>, Failure> {
+        let ResponseHead {
+            response,
             connection,
-            rest_ms,
-            mut open,
+            keep_alive_ms,
+            mut in_flight,
         } = head;
-        let (parts, incoming) = answer.into_parts();
-        let left_ms = self.call.end_by_ms.saturating_sub(self.node.now_ms()) + 1_000;
-        let collected = body::collect(incoming, WHOLE_ANSWER_MAX_BYTES, left_ms).await;
+        let (parts, incoming) = response.into_parts();
+        let remaining_ms = self.call.deadline_at_ms.saturating_sub(self.node.now_ms()) + 1_000;
+        let collected = body::collect(incoming, BUFFERED_RESPONSE_MAX_BYTES, remaining_ms).await;
         let bytes = collected.map_err(|error| {
-            open.failed();
+            in_flight.failed();
             match error {
                 BodyError::Broken => Failure::BrokenOff,
                 BodyError::TooLarge | BodyError::TooSlow => Failure::Unknown,
             }
         })?;
-        open.received(bytes.len());
+        in_flight.received(bytes.len());
         let is_failure = parts.status.is_server_error();
         if is_failure {
-            open.failed();
+            in_flight.failed();
         } else {
-            open.succeeded();
+            in_flight.succeeded();
         }
-        if says_its_end(&parts.headers) {
+        if has_explicit_framing(&parts.headers) {
             quarantine::answered(self.node, self.call);
         }
-        if let Some(rest_ms) = rest_ms {
-            connection.keep_for(rest_ms);
+        if let Some(keep_alive_ms) = keep_alive_ms {
+            connection.keep_for(keep_alive_ms);
         }
-        let mut answer = Response::new(AnswerBody::Whole(Full::new(bytes)));
-        *answer.status_mut() = parts.status;
-        *answer.headers_mut() = passed_headers(&parts.headers, &[]);
+        let mut response = Response::new(ResponseBody::Buffered(Full::new(bytes)));
+        *response.status_mut() = parts.status;
+        *response.headers_mut() = forwarded_headers(&parts.headers, &[]);
         let may_repeat = self.call.route.may_repeat();
         if is_failure && may_repeat && self.run_count + 1 < self.call.route.attempt_max_count {
-            self.failed_answer = Some(answer);
+            self.failed_response = Some(response);
             return Err(Failure::Unknown);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
