--- a/crates/cranereach-gateway/src/departures.rs
+++ b/crates/cranereach-gateway/src/departures.rs
@@ -18,7 +18,7 @@
 use cranereach_fleet::key::worker_key;
 
 /// Departures that one digest tells at most; where more are told, each digest draws others.
-const TOLD_MAX_COUNT: usize = 64;
+const GOSSIPED_MAX_COUNT: usize = 64;
 
 /// Takes the word of a worker that it leaves.
 pub fn heard(node: &Node, permit: &Permit) {
@@ -29,21 +29,21 @@
         (is_new, roster.departure_news(&permit.worker))
     };
     if is_new {
-        note_change(node, &permit.worker, Teller::Worker);
+        log_and_wake(node, &permit.worker, Teller::Worker);
         tell(node, now_ms, news.as_slice());
     }
 }
 
 /// Takes another instance's words on workers that leave, and tells on what is new.
-pub fn take(node: &Node, told: &[DepartureNews]) {
-    if told.is_empty() {
+pub fn take(node: &Node, reported: &[DepartureNews]) {
+    if reported.is_empty() {
         return;
     }
     let now_ms = node.now_ms();
-    let told = told.iter().take(TOLD_MAX_COUNT);
+    let reported = reported.iter().take(GOSSIPED_MAX_COUNT);
     let new: Vec<(DepartureNews, Option<Arc<str>>)> = {
         let mut roster = node.roster();
-        let new = told.filter(|news| roster.told_leaving(now_ms, news));
+        let new = reported.filter(|news| roster.told_leaving(now_ms, news));
         let new: Vec<DepartureNews> = new.copied().collect();
         let id = |news: &DepartureNews| {
             let worker = roster.by_key(news.worker)?;
@@ -52,7 +52,7 @@
         new.into_iter().map(|news| (news, id(&news))).collect()
     };
     for worker in new.iter().filter_map(|(_, id)| id.as_ref()) {
-        note_change(node, worker, Teller::Peer);
+        log_and_wake(node, worker, Teller::Peer);
     }
     let new: Vec<DepartureNews> = new.into_iter().map(|(news, _)| news).collect();
     tell(node, now_ms, &new);
@@ -68,7 +68,7 @@
 /// Returns what a digest tells.
 pub fn news(node: &Node) -> Vec<DepartureNews> {
     let recent = lock(&node.recent_departures);
-    recent.told().sample(&mut rand::rng(), TOLD_MAX_COUNT)
+    recent.told().sample(&mut rand::rng(), GOSSIPED_MAX_COUNT)
 }
 
 /// Returns what an instance is told that knows no worker yet.
@@ -80,7 +80,7 @@
             worker: worker_key(&worker.record.id),
         })
     });
-    leaving.sample(&mut rand::rng(), TOLD_MAX_COUNT)
+    leaving.sample(&mut rand::rng(), GOSSIPED_MAX_COUNT)
 }
 
 /// Tells peers with the next digests.
@@ -91,7 +91,7 @@
 }
 
 /// Logs that a worker leaves, and wakes whoever waits for it or orders it.
-fn note_change(node: &Node, worker: &str, teller: Teller) {
+fn log_and_wake(node: &Node, worker: &str, teller: Teller) {
     info!(node.log, "worker leaves"; "worker" => worker, "by" => teller.name());
     // Calls that wait for it look elsewhere, and what it holds is planned elsewhere.
     node.roster_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -24,7 +24,7 @@
 use cranereach_fleet::worker::WorkerRecord;
 
 /// Content of the row that asks for an evacuation; nobody reads it.
-const ASKED: &[u8] = b"{}";
+const ROW_VALUE: &[u8] = b"{}";
 
 /// One failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
@@ -76,23 +76,23 @@
 
 /// What the store says of failure domains.
 #[derive(Clone, Debug, Default)]
-struct Read {
+struct StoreSnapshot {
     /// Names that the settings or a worker know.
     known: BTreeSet<String>,
     /// Positions of the rows that ask for evacuations, by domain.
     asked: BTreeMap<String, StorePosition>,
     /// Position of a row that isn't there.
-    none: StorePosition,
+    absent: StorePosition,
     workers: Vec<WorkerRecord>,
 }
 
 /// Lists the failure domains, by name.
 pub async fn look(settings: &Settings) -> Result<Vec<DomainState>, DomainsError> {
     let adapter = adapter_of(settings)?;
-    let read = read(settings, adapter).await?;
-    let names = read.known.iter().chain(read.asked.keys());
+    let snapshot = read(settings, adapter).await?;
+    let names = snapshot.known.iter().chain(snapshot.asked.keys());
     let names: BTreeSet<&String> = names.collect();
-    let states = names.into_iter().map(|name| read.state(name));
+    let states = names.into_iter().map(|name| snapshot.state(name));
     Ok(states.collect())
 }
 
@@ -103,13 +103,13 @@
     is_withdrawn: bool,
 ) -> Result<Demanded, DomainsError> {
     let adapter = adapter_of(settings)?;
-    let read = read(settings, adapter).await?;
-    let asked_at = read.asked.get(domain).copied();
+    let snapshot = read(settings, adapter).await?;
+    let asked_at = snapshot.asked.get(domain).copied();
     // What is asked for can be withdrawn, also where nobody knows the domain any more.
-    if !read.known.contains(domain) && asked_at.is_none() {
+    if !snapshot.known.contains(domain) && asked_at.is_none() {
         return Err(DomainsError::Unknown {
             name: domain.to_owned(),
-            known: read.known.into_iter().collect(),
+            known: snapshot.known.into_iter().collect(),
         });
     }
     let row = RowName {
@@ -119,7 +119,7 @@
     let store = store(settings, adapter);
     let answer = match (asked_at, is_withdrawn) {
         (Some(_), false) | (None, true) => return Ok(Demanded::Already),
-        (None, false) => store.write(&row, read.none, ASKED).await?,
+        (None, false) => store.write(&row, snapshot.absent, ROW_VALUE).await?,
         (Some(position), true) => store.remove(&row, position).await?,
     };
     match answer {
@@ -145,7 +145,10 @@
 }
 
 /// Reads the store.
-async fn read(settings: &Settings, adapter: &'static Adapter) -> Result<Read, DomainsError> {
+async fn read(
+    settings: &Settings,
+    adapter: &'static Adapter,
+) -> Result<StoreSnapshot, DomainsError> {
     let store = store(settings, adapter);
     let rows = store.read(adapter.store.configuration.0).await?;
     let asked = rows
@@ -157,7 +160,7 @@
             Some((domain.to_owned(), row.position))
         });
     let asked = asked.collect();
-    let none = StorePosition::start_of(rows.position.era);
+    let absent = StorePosition::start_of(rows.position.era);
     let rows = store.read(adapter.store.workers).await?;
     let listed = rows.rows.iter().filter(|row| !row.is_gone);
     // A row that can't be read is counted and logged by the instances.
@@ -166,19 +169,23 @@
     let declared = settings.instance.failure_domains.keys().cloned();
     let known = declared
         .chain([settings.instance.failure_domain.clone()])
-        .chain(workers.iter().map(|of| of.failure_domain.to_string()));
-    Ok(Read {
+        .chain(
+            workers
+                .iter()
+                .map(|worker| worker.failure_domain.to_string()),
+        );
+    Ok(StoreSnapshot {
         known: known.collect(),
         asked,
-        none,
+        absent,
         workers,
     })
 }
 
-impl Read {
+impl StoreSnapshot {
     /// Returns how a failure domain stands.
     fn state(&self, name: &str) -> DomainState {
-        let here = |of: &&WorkerRecord| of.failure_domain.as_ref() == name;
+        let here = |record: &&WorkerRecord| record.failure_domain.as_ref() == name;
         let mut state = DomainState {
             name: name.to_owned(),
             evacuated_since_version: self.asked.get(name).map(|asked_at| asked_at.version),
@@ -189,8 +196,10 @@
             state.leaving_count += usize::from(worker.is_leaving);
             state.cold_count += usize::from(worker.cold_for_ms > 0);
         }
-        let elsewhere = self.workers.iter().filter(|of| {
-            !here(of) && !of.is_leaving && !self.asked.contains_key(of.failure_domain.as_ref())
+        let elsewhere = self.workers.iter().filter(|record| {
+            !here(record)
+                && !record.is_leaving
+                && !self.asked.contains_key(record.failure_domain.as_ref())
         });
         let held_elsewhere = models(elsewhere);
         let held_here = models(self.workers.iter().filter(here));
--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -21,10 +21,10 @@
 
 /// Domains at most that neither the settings nor a worker names: they are kept, should
 /// workers come up there.
-const UNLISTED_MAX_COUNT: usize = 16;
+const UNKNOWN_DOMAIN_MAX_COUNT: usize = 16;
 
 /// Characters of a name that isn't taken, in the log.
-const SHOWN_COUNT: usize = 64;
+const LOGGED_NAME_CHARS: usize = 64;
 
 /// Takes what the store answered: the whole table, or what has changed in it; false if
 /// it has to be read again, whole.
@@ -43,20 +43,19 @@
         ))
     };
     let rows_of_domains = rows.rows.iter().filter_map(of_domain);
-    let is_unlisted =
-        |(key, _): &&(u64, StorePosition)| node.topology.domain_by_key(*key).is_none();
-    let mut unlisted_count = known.domains.iter().filter(is_unlisted).count();
+    let is_unknown = |(key, _): &&(u64, StorePosition)| node.topology.domain_by_key(*key).is_none();
+    let mut unknown_count = known.domains.iter().filter(is_unknown).count();
     let knows_workers = lock(&node.list).age_ms(node.now_ms()).is_some();
     let mut taken = Vec::new();
     for (key, domain, position, is_gone) in rows_of_domains {
         let is_held = known.domains.iter().any(|(held, _)| *held == key);
-        if !is_gone && !is_held && !is_listed(node, &domain) {
-            unlisted_count += 1;
-            let is_known = note_unlisted(node, &domain, unlisted_count);
-            if !is_known && !knows_workers {
+        if !is_gone && !is_held && !is_known_domain(node, &domain) {
+            unknown_count += 1;
+            let is_kept = record_unknown(node, &domain, unknown_count);
+            if !is_kept && !knows_workers {
                 return false;
             }
-            if !is_known {
+            if !is_kept {
                 continue;
             }
         }
@@ -113,7 +112,7 @@
                 "known_age_ms" => known_at_ms.map(|at_ms| now_ms - at_ms));
         }
     }
-    cold::note_taken_back(node, &change.ended);
+    cold::note_evacuations_ended(node, &change.ended);
     node.metrics
         .evacuated_domains
         .set(list.domains.len() as i64);
@@ -123,26 +122,26 @@
 }
 
 /// Whether a domain is named in the settings or by a worker.
-fn is_listed(node: &Node, domain: &str) -> bool {
-    let is_in_table = node.topology.region_of(domain).is_some();
-    let stands_there = || {
+fn is_known_domain(node: &Node, domain: &str) -> bool {
+    let is_in_settings = node.topology.region_of(domain).is_some();
+    let has_worker = || {
         let roster = node.roster();
         let mut workers = roster.workers();
         workers.any(|worker| worker.record.failure_domain.as_ref() == domain)
     };
-    is_in_table || stands_there()
+    is_in_settings || has_worker()
 }
 
 /// Counts and logs a domain that nobody knows; false if it isn't kept.
-fn note_unlisted(node: &Node, domain: &str, count: usize) -> bool {
-    let is_kept = domain.len() <= NAME_MAX_BYTES && count <= UNLISTED_MAX_COUNT;
+fn record_unknown(node: &Node, domain: &str, count: usize) -> bool {
+    let is_kept = domain.len() <= NAME_MAX_BYTES && count <= UNKNOWN_DOMAIN_MAX_COUNT;
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["evacuation"]).inc();
     // One more than is kept, so that the log tells of those that aren't.
-    if count <= UNLISTED_MAX_COUNT + 1 {
-        let shown: String = domain.chars().take(SHOWN_COUNT).collect();
+    if count <= UNKNOWN_DOMAIN_MAX_COUNT + 1 {
+        let logged_name: String = domain.chars().take(LOGGED_NAME_CHARS).collect();
         warn!(node.log, "evacuation of an unknown failure domain";
-            "domain" => shown, "bytes" => domain.len(), "kept" => is_kept);
+            "domain" => logged_name, "bytes" => domain.len(), "kept" => is_kept);
     }
     is_kept
 }
--- a/crates/cranereach-gateway/src/expected.rs
+++ b/crates/cranereach-gateway/src/expected.rs
@@ -17,13 +17,13 @@
 use cranereach_fleet::key::worker_key;
 
 /// Time for which a holder's word counts, in milliseconds: plans change with demand.
-const WORD_FOR_MS: u64 = 1_000;
+const ANSWER_VALID_MS: u64 = 1_000;
 
 /// Models that one message asks for or answers at most.
 pub const ASKED_MAX_COUNT: usize = 64;
 
 /// Models that words are remembered of at most.
-const REMEMBERED_MAX_COUNT: usize = 4_096;
+const CACHED_MAX_COUNT: usize = 4_096;
 
 /// A holder's word on one model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 /// Words by service and model, each with the time at which it was heard.
 #[derive(Clone, Debug, Default)]
 pub struct ExpectedModels {
-    words: HashMap<(u64, u16), (u64, Word)>,
+    answers: HashMap<(u64, u16), (u64, Word)>,
 }
 
 impl ExpectedModels {
@@ -53,19 +53,19 @@
     /// assert_eq!(expected.word(2_500, (7, 3)), None);
     /// ```
     pub fn note(&mut self, now_ms: u64, model: (u64, u16), word: Word) {
-        if self.words.len() >= REMEMBERED_MAX_COUNT {
-            self.words
-                .retain(|_, (heard_ms, _)| now_ms < *heard_ms + WORD_FOR_MS);
+        if self.answers.len() >= CACHED_MAX_COUNT {
+            self.answers
+                .retain(|_, (received_ms, _)| now_ms < *received_ms + ANSWER_VALID_MS);
         }
-        if self.words.len() < REMEMBERED_MAX_COUNT {
-            self.words.insert(model, (now_ms, word));
+        if self.answers.len() < CACHED_MAX_COUNT {
+            self.answers.insert(model, (now_ms, word));
         }
     }
 
     /// Returns what was heard lately of a model.
     pub fn word(&self, now_ms: u64, model: (u64, u16)) -> Option<Word> {
-        let heard = self.words.get(&model);
-        let recent = heard.filter(|(heard_ms, _)| now_ms < heard_ms + WORD_FOR_MS);
+        let cached = self.answers.get(&model);
+        let recent = cached.filter(|(received_ms, _)| now_ms < received_ms + ANSWER_VALID_MS);
         recent.map(|(_, word)| *word)
     }
 }
@@ -73,13 +73,13 @@
 /// Returns a holder's word on a model, be this instance the holder.
 pub fn word(node: &Node, service: &str, model: u16) -> Option<Word> {
     if let Some(announced) = node.announced().get(service) {
-        return Some(of_holder(announced, model));
+        return Some(local_answer(announced, model));
     }
     lock(&node.expected).word(node.now_ms(), (worker_key(service), model))
 }
 
 /// Returns what a holder knows of a model.
-fn of_holder(announced: &Announced, model: u16) -> Word {
+fn local_answer(announced: &Announced, model: u16) -> Word {
     let at_ms = announced.coming.get(&model).copied();
     at_ms.map_or(Word::NotComing, Word::At)
 }
@@ -91,8 +91,8 @@
     for (service, announced) in node.announced().iter() {
         let key = worker_key(service);
         let asked = lacks.iter().take(ASKED_MAX_COUNT);
-        for (_, model) in asked.filter(|(of, _)| *of == key) {
-            let in_ms = match of_holder(announced, *model) {
+        for (_, model) in asked.filter(|(service_key, _)| *service_key == key) {
+            let in_ms = match local_answer(announced, *model) {
                 Word::At(at_ms) => Some(at_ms.saturating_sub(now_ms) as u32),
                 Word::NotComing => None,
             };
@@ -113,11 +113,11 @@
 pub fn take(node: &Node, answers: &[ExpectedModel]) {
     let now_ms = node.now_ms();
     let mut expected = lock(&node.expected);
-    for of in answers.iter().take(ASKED_MAX_COUNT) {
-        let word = of
+    for answer in answers.iter().take(ASKED_MAX_COUNT) {
+        let word = answer
             .in_ms
             .map_or(Word::NotComing, |in_ms| Word::At(now_ms + u64::from(in_ms)));
-        expected.note(now_ms, (of.service, of.model), word);
+        expected.note(now_ms, (answer.service, answer.model), word);
     }
     drop(expected);
     node.expected_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -23,10 +23,10 @@
 
 /// Time that an owner's answer is waited for, in milliseconds: some ten times the way
 /// there and back within a region.
-const ANSWER_WITHIN_MS: u64 = 20;
+const ANSWER_TIMEOUT_MS: u64 = 20;
 
 /// Owners that are asked for one request at most.
-const TRY_COUNT: u32 = 3;
+const OWNER_TRY_MAX_COUNT: u32 = 3;
 
 /// Time after the start for which an instance takes the seeds for owners, in
 /// milliseconds: it doesn't know the others yet, and instances that start together
@@ -35,14 +35,14 @@
 
 /// Time for which an instance, and a fleet all of which has just started, counts as
 /// young, in milliseconds: twice the time in which all have come to know each other.
-const YOUNG_FOR_MS: u64 = 2 * SETTLING_MS;
+const STARTUP_PERIOD_MS: u64 = 2 * SETTLING_MS;
 
 /// Pause before owners are asked again that did not answer, in milliseconds: some rounds
 /// of digests when everything starts.
-const ASK_AGAIN_AFTER_MS: u64 = 60;
+const RETRY_DELAY_MS: u64 = 60;
 
 /// Least that is worth a message back to an owner, in units of the limit.
-const LEAST_RETURNED: f64 = 1.0;
+const MIN_RETURNED_UNITS: f64 = 1.0;
 
 /// Why a request may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,20 +92,20 @@
         Decision::Beyond(wait_ms) => return Err(Denied::Beyond(wait_ms)),
         Decision::Ask { wanted, held } => (wanted, held),
     };
-    let mut aside = SetAside {
+    let mut reserved = ReservedUnits {
         node,
         account: key,
         units: held,
     };
     let mut grant = ask(node, key, limit, wanted).await;
-    while grant.is_none() && node.now_ms() < ask_until_ms.min(YOUNG_FOR_MS) {
-        pause(ASK_AGAIN_AFTER_MS).await;
+    while grant.is_none() && node.now_ms() < ask_until_ms.min(STARTUP_PERIOD_MS) {
+        pause(RETRY_DELAY_MS).await;
         grant = ask(node, key, limit, wanted).await;
     }
     let now_ms = node.now_ms();
     match grant {
         Some(Grant::Units(units)) => {
-            aside.units = 0.0;
+            reserved.units = 0.0;
             lock(&node.uses).granted(now_ms, key, held + units, cost);
             Ok(charge)
         }
@@ -120,13 +120,13 @@
 
 /// Units set aside for a request, given back when it ends without using them, also
 /// with a caller who left.
-struct SetAside<'a> {
+struct ReservedUnits<'a> {
     node: &'a Node,
     account: u64,
     units: f64,
 }
 
-impl Drop for SetAside<'_> {
+impl Drop for ReservedUnits<'_> {
     fn drop(&mut self) {
         if self.units != 0.0 {
             give_back(self.node, self.account, self.units);
@@ -140,7 +140,7 @@
     let now_ms = node.now_ms();
     let tolerance = node.settings.bounds.tolerance();
     let surplus = lock(&node.uses).give_back(now_ms, account, &tolerance, units);
-    let limit = limit_of(node, account).filter(|_| surplus >= LEAST_RETURNED);
+    let limit = limit_of(node, account).filter(|_| surplus >= MIN_RETURNED_UNITS);
     let Some(limit) = limit else {
         return;
     };
@@ -185,13 +185,13 @@
 /// none if nobody answered.
 async fn ask(node: &Node, account: u64, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
-    let first: u32 = rand::random();
+    let first_part: u32 = rand::random();
     let mut shortest_ms: Option<u64> = None;
     let mut refused_count = 0;
-    for number in 0..TRY_COUNT {
-        let part = first.wrapping_add(number) % part_count;
+    for try_number in 0..OWNER_TRY_MAX_COUNT {
+        let part = first_part.wrapping_add(try_number) % part_count;
         let key = PartKey { account, part };
-        match ask_one(node, key, limit, wanted).await {
+        match ask_owner(node, key, limit, wanted).await {
             Some(Grant::Units(units)) => return Some(Grant::Units(units)),
             Some(Grant::After(wait_ms)) => {
                 refused_count += 1;
@@ -207,7 +207,7 @@
 }
 
 /// Asks the owner of one part; none if it doesn't answer.
-async fn ask_one(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
+async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let owner = owner_of(node, key);
     if owner == node.own_ip() {
         return Some(take(node, key, limit, wanted));
@@ -222,8 +222,8 @@
     };
     let address = SocketAddr::from((owner, node.peer_port()));
     node.send_now(address, Message::Limit(ask));
-    let due = node.instant(node.now_ms() + ANSWER_WITHIN_MS);
-    let answered = tokio::time::timeout_at(due, question.answers.recv()).await;
+    let deadline = node.instant(node.now_ms() + ANSWER_TIMEOUT_MS);
+    let answered = tokio::time::timeout_at(deadline, question.answers.recv()).await;
     let now_ms = node.now_ms();
     let Ok(Some(granted)) = answered else {
         node.peers().members_mut().missed(now_ms, owner);
@@ -276,13 +276,13 @@
     let peers = node.peers();
     let members = peers.members();
     let window_ms = node.settings.bounds.limit_window_s * 1_000.0;
-    let is_young = now_ms < YOUNG_FOR_MS;
+    let is_starting = now_ms < STARTUP_PERIOD_MS;
     // Whoever has just started asks the seeds.
-    let is_asked = || members.seed_owner(now_ms, key.owner_key()) == Some(node.own_ip());
-    let is_own = members.is_own(now_ms, key.owner_key()) || is_young && is_asked();
+    let is_seed_owner = || members.seed_owner(now_ms, key.owner_key()) == Some(node.own_ip());
+    let is_own = members.is_own(now_ms, key.owner_key()) || is_starting && is_seed_owner();
     if !is_own {
         Ownership::StandIn
-    } else if is_young && peers.have_all_started_within(now_ms, YOUNG_FOR_MS) {
+    } else if is_starting && peers.have_all_started_within(now_ms, STARTUP_PERIOD_MS) {
         Ownership::Restarted
     } else if members.same_for_ms(now_ms) as f64 >= window_ms {
         Ownership::Settled
--- a/crates/cranereach-gateway/src/named_limits.rs
+++ b/crates/cranereach-gateway/src/named_limits.rs
@@ -54,7 +54,7 @@
         limited.collect()
     };
     let grants = lock(&node.send_grants);
-    let counted = limited.into_iter().map(|limit| {
+    let with_counts = limited.into_iter().map(|limit| {
         let counts = grants.counts(worker_key(&limit.worker));
         ShownLimit {
             granted_count: counts.granted_count,
@@ -62,7 +62,7 @@
             ..limit
         }
     });
-    counted.collect()
+    with_counts.collect()
 }
 
 /// Counts the workers that name a limit.
@@ -95,21 +95,31 @@
 ///
 /// Any answer may name a limit. Only a caller's answer of success ends one by naming none:
 /// what refuses, fails or reports may leave it out, and so may one to an earlier request.
-pub fn heard(node: &Node, permit: &Permit, said: Said, status: StatusCode, is_asked_for: bool) {
+pub fn heard(
+    node: &Node,
+    permit: &Permit,
+    announced: Said,
+    status: StatusCode,
+    is_expected_response: bool,
+) {
     let worker = &permit.worker;
     let now_ms = node.now_ms();
     let mut roster = node.roster();
     let Some(known) = roster.get_mut(worker) else {
         return;
     };
-    let may_end = is_asked_for && permit.purpose == Purpose::Call && status.is_success();
+    let may_lift = is_expected_response && permit.purpose == Purpose::Call && status.is_success();
     // Nobody knows when an earlier request was sent: its answer loosens nothing.
-    let asked_ms = if is_asked_for { permit.sent_ms } else { 0 };
-    let has_changed = known.heard_limit(said, may_end, asked_ms, now_ms);
+    let requested_ms = if is_expected_response {
+        permit.sent_ms
+    } else {
+        0
+    };
+    let has_changed = known.heard_limit(announced, may_lift, requested_ms, now_ms);
     if has_changed {
         let word = known.limit_word(now_ms);
         drop(roster);
-        note_change(node, worker, "worker", word);
+        log_change(node, worker, "worker", word);
         // Whoever chooses the worker next asks its owner first, and hears of it.
         if let Some(word) = word {
             owners::tell_limit(node, worker, word);
@@ -128,12 +138,12 @@
         let id = Arc::clone(&known.record.id);
         let word = known.limit_word(now_ms);
         drop(roster);
-        note_change(node, &id, "peer", word);
+        log_change(node, &id, "peer", word);
     }
 }
 
 /// Logs that another limit of a worker holds now, or none any more.
-fn note_change(node: &Node, worker: &str, by: &str, word: Option<LimitWord>) {
+fn log_change(node: &Node, worker: &str, by: &str, word: Option<LimitWord>) {
     let rate_per_s = word.and_then(|word| word.rate_per_s);
     info!(node.log, "worker limit"; "worker" => worker, "rate_per_s" => rate_per_s, "by" => by);
     // Calls that wait for a worker look again.
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/news.rs
@@ -35,7 +35,7 @@
     drop(roster);
     for (key, position) in new {
         info!(node.log, "worker leaves"; "from" => sender.to_string(), "position" => %position);
-        roster_sync::pass_leaving_on(node, key, position);
+        roster_sync::forward_leaving(node, key, position);
     }
     if !digest.holds.is_empty() {
         apply_orders(node, now_ms, &digest.adapters, &digest.withheld);
--- a/crates/cranereach-gateway/src/own_words.rs
+++ b/crates/cranereach-gateway/src/own_words.rs
@@ -7,7 +7,7 @@
 use cranereach_fleet::worker::Worker;
 
 /// By whose word a worker leaves of whose leaving its row tells.
-const BY_ROW: &str = "row";
+const SOURCE_ROW: &str = "row";
 
 /// A worker that leaves or rests, as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,14 +17,14 @@
     /// Its service.
     pub service: String,
     /// That it leaves.
-    pub leaving: Option<ShownLeaving>,
+    pub leaving: Option<LeavingStatus>,
     /// That it asked this instance for rest.
-    pub rest: Option<ShownRest>,
+    pub rest: Option<RestStatus>,
 }
 
 /// That a worker leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownLeaving {
+pub struct LeavingStatus {
     /// By whose word: its own, a peer's, or its row.
     pub by: String,
     /// Time for which this instance has known, in milliseconds; none by its row.
@@ -33,7 +33,7 @@
 
 /// That a worker rests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownRest {
+pub struct RestStatus {
     /// Time for which it has, in milliseconds.
     pub for_ms: u64,
     /// Time until its end, in milliseconds.
@@ -45,8 +45,8 @@
     let now_ms = node.now_ms();
     let roster = node.roster();
     let shown = roster.workers().filter_map(|worker| {
-        let leaving = leaving(now_ms, worker);
-        let rest = rest(now_ms, worker);
+        let leaving = leaving_status(now_ms, worker);
+        let rest = rest_status(now_ms, worker);
         (leaving.is_some() || rest.is_some()).then(|| ShownWorker {
             worker: worker.record.id.to_string(),
             service: worker.record.service.to_string(),
@@ -61,34 +61,37 @@
 pub fn count(node: &Node) {
     let now_ms = node.now_ms();
     let roster = node.roster();
-    let leaving_count = roster.workers().filter(|of| of.is_leaving()).count();
+    let leaving_count = roster
+        .workers()
+        .filter(|worker| worker.is_leaving())
+        .count();
     let resting_count = roster
         .workers()
-        .filter(|of| of.rest.is_resting(now_ms))
+        .filter(|worker| worker.rest.is_resting(now_ms))
         .count();
     node.metrics.leaving_workers.set(leaving_count as i64);
     node.metrics.resting_workers.set(resting_count as i64);
 }
 
 /// Shows that a worker leaves, if it does.
-fn leaving(now_ms: u64, worker: &Worker) -> Option<ShownLeaving> {
-    let by_row = || ShownLeaving {
-        by: BY_ROW.to_owned(),
+fn leaving_status(now_ms: u64, worker: &Worker) -> Option<LeavingStatus> {
+    let from_row = || LeavingStatus {
+        by: SOURCE_ROW.to_owned(),
         for_ms: None,
     };
     match worker.departure {
-        Some(departure) => Some(ShownLeaving {
+        Some(departure) => Some(LeavingStatus {
             by: departure.teller.name().to_owned(),
             for_ms: Some(now_ms.saturating_sub(departure.since_ms)),
         }),
-        None => worker.is_leaving().then(by_row),
+        None => worker.is_leaving().then(from_row),
     }
 }
 
 /// Shows that a worker rests, if it does.
-fn rest(now_ms: u64, worker: &Worker) -> Option<ShownRest> {
+fn rest_status(now_ms: u64, worker: &Worker) -> Option<RestStatus> {
     let (since_ms, until_ms) = worker.rest.span_ms(now_ms)?;
-    Some(ShownRest {
+    Some(RestStatus {
         for_ms: now_ms.saturating_sub(since_ms),
         ends_in_ms: until_ms.saturating_sub(now_ms),
     })
--- a/crates/cranereach-gateway/src/proofs.rs
+++ b/crates/cranereach-gateway/src/proofs.rs
@@ -20,23 +20,23 @@
 
 /// Time between two rounds of questions, in milliseconds: news that each instance
 /// asks two others for reach nearly all of some hundred within five rounds.
-const ASK_EVERY_MS: u64 = 200;
+const QUERY_INTERVAL_MS: u64 = 200;
 
 /// Age below which a proof is young enough not to ask for another, in milliseconds.
-const YOUNG_MS: u64 = 300;
+const FRESH_MS: u64 = 300;
 
 /// Asks until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
-        pause(ASK_EVERY_MS).await;
+        pause(QUERY_INTERVAL_MS).await;
         let now_ms = node.now_ms();
         let (age_ms, question) = {
             let proof = lock(&node.proof);
             (proof.age_ms(now_ms), proof.question(now_ms))
         };
-        let shown_ms = age_ms.unwrap_or(now_ms);
-        node.metrics.configuration_age_ms.set(shown_ms as i64);
-        if age_ms.is_some_and(|age_ms| age_ms < YOUNG_MS) {
+        let reported_ms = age_ms.unwrap_or(now_ms);
+        node.metrics.configuration_age_ms.set(reported_ms as i64);
+        if age_ms.is_some_and(|age_ms| age_ms < FRESH_MS) {
             continue;
         }
         let recipients = node.peers().proof_recipients(now_ms);
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -32,7 +32,7 @@
 
 /// Instances that an end is told to beside digests: one may be stopping, or the datagram
 /// be lost.
-const COUNTED_BY_COUNT: usize = 2;
+const DIRECT_NOTIFY_COUNT: usize = 2;
 
 /// A request under which workers ended, as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,14 +46,14 @@
     /// Whether it is refused.
     pub is_quarantined: bool,
     /// Workers that ended under it since the last whole answer.
-    pub ends: Vec<ShownEnd>,
+    pub ends: Vec<WorkerEnd>,
     /// Times that it was refused here.
     pub refused_count: u64,
 }
 
 /// An end of a worker, as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownEnd {
+pub struct WorkerEnd {
     /// The worker's identity where this instance saw its end, else the key of its start.
     pub worker: String,
     /// How long ago, in milliseconds.
@@ -62,8 +62,8 @@
 
 /// Returns what is held against a call.
 pub fn suspicion(node: &Node, call: &Call) -> Suspicion {
-    let may_know = lock(&node.quarantine).may_know(call.body_bytes());
-    if !may_know {
+    let may_be_known = lock(&node.quarantine).may_know(call.body_bytes());
+    if !may_be_known {
         return Suspicion::default();
     }
     lock(&node.quarantine).suspicion(call.mark(node))
@@ -74,8 +74,8 @@
 /// call was sent.
 pub async fn ended(node: &Arc<Node>, call: &Call, worker: (u64, &Arc<str>), knew_of_others: bool) {
     let mark = call.mark(node);
-    let before = note_end(node, call, worker, knew_of_others);
-    lasting::recall(node).await;
+    let before = record_worker_end(node, call, worker, knew_of_others);
+    lasting::load_once(node).await;
     let after = lock(&node.quarantine).suspicion(mark);
     if after.is_quarantined && !before.is_quarantined {
         warn!(node.log, "request quarantined"; "request" => call.id.clone(),
@@ -83,11 +83,11 @@
             "fingerprint" => mark.fingerprint.to_string(), "ends" => after.end_count);
         tokio::spawn(lasting::keep(Arc::clone(node)));
     }
-    tell(node, mark, after);
+    notify_peers(node, mark, after);
 }
 
 /// Notes the end of a worker; returns what was held against the request before.
-fn note_end(
+fn record_worker_end(
     node: &Node,
     call: &Call,
     (worker, id): (u64, &Arc<str>),
@@ -125,7 +125,7 @@
     };
     info!(node.log, "request cleared"; "fingerprint" => mark.fingerprint.to_string(),
         "ends" => before.end_count, "was_quarantined" => before.is_quarantined, "why" => why);
-    tell(node, mark, before);
+    notify_peers(node, mark, before);
     if before.is_quarantined {
         tokio::spawn(lasting::keep(Arc::clone(node)));
     }
@@ -134,20 +134,20 @@
 
 /// Tells what has changed of a request against which something is or was held: those who
 /// count its ends, and everybody where it matters to all.
-fn tell(node: &Node, mark: RequestMark, held: Suspicion) {
+fn notify_peers(node: &Node, mark: RequestMark, held: Suspicion) {
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).news_of(now_ms as i64, mark);
     let Some(news) = news else { return };
     let purpose = mark.fingerprint.purpose();
-    let counting = node
+    let recipients = node
         .peers()
         .members()
-        .first(now_ms, purpose, COUNTED_BY_COUNT);
-    for instance in counting {
+        .first(now_ms, purpose, DIRECT_NOTIFY_COUNT);
+    for instance in recipients {
         let address = SocketAddr::from((instance, node.peer_port()));
         node.send_now(address, Message::Suspect(Box::new(news.clone())));
     }
-    note_counts(node);
+    update_gauges(node);
     if held.end_count > 1 {
         node.tell_news(Origin::Own);
     }
@@ -172,7 +172,7 @@
         }
     }
     if change > Change::None {
-        note_counts(node);
+        update_gauges(node);
     }
     if change == Change::Suspicion {
         node.tell_news(Origin::at(node.distance_to(sender)));
@@ -205,18 +205,18 @@
     let now_ms = node.now_ms() as i64;
     let quarantine = lock(&node.quarantine);
     let listed = quarantine.list();
-    listed.map(|listed| shown(now_ms, &listed)).collect()
+    listed.map(|listed| describe(now_ms, &listed)).collect()
 }
 
 /// Writes one request for operators.
-fn shown(now_ms: i64, listed: &Listed) -> Shown {
-    let name = |key: u64| {
+fn describe(now_ms: i64, listed: &Listed) -> Shown {
+    let worker_name = |key: u64| {
         let mut seen = listed.seen.workers.iter();
-        let seen = seen.find(|(of, _)| *of == key);
+        let seen = seen.find(|(seen_key, _)| *seen_key == key);
         seen.map_or_else(|| format!("{key:016x}"), |(_, id)| id.to_string())
     };
-    let ends = listed.ends.iter().map(|end| ShownEnd {
-        worker: name(end.worker),
+    let ends = listed.ends.iter().map(|end| WorkerEnd {
+        worker: worker_name(end.worker),
         age_ms: now_ms - end.at_ms,
     });
     Shown {
@@ -230,7 +230,7 @@
 }
 
 /// Brings the gauges up to what is known.
-fn note_counts(node: &Node) {
+fn update_gauges(node: &Node) {
     let quarantine = lock(&node.quarantine);
     let metrics = &node.metrics;
     metrics
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -31,21 +31,21 @@
 const KEY: &str = "requests";
 
 /// Requests that the row holds at most, those asked for last.
-const LASTING_MAX_COUNT: usize = 64;
+const STORED_MAX_COUNT: usize = 64;
 
 /// Times that the row is written before it is left as it is: others, or the next
 /// change, bring it up to date.
-const WRITE_MAX_COUNT: usize = 5;
+const WRITE_ATTEMPT_MAX_COUNT: usize = 5;
 
 /// Pause after a call that failed, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 1_000;
+const RETRY_DELAY_MS: u64 = 1_000;
 
 /// Whether the row has been read since the start.
 #[derive(Debug, Default)]
 pub struct Lasting {
-    is_read: OnceCell<()>,
+    is_loaded: OnceCell<()>,
     /// Until when no other read is tried, in milliseconds.
-    wait_until_ms: AtomicU64,
+    retry_at_ms: AtomicU64,
 }
 
 /// The row as it was read.
@@ -55,17 +55,17 @@
 }
 
 /// Reads the row unless it has been read.
-pub async fn recall(node: &Node) {
+pub async fn load_once(node: &Node) {
     let lasting = &node.lasting;
     let now_ms = node.now_ms();
-    if lasting.is_read.initialized() || now_ms < lasting.wait_until_ms.load(Ordering::Acquire) {
+    if lasting.is_loaded.initialized() || now_ms < lasting.retry_at_ms.load(Ordering::Acquire) {
         return;
     }
-    let recalling = lasting.is_read.get_or_try_init(async || {
+    let loading = lasting.is_loaded.get_or_try_init(async || {
         let row = read(node).await?;
         let now_ms = node.now_ms() as i64;
         let mut quarantine = lock(&node.quarantine);
-        for news in row.requests.iter().take(LASTING_MAX_COUNT) {
+        for news in row.requests.iter().take(STORED_MAX_COUNT) {
             // One that has been cleared meanwhile isn't brought back.
             if !quarantine.is_cleared(news.mark()) {
                 quarantine.take(now_ms, news);
@@ -75,31 +75,29 @@
         info!(node.log, "quarantine recalled"; "requests" => row.requests.len());
         Ok::<(), StoreError>(())
     });
-    if let Err(error) = recalling.await {
+    if let Err(error) = loading.await {
         warn!(node.log, "quarantine not recalled"; "error" => error.to_string());
-        let wait_until_ms = node.now_ms() + FAILED_PAUSE_MS;
-        lasting
-            .wait_until_ms
-            .store(wait_until_ms, Ordering::Release);
+        let retry_at_ms = node.now_ms() + RETRY_DELAY_MS;
+        lasting.retry_at_ms.store(retry_at_ms, Ordering::Release);
     }
 }
 
 /// Whether something is known here that the row should hold.
 pub fn has_some(node: &Node) -> bool {
     let now_ms = node.now_ms() as i64;
-    let kept = lock(&node.quarantine).lasting(now_ms, &[], LASTING_MAX_COUNT);
+    let kept = lock(&node.quarantine).lasting(now_ms, &[], STORED_MAX_COUNT);
     !kept.is_empty()
 }
 
 /// Brings the row up to what is known here.
 pub async fn keep(node: Arc<Node>) {
-    for _try in 0..WRITE_MAX_COUNT {
+    for _try in 0..WRITE_ATTEMPT_MAX_COUNT {
         match write(&node).await {
             Ok(true) => return,
             Ok(false) => {}
             Err(error) => {
                 warn!(node.log, "quarantine not kept"; "error" => error.to_string());
-                pause(FAILED_PAUSE_MS).await;
+                pause(RETRY_DELAY_MS).await;
             }
         }
     }
@@ -131,12 +129,14 @@
 async fn write(node: &Node) -> Result<bool, StoreError> {
     let row = read(node).await?;
     let requests =
-        lock(&node.quarantine).lasting(node.now_ms() as i64, &row.requests, LASTING_MAX_COUNT);
-    let are_same = requests.len() == row.requests.len()
-        && requests
-            .iter()
-            .all(|of| row.requests.iter().any(|held| held.mark() == of.mark()));
-    if are_same {
+        lock(&node.quarantine).lasting(node.now_ms() as i64, &row.requests, STORED_MAX_COUNT);
+    let is_unchanged = requests.len() == row.requests.len()
+        && requests.iter().all(|request| {
+            row.requests
+                .iter()
+                .any(|stored| stored.mark() == request.mark())
+        });
+    if is_unchanged {
         return Ok(true);
     }
     let name = RowName {
--- a/crates/cranereach-gateway/src/recent.rs
+++ b/crates/cranereach-gateway/src/recent.rs
@@ -1,18 +1,20 @@
 //! News that peers are told for some rounds, each by all who have just learnt of it.
 
 /// Time for which each is told, in milliseconds.
-const TOLD_FOR_MS: u64 = 4_000;
+const GOSSIP_FOR_MS: u64 = 4_000;
 
 /// News that are told for a while.
 #[derive(Debug)]
 pub struct Recent<T> {
     /// When each was learnt, in milliseconds.
-    learnt: Vec<(u64, T)>,
+    entries: Vec<(u64, T)>,
 }
 
 impl<T> Default for Recent<T> {
     fn default() -> Self {
-        Self { learnt: Vec::new() }
+        Self {
+            entries: Vec::new(),
+        }
     }
 }
 
@@ -28,20 +30,20 @@
     /// assert!(!recent.learn(2_000, &[7], |known, new| known == new));
     /// assert_eq!(recent.told().collect::<Vec<_>>(), [7, 8]);
     /// ```
-    pub fn learn(&mut self, now_ms: u64, news: &[T], is_like: impl Fn(&T, &T) -> bool) -> bool {
-        self.learnt
-            .retain(|(at_ms, _)| now_ms < at_ms + TOLD_FOR_MS);
-        let before = self.learnt.len();
+    pub fn learn(&mut self, now_ms: u64, news: &[T], is_same: impl Fn(&T, &T) -> bool) -> bool {
+        self.entries
+            .retain(|(at_ms, _)| now_ms < at_ms + GOSSIP_FOR_MS);
+        let before = self.entries.len();
         for new in news {
-            if !self.learnt.iter().any(|(_, known)| is_like(known, new)) {
-                self.learnt.push((now_ms, *new));
+            if !self.entries.iter().any(|(_, known)| is_same(known, new)) {
+                self.entries.push((now_ms, *new));
             }
         }
-        self.learnt.len() > before
+        self.entries.len() > before
     }
 
     /// Lists what is told.
     pub fn told(&self) -> impl Iterator<Item = T> {
-        self.learnt.iter().map(|(_, news)| *news)
+        self.entries.iter().map(|(_, news)| *news)
     }
 }
--- a/crates/cranereach-gateway/src/rests.rs
+++ b/crates/cranereach-gateway/src/rests.rs
@@ -12,12 +12,12 @@
 /// Takes the wish of a worker for a rest of so many milliseconds.
 pub fn heard(node: &Node, permit: &Permit, for_ms: u64) {
     let now_ms = node.now_ms();
-    let is_later = {
+    let is_extended = {
         let mut roster = node.roster();
         let worker = roster.get_mut(&permit.worker);
         worker.is_some_and(|worker| worker.rest.asked(now_ms, for_ms))
     };
-    if is_later {
+    if is_extended {
         info!(node.log, "worker rests"; "worker" => permit.worker.as_ref(), "for_ms" => for_ms,
             "purpose" => permit.purpose.name());
         // Calls that wait for it look elsewhere.
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -3,7 +3,7 @@
 //! A [`Finder`] says when this instance has to read, and where. What a read changes
 //! goes to all peers at once, so that in calm times one instance reads for all.
 
-mod departures;
+mod row_changes;
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use slog::info;
 use slog::warn;
 
-use self::departures::Departures;
+use self::row_changes::RowChanges;
 use crate::adapter::Row;
 use crate::bodies;
 use crate::list_bodies;
@@ -37,12 +37,12 @@
 
 /// Rows of one change that are logged one by one: where thousands of workers come up, lines
 /// take more processor time than all else.
-const TOLD_MAX_COUNT: usize = 64;
+const LOGGED_MAX_COUNT: usize = 64;
 
 /// Time by which a word that the list is still the newest must be younger than what is
 /// known to be passed on, in milliseconds: much less than the bound, and much more than
 /// what words from several peers differ by.
-const PASSED_ON_FROM_MS: u64 = 250;
+const REBROADCAST_MIN_ADVANCE_MS: u64 = 250;
 
 /// Runs until the process ends.
 pub async fn run(node: Arc<Node>) {
@@ -149,9 +149,9 @@
     };
     let known_at_ms = lock(&node.list).known_at_ms();
     take_part(node, true_at_ms, position, span, rows);
-    let is_much_younger =
-        known_at_ms.is_none_or(|known_ms| known_ms + PASSED_ON_FROM_MS < true_at_ms);
-    if position > known_position || is_much_younger {
+    let is_much_fresher =
+        known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < true_at_ms);
+    if position > known_position || is_much_fresher {
         node.tell_list(Origin::at(node.distance_to(sender)));
     }
     verdict
@@ -199,44 +199,44 @@
     if changed.is_empty() {
         return;
     }
-    let departures = take_rows(node, changed, lapse_until_ms);
+    let changes = take_rows(node, changed, lapse_until_ms);
     let ended = changed.iter().filter(|row| row.value.is_none());
-    for row in ended.take(TOLD_MAX_COUNT) {
+    for row in ended.take(LOGGED_MAX_COUNT) {
         info!(node.log, "worker gone"; "worker" => &row.key, "position" => %row.position,
             "lapsed_until_ms" => lapse_until_ms);
     }
-    note_leaving(node, now_ms, &departures.leaving);
-    node.forget_pools(&departures.ended);
+    note_leaving(node, now_ms, &changes.leaving);
+    node.forget_pools(&changes.ended);
     node.roster_changed.notify_waiters();
     node.controller_wanted.notify_one();
 }
 
 /// Takes changed rows into the roster, and returns who leaves or is gone by them.
-fn take_rows(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> Departures {
+fn take_rows(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowChanges {
     let mut roster = node.roster();
     // Those of the first list were there before this instance.
     let are_new = roster.workers().next().is_some();
-    let mut departures = Departures {
+    let mut changes = RowChanges {
         are_new,
-        are_told_of: are_new && changed.len() <= TOLD_MAX_COUNT,
-        ..Departures::default()
+        are_logged: are_new && changed.len() <= LOGGED_MAX_COUNT,
+        ..RowChanges::default()
     };
     if !are_new {
         info!(node.log, "first list of workers"; "rows" => changed.len());
-    } else if changed.len() > TOLD_MAX_COUNT {
+    } else if changed.len() > LOGGED_MAX_COUNT {
         info!(node.log, "many workers changed"; "rows" => changed.len());
     }
     for row in changed {
         match &row.value {
-            None => departures.end(&mut roster, row, lapse_until_ms),
+            None => changes.end(&mut roster, row, lapse_until_ms),
             Some(value) => {
-                if let Some(record) = departures::parse(node, &row.key, value) {
-                    departures.put(node, &mut roster, row, record);
+                if let Some(record) = row_changes::parse(node, &row.key, value) {
+                    changes.put(node, &mut roster, row, record);
                 }
             }
         }
     }
-    departures
+    changes
 }
 
 /// Notes that the list was complete at a time; returns until when rows that end may only
@@ -294,7 +294,7 @@
 }
 
 /// Passes on that a worker leaves, as a peer has told.
-pub fn pass_leaving_on(node: &Node, key: u64, position: StorePosition) {
+pub fn forward_leaving(node: &Node, key: u64, position: StorePosition) {
     note_leaving(node, node.now_ms(), &[(key, position)]);
 }
 
--- a/crates/cranereach-gateway/src/roster_sync/departures.rs
+++ b/crates/cranereach-gateway/src/roster_sync/row_changes.rs
@@ -15,7 +15,7 @@
 
 /// Workers that changed rows say to be leaving or gone.
 #[derive(Debug, Default)]
-pub(super) struct Departures {
+pub(super) struct RowChanges {
     /// Workers that leave or are gone: key, position.
     pub(super) leaving: Vec<(u64, StorePosition)>,
     /// Workers that are gone, or have started again.
@@ -23,10 +23,10 @@
     /// Whether workers that aren't known yet have just started.
     pub(super) are_new: bool,
     /// Whether each is logged.
-    pub(super) are_told_of: bool,
+    pub(super) are_logged: bool,
 }
 
-impl Departures {
+impl RowChanges {
     /// Takes the row of a worker.
     pub(super) fn put(
         &mut self,
@@ -37,7 +37,7 @@
     ) {
         let before = roster.get(&record.id);
         let is_known = before.is_some_and(|worker| worker.record.is_leaving == record.is_leaving);
-        if !is_known && (self.are_told_of || record.is_leaving) {
+        if !is_known && (self.are_logged || record.is_leaving) {
             info!(node.log, "worker listed"; "worker" => &row.key, "position" => %row.position,
                 "leaving" => record.is_leaving, "address" => &record.address);
         }
--- a/crates/cranereach-gateway/src/send_grants.rs
+++ b/crates/cranereach-gateway/src/send_grants.rs
@@ -30,7 +30,7 @@
 
 /// Why a worker gets only so many requests.
 #[derive(Clone, Copy, Debug)]
-struct Need {
+struct SendConstraint {
     is_cold: bool,
     limit: Option<LimitWord>,
 }
@@ -41,19 +41,19 @@
 /// was declared of callers' requests.
 pub async fn may_send(node: &Node, worker: &Arc<str>, purpose: Purpose, rank: u8) -> bool {
     let asked_at_ms = node.now_ms();
-    let Some(need) = need(node, worker, purpose) else {
+    let Some(constraint) = constraint(node, worker, purpose) else {
         return true;
     };
-    let answer = ask(node, worker_key(worker), need, rank).await;
+    let answer = ask(node, worker_key(worker), constraint, rank).await;
     // An answer that waited in a stopped process is worth nothing any more.
     let now_ms = node.now_ms();
-    let in_time = answer.filter(|_| now_ms <= asked_at_ms + USE_WITHIN_MS);
-    let (outcome, wait_ms) = match in_time {
+    let timely_answer = answer.filter(|_| now_ms <= asked_at_ms + USE_WITHIN_MS);
+    let (outcome, wait_ms) = match timely_answer {
         Some(SendAnswer::Send) => ("granted", 0),
         Some(SendAnswer::After(wait_ms)) => ("refused", wait_ms),
         None => ("unanswered", UNANSWERED_PAUSE_MS),
     };
-    let reason = if need.limit.is_some() {
+    let reason = if constraint.limit.is_some() {
         "limited"
     } else {
         "cold"
@@ -71,7 +71,7 @@
 }
 
 /// Returns why a worker gets only so many requests; none if it gets all.
-fn need(node: &Node, worker: &str, purpose: Purpose) -> Option<Need> {
+fn constraint(node: &Node, worker: &str, purpose: Purpose) -> Option<SendConstraint> {
     let now_ms = node.now_ms();
     let (may_be_cold, limit, service) = {
         let roster = node.roster();
@@ -87,7 +87,7 @@
         .service(&service)
         .and_then(|service| service.cold_start);
     let is_cold = may_be_cold && cold_start.is_some();
-    (is_cold || limit.is_some()).then_some(Need { is_cold, limit })
+    (is_cold || limit.is_some()).then_some(SendConstraint { is_cold, limit })
 }
 
 /// Returns the word on a worker's limit if one holds now.
@@ -97,25 +97,25 @@
 }
 
 /// Asks the owner of a worker for one request; none if it doesn't answer.
-async fn ask(node: &Node, worker: u64, need: Need, rank: u8) -> Option<SendAnswer> {
+async fn ask(node: &Node, worker: u64, constraint: SendConstraint, rank: u8) -> Option<SendAnswer> {
     let mut question = node.grant_questions.open();
     let ask = GrantAsk {
         ticket: question.ticket,
         worker,
         rank,
-        is_cold: need.is_cold,
-        limit: need.limit,
+        is_cold: constraint.is_cold,
+        limit: constraint.limit,
     };
     let owner = send_grants::other_owner(node.peers().members(), node.now_ms(), worker);
     let Some(owner) = owner else {
         return grant(node, &ask).map(|(answer, _limit)| answer);
     };
-    let due = node.instant(node.now_ms() + USE_WITHIN_MS);
+    let deadline = node.instant(node.now_ms() + USE_WITHIN_MS);
     node.send_now(
         SocketAddr::from((owner, node.peer_port())),
         Message::MaySend(ask),
     );
-    let answered = tokio::time::timeout_at(due, question.answers.recv()).await;
+    let answered = tokio::time::timeout_at(deadline, question.answers.recv()).await;
     let granted = answered.ok().flatten()?;
     if let Some(limit) = &granted.limit {
         named_limits::note_told(node, worker, limit);
@@ -167,17 +167,17 @@
     };
     let bounds = &node.settings.bounds;
     let cold_start = node.service(&service)?.cold_start.filter(|_| ask.is_cold);
-    let of_cold = cold_start.map(|cold_start| {
+    let cold_rule = cold_start.map(|cold_start| {
         SendRule::of_cold(
             cold_start.rate_per_s,
             bounds.cold_excess_ratio,
             bounds.cold_allowance_count,
         )
     });
-    let of_limit = limit
+    let limit_rule = limit
         .and_then(|word| word.rate_per_s)
         .map(SendRule::of_limit);
-    let rules: Vec<SendRule> = of_cold.into_iter().chain(of_limit).collect();
+    let rules: Vec<SendRule> = cold_rule.into_iter().chain(limit_rule).collect();
     let ownership = Ownership::of(node.peers().members(), now_ms, ask.worker, now_ms);
     let answer = lock(&node.send_grants).ask(now_ms, ask.worker, &rules, ask.rank, ownership);
     Some((answer, limit))
--- a/crates/cranereach-gateway/src/unknown_words.rs
+++ b/crates/cranereach-gateway/src/unknown_words.rs
@@ -19,7 +19,7 @@
 const NAME_MAX_COUNT: usize = 16;
 
 /// Name under which the metrics count all further ones.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 /// Names that were seen.
 #[derive(Debug, Default)]
@@ -32,11 +32,11 @@
 pub fn note(node: &Node, worker: &str, (status, headers): (StatusCode, &HeaderMap)) {
     for name in headers.keys() {
         // Where it turns something away it is read; on success it is the caller's.
-        let is_odd_rest = name == RETRY_AFTER
+        let is_unexpected_retry_after = name == RETRY_AFTER
             && status != StatusCode::SERVICE_UNAVAILABLE
             && !status.is_success();
-        if is_odd_rest || is_unknown(node, name) {
-            note_one(node, worker, name.as_str());
+        if is_unexpected_retry_after || is_unknown(node, name) {
+            count_and_log(node, worker, name.as_str());
         }
     }
 }
@@ -52,21 +52,21 @@
 fn is_unknown(node: &Node, name: &HeaderName) -> bool {
     let names = &node.adapter.headers;
     let mut prefixes = names.worker_prefixes.iter();
-    let is_word = prefixes.any(|prefix| name.as_str().starts_with(prefix));
-    is_word && !names.worker_known.contains(&name.as_str())
+    let has_worker_prefix = prefixes.any(|prefix| name.as_str().starts_with(prefix));
+    has_worker_prefix && !names.worker_known.contains(&name.as_str())
 }
 
 /// Counts one, and logs a new name.
-fn note_one(node: &Node, worker: &str, name: &str) {
+fn count_and_log(node: &Node, worker: &str, name: &str) {
     let mut names = lock(&node.unknown_words.names);
     let is_seen = names.contains(name);
-    let is_told = is_seen || names.len() < NAME_MAX_COUNT;
-    if is_told && !is_seen {
+    let is_tracked = is_seen || names.len() < NAME_MAX_COUNT;
+    if is_tracked && !is_seen {
         names.insert(name.to_owned());
         warn!(node.log, "unknown word of a worker"; "worker" => worker, "header" => name);
     }
     drop(names);
-    let label = if is_told { name } else { OTHER };
+    let label = if is_tracked { name } else { OTHER_LABEL };
     let counter = &node.metrics.unknown_words_total;
     counter.with_label_values(&[label]).inc();
 }
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -22,24 +22,24 @@
 
 /// Time from the break of a connection to the try, in milliseconds: a process that ends
 /// may close its open connections a little before it stops listening. Repeats wait for it.
-const TRY_AFTER_MS: u64 = 10;
+const PROBE_DELAY_MS: u64 = 10;
 
 /// Time to connect, in milliseconds.
-const CONNECT_WITHIN_MS: u64 = 250;
+const CONNECT_TIMEOUT_MS: u64 = 250;
 
 /// Time for which a connection must stay open, in milliseconds, to speak for the worker.
-const HELD_FOR_MS: u64 = 10;
+const MIN_OPEN_MS: u64 = 10;
 
 /// Time for which one try answers for all connections to the worker that break, in
 /// milliseconds: the requests that an end breaks off come to light within some.
-const TRIED_FOR_MS: u64 = 500;
+const PROBE_RESULT_TTL_MS: u64 = 500;
 
 /// Time for which the list is looked at for a worker that can't be reached, in
 /// milliseconds: rows end some 4 s after their workers.
-const LISTED_FOR_MS: u64 = 6_000;
+const DELISTING_TIMEOUT_MS: u64 = 6_000;
 
 /// Time between two looks at the list, in milliseconds.
-const LOOK_EVERY_MS: u64 = 100;
+const LIST_POLL_INTERVAL_MS: u64 = 100;
 
 /// What became of a worker whose connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,61 +77,61 @@
 
 /// One try of a worker.
 #[derive(Debug)]
-struct Try {
-    begun_at_ms: u64,
+struct Probe {
+    started_at_ms: u64,
     /// What it found, once it has.
-    found: Arc<OnceCell<Found>>,
+    result: Arc<OnceCell<Found>>,
 }
 
 /// Tries of workers whose connections broke lately.
 #[derive(Debug, Default)]
 pub struct Tries {
-    by_worker: Mutex<HashMap<Arc<str>, Try>>,
+    by_worker: Mutex<HashMap<Arc<str>, Probe>>,
 }
 
 /// Finds out what became of a worker whose connection has just broken: at once, but for
 /// workers out of reach, whose row is waited for.
 pub async fn find(node: &Node, worker: &Arc<str>) -> Found {
-    if !is_meant_to_stay(node, worker) {
+    if !is_expected_to_run(node, worker) {
         return Found::Planned;
     }
-    let start = start_of(node, worker);
-    let cell = node.tries.of(node.now_ms(), worker);
-    let found = *cell.get_or_init(|| try_it(node, worker)).await;
+    let incarnation = incarnation_of(node, worker);
+    let result_cell = node.tries.current(node.now_ms(), worker);
+    let found = *result_cell.get_or_init(|| probe(node, worker)).await;
     if found == Found::OutOfReach {
-        return delisted(node, worker, start).await;
+        return wait_for_delisting(node, worker, incarnation).await;
     }
     found
 }
 
 impl Tries {
     /// Returns the try that answers for a worker now.
-    fn of(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<Found>> {
-        let mut tries = lock(&self.by_worker);
-        tries.retain(|_, of| now_ms < of.begun_at_ms + TRIED_FOR_MS);
-        let of = tries.entry(Arc::clone(worker)).or_insert_with(|| Try {
-            begun_at_ms: now_ms,
-            found: Arc::default(),
+    fn current(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<Found>> {
+        let mut probes = lock(&self.by_worker);
+        probes.retain(|_, probe| now_ms < probe.started_at_ms + PROBE_RESULT_TTL_MS);
+        let probe = probes.entry(Arc::clone(worker)).or_insert_with(|| Probe {
+            started_at_ms: now_ms,
+            result: Arc::default(),
         });
-        Arc::clone(&of.found)
+        Arc::clone(&probe.result)
     }
 }
 
 /// Returns the key of the start of a worker that is listed.
-fn start_of(node: &Node, worker: &str) -> Option<u64> {
+fn incarnation_of(node: &Node, worker: &str) -> Option<u64> {
     let roster = node.roster();
     roster.get(worker).map(|known| known.record.start_key())
 }
 
 /// Whether a worker is listed and doesn't leave.
-fn is_meant_to_stay(node: &Node, worker: &str) -> bool {
+fn is_expected_to_run(node: &Node, worker: &str) -> bool {
     let roster = node.roster();
     roster.get(worker).is_some_and(|known| !known.is_leaving())
 }
 
 /// Tries to connect to a worker.
-async fn try_it(node: &Node, worker: &Arc<str>) -> Found {
-    pause(TRY_AFTER_MS).await;
+async fn probe(node: &Node, worker: &Arc<str>) -> Found {
+    pause(PROBE_DELAY_MS).await;
     let address = node
         .roster()
         .get(worker)
@@ -140,11 +140,11 @@
         return Found::Planned;
     };
     let pool = node.pool(worker, &address);
-    let within = Duration::from_millis(CONNECT_WITHIN_MS);
-    match tokio::time::timeout(within, pool.make()).await {
+    let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+    match tokio::time::timeout(connect_timeout, pool.make()).await {
         Ok(Ok(connection)) => {
             node.metrics.connections_total.inc();
-            pause(HELD_FOR_MS).await;
+            pause(MIN_OPEN_MS).await;
             if connection.is_closed() {
                 return Found::OutOfReach;
             }
@@ -160,16 +160,16 @@
 
 /// Waits for the end of the row of a worker that takes no connection, or for that of its
 /// next start.
-async fn delisted(node: &Node, worker: &str, start: Option<u64>) -> Found {
-    let until_ms = node.now_ms() + LISTED_FOR_MS;
+async fn wait_for_delisting(node: &Node, worker: &str, incarnation: Option<u64>) -> Found {
+    let until_ms = node.now_ms() + DELISTING_TIMEOUT_MS;
     while node.now_ms() < until_ms {
-        if start_of(node, worker) != start {
+        if incarnation_of(node, worker) != incarnation {
             return Found::Delisted;
         }
-        if !is_meant_to_stay(node, worker) {
+        if !is_expected_to_run(node, worker) {
             return Found::Planned;
         }
-        pause(LOOK_EVERY_MS).await;
+        pause(LIST_POLL_INTERVAL_MS).await;
     }
     Found::OutOfReach
 }
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_words.rs
@@ -28,13 +28,13 @@
 
 /// Time before a worker's own limit from which a connection isn't used again, in
 /// milliseconds.
-const REST_MARGIN_MS: u64 = 150;
+const KEEP_ALIVE_MARGIN_MS: u64 = 150;
 
 /// Header by which a server tells how long a connection may rest.
 const KEEP_ALIVE: &str = "keep-alive";
 
 /// Header by which whoever turns a request away says when to come back.
-const REST_HEADER: &str = "retry-after";
+const RETRY_AFTER_HEADER: &str = "retry-after";
 
 /// What the head of an answer says of the worker that made it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -66,15 +66,15 @@
     ) -> Self {
         let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let author = headers.get(names.answered_by);
-        let is_other = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
-        let load = headers.get(names.load).map(said_load);
+        let is_other_worker = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
+        let load = headers.get(names.load).map(parse_load);
         // Elsewhere the header is for the caller, or for one account.
         let rest = match status {
-            StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, REST_HEADER)),
+            StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, RETRY_AFTER_HEADER)),
             _ => rest::Said::Nothing,
         };
         Self {
-            is_of_another: is_misdirected || is_other,
+            is_of_another: is_misdirected || is_other_worker,
             is_not_run: is_misdirected || headers.contains_key(names.not_run),
             load: load.flatten(),
             is_load_unreadable: load == Some(None),
@@ -92,7 +92,7 @@
     node: &Node,
     permit: &Permit,
     head: (StatusCode, &HeaderMap),
-    is_asked_for: bool,
+    is_expected_response: bool,
 ) -> WorkerWords {
     let (status, _headers) = head;
     let words = WorkerWords::read(&node.adapter.headers, &permit.worker, head);
@@ -105,26 +105,27 @@
         departures::heard(node, permit);
     }
     // Of a start that is over only its leaving is of use: its row may come back.
-    if !is_listed_start(node, permit) {
+    if !is_listed_incarnation(node, permit) {
         return words;
     }
-    if let (Some(load), true) = (words.load, is_asked_for) {
+    if let (Some(load), true) = (words.load, is_expected_response) {
         let now_ms = node.now_ms();
         if let Some(worker) = node.roster().get_mut(&permit.worker) {
             worker.said(now_ms, load);
         }
     }
-    named_limits::heard(node, permit, words.limit, status, is_asked_for);
+    named_limits::heard(node, permit, words.limit, status, is_expected_response);
     if let rest::Said::For(for_ms) = words.rest {
         rests::heard(node, permit, for_ms);
-    } else if is_asked_for && !words.is_not_run && status != StatusCode::SERVICE_UNAVAILABLE {
+    } else if is_expected_response && !words.is_not_run && status != StatusCode::SERVICE_UNAVAILABLE
+    {
         rests::note_taken(node, permit);
     }
     words
 }
 
 /// Whether the start that a request was meant for is the one that is listed.
-fn is_listed_start(node: &Node, permit: &Permit) -> bool {
+fn is_listed_incarnation(node: &Node, permit: &Permit) -> bool {
     let roster = node.roster();
     let known = roster.get(&permit.worker);
     known.is_some_and(|known| known.record.started_unix_ms == permit.started_unix_ms)
@@ -145,9 +146,13 @@
             "leaving",
             names.leaving,
         ),
-        (words.rest == rest::Said::Unreadable, "rest", REST_HEADER),
+        (
+            words.rest == rest::Said::Unreadable,
+            "rest",
+            RETRY_AFTER_HEADER,
+        ),
     ];
-    for (_, source, header) in unreadable.iter().filter(|(is_so, ..)| *is_so) {
+    for (_, source, header) in unreadable.iter().filter(|(is_set, ..)| *is_set) {
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&[source]).inc();
         unknown_words::note_unreadable(node, worker, header);
@@ -166,7 +171,7 @@
 }
 
 /// Reads a worker's load: running, waiting, slots.
-fn said_load(value: &HeaderValue) -> Option<SaidLoad> {
+fn parse_load(value: &HeaderValue) -> Option<SaidLoad> {
     let text = value.to_str().ok()?;
     let mut counts = text.split(',').map(|count| count.trim().parse().ok());
     Some(SaidLoad {
@@ -180,23 +185,25 @@
     if has_option(headers, &CONNECTION, "close") {
         return None;
     }
-    let said_s = text(headers, KEEP_ALIVE).and_then(|value| {
-        let mut given = value
+    let timeout_s = text(headers, KEEP_ALIVE).and_then(|value| {
+        let mut timeouts = value
             .split(',')
             .filter_map(|part| part.trim().strip_prefix("timeout="));
-        given.next()?.trim().parse::<u64>().ok()
+        timeouts.next()?.trim().parse::<u64>().ok()
     });
-    let rest_ms = said_s.map_or(REST_UNSAID_MS, |said_s| {
-        said_s.saturating_mul(1_000).saturating_sub(REST_MARGIN_MS)
+    let keep_alive_ms = timeout_s.map_or(REST_UNSAID_MS, |timeout_s| {
+        timeout_s
+            .saturating_mul(1_000)
+            .saturating_sub(KEEP_ALIVE_MARGIN_MS)
     });
-    (rest_ms > 0).then_some(rest_ms)
+    (keep_alive_ms > 0).then_some(keep_alive_ms)
 }
 
 /// Whether a header lists an option.
 fn has_option(headers: &HeaderMap, name: &HeaderName, option: &str) -> bool {
     let values = headers.get_all(name).into_iter();
-    let mut listed = values
+    let mut options = values
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','));
-    listed.any(|listed| listed.trim().eq_ignore_ascii_case(option))
+    options.any(|listed| listed.trim().eq_ignore_ascii_case(option))
 }
