--- a/crates/cranereach-gateway/src/cold.rs
+++ b/crates/cranereach-gateway/src/cold.rs
@@ -1,16 +1,15 @@
-//! Notes which workers may be cold. [`crate::send_grants`] asks whether they may be sent
-//! something.
+//! Marks workers that may be cold, for which [`crate::send_grants`] limits the request rate.
 
 use slog::info;
 
 use crate::node::Node;
 use cranereach_fleet::roster::Roster;
 
-/// Longest time that a row may say a worker is still cold for, in milliseconds.
+/// Upper bound on the remaining cold time accepted from a worker's row, in milliseconds.
 const COLD_MAX_MS: u64 = 120_000;
 
-/// Notes what a row says of a worker, or that it is new: its start may have been during
-/// traffic, whatever the row says.
+/// Marks a worker as cold according to its row, or because it is new: it may have started under
+/// traffic even if its row does not say so.
 pub fn note_listed(node: &Node, roster: &mut Roster, id: &str, is_new: bool) {
     let now_ms = node.now_ms();
     let Some(worker) = roster.get_mut(id) else {
@@ -30,8 +29,8 @@
     }
 }
 
-/// Notes that a worker was reached again that could not be reached: it, or its whole
-/// failure domain, may have started anew.
+/// Records that an unreachable worker has been reached again. The worker, or its whole failure
+/// domain, may have restarted.
 pub fn note_reached(node: &Node, id: &str) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
@@ -47,8 +46,8 @@
     }
 }
 
-/// Notes that the evacuation of failure domains has ended: their workers may have
-/// become cold meanwhile.
+/// Records that the evacuation of failure domains has ended. Their workers may have become cold in
+/// the meantime.
 pub fn note_evacuations_ended(node: &Node, domains: &[u64]) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
@@ -58,7 +57,7 @@
     }
 }
 
-/// Returns for how long a worker of a service is cold after its start, in milliseconds.
+/// Returns the time for which a worker of a service is cold after its start, in milliseconds.
 fn cold_period_ms(node: &Node, service: &str) -> u64 {
     let cold_start = node.service(service).and_then(|service| service.cold_start);
     cold_start.map_or(0, |cold_start| cold_start.for_ms)
--- a/crates/cranereach-gateway/src/departures.rs
+++ b/crates/cranereach-gateway/src/departures.rs
@@ -1,9 +1,9 @@
-//! Hears from answers and from other instances which workers leave, and stops sending to
-//! them at once.
+//! Tracks workers that announce that they are leaving, from their responses and from other
+//! instances, and stops sending to them at once.
 //!
-//! See [`cranereach_fleet::departure`]. Who learns of one tells it on with its digests for
-//! some seconds, and owners tell whoever asks them how the worker stands: a store that is
-//! silent would tell nobody.
+//! See [`cranereach_fleet::departure`]. An instance that learns of a departure repeats it in its
+//! digests for some seconds, and owners include it in their answers about a worker. The store is
+//! not relied on for this, because it may be unavailable.
 
 use std::sync::Arc;
 
@@ -17,10 +17,11 @@
 use cranereach_fleet::departure::Teller;
 use cranereach_fleet::key::worker_key;
 
-/// Departures that one digest tells at most; where more are told, each digest draws others.
+/// Maximum number of departures in one digest; if there are more, each digest contains a random
+/// sample.
 const GOSSIPED_MAX_COUNT: usize = 64;
 
-/// Takes the word of a worker that it leaves.
+/// Applies a worker's announcement that it is leaving.
 pub fn heard(node: &Node, permit: &Permit) {
     let now_ms = node.now_ms();
     let (is_new, news) = {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Takes another instance's words on workers that leave, and tells on what is new.
+/// Applies departures reported by another instance, and passes on those that are new.
 pub fn take(node: &Node, reported: &[DepartureNews]) {
     if reported.is_empty() {
         return;
@@ -58,20 +59,20 @@
     tell(node, now_ms, &new);
 }
 
-/// Takes the word of a worker's owner that a start of it leaves.
+/// Applies the report of a worker's owner that the given incarnation of the worker is leaving.
 pub fn take_owners(node: &Node, worker: u64, start: Option<u64>) {
     if let Some(start) = start {
         take(node, &[DepartureNews { worker, start }]);
     }
 }
 
-/// Returns what a digest tells.
+/// Returns the departures for the next digest.
 pub fn news(node: &Node) -> Vec<DepartureNews> {
     let recent = lock(&node.recent_departures);
     recent.told().sample(&mut rand::rng(), GOSSIPED_MAX_COUNT)
 }
 
-/// Returns what an instance is told that knows no worker yet.
+/// Returns the departures for an instance that does not know any workers yet.
 pub fn all(node: &Node) -> Vec<DepartureNews> {
     let roster = node.roster();
     let leaving = roster.workers().filter_map(|worker| {
@@ -83,17 +84,17 @@
     leaving.sample(&mut rand::rng(), GOSSIPED_MAX_COUNT)
 }
 
-/// Tells peers with the next digests.
+/// Queues departures for the next digests to peers.
 pub(crate) fn tell(node: &Node, now_ms: u64, news: &[DepartureNews]) {
     if lock(&node.recent_departures).learn(now_ms, news, PartialEq::eq) {
         node.digest_wanted.notify_one();
     }
 }
 
-/// Logs that a worker leaves, and wakes whoever waits for it or orders it.
+/// Logs that a worker is leaving, and wakes the calls that wait for it and the controller.
 fn log_and_wake(node: &Node, worker: &str, teller: Teller) {
     info!(node.log, "worker leaves"; "worker" => worker, "by" => teller.name());
-    // Calls that wait for it look elsewhere, and what it holds is planned elsewhere.
+    // Waiting calls select another worker, and the controller places the worker's models elsewhere.
     node.roster_changed.notify_waiters();
     node.controller_wanted.notify_one();
 }
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -1,6 +1,6 @@
-//! What operators ask of failure domains, and how these stand, as the store shows it.
+//! Operator commands on failure domains, and the state of the domains according to the store.
 //!
-//! Nothing here asks an instance: the rows that all instances go by are what counts.
+//! No instance is contacted: the rows in the store are what all instances act on.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,70 +23,72 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Content of the row that asks for an evacuation; nobody reads it.
+/// Content of the row that requests an evacuation; it is never read.
 const ROW_VALUE: &[u8] = b"{}";
 
-/// One failure domain.
+/// State of one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DomainState {
-    /// Its name.
+    /// Name of the domain.
     pub name: String,
-    /// Version of the row that asks for its evacuation; none if nobody asks.
+    /// Version of the row that requests its evacuation; `None` if there is no request.
     pub evacuated_since_version: Option<u64>,
-    /// Workers there that take work.
+    /// Number of workers in the domain that accept work.
     pub ready_count: usize,
-    /// Workers there that leave.
+    /// Number of workers in the domain that are leaving.
     pub leaving_count: usize,
-    /// Those of all of them whose row says that they are cold.
+    /// Number of workers in the domain, leaving ones included, that are cold according to their
+    /// rows.
     pub cold_count: usize,
-    /// Models that no worker elsewhere holds, outside of evacuated failure domains.
+    /// Models held in this domain and by no worker elsewhere; workers that are leaving or in
+    /// evacuated failure domains do not count as holders elsewhere.
     pub only_here: Vec<String>,
 }
 
-/// Why a demand was not written.
+/// Reason why a request or withdrawal was not written.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DomainsError {
     /// Neither the settings nor a worker's row names the domain.
     #[error("failure domain {name:?} is not known; known are {}", known.join(", "))]
     Unknown {
-        /// The name.
+        /// Requested name.
         name: String,
-        /// Names that are known.
+        /// Known names.
         known: Vec<String>,
     },
-    /// Somebody else changed the row at the same time.
+    /// The row was changed concurrently.
     #[error("the demand was changed by somebody else meanwhile; look, and ask again")]
     Raced,
-    /// The settings name no adapter that there is.
+    /// The settings name an unknown adapter.
     #[error("platform adapter {0:?} doesn't exist")]
     Adapter(String),
-    /// The store.
+    /// A store call failed.
     #[error("the platform's store: {0}")]
     Store(#[from] StoreError),
 }
 
-/// What a demand did.
+/// Result of a request or withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Demanded {
-    /// It was written at a version of the store; the bound runs from its answer.
+    /// Written at this version of the store. The time bound runs from the store's response.
     At(u64),
-    /// It stood so already.
+    /// Nothing had to be changed.
     Already,
 }
 
-/// What the store says of failure domains.
+/// State of the store that is relevant to failure domains.
 #[derive(Clone, Debug, Default)]
 struct StoreSnapshot {
-    /// Names that the settings or a worker know.
+    /// Names that occur in the settings or at a worker.
     known: BTreeSet<String>,
-    /// Positions of the rows that ask for evacuations, by domain.
+    /// Positions of the rows that request evacuations, by domain.
     asked: BTreeMap<String, StorePosition>,
-    /// Position of a row that isn't there.
+    /// Expected position when writing a row that does not exist.
     absent: StorePosition,
     workers: Vec<WorkerRecord>,
 }
 
-/// Lists the failure domains, by name.
+/// Lists the failure domains by name.
 pub async fn look(settings: &Settings) -> Result<Vec<DomainState>, DomainsError> {
     let adapter = adapter_of(settings)?;
     let snapshot = read(settings, adapter).await?;
@@ -96,7 +98,7 @@
     Ok(states.collect())
 }
 
-/// Asks for a failure domain to be evacuated, or withdraws that.
+/// Requests the evacuation of a failure domain, or withdraws the request.
 pub async fn demand(
     settings: &Settings,
     domain: &str,
@@ -105,7 +107,7 @@
     let adapter = adapter_of(settings)?;
     let snapshot = read(settings, adapter).await?;
     let asked_at = snapshot.asked.get(domain).copied();
-    // What is asked for can be withdrawn, also where nobody knows the domain any more.
+    // A request can be withdrawn even if the domain is not known any more.
     if !snapshot.known.contains(domain) && asked_at.is_none() {
         return Err(DomainsError::Unknown {
             name: domain.to_owned(),
@@ -132,19 +134,19 @@
     }
 }
 
-/// Makes a client of the store for one command.
+/// Creates a client of the store for one command.
 fn store(settings: &Settings, adapter: &'static Adapter) -> Store {
     let log = Logger::root(Discard, o!());
     Store::new(&settings.platform.store, adapter, &log, &Metrics::new())
 }
 
-/// Finds the adapter that the settings name.
+/// Returns the adapter named in the settings.
 fn adapter_of(settings: &Settings) -> Result<&'static Adapter, DomainsError> {
     let name = &settings.platform.adapter;
     adapter::find(name).ok_or_else(|| DomainsError::Adapter(name.clone()))
 }
 
-/// Reads the store.
+/// Reads the requested evacuations and the workers from the store.
 async fn read(
     settings: &Settings,
     adapter: &'static Adapter,
@@ -163,7 +165,7 @@
     let absent = StorePosition::start_of(rows.position.era);
     let rows = store.read(adapter.store.workers).await?;
     let listed = rows.rows.iter().filter(|row| !row.is_gone);
-    // A row that can't be read is counted and logged by the instances.
+    // The instances count and log invalid rows.
     let workers = listed.filter_map(|row| (adapter.parse_worker)(&row.key, &row.value).ok());
     let workers: Vec<WorkerRecord> = workers.collect();
     let declared = settings.instance.failure_domains.keys().cloned();
@@ -183,7 +185,7 @@
 }
 
 impl StoreSnapshot {
-    /// Returns how a failure domain stands.
+    /// Returns the state of a failure domain.
     fn state(&self, name: &str) -> DomainState {
         let here = |record: &&WorkerRecord| record.failure_domain.as_ref() == name;
         let mut state = DomainState {
@@ -209,7 +211,7 @@
     }
 }
 
-/// Returns the models that some workers hold.
+/// Returns the names of the models held by some workers.
 fn models<'a>(workers: impl Iterator<Item = &'a WorkerRecord>) -> BTreeSet<Arc<str>> {
     let held = workers.flat_map(|worker| &worker.models);
     held.map(|model| Arc::clone(&model.name)).collect()
--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -1,7 +1,9 @@
-//! Evacuations of failure domains: read with the configuration, told to all peers.
+//! Tracks evacuations of failure domains, which are read with the configuration and sent to all
+//! peers.
 //!
-//! See [`cranereach_fleet::evacuation`]. An operator's row says which domain; nothing
-//! is answered to operators: the store's own answer is what bounds count from.
+//! See [`cranereach_fleet::evacuation`]. An operator requests an evacuation by a row in the store.
+//! The instances do not confirm it to the operator: the time bound of an evacuation runs from the
+//! store's own response to the write.
 
 use slog::info;
 use slog::warn;
@@ -16,21 +18,22 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Longest name of a domain that is taken, in bytes.
+/// Maximum length of an accepted domain name, in bytes.
 const NAME_MAX_BYTES: usize = 200;
 
-/// Domains at most that neither the settings nor a worker names: they are kept, should
-/// workers come up there.
+/// Maximum number of accepted domains that occur neither in the settings nor in a worker's row.
+/// They are kept in case workers start there.
 const UNKNOWN_DOMAIN_MAX_COUNT: usize = 16;
 
-/// Characters of a name that isn't taken, in the log.
+/// Number of characters of an unknown domain's name that are logged.
 const LOGGED_NAME_CHARS: usize = 64;
 
-/// Takes what the store answered: the whole table, or what has changed in it; false if
-/// it has to be read again, whole.
+/// Applies the store's response, which holds either the whole table or its changes. Returns false
+/// if the whole table has to be read again.
 ///
-/// Which domains workers stand in isn't known before the first list of them. A list that
-/// left some out for that would withdraw them everywhere, as the newest.
+/// The domains of workers are unknown until the first list of workers arrives. A list of
+/// evacuations that left out domains for this reason would, being the newest, withdraw their
+/// evacuation on all instances.
 pub fn take_rows(node: &Node, rows: &Rows, is_whole: bool) -> bool {
     let known = node.roster().evacuations.list().clone();
     let of_domain = |row: &Row| {
@@ -64,7 +67,7 @@
     let list = if is_whole {
         let asked = taken.iter().filter(|(.., is_gone)| !is_gone);
         let asked = asked.map(|(key, position, _)| (*key, *position));
-        // A copy may lack what was asked last.
+        // A restored store may lack the latest requests.
         let is_settling = lock(&node.proof).is_settling(node.now_ms());
         let kept = known.domains.iter().filter(|_| is_settling).copied();
         let whole = EvacuationList::whole(rows.position, asked.chain(kept));
@@ -83,7 +86,7 @@
     true
 }
 
-/// Takes a list from the store or a peer; one that is not newer changes nothing.
+/// Applies a list from the store or a peer. A list that is not newer is ignored.
 pub fn take(node: &Node, list: &EvacuationList, origin: Origin) {
     let now_ms = node.now_ms();
     let known_at_ms = lock(&node.proof).known_at_ms(now_ms);
@@ -132,12 +135,12 @@
     is_in_settings || has_worker()
 }
 
-/// Counts and logs a domain that nobody knows; false if it isn't kept.
+/// Counts and logs an unknown domain. Returns false if it is not kept.
 fn record_unknown(node: &Node, domain: &str, count: usize) -> bool {
     let is_kept = domain.len() <= NAME_MAX_BYTES && count <= UNKNOWN_DOMAIN_MAX_COUNT;
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["evacuation"]).inc();
-    // One more than is kept, so that the log tells of those that aren't.
+    // One more than the maximum, so that the log shows that a domain was not kept.
     if count <= UNKNOWN_DOMAIN_MAX_COUNT + 1 {
         let logged_name: String = domain.chars().take(LOGGED_NAME_CHARS).collect();
         warn!(node.log, "evacuation of an unknown failure domain";
--- a/crates/cranereach-gateway/src/expected.rs
+++ b/crates/cranereach-gateway/src/expected.rs
@@ -1,9 +1,9 @@
-//! When models that requests lack are expected at some worker, as holders say.
+//! Tracks when models that waiting requests need are expected to be loaded, as reported by lease
+//! holders.
 //!
-//! An instance tells the holder of a lease which models its requests lack, and the
-//! holder answers which of them are being loaded and for how much longer. So a
-//! request waits for its model only if that comes in time, and the others are told
-//! when to come back.
+//! An instance tells the holder of a service's lease which models its requests lack. The holder
+//! answers which of them are being loaded and how much longer that takes. A request then waits only
+//! if its model will be ready in time; otherwise the caller is told when to retry.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -16,32 +16,32 @@
 use crate::node::lock;
 use cranereach_fleet::key::worker_key;
 
-/// Time for which a holder's word counts, in milliseconds: plans change with demand.
+/// Time for which a holder's answer is valid, in milliseconds; plans change with demand.
 const ANSWER_VALID_MS: u64 = 1_000;
 
-/// Models that one message asks for or answers at most.
+/// Maximum number of models in one question or answer.
 pub const ASKED_MAX_COUNT: usize = 64;
 
-/// Models that words are remembered of at most.
+/// Maximum number of models whose answers are cached.
 const CACHED_MAX_COUNT: usize = 4_096;
 
-/// A holder's word on one model.
+/// A holder's answer about one model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
-    /// It should be there at a time, in milliseconds.
+    /// The model is expected to be ready at this time, in milliseconds.
     At(u64),
-    /// It isn't being loaded.
+    /// The model is not being loaded.
     NotComing,
 }
 
-/// Words by service and model, each with the time at which it was heard.
+/// Answers by service and model, each with the time of its receipt.
 #[derive(Clone, Debug, Default)]
 pub struct ExpectedModels {
     answers: HashMap<(u64, u16), (u64, Word)>,
 }
 
 impl ExpectedModels {
-    /// Notes a holder's word.
+    /// Stores a holder's answer.
     ///
     /// ```
     /// use cranereach_gateway::expected::ExpectedModels;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns what was heard lately of a model.
+    /// Returns the answer about a model if it is recent enough.
     pub fn word(&self, now_ms: u64, model: (u64, u16)) -> Option<Word> {
         let cached = self.answers.get(&model);
         let recent = cached.filter(|(received_ms, _)| now_ms < received_ms + ANSWER_VALID_MS);
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns a holder's word on a model, be this instance the holder.
+/// Returns the answer about a model from the lease holder, which may be this instance.
 pub fn word(node: &Node, service: &str, model: u16) -> Option<Word> {
     if let Some(announced) = node.announced().get(service) {
         return Some(local_answer(announced, model));
@@ -78,13 +78,13 @@
     lock(&node.expected).word(node.now_ms(), (worker_key(service), model))
 }
 
-/// Returns what a holder knows of a model.
+/// Returns the answer about a model from this instance as the lease holder.
 fn local_answer(announced: &Announced, model: u16) -> Word {
     let at_ms = announced.coming.get(&model).copied();
     at_ms.map_or(Word::NotComing, Word::At)
 }
 
-/// Answers a peer whose requests lack some models, for those leases that are held here.
+/// Answers a peer whose requests lack some models, for the leases held by this instance.
 pub fn answer(node: &Node, peer: Ipv4Addr, lacks: &[(u64, u16)]) {
     let now_ms = node.now_ms();
     let mut answers = Vec::new();
@@ -109,7 +109,7 @@
     }
 }
 
-/// Takes a holder's answer.
+/// Stores a holder's answers and wakes the requests that wait for them.
 pub fn take(node: &Node, answers: &[ExpectedModel]) {
     let now_ms = node.now_ms();
     let mut expected = lock(&node.expected);
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -1,6 +1,6 @@
-//! Asks the owners of accounts' limits whether a request may run.
+//! Asks the owners of client accounts' limits whether a request may run.
 //!
-//! See [`cranereach_fleet::limits`]. An account without a limit costs no message.
+//! See [`cranereach_fleet::limits`]. For an account without a limit no message is sent.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -21,39 +21,39 @@
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Wanted;
 
-/// Time that an owner's answer is waited for, in milliseconds: some ten times the way
-/// there and back within a region.
+/// Timeout for an owner's answer, in milliseconds: about ten times the round-trip time within a
+/// region.
 const ANSWER_TIMEOUT_MS: u64 = 20;
 
-/// Owners that are asked for one request at most.
+/// Maximum number of owners asked for one request.
 const OWNER_TRY_MAX_COUNT: u32 = 3;
 
-/// Time after the start for which an instance takes the seeds for owners, in
-/// milliseconds: it doesn't know the others yet, and instances that start together
-/// must not each take itself for the owner.
+/// Time after the start during which an instance uses the seeds as owners, in milliseconds. It does
+/// not know the other instances yet, and instances that start together must not each consider
+/// themselves the owner.
 const SETTLING_MS: u64 = 1_500;
 
-/// Time for which an instance, and a fleet all of which has just started, counts as
-/// young, in milliseconds: twice the time in which all have come to know each other.
+/// Time for which an instance, or a fleet that has restarted as a whole, counts as starting, in
+/// milliseconds: twice the time in which all instances have come to know each other.
 const STARTUP_PERIOD_MS: u64 = 2 * SETTLING_MS;
 
-/// Pause before owners are asked again that did not answer, in milliseconds: some rounds
-/// of digests when everything starts.
+/// Pause before owners that did not answer are asked again, in milliseconds. It spans some rounds
+/// of digests while all instances are starting.
 const RETRY_DELAY_MS: u64 = 60;
 
-/// Least that is worth a message back to an owner, in units of the limit.
+/// Smallest amount that is worth a message back to an owner, in units of the limit.
 const MIN_RETURNED_UNITS: f64 = 1.0;
 
-/// Why a request may not run.
+/// Reason why a request may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// It is beyond the limit; there may be room after a time, in milliseconds.
+    /// The account is over its limit; there may be capacity after this time, in milliseconds.
     Beyond(u64),
-    /// Nobody can say.
+    /// No owner answered, and the account's recent grants do not cover the request.
     Unknown,
 }
 
-/// What a request has been charged to its account's limit.
+/// Amount charged to an account's limit for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Charge {
     account: u64,
@@ -61,7 +61,7 @@
 }
 
 impl Charge {
-    /// Gives back what was charged for a request that did not run.
+    /// Returns the charged units of a request that did not run.
     pub fn give_back(self, node: &Node) {
         give_back(node, self.account, self.units);
     }
@@ -69,8 +69,8 @@
 
 /// Charges a request to its account's limit.
 ///
-/// An instance that has just started may ask again until `ask_until_ms` where nobody
-/// answers: owners that start with it are there within some hundred milliseconds.
+/// If no owner answers, an instance that has just started may ask again until `ask_until_ms`:
+/// owners that start at the same time become reachable within some hundred milliseconds.
 pub async fn charge(
     node: &Node,
     account: &Account,
@@ -118,8 +118,7 @@
     }
 }
 
-/// Units set aside for a request, given back when it ends without using them, also
-/// with a caller who left.
+/// Units reserved for a request. Unused units are returned on drop, also if the caller disconnects.
 struct ReservedUnits<'a> {
     node: &'a Node,
     account: u64,
@@ -134,8 +133,8 @@
     }
 }
 
-/// Gives units back that no request used: what this instance may not keep goes to the
-/// owner of a part. A word that is lost takes units from the account, never adds any.
+/// Returns unused units. What this instance may not keep goes to the owner of a part of the limit.
+/// A lost message can only reduce the account's units, never add any.
 fn give_back(node: &Node, account: u64, units: f64) {
     let now_ms = node.now_ms();
     let tolerance = node.settings.bounds.tolerance();
@@ -162,7 +161,7 @@
     node.send_now(address, Message::Returned(returned));
 }
 
-/// Takes units back that a peer was granted and did not use.
+/// Takes back units that were granted to a peer and not used.
 pub fn take_back(node: &Node, peer: Ipv4Addr, returned: &LimitReturn) {
     if !node.peers().members().is_known(peer) {
         return;
@@ -175,14 +174,14 @@
     lock(&node.owned_limits).give_back(node.now_ms(), key, units);
 }
 
-/// Returns the limit of an account of the configuration in force.
+/// Returns the limit of an account in the current configuration.
 fn limit_of(node: &Node, account: u64) -> Option<Limit> {
     let configuration = node.configuration()?;
     configuration.accounts.by_key(account)?.limit
 }
 
-/// Asks owners of parts of a limit, one after another, until one grants something;
-/// none if nobody answered.
+/// Asks the owners of parts of a limit, one after another, until one grants units. Returns `None`
+/// if none of them answers.
 async fn ask(node: &Node, account: u64, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
     let first_part: u32 = rand::random();
@@ -206,7 +205,7 @@
     shortest_ms.map(Grant::After)
 }
 
-/// Asks the owner of one part; none if it doesn't answer.
+/// Asks the owner of one part. Returns `None` if it does not answer.
 async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let owner = owner_of(node, key);
     if owner == node.own_ip() {
@@ -234,8 +233,8 @@
     Some(units.unwrap_or(Grant::After(granted.wait_ms)))
 }
 
-/// Answers a peer that takes this instance for the owner of a part of a limit. Without
-/// a word where the account isn't known here: the peer asks another.
+/// Answers a peer that considers this instance the owner of a part of a limit. Sends no answer if
+/// the account is unknown here; the peer then asks another owner.
 pub fn answer(node: &Node, peer: SocketAddr, ask: &LimitAsk) {
     let IpAddr::V4(ip) = peer.ip() else { return };
     let limit = limit_of(node, ask.account);
@@ -262,7 +261,7 @@
     node.send_now(peer, Message::Granted(grant));
 }
 
-/// Takes units out of a part that this instance owns.
+/// Takes units from a part owned by this instance.
 fn take(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Grant {
     let tolerance = node.settings.bounds.tolerance();
     let now_ms = node.now_ms();
@@ -271,13 +270,13 @@
     owned.take(now_ms, key, limit, &tolerance, wanted, ownership)
 }
 
-/// Returns what this instance is to a part of a limit.
+/// Returns this instance's ownership of a part of a limit.
 fn ownership(node: &Node, now_ms: u64, key: PartKey) -> Ownership {
     let peers = node.peers();
     let members = peers.members();
     let window_ms = node.settings.bounds.limit_window_s * 1_000.0;
     let is_starting = now_ms < STARTUP_PERIOD_MS;
-    // Whoever has just started asks the seeds.
+    // Instances that have just started ask the seeds.
     let is_seed_owner = || members.seed_owner(now_ms, key.owner_key()) == Some(node.own_ip());
     let is_own = members.is_own(now_ms, key.owner_key()) || is_starting && is_seed_owner();
     if !is_own {
--- a/crates/cranereach-gateway/src/named_limits.rs
+++ b/crates/cranereach-gateway/src/named_limits.rs
@@ -1,7 +1,8 @@
-//! Hears from answers which requests a second workers take from all instances together.
+//! Tracks the request rates that workers announce in their responses as limits for all instances
+//! together.
 //!
-//! See [`cranereach_fleet::named_limit`]. Every request that leaves for a worker counts:
-//! callers' requests, orders and questions for reports.
+//! See [`cranereach_fleet::named_limit`]. Every request sent to a worker counts: callers' requests,
+//! orders and requests for reports.
 
 use std::sync::Arc;
 
@@ -19,24 +20,25 @@
 use cranereach_fleet::named_limit::Said;
 use cranereach_fleet::purpose::Purpose;
 
-/// A worker that names a limit, as operators see it.
+/// A worker that announces a limit, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShownLimit {
-    /// Its identity.
+    /// Identity of the worker.
     pub worker: String,
-    /// Its service.
+    /// Service of the worker.
     pub service: String,
-    /// Requests a second that it takes from all instances together.
+    /// Requests per second that the worker accepts from all instances together.
     pub rate_per_s: f64,
     /// Time for which this instance has known of a limit, in milliseconds.
     pub for_ms: u64,
-    /// Requests that this instance granted as the owner of its grants, since it started.
+    /// Number of requests that this instance has granted since its start, as the owner of the
+    /// worker's grants.
     pub granted_count: u64,
-    /// Questions that it refused.
+    /// Number of requests for a grant that it has refused.
     pub refused_count: u64,
 }
 
-/// Lists the workers that name a limit, as far as this instance knows.
+/// Lists the workers that announce a limit, as far as this instance knows.
 pub fn show(node: &Node) -> Vec<ShownLimit> {
     let now_ms = node.now_ms();
     let limited: Vec<ShownLimit> = {
@@ -65,7 +67,7 @@
     with_counts.collect()
 }
 
-/// Counts the workers that name a limit.
+/// Counts the workers that announce a limit.
 pub fn count(node: &Node) -> usize {
     let now_ms = node.now_ms();
     let roster = node.roster();
@@ -75,7 +77,7 @@
         .count()
 }
 
-/// Counts and logs a request that is sent to a worker which names a limit.
+/// Counts and logs a request sent to a worker that announces a limit.
 pub fn note_sent(node: &Node, worker: &str, purpose: Purpose) {
     let now_ms = node.now_ms();
     let rate_per_s = {
@@ -91,10 +93,11 @@
         "rate_per_s" => rate_per_s);
 }
 
-/// Takes what a worker's answer says.
+/// Applies the limit announced, or left out, in a worker's response.
 ///
-/// Any answer may name a limit. Only a caller's answer of success ends one by naming none:
-/// what refuses, fails or reports may leave it out, and so may one to an earlier request.
+/// Any response may announce a limit. Only a successful response to a caller's request lifts a
+/// limit by leaving it out: refusals, failures and reports may omit it, and so may a late response
+/// to an earlier request.
 pub fn heard(
     node: &Node,
     permit: &Permit,
@@ -109,7 +112,7 @@
         return;
     };
     let may_lift = is_expected_response && permit.purpose == Purpose::Call && status.is_success();
-    // Nobody knows when an earlier request was sent: its answer loosens nothing.
+    // The send time of an earlier request is unknown, so its response must not relax a limit.
     let requested_ms = if is_expected_response {
         permit.sent_ms
     } else {
@@ -120,14 +123,14 @@
         let word = known.limit_word(now_ms);
         drop(roster);
         log_change(node, worker, "worker", word);
-        // Whoever chooses the worker next asks its owner first, and hears of it.
+        // The owner is told, because instances ask it before they send to the worker.
         if let Some(word) = word {
             owners::tell_limit(node, worker, word);
         }
     }
 }
 
-/// Takes another instance's word on the limit of a worker, by its key.
+/// Applies another instance's report of a worker's limit. `worker` is the worker's key.
 pub fn note_told(node: &Node, worker: u64, word: &LimitWord) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
@@ -142,10 +145,10 @@
     }
 }
 
-/// Logs that another limit of a worker holds now, or none any more.
+/// Logs that the limit of a worker has changed or been lifted, and wakes waiting calls.
 fn log_change(node: &Node, worker: &str, by: &str, word: Option<LimitWord>) {
     let rate_per_s = word.and_then(|word| word.rate_per_s);
     info!(node.log, "worker limit"; "worker" => worker, "rate_per_s" => rate_per_s, "by" => by);
-    // Calls that wait for a worker look again.
+    // Calls that wait for a worker make their selection again.
     node.roster_changed.notify_waiters();
 }
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/news.rs
@@ -1,4 +1,4 @@
-//! What peers' messages change here: workers, adapters, demand.
+//! Applies the contents of peers' messages: state of workers, loaded adapters and demand.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -19,7 +19,8 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Takes what a digest says of workers; true if requests may go elsewhere now.
+/// Applies what a digest says about workers. Returns true if waiting requests may now be sent
+/// elsewhere.
 pub fn take_roster(node: &Arc<Node>, now_ms: u64, sender: Ipv4Addr, digest: &Digest) -> bool {
     let mut roster = node.roster();
     for key in &digest.unreachable {
@@ -44,7 +45,7 @@
     !digest.adapters.is_empty()
 }
 
-/// Takes what a holder's orders have changed at workers.
+/// Applies changes that a lease holder's orders have made at workers.
 pub fn apply_orders(
     node: &Node,
     now_ms: u64,
@@ -72,7 +73,7 @@
     apply_adapters(node, now_ms, adapters);
 }
 
-/// Takes adapters that were loaded, before the list says so.
+/// Adds adapters that have been loaded but are not in the list of workers yet.
 fn apply_adapters(node: &Node, now_ms: u64, adapters: &[(u64, ModelKey)]) {
     let Some(configuration) = node.configuration() else {
         return;
@@ -94,7 +95,7 @@
     }
 }
 
-/// Takes a peer's demand.
+/// Applies a peer's demand.
 pub fn take_demand(node: &Node, sender: Ipv4Addr, demand: &DemandMessage) {
     let is_new = node.peers().heard_demand(node.now_ms(), sender, demand);
     if is_new && !demand.lacks.is_empty() {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Tells whoever waits for adapters of a service which of them are there.
+/// Notifies the peers that wait for adapters of a service of those that have been loaded.
 pub fn tell_placed(node: &Node, service: u64, adapters: &[(u64, ModelKey)]) {
     let now_ms = node.now_ms();
     let answers = node.peers().take_answered(now_ms, service, adapters);
@@ -124,7 +125,7 @@
     }
 }
 
-/// Takes a holder's word that adapters are there.
+/// Applies a lease holder's message that adapters have been loaded.
 pub fn take_placed(node: &Node, placed: &[(u64, ModelKey)]) {
     apply_adapters(node, node.now_ms(), placed);
     node.roster_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/own_words.rs
+++ b/crates/cranereach-gateway/src/own_words.rs
@@ -1,4 +1,4 @@
-//! Shows operators which workers leave, and which asked for rest, and by whose word.
+//! Lists for operators the workers that are leaving or resting, with the source of the information.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,41 +6,41 @@
 use crate::node::Node;
 use cranereach_fleet::worker::Worker;
 
-/// By whose word a worker leaves of whose leaving its row tells.
+/// Source shown for a worker whose row marks it as leaving.
 const SOURCE_ROW: &str = "row";
 
-/// A worker that leaves or rests, as operators see it.
+/// A worker that is leaving or resting, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShownWorker {
-    /// Its identity.
+    /// Identity of the worker.
     pub worker: String,
-    /// Its service.
+    /// Service of the worker.
     pub service: String,
-    /// That it leaves.
+    /// Present if the worker is leaving.
     pub leaving: Option<LeavingStatus>,
-    /// That it asked this instance for rest.
+    /// Present if the worker asked this instance for a rest.
     pub rest: Option<RestStatus>,
 }
 
-/// That a worker leaves.
+/// Status of a worker that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingStatus {
-    /// By whose word: its own, a peer's, or its row.
+    /// Source of the information: the worker itself, a peer or the worker's row.
     pub by: String,
-    /// Time for which this instance has known, in milliseconds; none by its row.
+    /// Time for which this instance has known, in milliseconds; `None` if known from the row.
     pub for_ms: Option<u64>,
 }
 
-/// That a worker rests.
+/// Status of a worker that is resting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestStatus {
-    /// Time for which it has, in milliseconds.
+    /// Time since the rest began, in milliseconds.
     pub for_ms: u64,
-    /// Time until its end, in milliseconds.
+    /// Time until the rest ends, in milliseconds.
     pub ends_in_ms: u64,
 }
 
-/// Lists the workers that leave or rest, as far as this instance knows.
+/// Lists the workers that are leaving or resting, as far as this instance knows.
 pub fn show(node: &Node) -> Vec<ShownWorker> {
     let now_ms = node.now_ms();
     let roster = node.roster();
@@ -57,7 +57,7 @@
     shown.collect()
 }
 
-/// Sets the metrics that count them.
+/// Updates the gauges of leaving and resting workers.
 pub fn count(node: &Node) {
     let now_ms = node.now_ms();
     let roster = node.roster();
@@ -73,7 +73,7 @@
     node.metrics.resting_workers.set(resting_count as i64);
 }
 
-/// Shows that a worker leaves, if it does.
+/// Returns the leaving status of a worker, or `None` if it is not leaving.
 fn leaving_status(now_ms: u64, worker: &Worker) -> Option<LeavingStatus> {
     let from_row = || LeavingStatus {
         by: SOURCE_ROW.to_owned(),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Shows that a worker rests, if it does.
+/// Returns the rest status of a worker, or `None` if it is not resting.
 fn rest_status(now_ms: u64, worker: &Worker) -> Option<RestStatus> {
     let (since_ms, until_ms) = worker.rest.span_ms(now_ms)?;
     Some(RestStatus {
--- a/crates/cranereach-gateway/src/proofs.rs
+++ b/crates/cranereach-gateway/src/proofs.rs
@@ -1,8 +1,8 @@
 //! Asks peers for proof that the configuration in force is the newest.
 //!
-//! See [`cranereach_fleet::proof`]. Those who watch the store prove it to whoever asks
-//! them, and these to others: each instance asks a few by chance, some times a
-//! second, so that messages for each don't grow with the fleet.
+//! See [`cranereach_fleet::proof`]. Instances that watch the store answer those that ask them, and
+//! these answer others. Each instance asks a few random peers several times per second, so that the
+//! number of messages per instance does not grow with the size of the fleet.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -18,14 +18,14 @@
 use cranereach_fleet::proof::ProofAnswer;
 use cranereach_fleet::proof::ProofQuestion;
 
-/// Time between two rounds of questions, in milliseconds: news that each instance
-/// asks two others for reach nearly all of some hundred within five rounds.
+/// Interval between two rounds of questions, in milliseconds. If each instance asks two others, an
+/// update reaches nearly all of some hundred instances within five rounds.
 const QUERY_INTERVAL_MS: u64 = 200;
 
-/// Age below which a proof is young enough not to ask for another, in milliseconds.
+/// Age below which a proof is fresh enough that no other is requested, in milliseconds.
 const FRESH_MS: u64 = 300;
 
-/// Asks until the process ends.
+/// Asks peers until the process exits.
 pub async fn run(node: Arc<Node>) {
     loop {
         pause(QUERY_INTERVAL_MS).await;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Takes a peer's answer; a newer configuration is fetched.
+/// Applies a peer's answer, and fetches the configuration if the peer has a newer one.
 pub fn take(node: &Arc<Node>, peer: Ipv4Addr, answer: &ProofAnswer) {
     node.store.eras().rise_to(answer.era, "peer");
     store_era::enter(node);
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -1,10 +1,11 @@
-//! Requests under which workers ended: what this instance sees of them, and what it
-//! tells and hears.
+//! Quarantine of poison requests, under which workers terminate: records the terminations seen here
+//! and exchanges them with peers.
 //!
-//! See [`cranereach_fleet::quarantine`]. Each end goes to two instances that the request's
-//! fingerprint picks, so that it is counted wherever the request comes to next; from two
-//! ends on all are told, in digests. [`lasting`] keeps what must outlive all instances. A
-//! call costs a look at the sizes of the requests that are known, mostly none.
+//! See [`cranereach_fleet::quarantine`]. Each termination is sent directly to two instances
+//! selected by the request's fingerprint, so that it is counted whichever instance receives the
+//! request next. From two terminations on, all peers are informed through gossip digests.
+//! [`lasting`] persists what must survive a restart of all instances. The check on the request path
+//! first compares the body size with those of the known requests, of which there are usually none.
 
 pub mod lasting;
 
@@ -30,37 +31,38 @@
 use cranereach_fleet::quarantine::Suspicion;
 use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
-/// Instances that an end is told to beside digests: one may be stopping, or the datagram
-/// be lost.
+/// Number of instances that are notified of a termination directly, in addition to the digests.
+/// More than one, because an instance may be stopping or the datagram may be lost.
 const DIRECT_NOTIFY_COUNT: usize = 2;
 
-/// A request under which workers ended, as operators see it.
+/// A request under which workers terminated, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shown {
-    /// Fingerprint of what is asked for.
+    /// Fingerprint of the request content.
     pub fingerprint: String,
-    /// Its route; empty where this instance only heard of it.
+    /// The request's route; empty if this instance knows the request only from peers.
     pub route: String,
-    /// Its client account in metrics; empty where there is none.
+    /// Metrics label of the client account; empty if there is none.
     pub account: String,
-    /// Whether it is refused.
+    /// Whether the request is refused.
     pub is_quarantined: bool,
-    /// Workers that ended under it since the last whole answer.
+    /// Workers that terminated under the request since its last complete response.
     pub ends: Vec<WorkerEnd>,
-    /// Times that it was refused here.
+    /// Number of times this instance refused the request.
     pub refused_count: u64,
 }
 
-/// An end of a worker, as operators see it.
+/// Termination of a worker, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerEnd {
-    /// The worker's identity where this instance saw its end, else the key of its start.
+    /// The worker's identity if this instance saw the termination, otherwise the key of its
+    /// incarnation.
     pub worker: String,
-    /// How long ago, in milliseconds.
+    /// Time since the termination, in milliseconds.
     pub age_ms: i64,
 }
 
-/// Returns what is held against a call.
+/// Returns the worker terminations attributed to a call, and whether it is quarantined.
 pub fn suspicion(node: &Node, call: &Call) -> Suspicion {
     let may_be_known = lock(&node.quarantine).may_know(call.body_bytes());
     if !may_be_known {
@@ -69,9 +71,9 @@
     lock(&node.quarantine).suspicion(call.mark(node))
 }
 
-/// Notes that a worker, of which the key of its start and the identity are given, ended
-/// under a call. `knew_of_others` says whether an earlier end was known here when the
-/// call was sent.
+/// Records that a worker terminated under a call. `worker` holds the key of its incarnation and its
+/// identity; `knew_of_others` states whether this instance knew of an earlier termination when it
+/// sent the call.
 pub async fn ended(node: &Arc<Node>, call: &Call, worker: (u64, &Arc<str>), knew_of_others: bool) {
     let mark = call.mark(node);
     let before = record_worker_end(node, call, worker, knew_of_others);
@@ -86,7 +88,7 @@
     notify_peers(node, mark, after);
 }
 
-/// Notes the end of a worker; returns what was held against the request before.
+/// Records the termination of a worker. Returns the state of the request before it.
 fn record_worker_end(
     node: &Node,
     call: &Call,
@@ -103,20 +105,21 @@
     before
 }
 
-/// Notes that a call was answered whole: it ends no workers.
+/// Records a complete response to a call, which shows that the request does not terminate workers.
 pub fn answered(node: &Arc<Node>, call: &Call) {
     if suspicion(node, call).end_count > 0 {
         clear(node, call.mark(node), "whole answer");
     }
 }
 
-/// Lets a request through again, as an operator asks; false if it isn't known here.
+/// Releases a request from quarantine on behalf of an operator. Returns false if this instance does
+/// not know the request.
 pub fn release(node: &Arc<Node>, fingerprint: Fingerprint) -> bool {
     let mark = lock(&node.quarantine).find(fingerprint);
     mark.is_some_and(|mark| clear(node, mark, "operator"))
 }
 
-/// Takes back what is held against a request; false if nothing is.
+/// Clears the terminations recorded for a request. Returns false if there are none.
 fn clear(node: &Arc<Node>, mark: RequestMark, why: &str) -> bool {
     let now_ms = node.now_ms() as i64;
     let cleared = lock(&node.quarantine).clear(now_ms, mark);
@@ -132,8 +135,8 @@
     true
 }
 
-/// Tells what has changed of a request against which something is or was held: those who
-/// count its ends, and everybody where it matters to all.
+/// Sends the current state of a request to the instances that count its terminations, and to all
+/// peers if more than one termination is or was recorded.
 fn notify_peers(node: &Node, mark: RequestMark, held: Suspicion) {
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).news_of(now_ms as i64, mark);
@@ -153,7 +156,7 @@
     }
 }
 
-/// Takes what a peer tells of requests.
+/// Applies a peer's reports on suspected requests.
 pub fn take(node: &Node, sender: Ipv4Addr, told: &[SuspectNews]) {
     if told.is_empty() || !node.peers().members().is_known(sender) {
         return;
@@ -179,7 +182,7 @@
     }
 }
 
-/// Chooses what the next digest tells, and forgets what is old.
+/// Selects the reports for the next digest and removes expired entries.
 pub fn news(node: &Node) -> Vec<SuspectNews> {
     let now_ms = node.now_ms() as i64;
     let mut quarantine = lock(&node.quarantine);
@@ -190,7 +193,7 @@
     quarantine.news(now_ms, &mut rand::rng())
 }
 
-/// Notes that a call is refused; returns what the log is to say of it.
+/// Counts the refusal of a call and returns the detail text for the log.
 pub fn refused(node: &Node, call: &Call) -> String {
     let mark = call.mark(node);
     let now_ms = node.now_ms() as i64;
@@ -200,7 +203,7 @@
     format!("refused here {count} times")
 }
 
-/// Lists the requests under which workers ended, for operators.
+/// Lists the requests under which workers terminated, for operators.
 pub fn show(node: &Node) -> Vec<Shown> {
     let now_ms = node.now_ms() as i64;
     let quarantine = lock(&node.quarantine);
@@ -208,7 +211,7 @@
     listed.map(|listed| describe(now_ms, &listed)).collect()
 }
 
-/// Writes one request for operators.
+/// Converts one entry to the form shown to operators.
 fn describe(now_ms: i64, listed: &Listed) -> Shown {
     let worker_name = |key: u64| {
         let mut seen = listed.seen.workers.iter();
@@ -229,7 +232,7 @@
     }
 }
 
-/// Brings the gauges up to what is known.
+/// Updates the gauges of suspected and quarantined requests.
 fn update_gauges(node: &Node) {
     let quarantine = lock(&node.quarantine);
     let metrics = &node.metrics;
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -1,10 +1,11 @@
-//! Quarantined requests in a row of the platform's store, for a fleet all of which starts
-//! at once.
+//! Persists quarantined requests in a row of the platform's store, for the case that all instances
+//! restart at the same time.
 //!
-//! Instances know of such requests from each other; the row saves two of three workers
-//! when all have forgotten. Whoever sees a request quarantined, or cleared, brings it up
-//! to date. An instance reads it once, when a worker first ends under a request there: in
-//! calm times it costs no call.
+//! Instances normally learn of these requests from each other. If all of them have lost that state,
+//! the row prevents a request from terminating three workers again before it is quarantined: it is
+//! refused after the first one. The instance that sees a request become quarantined or cleared
+//! updates the row. Each instance reads the row once, when the first worker terminates under one of
+//! its requests, so that normal operation needs no store call.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -24,37 +25,35 @@
 use cranereach_fleet::quarantine::SuspectNews;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Table of the row.
 const TABLE: &str = "cranereach_quarantine";
 
-/// Key of the row.
 const KEY: &str = "requests";
 
-/// Requests that the row holds at most, those asked for last.
+/// Maximum number of requests in the row; the most recently requested ones are kept.
 const STORED_MAX_COUNT: usize = 64;
 
-/// Times that the row is written before it is left as it is: others, or the next
-/// change, bring it up to date.
+/// Maximum number of attempts to write the row. After that it is left to other instances, or to the
+/// next change, to update it.
 const WRITE_ATTEMPT_MAX_COUNT: usize = 5;
 
-/// Pause after a call that failed, in milliseconds.
+/// Pause after a failed store call, in milliseconds.
 const RETRY_DELAY_MS: u64 = 1_000;
 
-/// Whether the row has been read since the start.
+/// State of the one-time load of the row.
 #[derive(Debug, Default)]
 pub struct Lasting {
     is_loaded: OnceCell<()>,
-    /// Until when no other read is tried, in milliseconds.
+    /// Time before which no further read is attempted, in milliseconds.
     retry_at_ms: AtomicU64,
 }
 
-/// The row as it was read.
+/// Content of the row as read from the store.
 struct Row {
     position: StorePosition,
     requests: Vec<SuspectNews>,
 }
 
-/// Reads the row unless it has been read.
+/// Loads the row unless it has been loaded since the start.
 pub async fn load_once(node: &Node) {
     let lasting = &node.lasting;
     let now_ms = node.now_ms();
@@ -66,7 +65,7 @@
         let now_ms = node.now_ms() as i64;
         let mut quarantine = lock(&node.quarantine);
         for news in row.requests.iter().take(STORED_MAX_COUNT) {
-            // One that has been cleared meanwhile isn't brought back.
+            // Skips requests that have been cleared in the meantime.
             if !quarantine.is_cleared(news.mark()) {
                 quarantine.take(now_ms, news);
             }
@@ -82,14 +81,14 @@
     }
 }
 
-/// Whether something is known here that the row should hold.
+/// Whether this instance knows of requests that the row should contain.
 pub fn has_some(node: &Node) -> bool {
     let now_ms = node.now_ms() as i64;
     let kept = lock(&node.quarantine).lasting(now_ms, &[], STORED_MAX_COUNT);
     !kept.is_empty()
 }
 
-/// Brings the row up to what is known here.
+/// Updates the row to the quarantined requests known here.
 pub async fn keep(node: Arc<Node>) {
     for _try in 0..WRITE_ATTEMPT_MAX_COUNT {
         match write(&node).await {
@@ -103,7 +102,7 @@
     }
 }
 
-/// Reads the row.
+/// Reads the row from the store.
 async fn read(node: &Node) -> Result<Row, StoreError> {
     let rows = node.store.read(TABLE).await;
     store_pace::note_call(node, "quarantine", &rows);
@@ -125,7 +124,8 @@
     })
 }
 
-/// Writes the row once unless it is up to date; false if somebody else wrote meanwhile.
+/// Writes the row once, unless it is up to date. Returns false if another instance changed it
+/// concurrently.
 async fn write(node: &Node) -> Result<bool, StoreError> {
     let row = read(node).await?;
     let requests =
--- a/crates/cranereach-gateway/src/recent.rs
+++ b/crates/cranereach-gateway/src/recent.rs
@@ -1,12 +1,12 @@
-//! News that peers are told for some rounds, each by all who have just learnt of it.
+//! Recently learned updates, which every instance repeats to its peers for a few gossip rounds.
 
-/// Time for which each is told, in milliseconds.
+/// Time for which an update is repeated, in milliseconds.
 const GOSSIP_FOR_MS: u64 = 4_000;
 
-/// News that are told for a while.
+/// Updates that are repeated to peers for a limited time.
 #[derive(Debug)]
 pub struct Recent<T> {
-    /// When each was learnt, in milliseconds.
+    /// Updates with the times at which they were learned, in milliseconds.
     entries: Vec<(u64, T)>,
 }
 
@@ -19,8 +19,8 @@
 }
 
 impl<T: Copy> Recent<T> {
-    /// Takes what has just been learnt, unless something like it is told already; returns
-    /// whether there is more to tell than before.
+    /// Adds updates, except those for which a matching one is already present. Returns whether the
+    /// number of updates to repeat has grown.
     ///
     /// ```
     /// use cranereach_gateway::recent::Recent;
@@ -42,7 +42,7 @@
         self.entries.len() > before
     }
 
-    /// Lists what is told.
+    /// Returns the updates to repeat.
     pub fn told(&self) -> impl Iterator<Item = T> {
         self.entries.iter().map(|(_, news)| *news)
     }
--- a/crates/cranereach-gateway/src/rests.rs
+++ b/crates/cranereach-gateway/src/rests.rs
@@ -1,7 +1,7 @@
-//! Hears from answers which workers ask this instance for rest, and when it is over.
+//! Tracks rests: periods without requests that workers ask this instance for with `Retry-After`.
 //!
-//! See [`cranereach_fleet::rest`]. A rest is asked of one instance, so that nobody else is
-//! told; this one forgets it when it starts again.
+//! See [`cranereach_fleet::rest`]. A rest concerns only the instance that was asked for it, so
+//! peers are not told, and the state is lost when this instance restarts.
 
 use slog::info;
 
@@ -9,7 +9,7 @@
 use crate::send_permit::Permit;
 use cranereach_fleet::purpose::Purpose;
 
-/// Takes the wish of a worker for a rest of so many milliseconds.
+/// Applies a worker's wish to receive no requests for `for_ms` milliseconds.
 pub fn heard(node: &Node, permit: &Permit, for_ms: u64) {
     let now_ms = node.now_ms();
     let is_extended = {
@@ -20,12 +20,13 @@
     if is_extended {
         info!(node.log, "worker rests"; "worker" => permit.worker.as_ref(), "for_ms" => for_ms,
             "purpose" => permit.purpose.name());
-        // Calls that wait for it look elsewhere.
+        // Calls that wait for the worker select another one.
         node.roster_changed.notify_waiters();
     }
 }
 
-/// Notes that a worker took a request: if it was the first after a rest, others follow.
+/// Records that a worker accepted a request. If it was the trial request after a rest, the rest is
+/// over and further requests may follow.
 pub fn note_taken(node: &Node, permit: &Permit) {
     let has_ended = {
         let mut roster = node.roster();
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -1,7 +1,7 @@
-//! Keeps the list of workers: own reads of the store, and what peers tell.
+//! Keeps the list of workers current, from reads of the store and from peers' messages.
 //!
-//! A [`Finder`] says when this instance has to read, and where. What a read changes
-//! goes to all peers at once, so that in calm times one instance reads for all.
+//! A [`Finder`] decides when this instance has to read, and from where. Each read's changes are
+//! sent to all peers at once, so that normally one instance reads on behalf of all.
 
 mod row_changes;
 
@@ -31,20 +31,20 @@
 use cranereach_fleet::listing::Verdict;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Time that the store is asked to wait for changes, in milliseconds: none, so
-/// that each answer says how the list stands when it is asked for.
+/// Long-poll wait requested from the store, in milliseconds. It is zero so that each response shows
+/// the list as of the time of the request.
 const WAIT_MS: u64 = 0;
 
-/// Rows of one change that are logged one by one: where thousands of workers come up, lines
-/// take more processor time than all else.
+/// Maximum number of rows of one change that are logged individually. When thousands of workers
+/// start, logging each of them would take more processor time than everything else.
 const LOGGED_MAX_COUNT: usize = 64;
 
-/// Time by which a word that the list is still the newest must be younger than what is
-/// known to be passed on, in milliseconds: much less than the bound, and much more than
-/// what words from several peers differ by.
+/// Minimum gain in freshness for which an unchanged list is announced to further peers, in
+/// milliseconds. It is far below the staleness bound, and far above the differences between
+/// announcements from several peers.
 const REBROADCAST_MIN_ADVANCE_MS: u64 = 250;
 
-/// Runs until the process ends.
+/// Runs until the process exits.
 pub async fn run(node: Arc<Node>) {
     let mut finder = Finder::default();
     let mut is_whole = true;
@@ -59,7 +59,7 @@
             }
             Source::Store => {}
         }
-        // In a new era changes say nothing of the list before.
+        // In a new era, changes relative to the earlier list have no meaning.
         is_whole |= node.list_position().era < node.store.eras().newest();
         let read = read(&node, is_whole).await;
         finder.has_read();
@@ -70,7 +70,7 @@
                 }
                 failure_count = 0;
                 is_whole = false;
-                // Also where nothing has changed: that it is so is news.
+                // Also sent without changes: peers need to know that the list is current.
                 node.tell_list(Origin::Own);
             }
             Err(error @ (StoreError::HistoryGone | StoreError::OtherEra)) => {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Reads the store: the whole list, or what has changed.
+/// Reads the whole list from the store, or the changes since the known position.
 async fn read(node: &Node, is_whole: bool) -> Result<(), StoreError> {
     let table = node.adapter.store.workers;
     let begun_ms = node.now_ms();
@@ -117,19 +117,19 @@
     Ok(())
 }
 
-/// Takes changes that a peer tells; what is missing in between is fetched from it.
+/// Applies list changes sent by a peer. Missing changes are fetched from that peer.
 pub fn take_message(node: &Arc<Node>, sender: Ipv4Addr, message: &ListMessage) {
     node.peers().told_list(sender, message.position);
     let true_at_ms = told_at_ms(node.now_ms(), message.age_ms);
     let verdict = take_changes(node, sender, true_at_ms, message);
-    // Who has no list at all looks for one in an order of its own.
+    // An instance without any list obtains one through its `Finder`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
         list_bodies::fetch_missing(node, sender, message.position);
     }
 }
 
-/// Takes changes that make the list complete as it was at a time, if they fit, and
-/// passes on what is new.
+/// Applies changes that make the list complete as of `true_at_ms`, if they follow on from the known
+/// position, and passes on what is new.
 pub fn take_changes(
     node: &Node,
     sender: Ipv4Addr,
@@ -157,7 +157,7 @@
     verdict
 }
 
-/// Takes a peer's word that a position of the list was complete a while ago.
+/// Applies a peer's statement that the list at a position was complete `age_ms` ago.
 pub fn take_age(node: &Node, position: StorePosition, age_ms: u64) {
     let true_at_ms = told_at_ms(node.now_ms(), age_ms);
     let is_fresher = lock(&node.list).is_older_than(true_at_ms);
@@ -166,14 +166,14 @@
     }
 }
 
-/// Takes the whole list as it was at a time.
+/// Replaces the list by the whole list as of `true_at_ms`.
 pub fn take_whole(node: &Node, true_at_ms: u64, position: StorePosition, listed: Vec<ChangedRow>) {
     enter_era(node, position);
     let changed = lock(&node.listing).take_whole(position, listed);
     apply(node, true_at_ms, position, &changed);
 }
 
-/// Takes rows that make the list complete as it was at a time.
+/// Applies rows that make the list complete as of `true_at_ms`.
 fn take_part(
     node: &Node,
     true_at_ms: u64,
@@ -186,13 +186,13 @@
     apply(node, true_at_ms, position, &changed);
 }
 
-/// Enters the era of a position, should nobody have told of it before.
+/// Enters the era of a position, in case it has not been announced before.
 fn enter_era(node: &Node, position: StorePosition) {
     node.store.eras().rise_to(position.era, "list");
     store_era::enter(node);
 }
 
-/// Brings what is known of workers up to a list that was complete at a time.
+/// Updates the state of the workers to a list that was complete as of `true_at_ms`.
 fn apply(node: &Node, true_at_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
     let now_ms = node.now_ms();
     let lapse_until_ms = confirm(node, now_ms, true_at_ms, position);
@@ -211,10 +211,10 @@
     node.controller_wanted.notify_one();
 }
 
-/// Takes changed rows into the roster, and returns who leaves or is gone by them.
+/// Applies changed rows to the roster. Returns the workers that are leaving or gone as a result.
 fn take_rows(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowChanges {
     let mut roster = node.roster();
-    // Those of the first list were there before this instance.
+    // Workers on the first list started before this instance.
     let are_new = roster.workers().next().is_some();
     let mut changes = RowChanges {
         are_new,
@@ -239,11 +239,12 @@
     changes
 }
 
-/// Notes that the list was complete at a time; returns until when rows that end may only
-/// have lapsed.
+/// Records that the list was complete as of `true_at_ms`. Returns the time until which removed rows
+/// may merely have lapsed.
 fn confirm(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
-        // It was on its way when the store came back from a copy: newer rows may be missing.
+        // The list was in transit when the store was restored from a copy, so newer rows may be
+        // missing.
         return None;
     }
     let mut list = lock(&node.list);
@@ -253,13 +254,13 @@
     drop(list);
     if is_regained {
         node.roster().distrust_copy(now_ms);
-        // The wait for the configuration may have died with the outage.
+        // The pending wait for the configuration may have been lost in the outage.
         node.configuration_wanted.notify_one();
     }
     lapse_until_ms
 }
 
-/// Makes a changed row of one that the store answered.
+/// Converts a row of the store's response to a changed row.
 fn changed_row(row: Row) -> ChangedRow {
     ChangedRow {
         key: row.key,
@@ -293,12 +294,12 @@
     node.controller_wanted.notify_one();
 }
 
-/// Passes on that a worker leaves, as a peer has told.
+/// Passes on a peer's report that a worker is leaving.
 pub fn forward_leaving(node: &Node, key: u64, position: StorePosition) {
     note_leaving(node, node.now_ms(), &[(key, position)]);
 }
 
-/// Remembers who leaves or is gone, so that peers are told.
+/// Queues workers that are leaving or gone for the digests to peers.
 fn note_leaving(node: &Node, now_ms: u64, leaving: &[(u64, StorePosition)]) {
     let is_same = |(known, _): &(u64, StorePosition), (key, _): &(u64, StorePosition)| known == key;
     if lock(&node.recent_leaving).learn(now_ms, leaving, is_same) {
--- a/crates/cranereach-gateway/src/roster_sync/row_changes.rs
+++ b/crates/cranereach-gateway/src/roster_sync/row_changes.rs
@@ -1,4 +1,4 @@
-//! What changed rows of the list say of workers.
+//! Effects of changed rows of the list on the known workers.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Workers that changed rows say to be leaving or gone.
+/// Workers that are leaving or gone according to changed rows.
 #[derive(Debug, Default)]
 pub(super) struct RowChanges {
-    /// Workers that leave or are gone: key, position.
+    /// Workers that are leaving or gone: key, position of the row.
     pub(super) leaving: Vec<(u64, StorePosition)>,
-    /// Workers that are gone, or have started again.
+    /// Workers that are gone or have restarted.
     pub(super) ended: Vec<Arc<str>>,
-    /// Whether workers that aren't known yet have just started.
+    /// Whether workers that are not known yet count as just started.
     pub(super) are_new: bool,
-    /// Whether each is logged.
+    /// Whether each row is logged.
     pub(super) are_logged: bool,
 }
 
 impl RowChanges {
-    /// Takes the row of a worker.
+    /// Applies the current row of a worker.
     pub(super) fn put(
         &mut self,
         node: &Node,
@@ -47,7 +47,7 @@
         let has_restarted =
             before.is_some_and(|worker| worker.record.started_unix_ms != record.started_unix_ms);
         if has_restarted {
-            // Connections to the start before are worth nothing.
+            // Connections to the earlier incarnation are useless.
             self.ended.push(Arc::clone(&record.id));
         }
         let is_new = has_restarted || self.are_new && before.is_none();
@@ -55,7 +55,7 @@
         cold::note_listed(node, roster, &row.key, is_new);
     }
 
-    /// Takes the end of a row.
+    /// Applies the removal of a worker's row.
     pub(super) fn end(
         &mut self,
         roster: &mut Roster,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads a worker's row; one that can't be understood is counted and passed over.
+/// Parses a worker's row. An invalid row is counted, logged and skipped.
 pub(super) fn parse(node: &Node, key: &str, value: &[u8]) -> Option<WorkerRecord> {
     let parsed = (node.adapter.parse_worker)(key, value);
     parsed
--- a/crates/cranereach-gateway/src/send_grants.rs
+++ b/crates/cranereach-gateway/src/send_grants.rs
@@ -1,9 +1,9 @@
-//! Asks the owners of workers that get only so many requests whether one may be sent: cold
-//! ones, and those that name a limit.
+//! Asks the owners of rate-limited workers for permission to send a request: cold workers, and
+//! workers that announce a limit.
 //!
-//! See [`cranereach_fleet::send_grants`]. A worker that is neither costs no message. Each
-//! question and each answer carries what its sender knows of the worker's limit, so that
-//! an owner needs to have heard nothing of it before.
+//! See [`cranereach_fleet::send_grants`]. For all other workers no message is sent. Questions and
+//! answers both carry what the sender knows of the worker's limit, so that an owner need not have
+//! heard of the limit before.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -25,27 +25,27 @@
 use cranereach_fleet::send_grants::USE_WITHIN_MS;
 use cranereach_fleet::worker::Worker;
 
-/// Time for which a worker is left alone whose owner didn't answer, in milliseconds.
+/// Time before the owner of a worker is asked again after it did not answer, in milliseconds.
 const UNANSWERED_PAUSE_MS: u64 = 100;
 
-/// Why a worker gets only so many requests.
+/// Reason why the request rate to a worker is limited.
 #[derive(Clone, Copy, Debug)]
 struct SendConstraint {
     is_cold: bool,
     limit: Option<LimitWord>,
 }
 
-/// Whether one request of a rank may be sent to a worker at once.
+/// Whether one request of a given priority rank may be sent to a worker now.
 ///
-/// The limit that a worker names counts whatever a request is for; what a cold one bears
-/// was declared of callers' requests.
+/// A limit announced by the worker applies to requests of every purpose. The limit of a cold worker
+/// applies to callers' requests only, since its declaration refers to these.
 pub async fn may_send(node: &Node, worker: &Arc<str>, purpose: Purpose, rank: u8) -> bool {
     let asked_at_ms = node.now_ms();
     let Some(constraint) = constraint(node, worker, purpose) else {
         return true;
     };
     let answer = ask(node, worker_key(worker), constraint, rank).await;
-    // An answer that waited in a stopped process is worth nothing any more.
+    // An answer read after the process was suspended may have expired.
     let now_ms = node.now_ms();
     let timely_answer = answer.filter(|_| now_ms <= asked_at_ms + USE_WITHIN_MS);
     let (outcome, wait_ms) = match timely_answer {
@@ -70,7 +70,7 @@
     wait_ms == 0
 }
 
-/// Returns why a worker gets only so many requests; none if it gets all.
+/// Returns why the request rate to a worker is limited, or `None` if it is not.
 fn constraint(node: &Node, worker: &str, purpose: Purpose) -> Option<SendConstraint> {
     let now_ms = node.now_ms();
     let (may_be_cold, limit, service) = {
@@ -90,13 +90,14 @@
     (is_cold || limit.is_some()).then_some(SendConstraint { is_cold, limit })
 }
 
-/// Returns the word on a worker's limit if one holds now.
+/// Returns the report of a worker's limit if one is in force.
 fn limit_in_force(worker: &Worker, now_ms: u64) -> Option<LimitWord> {
     let word = worker.limit_word(now_ms);
     word.filter(|word| word.rate_per_s.is_some())
 }
 
-/// Asks the owner of a worker for one request; none if it doesn't answer.
+/// Asks the owner of a worker for permission to send one request. Returns `None` if it does not
+/// answer.
 async fn ask(node: &Node, worker: u64, constraint: SendConstraint, rank: u8) -> Option<SendAnswer> {
     let mut question = node.grant_questions.open();
     let ask = GrantAsk {
@@ -121,14 +122,14 @@
         named_limits::note_told(node, worker, limit);
     }
     let refused = granted.wait_ms.map(|wait_ms| {
-        // A wait of nothing is no grant either.
+        // A refusal without a wait must not be taken for a grant.
         SendAnswer::After(u64::from(wait_ms).max(1))
     });
     Some(refused.unwrap_or(SendAnswer::Send))
 }
 
-/// Answers a peer that takes this instance for the owner of a worker. Without a word
-/// where the worker isn't known here.
+/// Answers a peer that considers this instance the owner of a worker. Sends no answer if the worker
+/// is unknown here.
 pub fn answer(node: &Node, peer: SocketAddr, ask: &GrantAsk) {
     let IpAddr::V4(ip) = peer.ip() else { return };
     if !node.peers().members().is_known(ip) {
@@ -150,8 +151,8 @@
     node.send_now(peer, Message::SendGranted(grant));
 }
 
-/// Grants one request to a worker that this instance owns, or not, and tells what is known
-/// of its limit; none if the worker isn't known.
+/// Decides on one request to a worker according to this instance's ownership of it. Returns the
+/// decision and the worker's limit as known here, or `None` if the worker is unknown.
 fn grant(node: &Node, ask: &GrantAsk) -> Option<(SendAnswer, Option<LimitWord>)> {
     if let Some(limit) = &ask.limit {
         named_limits::note_told(node, ask.worker, limit);
--- a/crates/cranereach-gateway/src/send_permit.rs
+++ b/crates/cranereach-gateway/src/send_permit.rs
@@ -1,9 +1,10 @@
-//! The one place that is asked right before something is sent to a worker: a caller's
-//! request, an order, a question for a report.
+//! Final check before anything is sent to a worker: a caller's request, an order or a request for a
+//! report.
 //!
-//! Whoever chose a worker may have waited since: for a burst of prompts, a connection, the
-//! worker's owner. Meanwhile the worker may have gone, or said that it leaves or wants rest. So
-//! nothing is waited for between the permit and the write.
+//! Time may have passed since the worker was selected, while the call waited for other prompts to
+//! be processed, for a connection or for the worker's owner. Meanwhile the worker may have
+//! disappeared, or announced that it is leaving or needs a rest. Therefore nothing is awaited
+//! between the permit and the write.
 
 use std::sync::Arc;
 
@@ -12,21 +13,22 @@
 use crate::send_grants;
 use cranereach_fleet::purpose::Purpose;
 
-/// That one request may be sent to a worker at once. Its answer is heard as that of the
-/// start of the worker that was meant.
+/// Permission to send one request to a worker immediately. The response is attributed to the
+/// incarnation of the worker recorded here.
 #[derive(Clone, Debug)]
 pub struct Permit {
-    /// The worker.
+    /// Identity of the worker.
     pub worker: Arc<str>,
-    /// When the start that is meant began, as its row says, in milliseconds of Unix time.
+    /// Start time of the intended incarnation according to its row, in milliseconds of Unix time.
     pub started_unix_ms: u64,
-    /// What the request is for.
+    /// Purpose of the request.
     pub purpose: Purpose,
-    /// When it is sent, in milliseconds.
+    /// Time at which the request is sent, in milliseconds.
     pub sent_ms: u64,
 }
 
-/// Asks for a permit to send one request of a rank; none if the worker isn't to get it now.
+/// Requests a permit to send one request of a given priority rank. Returns `None` if the worker
+/// must not receive it now.
 pub async fn ask(node: &Node, worker: &Arc<str>, purpose: Purpose, rank: u8) -> Option<Permit> {
     if is_barred(node, worker, purpose, rank) {
         return None;
@@ -34,7 +36,8 @@
     if !send_grants::may_send(node, worker, purpose, rank).await {
         return None;
     }
-    // Owners take some ten milliseconds, in which a word may have come.
+    // The owner's answer takes about ten milliseconds, during which the worker's state may have
+    // changed.
     if is_barred(node, worker, purpose, rank) {
         return None;
     }
@@ -56,8 +59,8 @@
     })
 }
 
-/// Whether something speaks against sending to a worker now; counts what it is. No permit:
-/// what waits asks so early that it is moved on at once.
+/// Whether sending to a worker is currently barred; counts the reason in the metrics. Passing this
+/// check is not a permit: waiting requests use it to move to another worker early.
 pub fn is_barred(node: &Node, worker: &str, purpose: Purpose, rank: u8) -> bool {
     let now_ms = node.now_ms();
     let barred = {
--- a/crates/cranereach-gateway/src/unknown_words.rs
+++ b/crates/cranereach-gateway/src/unknown_words.rs
@@ -1,7 +1,8 @@
-//! Headers of workers' answers that look like a word of theirs and that nobody here knows.
+//! Detects headers in workers' responses that look like statements about the worker but are not
+//! known to this version.
 //!
-//! A platform may let its workers say more than this build reads. Each such header is
-//! counted by its name and logged once, so that it is seen before callers suffer by it.
+//! A platform may let its workers send headers that this version does not read. Each such header is
+//! counted by name and logged once, so that it is noticed before it affects callers.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -15,23 +16,23 @@
 use crate::node::Node;
 use crate::node::lock;
 
-/// Names that are told apart at most; a worker that invents names fills no memory.
+/// Maximum number of distinct names; bounds the memory used if a worker generates header names.
 const NAME_MAX_COUNT: usize = 16;
 
-/// Name under which the metrics count all further ones.
+/// Metrics label for all further names.
 const OTHER_LABEL: &str = "other";
 
-/// Names that were seen.
+/// Names of unknown and of unreadable headers seen so far.
 #[derive(Debug, Default)]
 pub struct UnknownWords {
     names: Mutex<BTreeSet<String>>,
     unreadable: Mutex<BTreeSet<&'static str>>,
 }
 
-/// Counts the headers of a worker's answer that seem to speak of it and aren't known.
+/// Counts unknown headers that appear to describe the worker that responded.
 pub fn note(node: &Node, worker: &str, (status, headers): (StatusCode, &HeaderMap)) {
     for name in headers.keys() {
-        // Where it turns something away it is read; on success it is the caller's.
+        // With status 503 the header is read as a rest; on success it belongs to the caller.
         let is_unexpected_retry_after = name == RETRY_AFTER
             && status != StatusCode::SERVICE_UNAVAILABLE
             && !status.is_success();
@@ -41,14 +42,14 @@
     }
 }
 
-/// Logs a word that can't be read, once for each header.
+/// Logs a header that cannot be parsed, once for each header name.
 pub fn note_unreadable(node: &Node, worker: &str, header: &'static str) {
     if lock(&node.unknown_words.unreadable).insert(header) {
         warn!(node.log, "word of a worker not understood"; "worker" => worker, "header" => header);
     }
 }
 
-/// Whether a header seems to be a worker's word on itself, and isn't read.
+/// Whether a header has a prefix used for statements about workers but is not a known one.
 fn is_unknown(node: &Node, name: &HeaderName) -> bool {
     let names = &node.adapter.headers;
     let mut prefixes = names.worker_prefixes.iter();
@@ -56,7 +57,7 @@
     has_worker_prefix && !names.worker_known.contains(&name.as_str())
 }
 
-/// Counts one, and logs a new name.
+/// Counts an unknown header, and logs its name when it is seen for the first time.
 fn count_and_log(node: &Node, worker: &str, name: &str) {
     let mut names = lock(&node.unknown_words.names);
     let is_seen = names.contains(name);
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -1,10 +1,15 @@
-//! Whether a worker whose connection broke has ended.
+//! Determines whether a worker has terminated after a connection to it broke.
 //!
-//! Answers break off without an end too: a worker fails one request, a link is cut. So
-//! the worker is tried once: if its machine refuses the connection, nothing listens
-//! there any more. If it takes the connection and keeps it, that one is kept for the next
-//! request. Anything else says nothing: what stands before a worker takes connections for
-//! it, a worker resets those beyond its limit. There the end of its row tells.
+//! A broken response does not imply that the worker terminated: it may have failed only one
+//! request, or a network link may be down. Therefore the worker is probed with one connection
+//! attempt:
+//!
+//! - If its machine refuses the connection, nothing is listening any more.
+//! - If the connection is accepted and stays open, the worker is alive, and the connection is kept
+//!   for the next request.
+//! - Any other result is inconclusive: a proxy in front of a worker accepts connections in its
+//!   place, and a worker resets connections beyond its limit. Then the removal of the worker's row
+//!   decides.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -20,50 +25,53 @@
 use crate::worker_words::REST_UNSAID_MS;
 use cranereach_http::pool::ConnectError;
 
-/// Time from the break of a connection to the try, in milliseconds: a process that ends
-/// may close its open connections a little before it stops listening. Repeats wait for it.
+/// Delay between the break of a connection and the probe, in milliseconds. A terminating process
+/// may close its open connections shortly before it stops listening. Retries wait for this delay.
 const PROBE_DELAY_MS: u64 = 10;
 
-/// Time to connect, in milliseconds.
+/// Timeout of the connection attempt, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// Time for which a connection must stay open, in milliseconds, to speak for the worker.
+/// Time for which a new connection must stay open to show that the worker is alive, in
+/// milliseconds.
 const MIN_OPEN_MS: u64 = 10;
 
-/// Time for which one try answers for all connections to the worker that break, in
-/// milliseconds: the requests that an end breaks off come to light within some.
+/// Time for which the result of one probe is used for all broken connections to the same worker, in
+/// milliseconds. The requests interrupted by one termination are noticed at slightly different
+/// times.
 const PROBE_RESULT_TTL_MS: u64 = 500;
 
-/// Time for which the list is looked at for a worker that can't be reached, in
-/// milliseconds: rows end some 4 s after their workers.
+/// Time for which the list of workers is watched for the removal of an unreachable worker, in
+/// milliseconds. Rows are removed about 4 s after their workers terminate.
 const DELISTING_TIMEOUT_MS: u64 = 6_000;
 
-/// Time between two looks at the list, in milliseconds.
+/// Interval between two checks of the list, in milliseconds.
 const LIST_POLL_INTERVAL_MS: u64 = 100;
 
-/// What became of a worker whose connection broke.
+/// State of a worker after a connection to it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Its machine refuses connections: it has ended.
+    /// The machine refuses connections: the worker has terminated.
     Refused,
-    /// It took no connection for long, and its row ended without its leaving: it has
-    /// ended.
+    /// The worker kept no connection open, and its row was removed without having been marked as
+    /// leaving: the worker has terminated.
     Delisted,
-    /// It takes connections and keeps them.
+    /// The worker accepts connections and keeps them open.
     Alive,
-    /// It was to end: its row said so, or was gone.
+    /// The termination was planned: the row was marked as leaving or already removed.
     Planned,
-    /// It takes no connection, or none for long, and is still listed: a link may be cut.
+    /// The worker accepts no connection, or keeps none open, but is still listed: a network link
+    /// may be down.
     OutOfReach,
 }
 
 impl Found {
-    /// Whether the worker ended without having been meant to.
+    /// Whether the worker terminated unexpectedly.
     pub fn has_ended(self) -> bool {
         matches!(self, Self::Refused | Self::Delisted)
     }
 
-    /// Returns the name that logs and metrics use.
+    /// Returns the name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -75,22 +83,22 @@
     }
 }
 
-/// One try of a worker.
+/// One connection attempt to a worker.
 #[derive(Debug)]
 struct Probe {
     started_at_ms: u64,
-    /// What it found, once it has.
+    /// Result, once the probe has completed.
     result: Arc<OnceCell<Found>>,
 }
 
-/// Tries of workers whose connections broke lately.
+/// Recent probes of workers whose connections broke.
 #[derive(Debug, Default)]
 pub struct Tries {
     by_worker: Mutex<HashMap<Arc<str>, Probe>>,
 }
 
-/// Finds out what became of a worker whose connection has just broken: at once, but for
-/// workers out of reach, whose row is waited for.
+/// Determines the state of a worker after a connection to it broke. Waits for the worker's row only
+/// if the worker is out of reach.
 pub async fn find(node: &Node, worker: &Arc<str>) -> Found {
     if !is_expected_to_run(node, worker) {
         return Found::Planned;
@@ -105,7 +113,7 @@
 }
 
 impl Tries {
-    /// Returns the try that answers for a worker now.
+    /// Returns the result cell of the current probe of a worker; adds a probe if there is none.
     fn current(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<Found>> {
         let mut probes = lock(&self.by_worker);
         probes.retain(|_, probe| now_ms < probe.started_at_ms + PROBE_RESULT_TTL_MS);
@@ -117,19 +125,19 @@
     }
 }
 
-/// Returns the key of the start of a worker that is listed.
+/// Returns the key of a listed worker's current incarnation.
 fn incarnation_of(node: &Node, worker: &str) -> Option<u64> {
     let roster = node.roster();
     roster.get(worker).map(|known| known.record.start_key())
 }
 
-/// Whether a worker is listed and doesn't leave.
+/// Whether a worker is listed and not leaving.
 fn is_expected_to_run(node: &Node, worker: &str) -> bool {
     let roster = node.roster();
     roster.get(worker).is_some_and(|known| !known.is_leaving())
 }
 
-/// Tries to connect to a worker.
+/// Probes a worker with one connection attempt.
 async fn probe(node: &Node, worker: &Arc<str>) -> Found {
     pause(PROBE_DELAY_MS).await;
     let address = node
@@ -158,8 +166,8 @@
     }
 }
 
-/// Waits for the end of the row of a worker that takes no connection, or for that of its
-/// next start.
+/// Waits until the row of an unreachable worker is removed or replaced by that of a new
+/// incarnation.
 async fn wait_for_delisting(node: &Node, worker: &str, incarnation: Option<u64>) -> Found {
     let until_ms = node.now_ms() + DELISTING_TIMEOUT_MS;
     while node.now_ms() < until_ms {
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_words.rs
@@ -1,8 +1,8 @@
-//! The one place that hears what an answer says of the worker that made it, whatever the
-//! answer is to and whether or not that can use it.
+//! Reads what the head of a response says about the worker that sent it, for all responses, whether
+//! or not the request can still use them.
 //!
-//! Not believed are answers of another worker at the same address, and words of another
-//! start than the one that was meant count for that one alone.
+//! Responses of another worker at the same address are ignored. Statements of an earlier
+//! incarnation than the listed one apply to that incarnation only.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
@@ -22,43 +22,42 @@
 use cranereach_fleet::named_limit;
 use cranereach_fleet::rest;
 
-/// Time that an idle connection is used again for, where the worker says none, in
-/// milliseconds.
+/// Time for which an idle connection is reused if the worker does not state a keep-alive timeout,
+/// in milliseconds.
 pub const REST_UNSAID_MS: u64 = 300;
 
-/// Time before a worker's own limit from which a connection isn't used again, in
-/// milliseconds.
+/// Safety margin subtracted from a worker's keep-alive timeout, in milliseconds.
 const KEEP_ALIVE_MARGIN_MS: u64 = 150;
 
-/// Header by which a server tells how long a connection may rest.
+/// Header in which a server states how long it keeps an idle connection open.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Header by which whoever turns a request away says when to come back.
+/// Header in which a server that refuses a request states when to retry.
 const RETRY_AFTER_HEADER: &str = "retry-after";
 
-/// What the head of an answer says of the worker that made it.
+/// What the head of a response says about the worker that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerWords {
-    /// Whether another worker made it than the one that was meant.
+    /// Whether another worker than the intended one responded.
     pub is_of_another: bool,
-    /// Whether it says that nothing ran.
+    /// Whether the response states that the request was not run.
     pub is_not_run: bool,
-    /// The worker's load, if it can be read.
+    /// The worker's load, if stated and valid.
     pub load: Option<SaidLoad>,
-    /// Whether it names a load that can't be read.
+    /// Whether a load is stated that cannot be parsed.
     pub is_load_unreadable: bool,
-    /// The requests a second that it takes.
+    /// Requests per second that the worker accepts.
     pub limit: named_limit::Said,
-    /// Whether it leaves.
+    /// Whether the worker is leaving.
     pub leaving: departure::Said,
-    /// For how long it wants nothing.
+    /// Time for which the worker asks for no requests.
     pub rest: rest::Said,
-    /// How long the connection may rest, in milliseconds; none if it closes.
+    /// Time for which the idle connection may be kept, in milliseconds; `None` if it closes.
     pub connection_rest_ms: Option<u64>,
 }
 
 impl WorkerWords {
-    /// Reads the head of an answer to a request that was meant for a worker.
+    /// Reads the head of a response to a request intended for `worker`.
     pub fn read(
         names: &HeaderNames,
         worker: &str,
@@ -68,7 +67,7 @@
         let author = headers.get(names.answered_by);
         let is_other_worker = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
         let load = headers.get(names.load).map(parse_load);
-        // Elsewhere the header is for the caller, or for one account.
+        // With other status codes the header is meant for the caller, or for one account.
         let rest = match status {
             StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, RETRY_AFTER_HEADER)),
             _ => rest::Said::Nothing,
@@ -86,8 +85,8 @@
     }
 }
 
-/// Hears the head of an answer. `is_asked_for` says whether it is the answer to the request
-/// that was permitted, and not one to an earlier one that came late.
+/// Applies the head of a response to the state of the worker. `is_expected_response` states whether
+/// it answers the permitted request, rather than being a late response to an earlier one.
 pub fn hear(
     node: &Node,
     permit: &Permit,
@@ -104,7 +103,7 @@
     if words.leaving == departure::Said::Leaves {
         departures::heard(node, permit);
     }
-    // Of a start that is over only its leaving is of use: its row may come back.
+    // Of an earlier incarnation only its departure matters, because its row may come back.
     if !is_listed_incarnation(node, permit) {
         return words;
     }
@@ -124,14 +123,14 @@
     words
 }
 
-/// Whether the start that a request was meant for is the one that is listed.
+/// Whether the incarnation that a request was intended for is the listed one.
 fn is_listed_incarnation(node: &Node, permit: &Permit) -> bool {
     let roster = node.roster();
     let known = roster.get(&permit.worker);
     known.is_some_and(|known| known.record.started_unix_ms == permit.started_unix_ms)
 }
 
-/// Counts and logs what can't be read.
+/// Counts and logs headers that cannot be parsed.
 fn note_unreadable(node: &Node, worker: &str, words: &WorkerWords) {
     let names = &node.adapter.headers;
     let unreadable = [
@@ -159,18 +158,18 @@
     }
 }
 
-/// Returns the values of a header.
+/// Returns all values of a header.
 fn values<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a [u8]> {
     let values = headers.get_all(name).into_iter();
     values.map(HeaderValue::as_bytes)
 }
 
-/// Returns a header's first value as text.
+/// Returns the first value of a header as text.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Reads a worker's load: running, waiting, slots.
+/// Parses a worker's load: running, waiting, slots.
 fn parse_load(value: &HeaderValue) -> Option<SaidLoad> {
     let text = value.to_str().ok()?;
     let mut counts = text.split(',').map(|count| count.trim().parse().ok());
@@ -180,7 +179,7 @@
     })
 }
 
-/// Returns how long a connection may rest, in milliseconds; none if it closes.
+/// Returns the time for which an idle connection may be kept, in milliseconds; `None` if it closes.
 fn connection_rest_ms(headers: &HeaderMap) -> Option<u64> {
     if has_option(headers, &CONNECTION, "close") {
         return None;
@@ -199,7 +198,7 @@
     (keep_alive_ms > 0).then_some(keep_alive_ms)
 }
 
-/// Whether a header lists an option.
+/// Whether a header contains an option in its comma-separated list.
 fn has_option(headers: &HeaderMap, name: &HeaderName, option: &str) -> bool {
     let values = headers.get_all(name).into_iter();
     let mut options = values
