--- a/crates/cranereach-gateway/src/departures.rs
+++ b/crates/cranereach-gateway/src/departures.rs
@@ -22,7 +22,7 @@
 const GOSSIPED_MAX_COUNT: usize = 64;
 
 /// Applies a worker's announcement that it is leaving.
-pub fn heard(node: &Node, permit: &Permit) {
+pub fn record_announcement(node: &Node, permit: &Permit) {
     let now_ms = node.now_ms();
     let (is_new, news) = {
         let mut roster = node.roster();
@@ -86,7 +86,7 @@
 
 /// Queues departures for the next digests to peers.
 pub(crate) fn tell(node: &Node, now_ms: u64, news: &[DepartureNews]) {
-    if lock(&node.recent_departures).learn(now_ms, news, PartialEq::eq) {
+    if lock(&node.recent_departures).add(now_ms, news, PartialEq::eq) {
         node.digest_wanted.notify_one();
     }
 }
--- a/crates/cranereach-gateway/src/expected.rs
+++ b/crates/cranereach-gateway/src/expected.rs
@@ -48,11 +48,11 @@
     /// use cranereach_gateway::expected::Word;
     ///
     /// let mut expected = ExpectedModels::default();
-    /// expected.note(1_000, (7, 3), Word::At(4_000));
-    /// assert_eq!(expected.word(1_500, (7, 3)), Some(Word::At(4_000)));
-    /// assert_eq!(expected.word(2_500, (7, 3)), None);
+    /// expected.insert(1_000, (7, 3), Word::At(4_000));
+    /// assert_eq!(expected.lookup(1_500, (7, 3)), Some(Word::At(4_000)));
+    /// assert_eq!(expected.lookup(2_500, (7, 3)), None);
     /// ```
-    pub fn note(&mut self, now_ms: u64, model: (u64, u16), word: Word) {
+    pub fn insert(&mut self, now_ms: u64, model: (u64, u16), word: Word) {
         if self.answers.len() >= CACHED_MAX_COUNT {
             self.answers
                 .retain(|_, (received_ms, _)| now_ms < *received_ms + ANSWER_VALID_MS);
@@ -63,7 +63,7 @@
     }
 
     /// Returns the answer about a model if it is recent enough.
-    pub fn word(&self, now_ms: u64, model: (u64, u16)) -> Option<Word> {
+    pub fn lookup(&self, now_ms: u64, model: (u64, u16)) -> Option<Word> {
         let cached = self.answers.get(&model);
         let recent = cached.filter(|(received_ms, _)| now_ms < received_ms + ANSWER_VALID_MS);
         recent.map(|(_, word)| *word)
@@ -75,7 +75,7 @@
     if let Some(announced) = node.announced().get(service) {
         return Some(local_answer(announced, model));
     }
-    lock(&node.expected).word(node.now_ms(), (worker_key(service), model))
+    lock(&node.expected).lookup(node.now_ms(), (worker_key(service), model))
 }
 
 /// Returns the answer about a model from this instance as the lease holder.
@@ -117,7 +117,7 @@
         let word = answer
             .in_ms
             .map_or(Word::NotComing, |in_ms| Word::At(now_ms + u64::from(in_ms)));
-        expected.note(now_ms, (answer.service, answer.model), word);
+        expected.insert(now_ms, (answer.service, answer.model), word);
     }
     drop(expected);
     node.expected_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -209,7 +209,7 @@
 async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let owner = owner_of(node, key);
     if owner == node.own_ip() {
-        return Some(take(node, key, limit, wanted));
+        return Some(grant_units(node, key, limit, wanted));
     }
     let mut question = node.limit_questions.open();
     let ask = LimitAsk {
@@ -249,7 +249,7 @@
         least: f64::from(ask.least.max(0.0)),
         most: f64::from(ask.most.max(0.0)),
     };
-    let (units, wait_ms) = match take(node, key, limit, wanted) {
+    let (units, wait_ms) = match grant_units(node, key, limit, wanted) {
         Grant::Units(units) => (Some(units as f32), 0),
         Grant::After(wait_ms) => (None, wait_ms),
     };
@@ -262,7 +262,7 @@
 }
 
 /// Takes units from a part owned by this instance.
-fn take(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Grant {
+fn grant_units(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Grant {
     let tolerance = node.settings.bounds.tolerance();
     let now_ms = node.now_ms();
     let ownership = ownership(node, now_ms, key);
--- a/crates/cranereach-gateway/src/named_limits.rs
+++ b/crates/cranereach-gateway/src/named_limits.rs
@@ -98,7 +98,7 @@
 /// Any response may announce a limit. Only a successful response to a caller's request lifts a
 /// limit by leaving it out: refusals, failures and reports may omit it, and so may a late response
 /// to an earlier request.
-pub fn heard(
+pub fn apply_response(
     node: &Node,
     permit: &Permit,
     announced: Said,
@@ -120,34 +120,34 @@
     };
     let has_changed = known.heard_limit(announced, may_lift, requested_ms, now_ms);
     if has_changed {
-        let word = known.limit_word(now_ms);
+        let report = known.limit_word(now_ms);
         drop(roster);
-        log_change(node, worker, "worker", word);
+        log_change(node, worker, "worker", report);
         // The owner is told, because instances ask it before they send to the worker.
-        if let Some(word) = word {
-            owners::tell_limit(node, worker, word);
+        if let Some(report) = report {
+            owners::tell_limit(node, worker, report);
         }
     }
 }
 
 /// Applies another instance's report of a worker's limit. `worker` is the worker's key.
-pub fn note_told(node: &Node, worker: u64, word: &LimitWord) {
+pub fn note_told(node: &Node, worker: u64, report: &LimitWord) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
     let Some(known) = roster.by_key_mut(worker) else {
         return;
     };
-    if known.told_limit(now_ms, word) {
+    if known.told_limit(now_ms, report) {
         let id = Arc::clone(&known.record.id);
-        let word = known.limit_word(now_ms);
+        let report = known.limit_word(now_ms);
         drop(roster);
-        log_change(node, &id, "peer", word);
+        log_change(node, &id, "peer", report);
     }
 }
 
 /// Logs that the limit of a worker has changed or been lifted, and wakes waiting calls.
-fn log_change(node: &Node, worker: &str, by: &str, word: Option<LimitWord>) {
-    let rate_per_s = word.and_then(|word| word.rate_per_s);
+fn log_change(node: &Node, worker: &str, by: &str, report: Option<LimitWord>) {
+    let rate_per_s = report.and_then(|report| report.rate_per_s);
     info!(node.log, "worker limit"; "worker" => worker, "rate_per_s" => rate_per_s, "by" => by);
     // Calls that wait for a worker make their selection again.
     node.roster_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/news.rs
@@ -28,8 +28,8 @@
             worker.told_unreachable(now_ms, u32::from(sender));
         }
     }
-    let heard = digest.leaving.iter();
-    let new: Vec<(u64, StorePosition)> = heard
+    let reported = digest.leaving.iter();
+    let new: Vec<(u64, StorePosition)> = reported
         .filter(|(key, position)| roster.leaves(*position, *key))
         .copied()
         .collect();
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -137,7 +137,7 @@
 
 /// Sends the current state of a request to the instances that count its terminations, and to all
 /// peers if more than one termination is or was recorded.
-fn notify_peers(node: &Node, mark: RequestMark, held: Suspicion) {
+fn notify_peers(node: &Node, mark: RequestMark, suspicion: Suspicion) {
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).news_of(now_ms as i64, mark);
     let Some(news) = news else { return };
@@ -151,19 +151,19 @@
         node.send_now(address, Message::Suspect(Box::new(news.clone())));
     }
     update_gauges(node);
-    if held.end_count > 1 {
+    if suspicion.end_count > 1 {
         node.tell_news(Origin::Own);
     }
 }
 
 /// Applies a peer's reports on suspected requests.
-pub fn take(node: &Node, sender: Ipv4Addr, told: &[SuspectNews]) {
-    if told.is_empty() || !node.peers().members().is_known(sender) {
+pub fn take(node: &Node, sender: Ipv4Addr, reported: &[SuspectNews]) {
+    if reported.is_empty() || !node.peers().members().is_known(sender) {
         return;
     }
     let now_ms = node.now_ms() as i64;
     let mut change = Change::None;
-    for news in told.iter().take(TOLD_MAX_COUNT) {
+    for news in reported.iter().take(TOLD_MAX_COUNT) {
         let mut quarantine = lock(&node.quarantine);
         let was_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
         change = change.max(quarantine.take(now_ms, news));
--- a/crates/cranereach-gateway/src/recent.rs
+++ b/crates/cranereach-gateway/src/recent.rs
@@ -26,15 +26,15 @@
     /// use cranereach_gateway::recent::Recent;
     ///
     /// let mut recent = Recent::default();
-    /// assert!(recent.learn(1_000, &[7, 8], |known, new| known == new));
-    /// assert!(!recent.learn(2_000, &[7], |known, new| known == new));
+    /// assert!(recent.add(1_000, &[7, 8], |known, new| known == new));
+    /// assert!(!recent.add(2_000, &[7], |known, new| known == new));
     /// assert_eq!(recent.told().collect::<Vec<_>>(), [7, 8]);
     /// ```
-    pub fn learn(&mut self, now_ms: u64, news: &[T], is_same: impl Fn(&T, &T) -> bool) -> bool {
+    pub fn add(&mut self, now_ms: u64, updates: &[T], is_same: impl Fn(&T, &T) -> bool) -> bool {
         self.entries
             .retain(|(at_ms, _)| now_ms < at_ms + GOSSIP_FOR_MS);
         let before = self.entries.len();
-        for new in news {
+        for new in updates {
             if !self.entries.iter().any(|(_, known)| is_same(known, new)) {
                 self.entries.push((now_ms, *new));
             }
@@ -44,6 +44,6 @@
 
     /// Returns the updates to repeat.
     pub fn told(&self) -> impl Iterator<Item = T> {
-        self.entries.iter().map(|(_, news)| *news)
+        self.entries.iter().map(|(_, update)| *update)
     }
 }
--- a/crates/cranereach-gateway/src/rests.rs
+++ b/crates/cranereach-gateway/src/rests.rs
@@ -10,7 +10,7 @@
 use cranereach_fleet::purpose::Purpose;
 
 /// Applies a worker's wish to receive no requests for `for_ms` milliseconds.
-pub fn heard(node: &Node, permit: &Permit, for_ms: u64) {
+pub fn apply_rest(node: &Node, permit: &Permit, for_ms: u64) {
     let now_ms = node.now_ms();
     let is_extended = {
         let mut roster = node.roster();
@@ -27,7 +27,7 @@
 
 /// Records that a worker accepted a request. If it was the trial request after a rest, the rest is
 /// over and further requests may follow.
-pub fn note_taken(node: &Node, permit: &Permit) {
+pub fn record_accepted(node: &Node, permit: &Permit) {
     let has_ended = {
         let mut roster = node.roster();
         let worker = roster.get_mut(&permit.worker);
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -112,7 +112,7 @@
     if is_whole {
         take_whole(node, begun_ms, rows.position, changed);
     } else {
-        take_part(node, begun_ms, rows.position, Span::Changes, changed);
+        apply_rows(node, begun_ms, rows.position, Span::Changes, changed);
     }
     Ok(())
 }
@@ -148,7 +148,7 @@
         return Verdict::Old;
     };
     let known_at_ms = lock(&node.list).known_at_ms();
-    take_part(node, true_at_ms, position, span, rows);
+    apply_rows(node, true_at_ms, position, span, rows);
     let is_much_fresher =
         known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < true_at_ms);
     if position > known_position || is_much_fresher {
@@ -174,7 +174,7 @@
 }
 
 /// Applies rows that make the list complete as of `true_at_ms`.
-fn take_part(
+fn apply_rows(
     node: &Node,
     true_at_ms: u64,
     position: StorePosition,
@@ -195,11 +195,11 @@
 /// Updates the state of the workers to a list that was complete as of `true_at_ms`.
 fn apply(node: &Node, true_at_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
     let now_ms = node.now_ms();
-    let lapse_until_ms = confirm(node, now_ms, true_at_ms, position);
+    let lapse_until_ms = confirm_list(node, now_ms, true_at_ms, position);
     if changed.is_empty() {
         return;
     }
-    let changes = take_rows(node, changed, lapse_until_ms);
+    let changes = update_roster(node, changed, lapse_until_ms);
     let ended = changed.iter().filter(|row| row.value.is_none());
     for row in ended.take(LOGGED_MAX_COUNT) {
         info!(node.log, "worker gone"; "worker" => &row.key, "position" => %row.position,
@@ -212,7 +212,7 @@
 }
 
 /// Applies changed rows to the roster. Returns the workers that are leaving or gone as a result.
-fn take_rows(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowChanges {
+fn update_roster(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowChanges {
     let mut roster = node.roster();
     // Workers on the first list started before this instance.
     let are_new = roster.workers().next().is_some();
@@ -241,7 +241,7 @@
 
 /// Records that the list was complete as of `true_at_ms`. Returns the time until which removed rows
 /// may merely have lapsed.
-fn confirm(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
+fn confirm_list(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
         // The list was in transit when the store was restored from a copy, so newer rows may be
         // missing.
@@ -302,7 +302,7 @@
 /// Queues workers that are leaving or gone for the digests to peers.
 fn note_leaving(node: &Node, now_ms: u64, leaving: &[(u64, StorePosition)]) {
     let is_same = |(known, _): &(u64, StorePosition), (key, _): &(u64, StorePosition)| known == key;
-    if lock(&node.recent_leaving).learn(now_ms, leaving, is_same) {
+    if lock(&node.recent_leaving).add(now_ms, leaving, is_same) {
         node.digest_wanted.notify_one();
     }
 }
--- a/crates/cranereach-gateway/src/send_grants.rs
+++ b/crates/cranereach-gateway/src/send_grants.rs
@@ -92,8 +92,8 @@
 
 /// Returns the report of a worker's limit if one is in force.
 fn limit_in_force(worker: &Worker, now_ms: u64) -> Option<LimitWord> {
-    let word = worker.limit_word(now_ms);
-    word.filter(|word| word.rate_per_s.is_some())
+    let report = worker.limit_word(now_ms);
+    report.filter(|report| report.rate_per_s.is_some())
 }
 
 /// Asks the owner of a worker for permission to send one request. Returns `None` if it does not
@@ -176,7 +176,7 @@
         )
     });
     let limit_rule = limit
-        .and_then(|word| word.rate_per_s)
+        .and_then(|report| report.rate_per_s)
         .map(SendRule::of_limit);
     let rules: Vec<SendRule> = cold_rule.into_iter().chain(limit_rule).collect();
     let ownership = Ownership::of(node.peers().members(), now_ms, ask.worker, now_ms);
--- a/crates/cranereach-gateway/src/unknown_words.rs
+++ b/crates/cranereach-gateway/src/unknown_words.rs
@@ -30,7 +30,7 @@
 }
 
 /// Counts unknown headers that appear to describe the worker that responded.
-pub fn note(node: &Node, worker: &str, (status, headers): (StatusCode, &HeaderMap)) {
+pub fn record(node: &Node, worker: &str, (status, headers): (StatusCode, &HeaderMap)) {
     for name in headers.keys() {
         // With status 503 the header is read as a rest; on success it belongs to the caller.
         let is_unexpected_retry_after = name == RETRY_AFTER
@@ -43,7 +43,7 @@
 }
 
 /// Logs a header that cannot be parsed, once for each header name.
-pub fn note_unreadable(node: &Node, worker: &str, header: &'static str) {
+pub fn record_unreadable(node: &Node, worker: &str, header: &'static str) {
     if lock(&node.unknown_words.unreadable).insert(header) {
         warn!(node.log, "word of a worker not understood"; "worker" => worker, "header" => header);
     }
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_words.rs
@@ -94,33 +94,41 @@
     is_expected_response: bool,
 ) -> WorkerWords {
     let (status, _headers) = head;
-    let words = WorkerWords::read(&node.adapter.headers, &permit.worker, head);
-    if words.is_of_another {
-        return words;
+    let worker_headers = WorkerWords::read(&node.adapter.headers, &permit.worker, head);
+    if worker_headers.is_of_another {
+        return worker_headers;
     }
-    unknown_words::note(node, &permit.worker, head);
-    note_unreadable(node, &permit.worker, &words);
-    if words.leaving == departure::Said::Leaves {
-        departures::heard(node, permit);
+    unknown_words::record(node, &permit.worker, head);
+    record_unreadable(node, &permit.worker, &worker_headers);
+    if worker_headers.leaving == departure::Said::Leaves {
+        departures::record_announcement(node, permit);
     }
     // Of an earlier incarnation only its departure matters, because its row may come back.
     if !is_listed_incarnation(node, permit) {
-        return words;
+        return worker_headers;
     }
-    if let (Some(load), true) = (words.load, is_expected_response) {
+    if let (Some(load), true) = (worker_headers.load, is_expected_response) {
         let now_ms = node.now_ms();
         if let Some(worker) = node.roster().get_mut(&permit.worker) {
             worker.said(now_ms, load);
         }
     }
-    named_limits::heard(node, permit, words.limit, status, is_expected_response);
-    if let rest::Said::For(for_ms) = words.rest {
-        rests::heard(node, permit, for_ms);
-    } else if is_expected_response && !words.is_not_run && status != StatusCode::SERVICE_UNAVAILABLE
+    named_limits::apply_response(
+        node,
+        permit,
+        worker_headers.limit,
+        status,
+        is_expected_response,
+    );
+    if let rest::Said::For(for_ms) = worker_headers.rest {
+        rests::apply_rest(node, permit, for_ms);
+    } else if is_expected_response
+        && !worker_headers.is_not_run
+        && status != StatusCode::SERVICE_UNAVAILABLE
     {
-        rests::note_taken(node, permit);
+        rests::record_accepted(node, permit);
     }
-    words
+    worker_headers
 }
 
 /// Whether the incarnation that a request was intended for is the listed one.
@@ -131,22 +139,22 @@
 }
 
 /// Counts and logs headers that cannot be parsed.
-fn note_unreadable(node: &Node, worker: &str, words: &WorkerWords) {
+fn record_unreadable(node: &Node, worker: &str, worker_headers: &WorkerWords) {
     let names = &node.adapter.headers;
     let unreadable = [
-        (words.is_load_unreadable, "load", names.load),
+        (worker_headers.is_load_unreadable, "load", names.load),
         (
-            words.limit == named_limit::Said::Unreadable,
+            worker_headers.limit == named_limit::Said::Unreadable,
             "limit",
             names.limit,
         ),
         (
-            words.leaving == departure::Said::Unreadable,
+            worker_headers.leaving == departure::Said::Unreadable,
             "leaving",
             names.leaving,
         ),
         (
-            words.rest == rest::Said::Unreadable,
+            worker_headers.rest == rest::Said::Unreadable,
             "rest",
             RETRY_AFTER_HEADER,
         ),
@@ -154,7 +162,7 @@
     for (_, source, header) in unreadable.iter().filter(|(is_set, ..)| *is_set) {
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&[source]).inc();
-        unknown_words::note_unreadable(node, worker, header);
+        unknown_words::record_unreadable(node, worker, header);
     }
 }
 
