--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -57,13 +57,13 @@
         known: Vec<String>,
     },
     /// The row was changed concurrently.
-    #[error("the demand was changed by somebody else meanwhile; look, and ask again")]
+    #[error("the evacuation request was changed concurrently; check its state and try again")]
     Raced,
     /// The settings name an unknown adapter.
-    #[error("platform adapter {0:?} doesn't exist")]
+    #[error("unknown platform adapter {0:?}")]
     Adapter(String),
     /// A store call failed.
-    #[error("the platform's store: {0}")]
+    #[error("call to the platform's store failed: {0}")]
     Store(#[from] StoreError),
 }
 
--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -100,7 +100,7 @@
         .take(now_ms, list.clone(), known_at_ms, bound_ms);
     drop(roster);
     let Some(change) = taken else {
-        warn!(node.log, "evacuations not taken"; "from" => format!("{origin:?}"), "domains" => list.domains.len());
+        warn!(node.log, "evacuation list names too many failure domains"; "from" => format!("{origin:?}"), "domains" => list.domains.len());
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&["evacuation"]).inc();
         return;
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -71,11 +71,11 @@
             }
         }
         drop(quarantine);
-        info!(node.log, "quarantine recalled"; "requests" => row.requests.len());
+        info!(node.log, "quarantined requests loaded from store"; "requests" => row.requests.len());
         Ok::<(), StoreError>(())
     });
     if let Err(error) = loading.await {
-        warn!(node.log, "quarantine not recalled"; "error" => error.to_string());
+        warn!(node.log, "cannot load quarantined requests from store"; "error" => error.to_string());
         let retry_at_ms = node.now_ms() + RETRY_DELAY_MS;
         lasting.retry_at_ms.store(retry_at_ms, Ordering::Release);
     }
@@ -95,7 +95,7 @@
             Ok(true) => return,
             Ok(false) => {}
             Err(error) => {
-                warn!(node.log, "quarantine not kept"; "error" => error.to_string());
+                warn!(node.log, "cannot write quarantined requests to store"; "error" => error.to_string());
                 pause(RETRY_DELAY_MS).await;
             }
         }
@@ -114,7 +114,7 @@
             .inspect_err(|error| {
                 let counter = &node.metrics.bad_input_total;
                 counter.with_label_values(&["quarantine"]).inc();
-                warn!(node.log, "quarantine not understood"; "error" => error.to_string());
+                warn!(node.log, "cannot parse quarantined requests from store"; "error" => error.to_string());
             })
             .ok()
     });
--- a/crates/cranereach-gateway/src/roster_sync/row_changes.rs
+++ b/crates/cranereach-gateway/src/roster_sync/row_changes.rs
@@ -79,7 +79,7 @@
         .inspect_err(|error| {
             let counter = &node.metrics.bad_input_total;
             counter.with_label_values(&["worker"]).inc();
-            warn!(node.log, "worker not understood"; "error" => error.to_string());
+            warn!(node.log, "cannot parse worker row"; "error" => error.to_string());
         })
         .ok()
 }
--- a/crates/cranereach-gateway/src/unknown_words.rs
+++ b/crates/cranereach-gateway/src/unknown_words.rs
@@ -64,7 +64,7 @@
     let is_tracked = is_seen || names.len() < NAME_MAX_COUNT;
     if is_tracked && !is_seen {
         names.insert(name.to_owned());
-        warn!(node.log, "unknown word of a worker"; "worker" => worker, "header" => name);
+        warn!(node.log, "unknown header in worker response"; "worker" => worker, "header" => name);
     }
     drop(names);
     let label = if is_tracked { name } else { OTHER_LABEL };
