--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -79,12 +79,12 @@
 /// State of the store that is relevant to failure domains.
 #[derive(Clone, Debug, Default)]
 struct StoreSnapshot {
-    /// Names that occur in the settings or at a worker.
+    /// Names that occur in the settings or in a worker's row.
     known: BTreeSet<String>,
     /// Positions of the rows that request evacuations, by domain.
     asked: BTreeMap<String, StorePosition>,
     /// Expected position when writing a row that does not exist.
-    absent: StorePosition,
+    absent_position: StorePosition,
     workers: Vec<WorkerRecord>,
 }
 
@@ -121,7 +121,11 @@
     let store = store(settings, adapter);
     let answer = match (asked_at, is_withdrawn) {
         (Some(_), false) | (None, true) => return Ok(Demanded::Already),
-        (None, false) => store.write(&row, snapshot.absent, ROW_VALUE).await?,
+        (None, false) => {
+            store
+                .write(&row, snapshot.absent_position, ROW_VALUE)
+                .await?
+        }
         (Some(position), true) => store.remove(&row, position).await?,
     };
     match answer {
@@ -162,7 +166,7 @@
             Some((domain.to_owned(), row.position))
         });
     let asked = asked.collect();
-    let absent = StorePosition::start_of(rows.position.era);
+    let absent_position = StorePosition::start_of(rows.position.era);
     let rows = store.read(adapter.store.workers).await?;
     let listed = rows.rows.iter().filter(|row| !row.is_gone);
     // The instances count and log invalid rows.
@@ -179,7 +183,7 @@
     Ok(StoreSnapshot {
         known: known.collect(),
         asked,
-        absent,
+        absent_position,
         workers,
     })
 }
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -3,7 +3,7 @@
 //! A [`Finder`] decides when this instance has to read, and from where. Each read's changes are
 //! sent to all peers at once, so that normally one instance reads on behalf of all.
 
-mod row_changes;
+mod row_effects;
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use slog::info;
 use slog::warn;
 
-use self::row_changes::RowChanges;
+use self::row_effects::RowEffects;
 use crate::adapter::Row;
 use crate::bodies;
 use crate::list_bodies;
@@ -199,27 +199,27 @@
     if changed.is_empty() {
         return;
     }
-    let changes = update_roster(node, changed, lapse_until_ms);
+    let effects = update_roster(node, changed, lapse_until_ms);
     let ended = changed.iter().filter(|row| row.value.is_none());
     for row in ended.take(LOGGED_MAX_COUNT) {
         info!(node.log, "worker gone"; "worker" => &row.key, "position" => %row.position,
             "lapsed_until_ms" => lapse_until_ms);
     }
-    note_leaving(node, now_ms, &changes.leaving);
-    node.forget_pools(&changes.ended);
+    note_leaving(node, now_ms, &effects.leaving);
+    node.forget_pools(&effects.ended);
     node.roster_changed.notify_waiters();
     node.controller_wanted.notify_one();
 }
 
 /// Applies changed rows to the roster. Returns the workers that are leaving or gone as a result.
-fn update_roster(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowChanges {
+fn update_roster(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowEffects {
     let mut roster = node.roster();
     // Workers on the first list started before this instance.
     let are_new = roster.workers().next().is_some();
-    let mut changes = RowChanges {
+    let mut effects = RowEffects {
         are_new,
         are_logged: are_new && changed.len() <= LOGGED_MAX_COUNT,
-        ..RowChanges::default()
+        ..RowEffects::default()
     };
     if !are_new {
         info!(node.log, "first list of workers"; "rows" => changed.len());
@@ -228,19 +228,19 @@
     }
     for row in changed {
         match &row.value {
-            None => changes.end(&mut roster, row, lapse_until_ms),
+            None => effects.end(&mut roster, row, lapse_until_ms),
             Some(value) => {
-                if let Some(record) = row_changes::parse(node, &row.key, value) {
-                    changes.put(node, &mut roster, row, record);
+                if let Some(record) = row_effects::parse(node, &row.key, value) {
+                    effects.put(node, &mut roster, row, record);
                 }
             }
         }
     }
-    changes
+    effects
 }
 
-/// Records that the list was complete as of `true_at_ms`. Returns the time until which removed rows
-/// may merely have lapsed.
+/// Records that the list was complete as of `true_at_ms`. Returns the time until which rows may have
+/// been removed only because they lapsed during an outage of the store; `None` if there was none.
 fn confirm_list(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
         // The list was in transit when the store was restored from a copy, so newer rows may be
--- a/crates/cranereach-gateway/src/roster_sync/row_changes.rs
+++ b/crates/cranereach-gateway/src/roster_sync/row_effects.rs
@@ -15,7 +15,7 @@
 
 /// Workers that are leaving or gone according to changed rows.
 #[derive(Debug, Default)]
-pub(super) struct RowChanges {
+pub(super) struct RowEffects {
     /// Workers that are leaving or gone: key, position of the row.
     pub(super) leaving: Vec<(u64, StorePosition)>,
     /// Workers that are gone or have restarted.
@@ -26,7 +26,7 @@
     pub(super) are_logged: bool,
 }
 
-impl RowChanges {
+impl RowEffects {
     /// Applies the current row of a worker.
     pub(super) fn put(
         &mut self,
