--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -122,14 +122,14 @@
     node.peers().told_list(sender, message.position);
     let true_at_ms = told_at_ms(node.now_ms(), message.age_ms);
     let verdict = take_changes(node, sender, true_at_ms, message);
-    // An instance without any list obtains one through its `Finder`.
+    // An instance without any list obtains one in `run`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
         list_bodies::fetch_missing(node, sender, message.position);
     }
 }
 
-/// Applies changes that make the list complete as of `true_at_ms`, if they follow on from the known
-/// position, and passes on what is new.
+/// Applies changes that make the list complete as of the given time, if they follow on from the
+/// known position, and passes on what is new.
 pub fn take_changes(
     node: &Node,
     sender: Ipv4Addr,
@@ -166,14 +166,14 @@
     }
 }
 
-/// Replaces the list by the whole list as of `true_at_ms`.
+/// Replaces the list by the whole list as of the given time.
 pub fn take_whole(node: &Node, true_at_ms: u64, position: StorePosition, listed: Vec<ChangedRow>) {
     enter_era(node, position);
     let changed = lock(&node.listing).take_whole(position, listed);
     apply(node, true_at_ms, position, &changed);
 }
 
-/// Applies rows that make the list complete as of `true_at_ms`.
+/// Applies rows that make the list complete as of the given time.
 fn apply_rows(
     node: &Node,
     true_at_ms: u64,
@@ -192,7 +192,7 @@
     store_era::enter(node);
 }
 
-/// Updates the state of the workers to a list that was complete as of `true_at_ms`.
+/// Updates the state of the workers to a list that was complete as of the given time.
 fn apply(node: &Node, true_at_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
     let now_ms = node.now_ms();
     let lapse_until_ms = confirm_list(node, now_ms, true_at_ms, position);
@@ -239,8 +239,9 @@
     effects
 }
 
-/// Records that the list was complete as of `true_at_ms`. Returns the time until which rows may have
-/// been removed only because they lapsed during an outage of the store; `None` if there was none.
+/// Records that the list was complete as of the given time. Returns the time until which rows may
+/// have been removed only because they lapsed during an outage of the store; `None` if there was
+/// none.
 fn confirm_list(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
         // The list was in transit when the store was restored from a copy, so newer rows may be
