--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -1,7 +1,9 @@
-//! Evacuations of failure domains: read with the configuration, told to all peers.
+//! Tracks evacuations of failure domains, which are read with the configuration and sent to all
+//! peers.
 //!
-//! See [`cranereach_fleet::evacuation`]. An operator's row says which domain; nothing
-//! is answered to operators: the store's own answer is what bounds count from.
+//! See [`cranereach_fleet::evacuation`]. An operator requests an evacuation by a row in the store.
+//! The instances do not confirm it to the operator: the time bound of an evacuation runs from the
+//! store's own response to the write.
 
 use slog::info;
 use slog::warn;
@@ -16,21 +18,22 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Longest name of a domain that is taken, in bytes.
+/// Maximum length of an accepted domain name, in bytes.
 const NAME_MAX_BYTES: usize = 200;
 
-/// Domains at most that neither the settings nor a worker names: they are kept, should
-/// workers come up there.
-const UNLISTED_MAX_COUNT: usize = 16;
+/// Maximum number of accepted domains that occur neither in the settings nor in a worker's row.
+/// They are kept in case workers start there.
+const UNKNOWN_DOMAIN_MAX_COUNT: usize = 16;
 
-/// Characters of a name that isn't taken, in the log.
-const SHOWN_COUNT: usize = 64;
+/// Number of characters of an unknown domain's name that are logged.
+const LOGGED_NAME_CHARS: usize = 64;
 
-/// Takes what the store answered: the whole table, or what has changed in it; false if
-/// it has to be read again, whole.
+/// Applies the store's response, which holds either the whole table or its changes. Returns false
+/// if the whole table has to be read again.
 ///
-/// Which domains workers stand in isn't known before the first list of them. A list that
-/// left some out for that would withdraw them everywhere, as the newest.
+/// The domains of workers are unknown until the first list of workers arrives. A list of
+/// evacuations that left out domains for this reason would, being the newest, withdraw their
+/// evacuation on all instances.
 pub fn take_rows(node: &Node, rows: &Rows, is_whole: bool) -> bool {
     let known = node.roster().evacuations.list().clone();
     let of_domain = |row: &Row| {
@@ -43,20 +46,19 @@
         ))
     };
     let rows_of_domains = rows.rows.iter().filter_map(of_domain);
-    let is_unlisted =
-        |(key, _): &&(u64, StorePosition)| node.topology.domain_by_key(*key).is_none();
-    let mut unlisted_count = known.domains.iter().filter(is_unlisted).count();
+    let is_unknown = |(key, _): &&(u64, StorePosition)| node.topology.domain_by_key(*key).is_none();
+    let mut unknown_count = known.domains.iter().filter(is_unknown).count();
     let knows_workers = lock(&node.list).age_ms(node.now_ms()).is_some();
     let mut taken = Vec::new();
     for (key, domain, position, is_gone) in rows_of_domains {
         let is_held = known.domains.iter().any(|(held, _)| *held == key);
-        if !is_gone && !is_held && !is_listed(node, &domain) {
-            unlisted_count += 1;
-            let is_known = note_unlisted(node, &domain, unlisted_count);
-            if !is_known && !knows_workers {
+        if !is_gone && !is_held && !is_known_domain(node, &domain) {
+            unknown_count += 1;
+            let is_kept = record_unknown(node, &domain, unknown_count);
+            if !is_kept && !knows_workers {
                 return false;
             }
-            if !is_known {
+            if !is_kept {
                 continue;
             }
         }
@@ -65,7 +67,7 @@
     let list = if is_whole {
         let asked = taken.iter().filter(|(.., is_gone)| !is_gone);
         let asked = asked.map(|(key, position, _)| (*key, *position));
-        // A copy may lack what was asked last.
+        // A restored store may lack the latest requests.
         let is_settling = lock(&node.proof).is_settling(node.now_ms());
         let kept = known.domains.iter().filter(|_| is_settling).copied();
         let whole = EvacuationList::whole(rows.position, asked.chain(kept));
@@ -84,7 +86,7 @@
     true
 }
 
-/// Takes a list from the store or a peer; one that is not newer changes nothing.
+/// Applies a list from the store or a peer. A list that is not newer is ignored.
 pub fn take(node: &Node, list: &EvacuationList, origin: Origin) {
     let now_ms = node.now_ms();
     let known_at_ms = lock(&node.proof).known_at_ms(now_ms);
@@ -98,7 +100,7 @@
         .take(now_ms, list.clone(), known_at_ms, bound_ms);
     drop(roster);
     let Some(change) = taken else {
-        warn!(node.log, "evacuations not taken"; "from" => format!("{origin:?}"), "domains" => list.domains.len());
+        warn!(node.log, "evacuation list names too many failure domains"; "from" => format!("{origin:?}"), "domains" => list.domains.len());
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&["evacuation"]).inc();
         return;
@@ -113,7 +115,7 @@
                 "known_age_ms" => known_at_ms.map(|at_ms| now_ms - at_ms));
         }
     }
-    cold::note_taken_back(node, &change.ended);
+    cold::note_evacuations_ended(node, &change.ended);
     node.metrics
         .evacuated_domains
         .set(list.domains.len() as i64);
@@ -123,26 +125,26 @@
 }
 
 /// Whether a domain is named in the settings or by a worker.
-fn is_listed(node: &Node, domain: &str) -> bool {
-    let is_in_table = node.topology.region_of(domain).is_some();
-    let stands_there = || {
+fn is_known_domain(node: &Node, domain: &str) -> bool {
+    let is_in_settings = node.topology.region_of(domain).is_some();
+    let has_worker = || {
         let roster = node.roster();
         let mut workers = roster.workers();
         workers.any(|worker| worker.record.failure_domain.as_ref() == domain)
     };
-    is_in_table || stands_there()
+    is_in_settings || has_worker()
 }
 
-/// Counts and logs a domain that nobody knows; false if it isn't kept.
-fn note_unlisted(node: &Node, domain: &str, count: usize) -> bool {
-    let is_kept = domain.len() <= NAME_MAX_BYTES && count <= UNLISTED_MAX_COUNT;
+/// Counts and logs an unknown domain. Returns false if it is not kept.
+fn record_unknown(node: &Node, domain: &str, count: usize) -> bool {
+    let is_kept = domain.len() <= NAME_MAX_BYTES && count <= UNKNOWN_DOMAIN_MAX_COUNT;
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["evacuation"]).inc();
-    // One more than is kept, so that the log tells of those that aren't.
-    if count <= UNLISTED_MAX_COUNT + 1 {
-        let shown: String = domain.chars().take(SHOWN_COUNT).collect();
+    // One more than the maximum, so that the log shows that a domain was not kept.
+    if count <= UNKNOWN_DOMAIN_MAX_COUNT + 1 {
+        let logged_name: String = domain.chars().take(LOGGED_NAME_CHARS).collect();
         warn!(node.log, "evacuation of an unknown failure domain";
-            "domain" => shown, "bytes" => domain.len(), "kept" => is_kept);
+            "domain" => logged_name, "bytes" => domain.len(), "kept" => is_kept);
     }
     is_kept
 }
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -1,6 +1,6 @@
-//! Asks the owners of accounts' limits whether a request may run.
+//! Asks the owners of client accounts' limits whether a request may run.
 //!
-//! See [`cranereach_fleet::limits`]. An account without a limit costs no message.
+//! See [`cranereach_fleet::limits`]. For an account without a limit no message is sent.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -21,39 +21,39 @@
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Wanted;
 
-/// Time that an owner's answer is waited for, in milliseconds: some ten times the way
-/// there and back within a region.
-const ANSWER_WITHIN_MS: u64 = 20;
+/// Timeout for an owner's answer, in milliseconds: about ten times the round-trip time within a
+/// region.
+const ANSWER_TIMEOUT_MS: u64 = 20;
 
-/// Owners that are asked for one request at most.
-const TRY_COUNT: u32 = 3;
+/// Maximum number of owners asked for one request.
+const OWNER_TRY_MAX_COUNT: u32 = 3;
 
-/// Time after the start for which an instance takes the seeds for owners, in
-/// milliseconds: it doesn't know the others yet, and instances that start together
-/// must not each take itself for the owner.
+/// Time after the start during which an instance uses the seeds as owners, in milliseconds. It does
+/// not know the other instances yet, and instances that start together must not each consider
+/// themselves the owner.
 const SETTLING_MS: u64 = 1_500;
 
-/// Time for which an instance, and a fleet all of which has just started, counts as
-/// young, in milliseconds: twice the time in which all have come to know each other.
-const YOUNG_FOR_MS: u64 = 2 * SETTLING_MS;
+/// Time for which an instance, or a fleet that has restarted as a whole, counts as starting, in
+/// milliseconds: twice the time in which all instances have come to know each other.
+const STARTUP_PERIOD_MS: u64 = 2 * SETTLING_MS;
 
-/// Pause before owners are asked again that did not answer, in milliseconds: some rounds
-/// of digests when everything starts.
-const ASK_AGAIN_AFTER_MS: u64 = 60;
+/// Pause before owners that did not answer are asked again, in milliseconds. It spans some rounds
+/// of digests while all instances are starting.
+const RETRY_DELAY_MS: u64 = 60;
 
-/// Least that is worth a message back to an owner, in units of the limit.
-const LEAST_RETURNED: f64 = 1.0;
+/// Smallest amount that is worth a message back to an owner, in units of the limit.
+const MIN_RETURNED_UNITS: f64 = 1.0;
 
-/// Why a request may not run.
+/// Reason why a request may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// It is beyond the limit; there may be room after a time, in milliseconds.
+    /// The account is over its limit; there may be capacity after this time, in milliseconds.
     Beyond(u64),
-    /// Nobody can say.
+    /// No owner answered, and the account's recent grants do not cover the request.
     Unknown,
 }
 
-/// What a request has been charged to its account's limit.
+/// Amount charged to an account's limit for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Charge {
     account: u64,
@@ -61,7 +61,7 @@
 }
 
 impl Charge {
-    /// Gives back what was charged for a request that did not run.
+    /// Returns the charged units of a request that did not run.
     pub fn give_back(self, node: &Node) {
         give_back(node, self.account, self.units);
     }
@@ -69,8 +69,8 @@
 
 /// Charges a request to its account's limit.
 ///
-/// An instance that has just started may ask again until `ask_until_ms` where nobody
-/// answers: owners that start with it are there within some hundred milliseconds.
+/// If no owner answers, an instance that has just started may ask again until `ask_until_ms`:
+/// owners that start at the same time become reachable within some hundred milliseconds.
 pub async fn charge(
     node: &Node,
     account: &Account,
@@ -92,20 +92,20 @@
         Decision::Beyond(wait_ms) => return Err(Denied::Beyond(wait_ms)),
         Decision::Ask { wanted, held } => (wanted, held),
     };
-    let mut aside = SetAside {
+    let mut reserved = ReservedUnits {
         node,
         account: key,
         units: held,
     };
     let mut grant = ask(node, key, limit, wanted).await;
-    while grant.is_none() && node.now_ms() < ask_until_ms.min(YOUNG_FOR_MS) {
-        pause(ASK_AGAIN_AFTER_MS).await;
+    while grant.is_none() && node.now_ms() < ask_until_ms.min(STARTUP_PERIOD_MS) {
+        pause(RETRY_DELAY_MS).await;
         grant = ask(node, key, limit, wanted).await;
     }
     let now_ms = node.now_ms();
     match grant {
         Some(Grant::Units(units)) => {
-            aside.units = 0.0;
+            reserved.units = 0.0;
             lock(&node.uses).granted(now_ms, key, held + units, cost);
             Ok(charge)
         }
@@ -118,15 +118,14 @@
     }
 }
 
-/// Units set aside for a request, given back when it ends without using them, also
-/// with a caller who left.
-struct SetAside<'a> {
+/// Units reserved for a request. Unused units are returned on drop, also if the caller disconnects.
+struct ReservedUnits<'a> {
     node: &'a Node,
     account: u64,
     units: f64,
 }
 
-impl Drop for SetAside<'_> {
+impl Drop for ReservedUnits<'_> {
     fn drop(&mut self) {
         if self.units != 0.0 {
             give_back(self.node, self.account, self.units);
@@ -134,13 +133,13 @@
     }
 }
 
-/// Gives units back that no request used: what this instance may not keep goes to the
-/// owner of a part. A word that is lost takes units from the account, never adds any.
+/// Returns unused units. What this instance may not keep goes to the owner of a part of the limit.
+/// A lost message can only reduce the account's units, never add any.
 fn give_back(node: &Node, account: u64, units: f64) {
     let now_ms = node.now_ms();
     let tolerance = node.settings.bounds.tolerance();
     let surplus = lock(&node.uses).give_back(now_ms, account, &tolerance, units);
-    let limit = limit_of(node, account).filter(|_| surplus >= LEAST_RETURNED);
+    let limit = limit_of(node, account).filter(|_| surplus >= MIN_RETURNED_UNITS);
     let Some(limit) = limit else {
         return;
     };
@@ -162,7 +161,7 @@
     node.send_now(address, Message::Returned(returned));
 }
 
-/// Takes units back that a peer was granted and did not use.
+/// Takes back units that were granted to a peer and not used.
 pub fn take_back(node: &Node, peer: Ipv4Addr, returned: &LimitReturn) {
     if !node.peers().members().is_known(peer) {
         return;
@@ -175,23 +174,23 @@
     lock(&node.owned_limits).give_back(node.now_ms(), key, units);
 }
 
-/// Returns the limit of an account of the configuration in force.
+/// Returns the limit of an account in the current configuration.
 fn limit_of(node: &Node, account: u64) -> Option<Limit> {
     let configuration = node.configuration()?;
     configuration.accounts.by_key(account)?.limit
 }
 
-/// Asks owners of parts of a limit, one after another, until one grants something;
-/// none if nobody answered.
+/// Asks the owners of parts of a limit, one after another, until one grants units. Returns `None`
+/// if none of them answers.
 async fn ask(node: &Node, account: u64, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
-    let first: u32 = rand::random();
+    let first_part: u32 = rand::random();
     let mut shortest_ms: Option<u64> = None;
     let mut refused_count = 0;
-    for number in 0..TRY_COUNT {
-        let part = first.wrapping_add(number) % part_count;
+    for try_number in 0..OWNER_TRY_MAX_COUNT {
+        let part = first_part.wrapping_add(try_number) % part_count;
         let key = PartKey { account, part };
-        match ask_one(node, key, limit, wanted).await {
+        match ask_owner(node, key, limit, wanted).await {
             Some(Grant::Units(units)) => return Some(Grant::Units(units)),
             Some(Grant::After(wait_ms)) => {
                 refused_count += 1;
@@ -206,11 +205,11 @@
     shortest_ms.map(Grant::After)
 }
 
-/// Asks the owner of one part; none if it doesn't answer.
-async fn ask_one(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
+/// Asks the owner of one part. Returns `None` if it does not answer.
+async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
     let owner = owner_of(node, key);
     if owner == node.own_ip() {
-        return Some(take(node, key, limit, wanted));
+        return Some(grant_units(node, key, limit, wanted));
     }
     let mut question = node.limit_questions.open();
     let ask = LimitAsk {
@@ -222,8 +221,8 @@
     };
     let address = SocketAddr::from((owner, node.peer_port()));
     node.send_now(address, Message::Limit(ask));
-    let due = node.instant(node.now_ms() + ANSWER_WITHIN_MS);
-    let answered = tokio::time::timeout_at(due, question.answers.recv()).await;
+    let deadline = node.instant(node.now_ms() + ANSWER_TIMEOUT_MS);
+    let answered = tokio::time::timeout_at(deadline, question.answers.recv()).await;
     let now_ms = node.now_ms();
     let Ok(Some(granted)) = answered else {
         node.peers().members_mut().missed(now_ms, owner);
@@ -234,8 +233,8 @@
     Some(units.unwrap_or(Grant::After(granted.wait_ms)))
 }
 
-/// Answers a peer that takes this instance for the owner of a part of a limit. Without
-/// a word where the account isn't known here: the peer asks another.
+/// Answers a peer that considers this instance the owner of a part of a limit. Sends no answer if
+/// the account is unknown here; the peer then asks another owner.
 pub fn answer(node: &Node, peer: SocketAddr, ask: &LimitAsk) {
     let IpAddr::V4(ip) = peer.ip() else { return };
     let limit = limit_of(node, ask.account);
@@ -250,7 +249,7 @@
         least: f64::from(ask.least.max(0.0)),
         most: f64::from(ask.most.max(0.0)),
     };
-    let (units, wait_ms) = match take(node, key, limit, wanted) {
+    let (units, wait_ms) = match grant_units(node, key, limit, wanted) {
         Grant::Units(units) => (Some(units as f32), 0),
         Grant::After(wait_ms) => (None, wait_ms),
     };
@@ -262,8 +261,8 @@
     node.send_now(peer, Message::Granted(grant));
 }
 
-/// Takes units out of a part that this instance owns.
-fn take(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Grant {
+/// Takes units from a part owned by this instance.
+fn grant_units(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Grant {
     let tolerance = node.settings.bounds.tolerance();
     let now_ms = node.now_ms();
     let ownership = ownership(node, now_ms, key);
@@ -271,18 +270,18 @@
     owned.take(now_ms, key, limit, &tolerance, wanted, ownership)
 }
 
-/// Returns what this instance is to a part of a limit.
+/// Returns this instance's ownership of a part of a limit.
 fn ownership(node: &Node, now_ms: u64, key: PartKey) -> Ownership {
     let peers = node.peers();
     let members = peers.members();
     let window_ms = node.settings.bounds.limit_window_s * 1_000.0;
-    let is_young = now_ms < YOUNG_FOR_MS;
-    // Whoever has just started asks the seeds.
-    let is_asked = || members.seed_owner(now_ms, key.owner_key()) == Some(node.own_ip());
-    let is_own = members.is_own(now_ms, key.owner_key()) || is_young && is_asked();
+    let is_starting = now_ms < STARTUP_PERIOD_MS;
+    // Instances that have just started ask the seeds.
+    let is_seed_owner = || members.seed_owner(now_ms, key.owner_key()) == Some(node.own_ip());
+    let is_own = members.is_own(now_ms, key.owner_key()) || is_starting && is_seed_owner();
     if !is_own {
         Ownership::StandIn
-    } else if is_young && peers.have_all_started_within(now_ms, YOUNG_FOR_MS) {
+    } else if is_starting && peers.have_all_started_within(now_ms, STARTUP_PERIOD_MS) {
         Ownership::Restarted
     } else if members.same_for_ms(now_ms) as f64 >= window_ms {
         Ownership::Settled
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -1,10 +1,11 @@
-//! Requests under which workers ended: what this instance sees of them, and what it
-//! tells and hears.
+//! Quarantine of poison requests, under which workers terminate: records the terminations seen here
+//! and exchanges them with peers.
 //!
-//! See [`cranereach_fleet::quarantine`]. Each end goes to two instances that the request's
-//! fingerprint picks, so that it is counted wherever the request comes to next; from two
-//! ends on all are told, in digests. [`lasting`] keeps what must outlive all instances. A
-//! call costs a look at the sizes of the requests that are known, mostly none.
+//! See [`cranereach_fleet::quarantine`]. Each termination is sent directly to two instances
+//! selected by the request's fingerprint, so that it is counted whichever instance receives the
+//! request next. From two terminations on, all peers are informed through gossip digests.
+//! [`lasting`] persists what must survive a restart of all instances. The check on the request path
+//! first compares the body size with those of the known requests, of which there are usually none.
 
 pub mod lasting;
 
@@ -30,52 +31,53 @@
 use cranereach_fleet::quarantine::Suspicion;
 use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
-/// Instances that an end is told to beside digests: one may be stopping, or the datagram
-/// be lost.
-const COUNTED_BY_COUNT: usize = 2;
+/// Number of instances that are notified of a termination directly, in addition to the digests.
+/// More than one, because an instance may be stopping or the datagram may be lost.
+const DIRECT_NOTIFY_COUNT: usize = 2;
 
-/// A request under which workers ended, as operators see it.
+/// A request under which workers terminated, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shown {
-    /// Fingerprint of what is asked for.
+    /// Fingerprint of the request content.
     pub fingerprint: String,
-    /// Its route; empty where this instance only heard of it.
+    /// The request's route; empty if this instance knows the request only from peers.
     pub route: String,
-    /// Its client account in metrics; empty where there is none.
+    /// Metrics label of the client account; empty if there is none.
     pub account: String,
-    /// Whether it is refused.
+    /// Whether the request is refused.
     pub is_quarantined: bool,
-    /// Workers that ended under it since the last whole answer.
-    pub ends: Vec<ShownEnd>,
-    /// Times that it was refused here.
+    /// Workers that terminated under the request since its last complete response.
+    pub ends: Vec<WorkerEnd>,
+    /// Number of times this instance refused the request.
     pub refused_count: u64,
 }
 
-/// An end of a worker, as operators see it.
+/// Termination of a worker, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownEnd {
-    /// The worker's identity where this instance saw its end, else the key of its start.
+pub struct WorkerEnd {
+    /// The worker's identity if this instance saw the termination, otherwise the key of its
+    /// incarnation.
     pub worker: String,
-    /// How long ago, in milliseconds.
+    /// Time since the termination, in milliseconds.
     pub age_ms: i64,
 }
 
-/// Returns what is held against a call.
+/// Returns the worker terminations attributed to a call, and whether it is quarantined.
 pub fn suspicion(node: &Node, call: &Call) -> Suspicion {
-    let may_know = lock(&node.quarantine).may_know(call.body_bytes());
-    if !may_know {
+    let may_be_known = lock(&node.quarantine).may_know(call.body_bytes());
+    if !may_be_known {
         return Suspicion::default();
     }
     lock(&node.quarantine).suspicion(call.mark(node))
 }
 
-/// Notes that a worker, of which the key of its start and the identity are given, ended
-/// under a call. `knew_of_others` says whether an earlier end was known here when the
-/// call was sent.
+/// Records that a worker terminated under a call. `worker` holds the key of its incarnation and its
+/// identity; `knew_of_others` states whether this instance knew of an earlier termination when it
+/// sent the call.
 pub async fn ended(node: &Arc<Node>, call: &Call, worker: (u64, &Arc<str>), knew_of_others: bool) {
     let mark = call.mark(node);
-    let before = note_end(node, call, worker, knew_of_others);
-    lasting::recall(node).await;
+    let before = record_worker_end(node, call, worker, knew_of_others);
+    lasting::load_once(node).await;
     let after = lock(&node.quarantine).suspicion(mark);
     if after.is_quarantined && !before.is_quarantined {
         warn!(node.log, "request quarantined"; "request" => call.id.clone(),
@@ -83,11 +85,11 @@
             "fingerprint" => mark.fingerprint.to_string(), "ends" => after.end_count);
         tokio::spawn(lasting::keep(Arc::clone(node)));
     }
-    tell(node, mark, after);
+    notify_peers(node, mark, after);
 }
 
-/// Notes the end of a worker; returns what was held against the request before.
-fn note_end(
+/// Records the termination of a worker. Returns the state of the request before it.
+fn record_worker_end(
     node: &Node,
     call: &Call,
     (worker, id): (u64, &Arc<str>),
@@ -103,20 +105,21 @@
     before
 }
 
-/// Notes that a call was answered whole: it ends no workers.
+/// Records a complete response to a call, which shows that the request does not terminate workers.
 pub fn answered(node: &Arc<Node>, call: &Call) {
     if suspicion(node, call).end_count > 0 {
         clear(node, call.mark(node), "whole answer");
     }
 }
 
-/// Lets a request through again, as an operator asks; false if it isn't known here.
+/// Releases a request from quarantine on behalf of an operator. Returns false if this instance does
+/// not know the request.
 pub fn release(node: &Arc<Node>, fingerprint: Fingerprint) -> bool {
     let mark = lock(&node.quarantine).find(fingerprint);
     mark.is_some_and(|mark| clear(node, mark, "operator"))
 }
 
-/// Takes back what is held against a request; false if nothing is.
+/// Clears the terminations recorded for a request. Returns false if there are none.
 fn clear(node: &Arc<Node>, mark: RequestMark, why: &str) -> bool {
     let now_ms = node.now_ms() as i64;
     let cleared = lock(&node.quarantine).clear(now_ms, mark);
@@ -125,42 +128,42 @@
     };
     info!(node.log, "request cleared"; "fingerprint" => mark.fingerprint.to_string(),
         "ends" => before.end_count, "was_quarantined" => before.is_quarantined, "why" => why);
-    tell(node, mark, before);
+    notify_peers(node, mark, before);
     if before.is_quarantined {
         tokio::spawn(lasting::keep(Arc::clone(node)));
     }
     true
 }
 
-/// Tells what has changed of a request against which something is or was held: those who
-/// count its ends, and everybody where it matters to all.
-fn tell(node: &Node, mark: RequestMark, held: Suspicion) {
+/// Sends the current state of a request to the instances that count its terminations, and to all
+/// peers if more than one termination is or was recorded.
+fn notify_peers(node: &Node, mark: RequestMark, suspicion: Suspicion) {
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).news_of(now_ms as i64, mark);
     let Some(news) = news else { return };
     let purpose = mark.fingerprint.purpose();
-    let counting = node
+    let recipients = node
         .peers()
         .members()
-        .first(now_ms, purpose, COUNTED_BY_COUNT);
-    for instance in counting {
+        .first(now_ms, purpose, DIRECT_NOTIFY_COUNT);
+    for instance in recipients {
         let address = SocketAddr::from((instance, node.peer_port()));
         node.send_now(address, Message::Suspect(Box::new(news.clone())));
     }
-    note_counts(node);
-    if held.end_count > 1 {
+    update_gauges(node);
+    if suspicion.end_count > 1 {
         node.tell_news(Origin::Own);
     }
 }
 
-/// Takes what a peer tells of requests.
-pub fn take(node: &Node, sender: Ipv4Addr, told: &[SuspectNews]) {
-    if told.is_empty() || !node.peers().members().is_known(sender) {
+/// Applies a peer's reports on suspected requests.
+pub fn take(node: &Node, sender: Ipv4Addr, reported: &[SuspectNews]) {
+    if reported.is_empty() || !node.peers().members().is_known(sender) {
         return;
     }
     let now_ms = node.now_ms() as i64;
     let mut change = Change::None;
-    for news in told.iter().take(TOLD_MAX_COUNT) {
+    for news in reported.iter().take(TOLD_MAX_COUNT) {
         let mut quarantine = lock(&node.quarantine);
         let was_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
         change = change.max(quarantine.take(now_ms, news));
@@ -172,14 +175,14 @@
         }
     }
     if change > Change::None {
-        note_counts(node);
+        update_gauges(node);
     }
     if change == Change::Suspicion {
         node.tell_news(Origin::at(node.distance_to(sender)));
     }
 }
 
-/// Chooses what the next digest tells, and forgets what is old.
+/// Selects the reports for the next digest and removes expired entries.
 pub fn news(node: &Node) -> Vec<SuspectNews> {
     let now_ms = node.now_ms() as i64;
     let mut quarantine = lock(&node.quarantine);
@@ -190,7 +193,7 @@
     quarantine.news(now_ms, &mut rand::rng())
 }
 
-/// Notes that a call is refused; returns what the log is to say of it.
+/// Counts the refusal of a call and returns the detail text for the log.
 pub fn refused(node: &Node, call: &Call) -> String {
     let mark = call.mark(node);
     let now_ms = node.now_ms() as i64;
@@ -200,23 +203,23 @@
     format!("refused here {count} times")
 }
 
-/// Lists the requests under which workers ended, for operators.
+/// Lists the requests under which workers terminated, for operators.
 pub fn show(node: &Node) -> Vec<Shown> {
     let now_ms = node.now_ms() as i64;
     let quarantine = lock(&node.quarantine);
     let listed = quarantine.list();
-    listed.map(|listed| shown(now_ms, &listed)).collect()
+    listed.map(|listed| describe(now_ms, &listed)).collect()
 }
 
-/// Writes one request for operators.
-fn shown(now_ms: i64, listed: &Listed) -> Shown {
-    let name = |key: u64| {
+/// Converts one entry to the form shown to operators.
+fn describe(now_ms: i64, listed: &Listed) -> Shown {
+    let worker_name = |key: u64| {
         let mut seen = listed.seen.workers.iter();
-        let seen = seen.find(|(of, _)| *of == key);
+        let seen = seen.find(|(seen_key, _)| *seen_key == key);
         seen.map_or_else(|| format!("{key:016x}"), |(_, id)| id.to_string())
     };
-    let ends = listed.ends.iter().map(|end| ShownEnd {
-        worker: name(end.worker),
+    let ends = listed.ends.iter().map(|end| WorkerEnd {
+        worker: worker_name(end.worker),
         age_ms: now_ms - end.at_ms,
     });
     Shown {
@@ -229,8 +232,8 @@
     }
 }
 
-/// Brings the gauges up to what is known.
-fn note_counts(node: &Node) {
+/// Updates the gauges of suspected and quarantined requests.
+fn update_gauges(node: &Node) {
     let quarantine = lock(&node.quarantine);
     let metrics = &node.metrics;
     metrics
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -1,10 +1,11 @@
-//! Quarantined requests in a row of the platform's store, for a fleet all of which starts
-//! at once.
+//! Persists quarantined requests in a row of the platform's store, for the case that all instances
+//! restart at the same time.
 //!
-//! Instances know of such requests from each other; the row saves two of three workers
-//! when all have forgotten. Whoever sees a request quarantined, or cleared, brings it up
-//! to date. An instance reads it once, when a worker first ends under a request there: in
-//! calm times it costs no call.
+//! Instances normally learn of these requests from each other. If all of them have lost that state,
+//! the row prevents a request from terminating three workers again before it is quarantined: it is
+//! refused after the first one. The instance that sees a request become quarantined or cleared
+//! updates the row. Each instance reads the row once, when the first worker terminates under one of
+//! its requests, so that normal operation needs no store call.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -24,88 +25,84 @@
 use cranereach_fleet::quarantine::SuspectNews;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Table of the row.
 const TABLE: &str = "cranereach_quarantine";
 
-/// Key of the row.
 const KEY: &str = "requests";
 
-/// Requests that the row holds at most, those asked for last.
-const LASTING_MAX_COUNT: usize = 64;
+/// Maximum number of requests in the row; the most recently requested ones are kept.
+const STORED_MAX_COUNT: usize = 64;
 
-/// Times that the row is written before it is left as it is: others, or the next
-/// change, bring it up to date.
-const WRITE_MAX_COUNT: usize = 5;
+/// Maximum number of attempts to write the row. After that it is left to other instances, or to the
+/// next change, to update it.
+const WRITE_ATTEMPT_MAX_COUNT: usize = 5;
 
-/// Pause after a call that failed, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 1_000;
+/// Pause after a failed store call, in milliseconds.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// Whether the row has been read since the start.
+/// State of the one-time load of the row.
 #[derive(Debug, Default)]
 pub struct Lasting {
-    is_read: OnceCell<()>,
-    /// Until when no other read is tried, in milliseconds.
-    wait_until_ms: AtomicU64,
+    is_loaded: OnceCell<()>,
+    /// Time before which no further read is attempted, in milliseconds.
+    retry_at_ms: AtomicU64,
 }
 
-/// The row as it was read.
+/// Content of the row as read from the store.
 struct Row {
     position: StorePosition,
     requests: Vec<SuspectNews>,
 }
 
-/// Reads the row unless it has been read.
-pub async fn recall(node: &Node) {
+/// Loads the row unless it has been loaded since the start.
+pub async fn load_once(node: &Node) {
     let lasting = &node.lasting;
     let now_ms = node.now_ms();
-    if lasting.is_read.initialized() || now_ms < lasting.wait_until_ms.load(Ordering::Acquire) {
+    if lasting.is_loaded.initialized() || now_ms < lasting.retry_at_ms.load(Ordering::Acquire) {
         return;
     }
-    let recalling = lasting.is_read.get_or_try_init(async || {
+    let loading = lasting.is_loaded.get_or_try_init(async || {
         let row = read(node).await?;
         let now_ms = node.now_ms() as i64;
         let mut quarantine = lock(&node.quarantine);
-        for news in row.requests.iter().take(LASTING_MAX_COUNT) {
-            // One that has been cleared meanwhile isn't brought back.
+        for news in row.requests.iter().take(STORED_MAX_COUNT) {
+            // Skips requests that have been cleared in the meantime.
             if !quarantine.is_cleared(news.mark()) {
                 quarantine.take(now_ms, news);
             }
         }
         drop(quarantine);
-        info!(node.log, "quarantine recalled"; "requests" => row.requests.len());
+        info!(node.log, "quarantined requests loaded from store"; "requests" => row.requests.len());
         Ok::<(), StoreError>(())
     });
-    if let Err(error) = recalling.await {
-        warn!(node.log, "quarantine not recalled"; "error" => error.to_string());
-        let wait_until_ms = node.now_ms() + FAILED_PAUSE_MS;
-        lasting
-            .wait_until_ms
-            .store(wait_until_ms, Ordering::Release);
+    if let Err(error) = loading.await {
+        warn!(node.log, "cannot load quarantined requests from store"; "error" => error.to_string());
+        let retry_at_ms = node.now_ms() + RETRY_DELAY_MS;
+        lasting.retry_at_ms.store(retry_at_ms, Ordering::Release);
     }
 }
 
-/// Whether something is known here that the row should hold.
+/// Whether this instance knows of requests that the row should contain.
 pub fn has_some(node: &Node) -> bool {
     let now_ms = node.now_ms() as i64;
-    let kept = lock(&node.quarantine).lasting(now_ms, &[], LASTING_MAX_COUNT);
+    let kept = lock(&node.quarantine).lasting(now_ms, &[], STORED_MAX_COUNT);
     !kept.is_empty()
 }
 
-/// Brings the row up to what is known here.
+/// Updates the row to the quarantined requests known here.
 pub async fn keep(node: Arc<Node>) {
-    for _try in 0..WRITE_MAX_COUNT {
+    for _try in 0..WRITE_ATTEMPT_MAX_COUNT {
         match write(&node).await {
             Ok(true) => return,
             Ok(false) => {}
             Err(error) => {
-                warn!(node.log, "quarantine not kept"; "error" => error.to_string());
-                pause(FAILED_PAUSE_MS).await;
+                warn!(node.log, "cannot write quarantined requests to store"; "error" => error.to_string());
+                pause(RETRY_DELAY_MS).await;
             }
         }
     }
 }
 
-/// Reads the row.
+/// Reads the row from the store.
 async fn read(node: &Node) -> Result<Row, StoreError> {
     let rows = node.store.read(TABLE).await;
     store_pace::note_call(node, "quarantine", &rows);
@@ -117,7 +114,7 @@
             .inspect_err(|error| {
                 let counter = &node.metrics.bad_input_total;
                 counter.with_label_values(&["quarantine"]).inc();
-                warn!(node.log, "quarantine not understood"; "error" => error.to_string());
+                warn!(node.log, "cannot parse quarantined requests from store"; "error" => error.to_string());
             })
             .ok()
     });
@@ -127,16 +124,19 @@
     })
 }
 
-/// Writes the row once unless it is up to date; false if somebody else wrote meanwhile.
+/// Writes the row once, unless it is up to date. Returns false if another instance changed it
+/// concurrently.
 async fn write(node: &Node) -> Result<bool, StoreError> {
     let row = read(node).await?;
     let requests =
-        lock(&node.quarantine).lasting(node.now_ms() as i64, &row.requests, LASTING_MAX_COUNT);
-    let are_same = requests.len() == row.requests.len()
-        && requests
-            .iter()
-            .all(|of| row.requests.iter().any(|held| held.mark() == of.mark()));
-    if are_same {
+        lock(&node.quarantine).lasting(node.now_ms() as i64, &row.requests, STORED_MAX_COUNT);
+    let is_unchanged = requests.len() == row.requests.len()
+        && requests.iter().all(|request| {
+            row.requests
+                .iter()
+                .any(|stored| stored.mark() == request.mark())
+        });
+    if is_unchanged {
         return Ok(true);
     }
     let name = RowName {
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_words.rs
@@ -1,8 +1,8 @@
-//! The one place that hears what an answer says of the worker that made it, whatever the
-//! answer is to and whether or not that can use it.
+//! Reads what the head of a response says about the worker that sent it, for all responses, whether
+//! or not the request can still use them.
 //!
-//! Not believed are answers of another worker at the same address, and words of another
-//! start than the one that was meant count for that one alone.
+//! Responses of another worker at the same address are ignored. Statements of an earlier
+//! incarnation than the listed one apply to that incarnation only.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
@@ -22,43 +22,42 @@
 use cranereach_fleet::named_limit;
 use cranereach_fleet::rest;
 
-/// Time that an idle connection is used again for, where the worker says none, in
-/// milliseconds.
+/// Time for which an idle connection is reused if the worker does not state a keep-alive timeout,
+/// in milliseconds.
 pub const REST_UNSAID_MS: u64 = 300;
 
-/// Time before a worker's own limit from which a connection isn't used again, in
-/// milliseconds.
-const REST_MARGIN_MS: u64 = 150;
+/// Safety margin subtracted from a worker's keep-alive timeout, in milliseconds.
+const KEEP_ALIVE_MARGIN_MS: u64 = 150;
 
-/// Header by which a server tells how long a connection may rest.
+/// Header in which a server states how long it keeps an idle connection open.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Header by which whoever turns a request away says when to come back.
-const REST_HEADER: &str = "retry-after";
+/// Header in which a server that refuses a request states when to retry.
+const RETRY_AFTER_HEADER: &str = "retry-after";
 
-/// What the head of an answer says of the worker that made it.
+/// What the head of a response says about the worker that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerWords {
-    /// Whether another worker made it than the one that was meant.
+    /// Whether another worker than the intended one responded.
     pub is_of_another: bool,
-    /// Whether it says that nothing ran.
+    /// Whether the response states that the request was not run.
     pub is_not_run: bool,
-    /// The worker's load, if it can be read.
+    /// The worker's load, if stated and valid.
     pub load: Option<SaidLoad>,
-    /// Whether it names a load that can't be read.
+    /// Whether a load is stated that cannot be parsed.
     pub is_load_unreadable: bool,
-    /// The requests a second that it takes.
+    /// Requests per second that the worker accepts.
     pub limit: named_limit::Said,
-    /// Whether it leaves.
+    /// Whether the worker is leaving.
     pub leaving: departure::Said,
-    /// For how long it wants nothing.
+    /// Time for which the worker asks for no requests.
     pub rest: rest::Said,
-    /// How long the connection may rest, in milliseconds; none if it closes.
+    /// Time for which the idle connection may be kept, in milliseconds; `None` if it closes.
     pub connection_rest_ms: Option<u64>,
 }
 
 impl WorkerWords {
-    /// Reads the head of an answer to a request that was meant for a worker.
+    /// Reads the head of a response to a request intended for `worker`.
     pub fn read(
         names: &HeaderNames,
         worker: &str,
@@ -66,15 +65,15 @@
     ) -> Self {
         let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let author = headers.get(names.answered_by);
-        let is_other = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
-        let load = headers.get(names.load).map(said_load);
-        // Elsewhere the header is for the caller, or for one account.
+        let is_other_worker = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
+        let load = headers.get(names.load).map(parse_load);
+        // With other status codes the header is meant for the caller, or for one account.
         let rest = match status {
-            StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, REST_HEADER)),
+            StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, RETRY_AFTER_HEADER)),
             _ => rest::Said::Nothing,
         };
         Self {
-            is_of_another: is_misdirected || is_other,
+            is_of_another: is_misdirected || is_other_worker,
             is_not_run: is_misdirected || headers.contains_key(names.not_run),
             load: load.flatten(),
             is_load_unreadable: load == Some(None),
@@ -86,87 +85,100 @@
     }
 }
 
-/// Hears the head of an answer. `is_asked_for` says whether it is the answer to the request
-/// that was permitted, and not one to an earlier one that came late.
+/// Applies the head of a response to the state of the worker. `is_expected_response` states whether
+/// it answers the permitted request, rather than being a late response to an earlier one.
 pub fn hear(
     node: &Node,
     permit: &Permit,
     head: (StatusCode, &HeaderMap),
-    is_asked_for: bool,
+    is_expected_response: bool,
 ) -> WorkerWords {
     let (status, _headers) = head;
-    let words = WorkerWords::read(&node.adapter.headers, &permit.worker, head);
-    if words.is_of_another {
-        return words;
+    let worker_headers = WorkerWords::read(&node.adapter.headers, &permit.worker, head);
+    if worker_headers.is_of_another {
+        return worker_headers;
     }
-    unknown_words::note(node, &permit.worker, head);
-    note_unreadable(node, &permit.worker, &words);
-    if words.leaving == departure::Said::Leaves {
-        departures::heard(node, permit);
+    unknown_words::record(node, &permit.worker, head);
+    record_unreadable(node, &permit.worker, &worker_headers);
+    if worker_headers.leaving == departure::Said::Leaves {
+        departures::record_announcement(node, permit);
     }
-    // Of a start that is over only its leaving is of use: its row may come back.
-    if !is_listed_start(node, permit) {
-        return words;
+    // Of an earlier incarnation only its departure matters, because its row may come back.
+    if !is_listed_incarnation(node, permit) {
+        return worker_headers;
     }
-    if let (Some(load), true) = (words.load, is_asked_for) {
+    if let (Some(load), true) = (worker_headers.load, is_expected_response) {
         let now_ms = node.now_ms();
         if let Some(worker) = node.roster().get_mut(&permit.worker) {
             worker.said(now_ms, load);
         }
     }
-    named_limits::heard(node, permit, words.limit, status, is_asked_for);
-    if let rest::Said::For(for_ms) = words.rest {
-        rests::heard(node, permit, for_ms);
-    } else if is_asked_for && !words.is_not_run && status != StatusCode::SERVICE_UNAVAILABLE {
-        rests::note_taken(node, permit);
+    named_limits::apply_response(
+        node,
+        permit,
+        worker_headers.limit,
+        status,
+        is_expected_response,
+    );
+    if let rest::Said::For(for_ms) = worker_headers.rest {
+        rests::apply_rest(node, permit, for_ms);
+    } else if is_expected_response
+        && !worker_headers.is_not_run
+        && status != StatusCode::SERVICE_UNAVAILABLE
+    {
+        rests::record_accepted(node, permit);
     }
-    words
+    worker_headers
 }
 
-/// Whether the start that a request was meant for is the one that is listed.
-fn is_listed_start(node: &Node, permit: &Permit) -> bool {
+/// Whether the incarnation that a request was intended for is the listed one.
+fn is_listed_incarnation(node: &Node, permit: &Permit) -> bool {
     let roster = node.roster();
     let known = roster.get(&permit.worker);
     known.is_some_and(|known| known.record.started_unix_ms == permit.started_unix_ms)
 }
 
-/// Counts and logs what can't be read.
-fn note_unreadable(node: &Node, worker: &str, words: &WorkerWords) {
+/// Counts and logs headers that cannot be parsed.
+fn record_unreadable(node: &Node, worker: &str, worker_headers: &WorkerWords) {
     let names = &node.adapter.headers;
     let unreadable = [
-        (words.is_load_unreadable, "load", names.load),
+        (worker_headers.is_load_unreadable, "load", names.load),
         (
-            words.limit == named_limit::Said::Unreadable,
+            worker_headers.limit == named_limit::Said::Unreadable,
             "limit",
             names.limit,
         ),
         (
-            words.leaving == departure::Said::Unreadable,
+            worker_headers.leaving == departure::Said::Unreadable,
             "leaving",
             names.leaving,
         ),
-        (words.rest == rest::Said::Unreadable, "rest", REST_HEADER),
+        (
+            worker_headers.rest == rest::Said::Unreadable,
+            "rest",
+            RETRY_AFTER_HEADER,
+        ),
     ];
-    for (_, source, header) in unreadable.iter().filter(|(is_so, ..)| *is_so) {
+    for (_, source, header) in unreadable.iter().filter(|(is_set, ..)| *is_set) {
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&[source]).inc();
-        unknown_words::note_unreadable(node, worker, header);
+        unknown_words::record_unreadable(node, worker, header);
     }
 }
 
-/// Returns the values of a header.
+/// Returns all values of a header.
 fn values<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a [u8]> {
     let values = headers.get_all(name).into_iter();
     values.map(HeaderValue::as_bytes)
 }
 
-/// Returns a header's first value as text.
+/// Returns the first value of a header as text.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Reads a worker's load: running, waiting, slots.
-fn said_load(value: &HeaderValue) -> Option<SaidLoad> {
+/// Parses a worker's load: running, waiting, slots.
+fn parse_load(value: &HeaderValue) -> Option<SaidLoad> {
     let text = value.to_str().ok()?;
     let mut counts = text.split(',').map(|count| count.trim().parse().ok());
     Some(SaidLoad {
@@ -175,28 +187,30 @@
     })
 }
 
-/// Returns how long a connection may rest, in milliseconds; none if it closes.
+/// Returns the time for which an idle connection may be kept, in milliseconds; `None` if it closes.
 fn connection_rest_ms(headers: &HeaderMap) -> Option<u64> {
     if has_option(headers, &CONNECTION, "close") {
         return None;
     }
-    let said_s = text(headers, KEEP_ALIVE).and_then(|value| {
-        let mut given = value
+    let timeout_s = text(headers, KEEP_ALIVE).and_then(|value| {
+        let mut timeouts = value
             .split(',')
             .filter_map(|part| part.trim().strip_prefix("timeout="));
-        given.next()?.trim().parse::<u64>().ok()
+        timeouts.next()?.trim().parse::<u64>().ok()
     });
-    let rest_ms = said_s.map_or(REST_UNSAID_MS, |said_s| {
-        said_s.saturating_mul(1_000).saturating_sub(REST_MARGIN_MS)
+    let keep_alive_ms = timeout_s.map_or(REST_UNSAID_MS, |timeout_s| {
+        timeout_s
+            .saturating_mul(1_000)
+            .saturating_sub(KEEP_ALIVE_MARGIN_MS)
     });
-    (rest_ms > 0).then_some(rest_ms)
+    (keep_alive_ms > 0).then_some(keep_alive_ms)
 }
 
-/// Whether a header lists an option.
+/// Whether a header contains an option in its comma-separated list.
 fn has_option(headers: &HeaderMap, name: &HeaderName, option: &str) -> bool {
     let values = headers.get_all(name).into_iter();
-    let mut listed = values
+    let mut options = values
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','));
-    listed.any(|listed| listed.trim().eq_ignore_ascii_case(option))
+    options.any(|listed| listed.trim().eq_ignore_ascii_case(option))
 }
