--- a/crates/cranereach-gateway/src/bodies.rs
+++ b/crates/cranereach-gateway/src/bodies.rs
@@ -30,58 +30,58 @@
 use cranereach_fleet::topology::Distance;
 
 /// Time after a failed accept, in milliseconds.
-const ACCEPT_PAUSE_MS: u64 = 20;
+const ACCEPT_RETRY_DELAY_MS: u64 = 20;
 
 /// Time for a configuration from a peer, in milliseconds: another peer has to be asked
 /// while the bound of changes, 2,000 at least, still allows it.
-const CONFIGURATION_WITHIN_MS: u64 = 1_500;
+const CONFIGURATION_TIMEOUT_MS: u64 = 1_500;
 
 /// Time for a list of workers from a peer, in milliseconds: one of 10,000 is some 300 KB
 /// packed, three of which a link of 10 Mbit/s carries in 0.7 s, a busy one later.
-const WORKERS_WITHIN_MS: u64 = 6_000;
+const WORKERS_TIMEOUT_MS: u64 = 6_000;
 
 /// Time without a byte after which a peer is given up, in milliseconds: another one is
 /// asked next.
-const SILENT_WITHIN_MS: u64 = 500;
+const IDLE_TIMEOUT_MS: u64 = 500;
 
 /// Time to connect to a peer, in milliseconds: another one is asked next.
-const CONNECT_WITHIN_MS: u64 = 300;
+const CONNECT_TIMEOUT_MS: u64 = 300;
 
 /// Longest question, in bytes: its number, and the longest of a position.
-const ASK_MAX_BYTES: u64 = 24;
+const REQUEST_MAX_BYTES: u64 = 24;
 
 /// Largest body from a peer, in bytes.
 pub(crate) const FETCH_MAX_BYTES: usize = 16 * 1024 * 1024;
 
 /// Part of the bound of configurations over which fetches from peers are spread: one
 /// in so many. Bodies are large, and all instances hear of a change at once.
-const FETCH_SPREAD_PART: u64 = 16;
+const FETCH_SPREAD_DIVISOR: u64 = 16;
 
 /// Part of that bound for which an instance leaves it to another one of its failure
 /// domain to fetch a body from elsewhere: one in so many.
-const FETCH_FAR_PART: u64 = 8;
+const OWN_DOMAIN_WAIT_DIVISOR: u64 = 8;
 
 /// Time between two looks whether it has, in milliseconds.
-const LOOK_EVERY_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
 /// Purpose that instances of a failure domain are ranked for.
 const PURPOSE: &str = "bodies";
 
 /// What is asked of a peer over TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum BodyRequest {
     /// The configuration in force.
     Configuration,
     /// The list of workers, for whoever knows it as of a position.
     Workers(StorePosition),
 }
 
-impl Ask {
+impl BodyRequest {
     /// Returns the time for the whole answer.
-    const fn within(self) -> Duration {
+    const fn total_timeout(self) -> Duration {
         Duration::from_millis(match self {
-            Self::Configuration => CONFIGURATION_WITHIN_MS,
-            Self::Workers(_) => WORKERS_WITHIN_MS,
+            Self::Configuration => CONFIGURATION_TIMEOUT_MS,
+            Self::Workers(_) => WORKERS_TIMEOUT_MS,
         })
     }
 }
@@ -91,7 +91,7 @@
 ///
 /// Within a failure domain one instance fetches it from elsewhere, the others from those
 /// that have it there.
-pub fn fetch_configuration_if_behind(node: &Arc<Node>, teller: Ipv4Addr, version: u64) {
+pub fn fetch_configuration_if_behind(node: &Arc<Node>, advertiser: Ipv4Addr, version: u64) {
     if version <= node.configuration_version() {
         return;
     }
@@ -106,14 +106,16 @@
         // Without any configuration each call is refused: that is worth a body more from
         // another failure domain.
         if node.configuration_version() > 0 {
-            pause(rand::random_range(0..=bound_ms / FETCH_SPREAD_PART)).await;
-            if is_left_to_others(&node, teller) {
-                until_in_force(&node, version, bound_ms / FETCH_FAR_PART).await;
+            pause(rand::random_range(0..=bound_ms / FETCH_SPREAD_DIVISOR)).await;
+            if is_left_to_others(&node, advertiser) {
+                wait_for_domain_copy(&node, version, bound_ms / OWN_DOMAIN_WAIT_DIVISOR).await;
             }
         }
         if node.configuration_version() < version {
             let now_ms = node.now_ms();
-            let source = node.peers().configuration_source(now_ms, version, teller);
+            let source = node
+                .peers()
+                .configuration_source(now_ms, version, advertiser);
             fetch_configuration(&node, source).await;
         }
         node.is_fetching_configuration
@@ -123,14 +125,14 @@
 
 /// Whether what a peer tells is left to another instance of the own failure domain to
 /// fetch first.
-fn is_left_to_others(node: &Node, teller: Ipv4Addr) -> bool {
-    let is_near = node.distance_to(teller) == Some(Distance::OwnDomain);
+fn is_left_to_others(node: &Node, advertiser: Ipv4Addr) -> bool {
+    let is_near = node.distance_to(advertiser) == Some(Distance::OwnDomain);
     !is_near && !node.peers().is_first_in_domain(node.now_ms(), PURPOSE)
 }
 
 /// Waits until a peer of the own failure domain has a version of the configuration, or
 /// a time is over.
-async fn until_in_force(node: &Node, version: u64, within_ms: u64) {
+async fn wait_for_domain_copy(node: &Node, version: u64, within_ms: u64) {
     let until_ms = node.now_ms() + within_ms;
     let own_ip = node.own_ip();
     while node.now_ms() < until_ms && node.configuration_version() < version {
@@ -139,14 +141,14 @@
         if source != own_ip {
             return;
         }
-        pause(LOOK_EVERY_MS).await;
+        pause(POLL_INTERVAL_MS).await;
     }
 }
 
 /// Fetches the configuration in force at a peer.
 async fn fetch_configuration(node: &Node, peer: Ipv4Addr) {
-    let body = fetch(node, peer, Ask::Configuration).await;
-    let Ok(body) = body.and_then(|body| unpacked(&body)) else {
+    let body = fetch(node, peer, BodyRequest::Configuration).await;
+    let Ok(body) = body.and_then(|body| unpack_body(&body)) else {
         // The next digest tries again.
         return;
     };
@@ -167,24 +169,24 @@
 }
 
 /// Unpacks a body.
-fn unpacked(body: &[u8]) -> io::Result<Vec<u8>> {
+fn unpack_body(body: &[u8]) -> io::Result<Vec<u8>> {
     unpack(body, FETCH_MAX_BYTES as u64).ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
 /// Asks a peer over TCP; an empty answer says that it has nothing to give.
-pub(crate) async fn fetch(node: &Node, peer: Ipv4Addr, ask: Ask) -> io::Result<Bytes> {
+pub(crate) async fn fetch(node: &Node, peer: Ipv4Addr, request: BodyRequest) -> io::Result<Bytes> {
     let port = node.settings.listen.peers.port();
     let fetching = async {
         let connecting = TcpStream::connect(SocketAddr::from((peer, port)));
-        let connect_within = Duration::from_millis(CONNECT_WITHIN_MS);
-        let mut stream = tokio::time::timeout(connect_within, connecting).await??;
-        let message = postcard::to_stdvec(&ask).map_err(io::Error::other)?;
+        let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+        let mut stream = tokio::time::timeout(connect_timeout, connecting).await??;
+        let message = postcard::to_stdvec(&request).map_err(io::Error::other)?;
         stream.write_all(&message).await?;
         stream.shutdown().await?;
         node.note_sent(peer, Kind::Other, message.len());
         read_whole(&mut stream).await
     };
-    tokio::time::timeout(ask.within(), fetching)
+    tokio::time::timeout(request.total_timeout(), fetching)
         .await
         .unwrap_or_else(|_elapsed| Err(io::ErrorKind::TimedOut.into()))
 }
@@ -192,10 +194,10 @@
 /// Reads what a peer sends until it closes, unless it falls silent or sends too much.
 async fn read_whole(stream: &mut TcpStream) -> io::Result<Bytes> {
     let mut body = BytesMut::new();
-    let silent_within = Duration::from_millis(SILENT_WITHIN_MS);
+    let idle_timeout = Duration::from_millis(IDLE_TIMEOUT_MS);
     loop {
         let reading = stream.read_buf(&mut body);
-        let count = tokio::time::timeout(silent_within, reading).await??;
+        let count = tokio::time::timeout(idle_timeout, reading).await??;
         if count == 0 {
             return Ok(body.freeze());
         }
@@ -209,32 +211,32 @@
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            pause(ACCEPT_PAUSE_MS).await;
+            pause(ACCEPT_RETRY_DELAY_MS).await;
             continue;
         };
         let node = Arc::clone(&node);
         tokio::spawn(async move {
-            let within = Duration::from_millis(WORKERS_WITHIN_MS);
+            let answer_timeout = Duration::from_millis(WORKERS_TIMEOUT_MS);
             // A peer that breaks off asks again.
-            let _answered = tokio::time::timeout(within, answer(&node, peer, stream)).await;
+            let _answered = tokio::time::timeout(answer_timeout, answer(&node, peer, stream)).await;
         });
     }
 }
 
 /// Answers one question.
 async fn answer(node: &Node, peer: SocketAddr, mut stream: TcpStream) -> io::Result<()> {
-    let mut asked = Vec::new();
+    let mut received = Vec::new();
     (&mut stream)
-        .take(ASK_MAX_BYTES)
-        .read_to_end(&mut asked)
+        .take(REQUEST_MAX_BYTES)
+        .read_to_end(&mut received)
         .await?;
-    let ask: Ask = postcard::from_bytes(&asked).map_err(io::Error::other)?;
+    let request: BodyRequest = postcard::from_bytes(&received).map_err(io::Error::other)?;
     // Kept until the body is sent.
-    let (kind, body, _place) = match ask {
-        Ask::Configuration => (Kind::Configuration, packed_configuration(node), None),
-        Ask::Workers(known_version) => {
-            let (body, place) = list_bodies::answer(node, known_version);
-            (Kind::Workers, body, place)
+    let (kind, body, _place) = match request {
+        BodyRequest::Configuration => (Kind::Configuration, packed_configuration(node), None),
+        BodyRequest::Workers(known_version) => {
+            let (body, slot) = list_bodies::answer(node, known_version);
+            (Kind::Workers, body, slot)
         }
     };
     stream.write_all(&body).await?;
--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -50,22 +50,22 @@
 const SLOW_ROUND_EVERY: u64 = 4;
 
 /// Least time between two rounds of digests, in milliseconds.
-const ROUND_LEAST_MS: u64 = 20;
+const ROUND_MIN_INTERVAL_MS: u64 = 20;
 
 /// Time for which the candidates for a lease hear that its term is over, in
 /// milliseconds: some rounds.
-const ENDED_TOLD_FOR_MS: u64 = 1_500;
+const ENDED_LEASE_GOSSIP_MS: u64 = 1_500;
 
 /// Time between two messages of demand to a holder in another failure domain, in
 /// milliseconds.
-const DEMAND_IN_REGION_EVERY_MS: u64 = 480;
+const DEMAND_OWN_REGION_INTERVAL_MS: u64 = 480;
 
 /// The same in another region: three that are missed still count (`peers::demand`).
-const DEMAND_BEYOND_EVERY_MS: u64 = 720;
+const DEMAND_OTHER_REGION_INTERVAL_MS: u64 = 720;
 
 /// Adapters that one digest names at most, so that a holder's link stays free: who
 /// waits for one is told in particular.
-const TOLD_ADAPTER_MAX_COUNT: usize = 48;
+const DIGEST_ADAPTERS_MAX_COUNT: usize = 48;
 
 /// Sends digests until the process ends.
 pub async fn send(node: Arc<Node>) {
@@ -75,12 +75,12 @@
         round += 1;
         let is_slow_round = round.is_multiple_of(SLOW_ROUND_EVERY);
         let members = node.peers().member_news(now_ms);
-        let digest = make(&node, now_ms, members);
-        let holds = concerned(&digest);
+        let digest = make_digest(&node, now_ms, members);
+        let holds = services_to_notify(&digest);
         let recipients = node.peers().recipients(now_ms, is_slow_round, &holds);
         node.send_all(Message::Digest(Box::new(digest)), &recipients)
             .await;
-        pause(ROUND_LEAST_MS).await;
+        pause(ROUND_MIN_INTERVAL_MS).await;
         let every = Duration::from_millis(node.settings.peers.digest_every_ms);
         // Whoever wants a digest at once ends the wait early.
         let _waited = tokio::time::timeout(every, node.digest_wanted.notified()).await;
@@ -89,9 +89,9 @@
 
 /// Lists the services whose candidates have to hear a digest: their lease is held by
 /// its sender, or was until a moment ago.
-fn concerned(digest: &Digest) -> Vec<u64> {
+fn services_to_notify(digest: &Digest) -> Vec<u64> {
     let ended = digest.ended.iter();
-    let ended = ended.filter(|ended| ended.age_ms < ENDED_TOLD_FOR_MS);
+    let ended = ended.filter(|ended| ended.age_ms < ENDED_LEASE_GOSSIP_MS);
     let held = digest.holds.iter().copied();
     held.chain(ended.map(|ended| ended.service)).collect()
 }
@@ -99,7 +99,7 @@
 /// Tells holders of leases what is asked for here, until the process ends.
 pub async fn send_demand(node: Arc<Node>) {
     let mut count = 0_u64;
-    let mut told_at_ms: HashMap<Ipv4Addr, u64> = HashMap::new();
+    let mut sent_at_ms: HashMap<Ipv4Addr, u64> = HashMap::new();
     loop {
         let now_ms = node.now_ms();
         count += 1;
@@ -114,17 +114,17 @@
         };
         let is_urgent = !message.waits_for.is_empty() || !message.lacks.is_empty();
         let mut holders = node.peers().holders(now_ms);
-        told_at_ms.retain(|holder, _| holders.contains(holder));
+        sent_at_ms.retain(|holder, _| holders.contains(holder));
         holders.retain(|holder| {
-            let at_ms = told_at_ms.get(holder);
+            let at_ms = sent_at_ms.get(holder);
             let every_ms = demand_every_ms(node.distance_to(*holder));
             is_urgent || at_ms.is_none_or(|at_ms| now_ms >= at_ms + every_ms)
         });
         if !message.parts.is_empty() && !holders.is_empty() {
             node.send_all(Message::Demand(message), &holders).await;
-            told_at_ms.extend(holders.into_iter().map(|holder| (holder, now_ms)));
+            sent_at_ms.extend(holders.into_iter().map(|holder| (holder, now_ms)));
         }
-        pause(ROUND_LEAST_MS).await;
+        pause(ROUND_MIN_INTERVAL_MS).await;
         let round_ms = node.settings.peers.digest_every_ms;
         let every = Duration::from_millis(node.peers().demand_every_ms(round_ms));
         // Whoever waits for what nobody holds ends the wait early.
@@ -137,13 +137,13 @@
 const fn demand_every_ms(distance: Option<Distance>) -> u64 {
     match distance {
         Some(Distance::OwnDomain) | None => 0,
-        Some(Distance::OwnRegion) => DEMAND_IN_REGION_EVERY_MS,
-        Some(Distance::OtherRegion) => DEMAND_BEYOND_EVERY_MS,
+        Some(Distance::OwnRegion) => DEMAND_OWN_REGION_INTERVAL_MS,
+        Some(Distance::OtherRegion) => DEMAND_OTHER_REGION_INTERVAL_MS,
     }
 }
 
 /// Makes a digest of what this instance knows and does.
-fn make(node: &Node, now_ms: u64, members: Vec<MemberNews>) -> Digest {
+fn make_digest(node: &Node, now_ms: u64, members: Vec<MemberNews>) -> Digest {
     let count = node.digest_count.fetch_add(1, Ordering::AcqRel) + 1;
     let peers = node.peers();
     let store_failed = peers.store_failures(now_ms);
@@ -157,7 +157,7 @@
     let leaving = lock(&node.recent_leaving).told().collect();
     let announced = node.announced();
     let adapters = announced.values().flat_map(|of| &of.adapters);
-    let adapters = adapters.copied().take(TOLD_ADAPTER_MAX_COUNT).collect();
+    let adapters = adapters.copied().take(DIGEST_ADAPTERS_MAX_COUNT).collect();
     let withheld = announced
         .values()
         .flat_map(|of| of.withheld.clone())
@@ -223,7 +223,7 @@
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-            pause(ROUND_LEAST_MS).await;
+            pause(ROUND_MIN_INTERVAL_MS).await;
             continue;
         };
         let datagram = postcard::from_bytes::<Datagram>(&buffer[..length]);
@@ -231,9 +231,9 @@
             (Ok(datagram), IpAddr::V4(ip)) if datagram.version == VERSION => {
                 match datagram.message {
                     Message::Digest(digest) => {
-                        let is_behind = take(&node, ip, &digest);
+                        let is_behind = handle_digest(&node, ip, &digest);
                         if is_behind {
-                            list_news::tell_behind(&node, ip).await;
+                            list_news::update_lagging_peer(&node, ip).await;
                         }
                     }
                     Message::Demand(demand) => news::take_demand(&node, ip, &demand),
@@ -273,7 +273,7 @@
 
 /// Answers an instance that has no list yet with a digest at once, so that it knows
 /// whom to ask: the members that stand where it does come first.
-fn greet(node: &Node, now_ms: u64, newcomer: Ipv4Addr, heard: &Digest) {
+fn reply_to_joining(node: &Node, now_ms: u64, newcomer: Ipv4Addr, heard: &Digest) {
     let members = {
         let mut peers = node.peers();
         if !peers.may_greet(now_ms, newcomer) {
@@ -284,7 +284,7 @@
     let digest = Digest {
         // What was told before it came up.
         departures: departures::all(node),
-        ..make(node, now_ms, members)
+        ..make_digest(node, now_ms, members)
     };
     let newcomer = SocketAddr::from((newcomer, node.peer_port()));
     node.send_now(newcomer, Message::Digest(Box::new(digest)));
@@ -296,7 +296,7 @@
 }
 
 /// Takes a digest; true if its sender's list of workers is behind this one's.
-fn take(node: &Arc<Node>, sender: Ipv4Addr, digest: &Digest) -> bool {
+fn handle_digest(node: &Arc<Node>, sender: Ipv4Addr, digest: &Digest) -> bool {
     let now_ms = node.now_ms();
     let is_new = {
         let mut peers = node.peers();
@@ -309,7 +309,7 @@
         return false;
     }
     if digest.list_position.is_none() {
-        greet(node, now_ms, sender, digest);
+        reply_to_joining(node, now_ms, sender, digest);
     }
     node.store.eras().rise_to(digest.store_era, "peer");
     bodies::fetch_configuration_if_behind(node, sender, digest.configuration_version);
--- a/crates/cranereach-gateway/src/list_bodies.rs
+++ b/crates/cranereach-gateway/src/list_bodies.rs
@@ -16,7 +16,7 @@
 use tokio::sync::SemaphorePermit;
 
 use crate::bodies;
-use crate::bodies::Ask;
+use crate::bodies::BodyRequest;
 use crate::messages::ListMessage;
 use crate::messages::pack_rows;
 use crate::messages::unpack_rows;
@@ -33,11 +33,11 @@
 
 /// Whole lists that are sent at one time: more would share the link, and nobody could
 /// pass one on before all are done. Whoever is turned away asks another peer.
-const WHOLE_AT_ONCE_COUNT: usize = 3;
+const CONCURRENT_WHOLE_LISTS_MAX_COUNT: usize = 3;
 
 /// Time for which a packed whole list is sent again, in milliseconds: packing 10,000
 /// rows takes some 30 ms of a core, and changes since then are fetched by themselves.
-const PACKED_FOR_MS: u64 = 5_000;
+const PACKED_LIST_TTL_MS: u64 = 5_000;
 
 /// Longest wait before changes that were too large for a datagram are fetched, in
 /// milliseconds: all of a failure domain hear of them at one moment.
@@ -45,10 +45,10 @@
 
 /// Time that an own list may lag behind one that a digest tells of before changes are
 /// fetched, in milliseconds: they are usually on their way by themselves.
-const LAG_MS: u64 = 600;
+const OWN_DOMAIN_LAG_MS: u64 = 600;
 
 /// The same where the teller stands in another failure domain: neighbours come first.
-const FAR_LAG_MS: u64 = 1_800;
+const OTHER_DOMAIN_LAG_MS: u64 = 1_800;
 
 /// What a peer answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,15 +60,15 @@
 
 /// What sending whole lists needs.
 #[derive(Debug)]
-pub struct Sending {
-    places: Semaphore,
+pub struct ListSending {
+    send_slots: Semaphore,
     packed: Mutex<Option<PackedList>>,
 }
 
-impl Default for Sending {
+impl Default for ListSending {
     fn default() -> Self {
         Self {
-            places: Semaphore::new(WHOLE_AT_ONCE_COUNT),
+            send_slots: Semaphore::new(CONCURRENT_WHOLE_LISTS_MAX_COUNT),
             packed: Mutex::default(),
         }
     }
@@ -87,11 +87,11 @@
 
 /// How a fetch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fetched {
+pub enum FetchOutcome {
     /// The own list is newer, or known to hold since later, than before.
-    News,
+    Updated,
     /// The peer has nothing to give now.
-    Nothing,
+    NothingNew,
     /// The peer could not be reached, or not be understood.
     Failed,
 }
@@ -105,11 +105,11 @@
     if let Some(list) = changes_since(node, known, age_ms) {
         return (encode(list, None), None);
     }
-    let Ok(place) = node.list_sending.places.try_acquire() else {
+    let Ok(slot) = node.list_sending.send_slots.try_acquire() else {
         return (Bytes::new(), None);
     };
     let (list, history) = whole(node, age_ms);
-    (encode(list, Some(history)), Some(place))
+    (encode(list, Some(history)), Some(slot))
 }
 
 /// Returns what has changed since a position; none if that isn't known.
@@ -134,19 +134,19 @@
     let now_ms = node.now_ms();
     let mut packed = lock(&node.list_sending.packed);
     let era = node.list_position().era;
-    let kept = packed
-        .take()
-        .filter(|kept| now_ms < kept.packed_at_ms + PACKED_FOR_MS && kept.position.era == era);
-    let kept = kept.unwrap_or_else(|| pack(node, now_ms, age_ms));
+    let cached = packed.take().filter(|cached| {
+        now_ms < cached.packed_at_ms + PACKED_LIST_TTL_MS && cached.position.era == era
+    });
+    let cached = cached.unwrap_or_else(|| pack(node, now_ms, age_ms));
     let message = ListMessage {
         from: StorePosition::default(),
         span: Span::Difference,
-        position: kept.position,
-        age_ms: now_ms.saturating_sub(kept.true_at_ms),
-        packed_rows: kept.packed_rows.clone(),
+        position: cached.position,
+        age_ms: now_ms.saturating_sub(cached.true_at_ms),
+        packed_rows: cached.packed_rows.clone(),
     };
-    let history = kept.history.clone();
-    *packed = Some(kept);
+    let history = cached.history.clone();
+    *packed = Some(cached);
     (message, history)
 }
 
@@ -176,21 +176,21 @@
 }
 
 /// Fetches from a peer what is newer there than here.
-pub async fn fetch(node: &Node, peer: Ipv4Addr) -> Fetched {
+pub async fn fetch(node: &Node, peer: Ipv4Addr) -> FetchOutcome {
     let asked_at_ms = node.now_ms();
     let known = node.list_position();
-    let Ok(body) = bodies::fetch(node, peer, Ask::Workers(known)).await else {
-        return Fetched::Failed;
+    let Ok(body) = bodies::fetch(node, peer, BodyRequest::Workers(known)).await else {
+        return FetchOutcome::Failed;
     };
     if body.is_empty() {
-        return Fetched::Nothing;
+        return FetchOutcome::NothingNew;
     }
     let Ok(ListBody { list, history }) = postcard::from_bytes(&body) else {
         return refuse(node);
     };
     // However long it took, it was true no earlier than when it was asked for.
     let true_at_ms = asked_at_ms.saturating_sub(list.age_ms);
-    let is_news = list.position > known || lock(&node.list).is_older_than(true_at_ms);
+    let is_newer = list.position > known || lock(&node.list).is_older_than(true_at_ms);
     if let Some(history) = history {
         let Some(rows) = unpack_rows(&list.packed_rows, bodies::FETCH_MAX_BYTES as u64) else {
             return refuse(node);
@@ -198,7 +198,7 @@
         info!(node.log, "workers from a peer"; "peer" => peer.to_string(),
             "position" => %list.position, "rows" => rows.len());
         if list.position < node.list_position() {
-            return Fetched::Nothing;
+            return FetchOutcome::NothingNew;
         }
         roster_sync::take_whole(node, true_at_ms, list.position, rows);
         lock(&node.listing).inherit(list.position, history);
@@ -206,18 +206,18 @@
     } else {
         roster_sync::take_changes(node, peer, true_at_ms, &list);
     }
-    if is_news {
-        Fetched::News
+    if is_newer {
+        FetchOutcome::Updated
     } else {
-        Fetched::Nothing
+        FetchOutcome::NothingNew
     }
 }
 
 /// Counts an answer that can't be understood.
-fn refuse(node: &Node) -> Fetched {
+fn refuse(node: &Node) -> FetchOutcome {
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["peer"]).inc();
-    Fetched::Failed
+    FetchOutcome::Failed
 }
 
 /// Fetches changes of the list that a peer has told of, but not told, by and by.
@@ -242,13 +242,17 @@
         node,
         peer,
         position,
-        if is_near { LAG_MS } else { FAR_LAG_MS },
+        if is_near {
+            OWN_DOMAIN_LAG_MS
+        } else {
+            OTHER_DOMAIN_LAG_MS
+        },
     );
 }
 
 /// Fetches the list from a peer after a while, unless it is as new by then.
 fn fetch_after(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition, after_ms: u64) {
-    if position <= node.list_position() || node.is_fetching.swap(true, Ordering::AcqRel) {
+    if position <= node.list_position() || node.is_fetching_list.swap(true, Ordering::AcqRel) {
         return;
     }
     let node = Arc::clone(node);
@@ -261,6 +265,6 @@
             // Whoever fails is behind at the next digest, too.
             let _fetched = fetch(&node, peer).await;
         }
-        node.is_fetching.store(false, Ordering::Release);
+        node.is_fetching_list.store(false, Ordering::Release);
     });
 }
--- a/crates/cranereach-gateway/src/list_news.rs
+++ b/crates/cranereach-gateway/src/list_news.rs
@@ -21,25 +21,25 @@
 
 /// Age from which changes of the list count as known to all but those whom they have
 /// missed, in milliseconds: some hops from peer to peer.
-const BEHIND_AFTER_MS: u64 = 400;
+const PROPAGATION_MS: u64 = 400;
 
 /// Tells changes of the list of workers whenever there are some, until the
 /// process ends.
 pub async fn send(node: Arc<Node>) {
-    let mut told = StorePosition::default();
+    let mut announced_position = StorePosition::default();
     loop {
-        node.list_told.notified().await;
+        node.list_update_wanted.notified().await;
         let Some(origin) = lock(&node.list_origin).take() else {
             continue;
         };
         let Some(mut changes) = list_changes(&node) else {
             continue;
         };
-        if changes.position == told {
+        if changes.position == announced_position {
             // Only that it is still the newest is new.
             changes = without_rows(&changes);
         }
-        told = changes.position;
+        announced_position = changes.position;
         let recipients = node.peers().list_recipients(node.now_ms(), origin);
         node.send_all(Message::List(changes), &recipients).await;
     }
@@ -48,12 +48,12 @@
 /// Tells one peer whose list is behind what has changed.
 ///
 /// News that are young are still on their way by themselves.
-pub async fn tell_behind(node: &Node, peer: Ipv4Addr) {
+pub async fn update_lagging_peer(node: &Node, peer: Ipv4Addr) {
     let age_ms = lock(&node.list).age_ms(node.now_ms());
-    if age_ms.is_none_or(|age_ms| age_ms < BEHIND_AFTER_MS) {
+    if age_ms.is_none_or(|age_ms| age_ms < PROPAGATION_MS) {
         return;
     }
-    if !node.peers().may_tell_behind(node.now_ms(), peer) {
+    if !node.peers().may_update_lagging_peer(node.now_ms(), peer) {
         return;
     }
     if let Some(changes) = list_changes(node) {
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -10,7 +10,7 @@
 
 use rand::seq::IteratorRandom;
 
-use crate::list_bodies::Fetched;
+use crate::list_bodies::FetchOutcome;
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
@@ -23,21 +23,21 @@
 use cranereach_fleet::store_position::StorePosition;
 
 /// Longest pause between two looks whether a read is due, in milliseconds.
-const LOOK_EVERY_MS: u64 = 50;
+const POLL_INTERVAL_MS: u64 = 50;
 
 /// Time by which a pause may last longer before the process counts as stalled,
 /// in milliseconds.
-const STALLED_FROM_MS: u64 = 500;
+const STALL_MIN_MS: u64 = 500;
 
 /// Instances that read the store when they have to, whatever peers know.
-const READING_COUNT: u64 = 3;
+const STORE_READER_COUNT: u64 = 3;
 
 /// Time for which a peer that had nothing to give, or failed, isn't asked again, in
 /// milliseconds.
-const PASSED_OVER_FOR_MS: u64 = 400;
+const SKIP_PEER_FOR_MS: u64 = 400;
 
 /// Fetches in a row that may fail before the store is read.
-const FAILED_MAX_COUNT: u32 = 6;
+const FAILED_FETCHES_MAX_COUNT: u32 = 6;
 
 /// Purpose that instances are ranked for.
 const PURPOSE: &str = "list of workers";
@@ -55,10 +55,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Finder {
     /// Whether a peer was asked since the last read of the store.
-    has_asked: bool,
+    has_asked_peer: bool,
     failed_count: u32,
-    passed_over: Vec<(Ipv4Addr, u64)>,
-    known_to_exist_at_ms: Option<u64>,
+    skipped: Vec<(Ipv4Addr, u64)>,
+    holder_known_since_ms: Option<u64>,
 }
 
 impl Finder {
@@ -71,8 +71,8 @@
             if let Some(source) = self.source(node, now_ms) {
                 return source;
             }
-            pause(LOOK_EVERY_MS).await;
-            if node.now_ms() > now_ms + LOOK_EVERY_MS + STALLED_FROM_MS {
+            pause(POLL_INTERVAL_MS).await;
+            if node.now_ms() > now_ms + POLL_INTERVAL_MS + STALL_MIN_MS {
                 // What waited in the socket meanwhile looks fresher than it is.
                 lock(&node.list).distrust();
             }
@@ -80,21 +80,21 @@
     }
 
     /// Notes how a fetch from a peer ended.
-    pub fn fetched(&mut self, now_ms: u64, peer: Ipv4Addr, fetched: Fetched) {
-        self.has_asked = true;
-        match fetched {
-            Fetched::News => self.failed_count = 0,
-            Fetched::Nothing => {}
-            Fetched::Failed => self.failed_count += 1,
+    pub fn fetched(&mut self, now_ms: u64, peer: Ipv4Addr, outcome: FetchOutcome) {
+        self.has_asked_peer = true;
+        match outcome {
+            FetchOutcome::Updated => self.failed_count = 0,
+            FetchOutcome::NothingNew => {}
+            FetchOutcome::Failed => self.failed_count += 1,
         }
-        if fetched != Fetched::News {
-            self.passed_over.push((peer, now_ms + PASSED_OVER_FOR_MS));
+        if outcome != FetchOutcome::Updated {
+            self.skipped.push((peer, now_ms + SKIP_PEER_FOR_MS));
         }
     }
 
     /// Notes that the store was read, with success or without.
     pub fn has_read(&mut self) {
-        self.has_asked = false;
+        self.has_asked_peer = false;
         self.failed_count = 0;
     }
 
@@ -113,21 +113,21 @@
         };
         let is_held_back = source == Some(Source::Store)
             && is_left_to_others
-            && !store_pace::tries_now(node, LOOK_EVERY_MS);
+            && !store_pace::tries_now(node, POLL_INTERVAL_MS);
         source.filter(|_| !is_held_back)
     }
 
     /// Says where an instance of a rank that has a list is to learn the next.
     fn next_source(&mut self, node: &Node, now_ms: u64, rank: u64) -> Option<Source> {
         if now_ms < due_at_ms(node, now_ms, rank) {
-            self.has_asked = false;
+            self.has_asked_peer = false;
             return None;
         }
-        if rank < READING_COUNT || self.has_asked {
+        if rank < STORE_READER_COUNT || self.has_asked_peer {
             return Some(Source::Store);
         }
         let holders = node.peers().list_holders(now_ms, node.list_position());
-        let peer = self.one_of(now_ms, &holders.near);
+        let peer = self.choose_peer(now_ms, &holders.near);
         Some(peer.map_or(Source::Store, Source::Peer))
     }
 
@@ -136,12 +136,12 @@
         let peers = node.peers();
         let Holders { near, far } = peers.list_holders(now_ms, StorePosition::default());
         let is_known = !near.is_empty() || !far.is_empty();
-        let near = self.one_of(now_ms, &near);
-        let far = self.one_of(now_ms, &far);
+        let near = self.choose_peer(now_ms, &near);
+        let far = self.choose_peer(now_ms, &far);
         let holder = if near.is_some() {
             Holder::Near
         } else if is_known {
-            let since_ms = *self.known_to_exist_at_ms.get_or_insert(now_ms);
+            let since_ms = *self.holder_known_since_ms.get_or_insert(now_ms);
             Holder::Elsewhere {
                 known_for_ms: now_ms - since_ms,
             }
@@ -153,7 +153,7 @@
             ..peers.newcomer(now_ms, PURPOSE)
         };
         drop(peers);
-        if self.failed_count >= FAILED_MAX_COUNT {
+        if self.failed_count >= FAILED_FETCHES_MAX_COUNT {
             return Some(Source::Store);
         }
         match newcomer.source() {
@@ -165,13 +165,13 @@
     }
 
     /// Chooses one by chance, other than those that had nothing to give lately.
-    fn one_of(&mut self, now_ms: u64, peers: &[Ipv4Addr]) -> Option<Ipv4Addr> {
-        self.passed_over.retain(|(_, until_ms)| now_ms < *until_ms);
-        let passed_over = &self.passed_over;
-        let asked = peers
+    fn choose_peer(&mut self, now_ms: u64, peers: &[Ipv4Addr]) -> Option<Ipv4Addr> {
+        self.skipped.retain(|(_, until_ms)| now_ms < *until_ms);
+        let skipped = &self.skipped;
+        let candidates = peers
             .iter()
-            .filter(|peer| passed_over.iter().all(|(of, _)| of != *peer));
-        asked.copied().choose(&mut rand::rng())
+            .filter(|peer| skipped.iter().all(|(of, _)| of != *peer));
+        candidates.copied().choose(&mut rand::rng())
     }
 }
 
@@ -183,7 +183,7 @@
     let due_at_ms = list.read_due_at_ms(rank);
     let is_restored = list.restored_at_ms().is_some();
     drop(list);
-    if is_restored && rank >= READING_COUNT {
+    if is_restored && rank >= STORE_READER_COUNT {
         // Those who read tell the others; should none of them reach the store, these
         // follow by and by.
         due_at_ms + node.peers().read_spread_ms()
--- a/crates/cranereach-gateway/src/log.rs
+++ b/crates/cranereach-gateway/src/log.rs
@@ -8,7 +8,7 @@
 use slog::o;
 
 /// Lines that may wait for the writer; more are dropped and counted.
-const WAITING_LINES: usize = 1_024;
+const QUEUED_LINES_MAX_COUNT: usize = 1_024;
 
 /// Makes the logger of a process; `is_silent` discards everything.
 pub fn make(instance: &str, is_silent: bool) -> Logger {
@@ -17,7 +17,7 @@
     }
     let json = Mutex::new(slog_json::Json::default(io::stdout())).map(slog::Fuse);
     let written = slog_async::Async::new(json)
-        .chan_size(WAITING_LINES)
+        .chan_size(QUEUED_LINES_MAX_COUNT)
         .build()
         .fuse();
     Logger::root(written, o!("instance" => instance.to_owned()))
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -1,7 +1,7 @@
 //! What all parts of an instance share.
 
+mod configuration;
 mod connections;
-mod in_force;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -127,9 +127,9 @@
     /// What can be proved of the configuration.
     pub proof: Mutex<Proof>,
     /// What sending whole lists to peers needs.
-    pub list_sending: list_bodies::Sending,
+    pub list_sending: list_bodies::ListSending,
     /// Wakes the sender of changes of the list.
-    pub list_told: Notify,
+    pub list_update_wanted: Notify,
     /// Where the changes came from that it is to tell; none once it has.
     pub list_origin: Mutex<Option<Origin>>,
     /// Workers read as leaving or gone: key, position.
@@ -174,7 +174,7 @@
     /// Leases whose term is over here, by the key of their service.
     pub ended_leases: Mutex<HashMap<u64, EndedTerm>>,
     /// Whether the list of workers is being fetched from a peer.
-    pub is_fetching: AtomicBool,
+    pub is_fetching_list: AtomicBool,
     /// Whether a configuration is being fetched from a peer.
     pub is_fetching_configuration: AtomicBool,
     /// Ends a wait for the configuration that may never be answered.
@@ -239,8 +239,8 @@
             listing: Mutex::default(),
             list: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
             proof: Mutex::new(Proof::new(boot, settings.bounds.configuration_ms)),
-            list_sending: list_bodies::Sending::default(),
-            list_told: Notify::new(),
+            list_sending: list_bodies::ListSending::default(),
+            list_update_wanted: Notify::new(),
             list_origin: Mutex::default(),
             recent_leaving: Mutex::default(),
             recent_departures: Mutex::default(),
@@ -266,7 +266,7 @@
             grant_questions: Questions::default(),
             peer_socket: OnceLock::new(),
             ended_leases: Mutex::default(),
-            is_fetching: AtomicBool::new(false),
+            is_fetching_list: AtomicBool::new(false),
             is_fetching_configuration: AtomicBool::new(false),
             configuration_wanted: Notify::new(),
             configuration_changed: Notify::new(),
@@ -379,7 +379,7 @@
     pub fn tell_list(&self, origin: Origin) {
         let mut widest = lock(&self.list_origin);
         *widest = Some(widest.map_or(origin, |before| before.max(origin)));
-        self.list_told.notify_one();
+        self.list_update_wanted.notify_one();
     }
 
     /// Asks for a stop.
--- a/crates/cranereach-gateway/src/node/in_force.rs
+++ b/crates/cranereach-gateway/src/node/configuration.rs
@@ -28,7 +28,7 @@
     pub fn offer_configuration(&self, body: &Bytes, from: &str) -> Result<bool, FormatError> {
         let offered = (self.adapter.parse_configuration)(body)?;
         // Peers are told hashes, never keys.
-        let told = (self.adapter.conceal_keys)(body)?;
+        let redacted = (self.adapter.conceal_keys)(body)?;
         let version = offered.version;
         let mut configuration = lock(&self.configuration);
         if configuration
@@ -45,7 +45,7 @@
             .set(offered.version as i64);
         *configuration = Some(Arc::new(offered));
         drop(configuration);
-        *lock(&self.configuration_body) = Bytes::from(told);
+        *lock(&self.configuration_body) = Bytes::from(redacted);
         lock(&self.proof).in_force(version);
         self.configuration_changed.notify_waiters();
         self.digest_wanted.notify_one();
--- a/crates/cranereach-gateway/src/node/connections.rs
+++ b/crates/cranereach-gateway/src/node/connections.rs
@@ -11,7 +11,7 @@
 use cranereach_http::pool::Pool;
 
 /// Time after which unconfirmed bytes break a worker's connection, in milliseconds.
-const WORKER_SILENCE_MAX_MS: u64 = 1_200;
+const WORKER_ACK_TIMEOUT_MS: u64 = 1_200;
 
 /// Connections to each worker, by its identity.
 pub type Pools = HashMap<Arc<str>, Arc<Pool<Full<Bytes>>>>;
@@ -20,7 +20,7 @@
     /// Returns the connections to a worker.
     pub fn pool(&self, worker: &Arc<str>, address: &str) -> Arc<Pool<Full<Bytes>>> {
         let mut pools = lock(&self.pools);
-        let make = || Arc::new(Pool::new(address).with_silence_max_ms(WORKER_SILENCE_MAX_MS));
+        let make = || Arc::new(Pool::new(address).with_silence_max_ms(WORKER_ACK_TIMEOUT_MS));
         let pool = pools.entry(Arc::clone(worker)).or_insert_with(make);
         if pool.address() != address {
             // It started again elsewhere.
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -1,6 +1,6 @@
 //! What is known of the other instances.
 
-mod telling;
+mod selection;
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -26,38 +26,38 @@
 
 /// Peers that a holder hears the demand of within one round: with more of them, each
 /// tells it in one round of several.
-const DEMAND_A_ROUND_COUNT: usize = 64;
+const DEMAND_SENDERS_PER_ROUND_COUNT: usize = 64;
 
 /// Rounds in which demand may not be heard before it no longer counts.
-const DEMAND_MISSED_COUNT: u64 = 3;
+const DEMAND_MISSED_MAX_COUNT: u64 = 3;
 
 /// Time for which a holder remembers what a peer waits for, in milliseconds: longer
 /// than requests wait.
-const WAITS_FOR_MS: u64 = 1_200;
+const WAIT_EXPIRES_AFTER_MS: u64 = 1_200;
 
 /// Waits that a holder remembers at most.
 const WAIT_MAX_COUNT: usize = 4_096;
 
 /// Peers that must have been heard before a whole fleet counts as just started.
-const STARTED_WITNESS_COUNT: usize = 3;
+const STARTED_PEERS_MIN_COUNT: usize = 3;
 
 /// Time between two messages that tell one peer that its list is behind, in
 /// milliseconds.
-const BEHIND_TOLD_EVERY_MS: u64 = 300;
+const LAGGING_UPDATE_INTERVAL_MS: u64 = 300;
 
 /// Time between two digests that one newcomer is answered with, in milliseconds.
-const GREETED_EVERY_MS: u64 = 400;
+const JOIN_REPLY_PER_PEER_INTERVAL_MS: u64 = 400;
 
 /// Time between two digests that newcomers are answered with, in milliseconds: at a
 /// start of all, those that the settings name hear all others.
-const GREETING_EVERY_MS: u64 = 3;
+const JOIN_REPLY_INTERVAL_MS: u64 = 3;
 
-pub use telling::FAN_OUT_COUNT;
-pub use telling::Holders;
+pub use selection::FAN_OUT_COUNT;
+pub use selection::Holders;
 
 /// What one peer said last.
 #[derive(Clone, Debug, Default)]
-struct Said {
+struct PeerState {
     heard_at_ms: u64,
     boot: u64,
     /// Time for which it had been up then, in milliseconds.
@@ -68,14 +68,14 @@
     holds: Vec<u64>,
     ended: Vec<EndedLease>,
     /// When it was last told that its list is behind, in milliseconds.
-    behind_told_at_ms: u64,
+    lagging_updated_at_ms: u64,
     /// When it was last answered at once since it had no list, in milliseconds.
-    greeted_at_ms: Option<u64>,
+    join_reply_at_ms: Option<u64>,
 }
 
 /// The demand that one peer told.
 #[derive(Clone, Debug)]
-struct ToldDemand {
+struct PeerDemand {
     heard_at_ms: u64,
     boot: u64,
     count: u64,
@@ -92,10 +92,10 @@
     /// milliseconds.
     news: Option<(Origin, u64)>,
     /// Whether the last slow round went to another region, too.
-    has_told_beyond: bool,
+    is_cross_region_round: bool,
     members: Membership,
-    said: HashMap<Ipv4Addr, Said>,
-    demand: HashMap<Ipv4Addr, ToldDemand>,
+    peer_states: HashMap<Ipv4Addr, PeerState>,
+    demand: HashMap<Ipv4Addr, PeerDemand>,
     /// Adapters that peers wait for, by service, model and adapter, and since when, in
     /// milliseconds.
     waits: HashMap<(Ipv4Addr, u64, ModelKey), u64>,
@@ -104,11 +104,11 @@
     /// Who is heard to hold which lease.
     leases: HeardLeases,
     /// When a newcomer was last answered at once, in milliseconds.
-    greeted_at_ms: Option<u64>,
+    join_reply_at_ms: Option<u64>,
     /// Whether a peer of another failure domain told this one of its list.
     is_gate: bool,
     /// Who told this one of its list last, and of which position.
-    list_teller: Option<(Ipv4Addr, StorePosition)>,
+    list_advertiser: Option<(Ipv4Addr, StorePosition)>,
     /// A number from zero to one, drawn at the start.
     chance: f64,
 }
@@ -123,16 +123,16 @@
             topology: Topology::of_domain(own_domain),
             news: None,
             // So that not all that start together do so in the same rounds.
-            has_told_beyond: rand::random(),
+            is_cross_region_round: rand::random(),
             members: Membership::new(own_ip, DomainTag::of(own_domain), seeds),
-            said: HashMap::new(),
+            peer_states: HashMap::new(),
             demand: HashMap::new(),
             waits: HashMap::new(),
             store_failures: StoreFailures::default(),
             leases: HeardLeases::default(),
-            greeted_at_ms: None,
+            join_reply_at_ms: None,
             is_gate: false,
-            list_teller: None,
+            list_advertiser: None,
             chance: rand::random(),
         }
     }
@@ -169,8 +169,8 @@
         if sender == self.own_ip {
             return false;
         }
-        let said = self.said.get(&sender);
-        if said.is_some_and(|said| said.boot == digest.boot && said.count >= digest.count) {
+        let state = self.peer_states.get(&sender);
+        if state.is_some_and(|state| state.boot == digest.boot && state.count >= digest.count) {
             return false;
         }
         let domain = DomainTag::from_key(digest.domain);
@@ -180,12 +180,12 @@
         }
         self.members.told(now_ms, &digest.members);
         self.store_failures.told(now_ms, &digest.store_failed);
-        let before = self.said.remove(&sender).unwrap_or_default();
-        let is_given_up = |service: &u64| digest.is_leaving || !digest.holds.contains(service);
-        for service in before.holds.iter().filter(|service| is_given_up(service)) {
+        let before = self.peer_states.remove(&sender).unwrap_or_default();
+        let is_released = |service: &u64| digest.is_leaving || !digest.holds.contains(service);
+        for service in before.holds.iter().filter(|service| is_released(service)) {
             self.leases.given_up(now_ms, *service);
         }
-        let said = Said {
+        let state = PeerState {
             heard_at_ms: now_ms,
             boot: digest.boot,
             up_for_ms: digest.up_for_ms,
@@ -194,24 +194,24 @@
             list_position: digest.list_position,
             holds: digest.holds.clone(),
             ended: digest.ended.clone(),
-            behind_told_at_ms: before.behind_told_at_ms,
-            greeted_at_ms: before.greeted_at_ms,
+            lagging_updated_at_ms: before.lagging_updated_at_ms,
+            join_reply_at_ms: before.join_reply_at_ms,
         };
-        self.said.insert(sender, said);
+        self.peer_states.insert(sender, state);
         self.leases.heard(now_ms, sender, digest);
         true
     }
 
     /// Whether all peers heard started within a time, as after a loss of power everywhere.
     pub fn have_all_started_within(&self, now_ms: u64, within_ms: u64) -> bool {
-        let mut heard = self.said.values();
-        self.said.len() >= STARTED_WITNESS_COUNT
-            && heard.all(|said| said.up_for_ms + now_ms < within_ms + said.heard_at_ms)
+        let mut heard = self.peer_states.values();
+        self.peer_states.len() >= STARTED_PEERS_MIN_COUNT
+            && heard.all(|state| state.up_for_ms + now_ms < within_ms + state.heard_at_ms)
     }
 
     /// Returns the number of a peer's last digest; none before the first.
     pub fn last_count(&self, peer: Ipv4Addr) -> Option<u64> {
-        self.said.get(&peer).map(|said| said.count)
+        self.peer_states.get(&peer).map(|state| state.count)
     }
 
     /// Takes a peer's demand; false if it is old or comes from a stranger.
@@ -224,7 +224,7 @@
         if is_old || !self.members.is_known(sender) {
             return false;
         }
-        let demand = ToldDemand {
+        let demand = PeerDemand {
             heard_at_ms: now_ms,
             boot: told.boot,
             count: told.count,
@@ -247,16 +247,16 @@
         placed: &[(u64, ModelKey)],
     ) -> HashMap<Ipv4Addr, Vec<(u64, ModelKey)>> {
         self.waits
-            .retain(|_, since_ms| now_ms < *since_ms + WAITS_FOR_MS);
+            .retain(|_, since_ms| now_ms < *since_ms + WAIT_EXPIRES_AFTER_MS);
         let mut answers: HashMap<Ipv4Addr, Vec<(u64, ModelKey)>> = HashMap::new();
         if self.waits.is_empty() {
             return answers;
         }
         self.waits.retain(|(peer, of_service, adapter), _| {
-            let mut there = placed.iter().filter(|(_, key)| key == adapter).peekable();
-            let is_answered = *of_service == service && there.peek().is_some();
+            let mut loaded = placed.iter().filter(|(_, key)| key == adapter).peekable();
+            let is_answered = *of_service == service && loaded.peek().is_some();
             if is_answered {
-                answers.entry(*peer).or_default().extend(there);
+                answers.entry(*peer).or_default().extend(loaded);
             }
             !is_answered
         });
@@ -265,7 +265,7 @@
 
     /// Lists the demand that peers told lately.
     pub fn demand(&self, now_ms: u64, round_ms: u64) -> impl Iterator<Item = &DemandPart> {
-        let within_ms = HEARD_WITHIN_MS + DEMAND_MISSED_COUNT * self.demand_every_ms(round_ms);
+        let within_ms = HEARD_WITHIN_MS + DEMAND_MISSED_MAX_COUNT * self.demand_every_ms(round_ms);
         let known = self.demand.values();
         let recent = known.filter(move |told| now_ms < told.heard_at_ms + within_ms);
         recent.flat_map(|told| &told.parts)
@@ -284,13 +284,13 @@
 
     /// Lists the terms of a service's lease that peers say are over.
     pub fn ended_terms(&self, now_ms: u64, service: u64) -> Vec<EndedTerm> {
-        let known = self.said.values();
-        let heard = known.filter(|said| now_ms < said.heard_at_ms + HEARD_WITHIN_MS);
-        let ended = heard.flat_map(|said| {
-            let of_service = said.ended.iter().filter(|ended| ended.service == service);
+        let known = self.peer_states.values();
+        let heard = known.filter(|state| now_ms < state.heard_at_ms + HEARD_WITHIN_MS);
+        let ended = heard.flat_map(|state| {
+            let of_service = state.ended.iter().filter(|ended| ended.service == service);
             of_service.map(move |ended| EndedTerm {
                 position: ended.position,
-                at_ms: said.heard_at_ms.saturating_sub(ended.age_ms),
+                at_ms: state.heard_at_ms.saturating_sub(ended.age_ms),
             })
         });
         ended.collect()
@@ -318,30 +318,30 @@
     }
 
     /// Whether a peer whose list is behind is to be told so now; notes that it is.
-    pub fn may_tell_behind(&mut self, now_ms: u64, peer: Ipv4Addr) -> bool {
-        let Some(said) = self.said.get_mut(&peer) else {
+    pub fn may_update_lagging_peer(&mut self, now_ms: u64, peer: Ipv4Addr) -> bool {
+        let Some(state) = self.peer_states.get_mut(&peer) else {
             return false;
         };
-        let may_tell = now_ms >= said.behind_told_at_ms + BEHIND_TOLD_EVERY_MS;
-        if may_tell {
-            said.behind_told_at_ms = now_ms;
+        let may_update = now_ms >= state.lagging_updated_at_ms + LAGGING_UPDATE_INTERVAL_MS;
+        if may_update {
+            state.lagging_updated_at_ms = now_ms;
         }
-        may_tell
+        may_update
     }
 
     /// Whether a newcomer is to be answered at once now; notes that it is.
     pub fn may_greet(&mut self, now_ms: u64, newcomer: Ipv4Addr) -> bool {
-        let Some(said) = self.said.get_mut(&newcomer) else {
+        let Some(state) = self.peer_states.get_mut(&newcomer) else {
             return false;
         };
         let is_due = |at_ms: Option<u64>, every_ms: u64| {
             at_ms.is_none_or(|at_ms| now_ms >= at_ms + every_ms)
         };
-        let may_greet = is_due(said.greeted_at_ms, GREETED_EVERY_MS)
-            && is_due(self.greeted_at_ms, GREETING_EVERY_MS);
+        let may_greet = is_due(state.join_reply_at_ms, JOIN_REPLY_PER_PEER_INTERVAL_MS)
+            && is_due(self.join_reply_at_ms, JOIN_REPLY_INTERVAL_MS);
         if may_greet {
-            said.greeted_at_ms = Some(now_ms);
-            self.greeted_at_ms = Some(now_ms);
+            state.join_reply_at_ms = Some(now_ms);
+            self.join_reply_at_ms = Some(now_ms);
         }
         may_greet
     }
@@ -349,7 +349,10 @@
     /// Returns the time between two messages of demand, in milliseconds: a holder
     /// hears every instance.
     pub fn demand_every_ms(&self, round_ms: u64) -> u64 {
-        let rounds = self.members.known_count().div_ceil(DEMAND_A_ROUND_COUNT);
+        let rounds = self
+            .members
+            .known_count()
+            .div_ceil(DEMAND_SENDERS_PER_ROUND_COUNT);
         round_ms * rounds as u64
     }
 
@@ -367,7 +370,8 @@
         self.members.forget(now_ms);
         self.members.look(now_ms);
         let members = &self.members;
-        self.said.retain(|address, _| members.is_known(*address));
+        self.peer_states
+            .retain(|address, _| members.is_known(*address));
         self.demand.retain(|address, _| members.is_known(*address));
     }
 
--- a/crates/cranereach-gateway/src/questions.rs
+++ b/crates/cranereach-gateway/src/questions.rs
@@ -12,13 +12,13 @@
 /// Questions of one kind that wait for answers.
 #[derive(Debug)]
 pub struct Questions<T> {
-    waiting: Mutex<HashMap<u64, UnboundedSender<T>>>,
+    pending: Mutex<HashMap<u64, UnboundedSender<T>>>,
 }
 
 impl<T> Default for Questions<T> {
     fn default() -> Self {
         Self {
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 }
@@ -35,7 +35,7 @@
 
 impl<T> Drop for Question<'_, T> {
     fn drop(&mut self) {
-        lock(&self.questions.waiting).remove(&self.ticket);
+        lock(&self.questions.pending).remove(&self.ticket);
     }
 }
 
@@ -44,7 +44,7 @@
     pub fn open(&self) -> Question<'_, T> {
         let ticket = rand::random();
         let (sender, answers) = mpsc::unbounded_channel();
-        lock(&self.waiting).insert(ticket, sender);
+        lock(&self.pending).insert(ticket, sender);
         Question {
             questions: self,
             ticket,
@@ -54,12 +54,12 @@
 
     /// Counts the questions that wait.
     pub fn open_count(&self) -> usize {
-        lock(&self.waiting).len()
+        lock(&self.pending).len()
     }
 
     /// Hands an answer to whoever asked.
     pub fn answered(&self, ticket: u64, answer: T) {
-        if let Some(asker) = lock(&self.waiting).get(&ticket) {
+        if let Some(asker) = lock(&self.pending).get(&ticket) {
             // Whoever asked may have stopped waiting.
             let _taken = asker.send(answer);
         }
--- a/crates/cranereach-gateway/src/recipients.rs
+++ b/crates/cranereach-gateway/src/recipients.rs
@@ -17,11 +17,11 @@
 
 /// Gates that one message goes to at most, whatever domains peers name: two of each of
 /// 32.
-const GATE_MAX_COUNT: usize = 64;
+const RELAYS_MAX_COUNT: usize = 64;
 
 /// Gates that news go to in each place: were one lost datagram to keep them from a whole
 /// domain or region, only a digest that shows it to be behind would mend that.
-const GATE_COUNT: usize = 2;
+const RELAYS_PER_TARGET_COUNT: usize = 2;
 
 /// Where news came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,105 +50,121 @@
 
 /// The living peers, by distance.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct PeersByDistance {
     /// Of the own failure domain.
     pub near: Vec<Ipv4Addr>,
     /// Of other failure domains of the own region.
-    in_region: BTreeMap<DomainTag, Vec<Ipv4Addr>>,
+    own_region: BTreeMap<DomainTag, Vec<Ipv4Addr>>,
     /// Of other regions, or of domains that the table doesn't name.
-    beyond: BTreeMap<DomainTag, Vec<Ipv4Addr>>,
+    other_regions: BTreeMap<DomainTag, Vec<Ipv4Addr>>,
 }
 
-impl Reach {
+impl PeersByDistance {
     /// Sorts the living peers by distance.
     pub fn of(members: &Membership, topology: &Topology, now_ms: u64) -> Self {
-        let mut reach = Self::default();
+        let mut by_distance = Self::default();
         let around = topology.around(topology.own_domain());
         for (address, domain) in members.alive_with_domains(now_ms) {
             match around.distance(domain) {
-                Distance::OwnDomain => reach.near.push(address),
-                Distance::OwnRegion => reach.in_region.entry(domain).or_default().push(address),
-                Distance::OtherRegion => reach.beyond.entry(domain).or_default().push(address),
+                Distance::OwnDomain => by_distance.near.push(address),
+                Distance::OwnRegion => by_distance
+                    .own_region
+                    .entry(domain)
+                    .or_default()
+                    .push(address),
+                Distance::OtherRegion => by_distance
+                    .other_regions
+                    .entry(domain)
+                    .or_default()
+                    .push(address),
             }
         }
-        reach
+        by_distance
     }
 
     /// Chooses some of the own domain.
-    pub fn some_near(&self, count: usize) -> Vec<Ipv4Addr> {
+    pub fn sample_own_domain(&self, count: usize) -> Vec<Ipv4Addr> {
         self.near.iter().copied().sample(&mut rand::rng(), count)
     }
 
     /// Lists those of other failure domains of the own region.
-    pub fn all_in_region(&self) -> Vec<Ipv4Addr> {
-        self.in_region.values().flatten().copied().collect()
+    pub fn all_in_own_region(&self) -> Vec<Ipv4Addr> {
+        self.own_region.values().flatten().copied().collect()
     }
 
     /// Lists those of other regions.
-    pub fn all_beyond(&self) -> Vec<Ipv4Addr> {
-        self.beyond.values().flatten().copied().collect()
+    pub fn all_in_other_regions(&self) -> Vec<Ipv4Addr> {
+        self.other_regions.values().flatten().copied().collect()
     }
 
     /// Chooses some of other failure domains of the own region.
-    pub fn some_in_region(&self, count: usize) -> Vec<Ipv4Addr> {
-        let all = self.in_region.values().flatten().copied();
+    pub fn sample_own_region(&self, count: usize) -> Vec<Ipv4Addr> {
+        let all = self.own_region.values().flatten().copied();
         all.sample(&mut rand::rng(), count)
     }
 
     /// Chooses some of other regions.
-    pub fn some_beyond(&self, count: usize) -> Vec<Ipv4Addr> {
-        let all = self.beyond.values().flatten().copied();
+    pub fn sample_other_regions(&self, count: usize) -> Vec<Ipv4Addr> {
+        let all = self.other_regions.values().flatten().copied();
         all.sample(&mut rand::rng(), count)
     }
 
     /// Chooses some of other failure domains, those of the own region first.
-    pub fn some_far(&self, count: usize) -> Vec<Ipv4Addr> {
-        let mut chosen = self.some_in_region(count);
-        chosen.extend(self.some_beyond(count - chosen.len()));
+    pub fn sample_other_domains(&self, count: usize) -> Vec<Ipv4Addr> {
+        let mut chosen = self.sample_own_region(count);
+        chosen.extend(self.sample_other_regions(count - chosen.len()));
         chosen
     }
 
     /// Chooses gates of the domains and regions that news of an origin have to be carried
     /// to.
-    pub fn gates(&self, topology: &Topology, origin: Origin) -> Vec<Ipv4Addr> {
-        let mut gates = Vec::new();
+    pub fn choose_relays(&self, topology: &Topology, origin: Origin) -> Vec<Ipv4Addr> {
+        let mut relays = Vec::new();
         if origin >= Origin::OtherRegion {
             // News from another region came to several gates, which all do so.
-            let count = if origin == Origin::Own { GATE_COUNT } else { 1 };
-            gates.extend(self.in_region.values().flat_map(|of| some_of(of, count)));
+            let count = if origin == Origin::Own {
+                RELAYS_PER_TARGET_COUNT
+            } else {
+                1
+            };
+            relays.extend(
+                self.own_region
+                    .values()
+                    .flat_map(|of| sample_peers(of, count)),
+            );
         }
         if origin == Origin::Own {
-            gates.extend(self.some_of_each_region(topology));
+            relays.extend(self.sample_each_region(topology));
         }
-        gates.truncate(GATE_MAX_COUNT);
-        gates
+        relays.truncate(RELAYS_MAX_COUNT);
+        relays
     }
 
     /// Chooses one of each other failure domain, wherever it is.
-    pub fn one_of_each_domain(&self) -> Vec<Ipv4Addr> {
-        let all = self.in_region.values().chain(self.beyond.values());
-        all.flat_map(|of| some_of(of, 1))
-            .take(GATE_MAX_COUNT)
+    pub fn sample_each_domain(&self) -> Vec<Ipv4Addr> {
+        let all = self.own_region.values().chain(self.other_regions.values());
+        all.flat_map(|of| sample_peers(of, 1))
+            .take(RELAYS_MAX_COUNT)
             .collect()
     }
 
     /// Chooses a few of each other region; a domain that the table doesn't name counts
     /// as a region of its own.
-    fn some_of_each_region(&self, topology: &Topology) -> Vec<Ipv4Addr> {
+    fn sample_each_region(&self, topology: &Topology) -> Vec<Ipv4Addr> {
         let mut regions: BTreeMap<(Option<&str>, DomainTag), Vec<Ipv4Addr>> = BTreeMap::new();
-        for (domain, of) in &self.beyond {
+        for (domain, of) in &self.other_regions {
             let region = topology.region_of_tag(*domain);
             let key = region.map_or((None, *domain), |name| (Some(name), DomainTag::default()));
             regions.entry(key).or_default().extend(of);
         }
         regions
             .values()
-            .flat_map(|of| some_of(of, GATE_COUNT))
+            .flat_map(|of| sample_peers(of, RELAYS_PER_TARGET_COUNT))
             .collect()
     }
 }
 
 /// Chooses some by chance.
-fn some_of(all: &[Ipv4Addr], count: usize) -> Vec<Ipv4Addr> {
+fn sample_peers(all: &[Ipv4Addr], count: usize) -> Vec<Ipv4Addr> {
     all.iter().copied().sample(&mut rand::rng(), count)
 }
--- a/crates/cranereach-gateway/src/traffic.rs
+++ b/crates/cranereach-gateway/src/traffic.rs
@@ -19,10 +19,10 @@
 use cranereach_fleet::topology::Distance;
 
 /// Name in metrics of the distance to whoever hasn't said yet where it stands.
-const UNKNOWN: &str = "unknown";
+const UNKNOWN_DISTANCE: &str = "unknown";
 
 /// Time between two log lines of what was sent, in milliseconds.
-const LOGGED_EVERY_MS: u64 = 10_000;
+const LOG_INTERVAL_MS: u64 = 10_000;
 
 /// What bytes are sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -122,7 +122,7 @@
 /// Logs now and then what was sent since the start, until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
-        pause(LOGGED_EVERY_MS).await;
+        pause(LOG_INTERVAL_MS).await;
         info!(node.log, "sent"; "peers" => peer_bytes(&node), "workers" => worker_bytes(&node));
     }
 }
@@ -130,7 +130,7 @@
 /// Lists the bytes sent to peers: `kind/distance bytes`, those that are none left out.
 fn peer_bytes(node: &Node) -> String {
     let distances = Distance::ALL.map(Distance::name);
-    let distances: Vec<&str> = distances.into_iter().chain([UNKNOWN]).collect();
+    let distances: Vec<&str> = distances.into_iter().chain([UNKNOWN_DISTANCE]).collect();
     let kinds = Kind::ALL.iter().map(|kind| kind.name());
     list(&node.metrics.peer_sent_bytes_total, kinds, &distances)
 }
@@ -194,7 +194,8 @@
     pub fn note_sent(&self, peer: Ipv4Addr, kind: Kind, byte_count: usize) {
         let labels = [
             kind.name(),
-            self.distance_to(peer).map_or(UNKNOWN, Distance::name),
+            self.distance_to(peer)
+                .map_or(UNKNOWN_DISTANCE, Distance::name),
         ];
         let bytes = self
             .metrics
