--- a/crates/cranereach-gateway/src/lib.rs
+++ b/crates/cranereach-gateway/src/lib.rs
@@ -1,18 +1,26 @@
 //! Runtime of an instance that serves declared routes: sockets, store, peers.
 //!
-//! [`run`] starts and stops the parts. A caller's request runs through
-//! [`forward`]. Beside that path [`configuration_sync`] and [`roster_sync`]
-//! follow the store, whose [era](store_era) rises when it comes back from a copy; [`evacuations`] takes which failure domains are to be emptied,
-//! [`worker_ends`] finds out whether a worker that broke off has ended, [`quarantine`] which requests end
-//! theirs, [`proofs`] and [`limits`] ask peers what accounts may do. [`cold`] notes which
-//! workers have just started. What a worker's answers say of it is heard by [`worker_words`]:
-//! [`named_limits`] that it takes only so many requests, [`departures`] that it leaves, [`rests`]
-//! that it wants nothing for a while; [`unknown_words`] counts what nobody knows, [`own_words`]
-//! shows operators who leaves and rests. Right before a send [`send_permit`] is asked, and
-//! [`send_grants`] the owners of workers that get only so many. [`gossip`], [`list_news`],
-//! [`bodies`] and [`list_bodies`] tell peers what they can't see (all that they send is counted
-//! in [`traffic`]), and [`controller`] holds the leases and orders workers. Everything that a
-//! platform names or formats comes in through an [`adapter`].
+//! [`run`] starts and stops the parts. [`forward`] handles callers' requests. In the
+//! background:
+//!
+//! - [`configuration_sync`] and [`roster_sync`] follow the store, whose [era](store_era) rises
+//!   when it is restored from a backup.
+//! - [`evacuations`] tracks which failure domains are to be emptied.
+//! - [`worker_ends`] finds out whether a worker that broke a connection has ended, and
+//!   [`quarantine`] which requests end their workers.
+//! - [`proofs`] and [`limits`] ask peers what accounts may do.
+//! - [`cold`] tracks workers that have just started.
+//!
+//! [`worker_words`] reads what a worker's answers say about the worker itself:
+//! [`named_limits`] that it limits its request rate, [`departures`] that it leaves, [`rests`]
+//! that it wants no requests for a while. [`unknown_words`] counts headers that nothing
+//! recognizes, and [`own_words`] shows operators which workers leave or rest. Right before a
+//! send, [`send_permit`] is asked, and [`send_grants`] asks the owners of cold or rate-limited
+//! workers.
+//!
+//! [`gossip`], [`list_news`], [`bodies`] and [`list_bodies`] send peers what they can't see
+//! for themselves; [`traffic`] counts the bytes. [`controller`] holds the leases and orders
+//! workers. Everything that a platform names or formats comes in through an [`adapter`].
 
 pub mod adapter;
 pub mod bodies;
--- a/crates/cranereach-gateway/src/log.rs
+++ b/crates/cranereach-gateway/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs: JSON lines on standard output, written by a thread of their own.
+//! Logging: JSON lines on standard output, written by a separate thread.
 
 use std::io;
 use std::sync::Mutex;
@@ -7,10 +7,10 @@
 use slog::Logger;
 use slog::o;
 
-/// Lines that may wait for the writer; more are dropped and counted.
+/// Maximum number of lines queued for the writer; further lines are dropped and counted.
 const QUEUED_LINES_MAX_COUNT: usize = 1_024;
 
-/// Makes the logger of a process; `is_silent` discards everything.
+/// Creates the process's logger; `is_silent` discards everything.
 pub fn make(instance: &str, is_silent: bool) -> Logger {
     if is_silent {
         return Logger::root(slog::Discard, o!());
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of an instance share.
+//! State shared by all parts of an instance.
 
 mod configuration;
 mod connections;
@@ -64,23 +64,23 @@
 use cranereach_fleet::ways::Ways;
 use cranereach_http::clock::Clock;
 
-/// What this instance's orders have changed at workers, for peers.
+/// Changes that this instance's orders have made at workers, to be gossiped to peers.
 #[derive(Clone, Debug, Default)]
 pub struct Announced {
-    /// Adapters that were loaded: worker key, model and adapter.
+    /// Adapters that have been loaded: worker key, model and adapter.
     pub adapters: Vec<(u64, ModelKey)>,
     /// Models that are being unloaded: worker key, model.
     pub withheld: Vec<(u64, u16)>,
-    /// Models that are being loaded, and when each should be there, in milliseconds.
+    /// Models that are being loaded, and when each is expected to be ready, in milliseconds.
     pub coming: HashMap<u16, u64>,
 }
 
-/// What all parts share.
+/// State shared by all parts of an instance.
 #[derive(Debug)]
 pub struct Node {
     /// Settings of the process.
     pub settings: Settings,
-    /// Failure domains and regions, as seen from here.
+    /// Failure domains and regions, as seen from this instance.
     pub topology: Topology,
     /// The platform's adapter.
     pub adapter: &'static Adapter,
@@ -90,62 +90,62 @@
     pub metrics: Metrics,
     /// The platform's store.
     pub store: Store,
-    /// Key of the fingerprints of requests.
+    /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
-    /// Tries of workers whose connections broke.
+    /// Probes of workers whose connections broke.
     pub tries: Tries,
-    /// What workers say of themselves that isn't read.
+    /// Headers in workers' answers that this build does not recognize.
     pub unknown_words: UnknownWords,
-    /// Requests under which workers ended.
+    /// Requests during which workers ended.
     pub quarantine: Mutex<Quarantine>,
-    /// Whether those kept in the store are known here.
+    /// Whether the quarantined requests kept in the store have been read.
     pub lasting: Lasting,
-    /// Number of this start.
+    /// Random ID of this process start.
     pub boot: u64,
-    /// Wakes whoever waits for a worker that holds something.
+    /// Wakes tasks that wait for a worker holding the model or adapter they need.
     pub roster_changed: Notify,
-    /// Digests made since the start.
+    /// Number of digests made since the start.
     pub digest_count: AtomicU64,
-    /// Wakes the sender of digests.
+    /// Wakes the digest sender.
     pub digest_wanted: Notify,
-    /// Wakes the sender of demand: a request waits for what nobody holds.
+    /// Wakes the demand sender when a request waits for something that no worker holds.
     pub demand_wanted: Notify,
-    /// Adapters that requests wait for here: service, model and adapter.
+    /// Adapters that local requests wait for: service, model and adapter.
     pub waits_for: Mutex<HashSet<(u64, ModelKey)>>,
-    /// Models that requests lacked here since holders were told last: service, model.
+    /// Models that local requests lacked since lease holders were last told: service, model.
     pub lacks: Mutex<HashSet<(u64, u16)>>,
-    /// What holders say of such models.
+    /// Lease holders' answers on when such models are expected.
     pub expected: Mutex<ExpectedModels>,
-    /// Wakes whoever waits for a holder's word on them.
+    /// Wakes tasks that wait for these answers.
     pub expected_changed: Notify,
     /// Wakes the controller.
     pub controller_wanted: Notify,
-    /// Rows of the list of workers, and what peers are told of them.
+    /// Rows of the worker list, and the changes that peers are sent.
     pub listing: Mutex<Listing>,
-    /// How fresh the list of workers is.
+    /// Freshness of the worker list.
     pub list: Mutex<Freshness>,
-    /// What can be proved of the configuration.
+    /// Proof that the configuration in force was recently the newest.
     pub proof: Mutex<Proof>,
-    /// What sending whole lists to peers needs.
+    /// State for sending whole worker lists to peers.
     pub list_sending: list_bodies::ListSending,
-    /// Wakes the sender of changes of the list.
+    /// Wakes the sender of worker list changes.
     pub list_update_wanted: Notify,
-    /// Where the changes came from that it is to tell; none once it has.
+    /// Widest origin of the list changes still to be sent; `None` if none are pending.
     pub list_origin: Mutex<Option<Origin>>,
-    /// Workers read as leaving or gone: key, position.
+    /// Workers whose rows say that they are leaving or gone: key, position.
     pub recent_leaving: Mutex<Recent<(u64, StorePosition)>>,
-    /// Workers that were heard to leave by their own word.
+    /// Workers that have announced their own departure.
     pub recent_departures: Mutex<Recent<DepartureNews>>,
-    /// Body of the configuration in force, as peers are told it: without keys.
+    /// Body of the configuration in force as sent to peers, without API keys.
     pub configuration_body: Mutex<Bytes>,
-    /// That body, and the same packed; empty until a peer first asks for it.
+    /// That body, and its compressed form; empty until a peer first asks for it.
     pub packed_configuration: Mutex<(Bytes, Bytes)>,
     configuration: Mutex<Option<Arc<Configuration>>>,
     roster: Mutex<Roster>,
     paces: Mutex<Paces>,
     stays: Mutex<Stays>,
     service_times: Mutex<ServiceTimes>,
-    /// What callers were refused for want of lately.
+    /// Recent refusals, by what was short, from which callers' retry delays follow.
     pub shortages: Mutex<Shortages>,
     demand: Mutex<HashMap<Arc<str>, Demand>>,
     peers: Mutex<Peers>,
@@ -154,52 +154,53 @@
     pools: Mutex<Pools>,
     /// Requests at the workers that this instance owns.
     pub owned: Mutex<OwnedWorkers>,
-    /// Questions to owners that wait for answers.
+    /// Pending questions to owners of workers.
     pub questions: Questions<Quote>,
-    /// How long owners' answers take, by distance.
+    /// Round-trip times to owners of workers, by distance.
     pub ways: Mutex<Ways>,
     /// Parts of accounts' limits that this instance owns.
     pub owned_limits: Mutex<OwnedLimits>,
-    /// What this instance uses of accounts' limits.
+    /// This instance's usage of accounts' limits.
     pub uses: Mutex<Uses>,
-    /// Questions to owners of limits that wait for answers.
+    /// Pending questions to owners of limits.
     pub limit_questions: Questions<LimitGrant>,
-    /// What was granted for workers that get only so many requests and that this instance
-    /// owns.
+    /// Send grants for the cold or rate-limited workers that this instance owns.
     pub send_grants: Mutex<SendGrants>,
-    /// Questions to owners of such workers that wait for answers.
+    /// Pending questions to owners of such workers.
     pub grant_questions: Questions<SendGrant>,
-    /// Socket that peers are told by; none before the start.
+    /// UDP socket for messages to peers; unset before the start.
     pub peer_socket: OnceLock<Arc<UdpSocket>>,
-    /// Leases whose term is over here, by the key of their service.
+    /// Leases whose term has ended at this instance, by service key.
     pub ended_leases: Mutex<HashMap<u64, EndedTerm>>,
-    /// Whether the list of workers is being fetched from a peer.
+    /// Whether the worker list is being fetched from a peer.
     pub is_fetching_list: AtomicBool,
     /// Whether a configuration is being fetched from a peer.
     pub is_fetching_configuration: AtomicBool,
-    /// Ends a wait for the configuration that may never be answered.
+    /// Interrupts a wait for a new configuration at the store, which may never be answered
+    /// after an outage or a restore.
     pub configuration_wanted: Notify,
-    /// Wakes whoever waits for a newer configuration.
+    /// Wakes tasks that wait for a newer configuration.
     pub configuration_changed: Notify,
-    /// Newest version of the configuration that some peer has told of.
+    /// Newest configuration version that any peer has reported.
     pub configuration_heard: AtomicU64,
     own_ip: Ipv4Addr,
     is_stopping: AtomicBool,
     clock: Clock,
 }
 
-/// Locks a mutex, also after a panic elsewhere.
+/// Locks a mutex, ignoring poisoning.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Waits.
+/// Sleeps for a number of milliseconds.
 pub async fn pause(pause_ms: u64) {
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
 impl Node {
-    /// Makes the shared part of an instance; none if there is no such adapter.
+    /// Creates the shared state of an instance; `None` if the settings name an unknown
+    /// adapter.
     pub fn new(settings: Settings, log: Logger) -> Option<Self> {
         let adapter = adapter::find(&settings.platform.adapter)?;
         let own_ip = match settings.listen.peers.ip() {
@@ -210,7 +211,7 @@
         let seeds = seeds.filter_map(|seed| seed.split(':').next()?.parse().ok());
         let seeds: Vec<Ipv4Addr> = seeds.collect();
         let boot = rand::random();
-        // Settings were checked when they were read.
+        // The topology was validated when the settings were read.
         let topology = settings.instance.topology().ok()?;
         let peers = Peers::new(own_ip, &settings.instance.failure_domain, &seeds);
         let metrics = Metrics::new();
@@ -278,38 +279,38 @@
         })
     }
 
-    /// Returns this instance's address.
+    /// Returns this instance's IP address.
     pub fn own_ip(&self) -> Ipv4Addr {
         self.own_ip
     }
 
-    /// Returns the port that all instances hear each other on.
+    /// Returns the port on which all instances listen for each other.
     pub fn peer_port(&self) -> u16 {
         self.settings.listen.peers.port()
     }
 
-    /// Returns now, in milliseconds since the start; time for which the machine was
-    /// suspended counts.
+    /// Returns the time since the start in milliseconds, including time for which the machine
+    /// was suspended.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Returns the instant of a time in milliseconds, for timers.
+    /// Converts a time in milliseconds to an instant for timers.
     pub fn instant(&self, at_ms: u64) -> tokio::time::Instant {
         self.clock.instant(at_ms)
     }
 
-    /// Returns what is known of workers.
+    /// Returns the known workers.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         lock(&self.roster)
     }
 
-    /// Returns how fast workers read prompts.
+    /// Returns the learned cost of prefill.
     pub fn paces(&self) -> MutexGuard<'_, Paces> {
         lock(&self.paces)
     }
 
-    /// Returns how long answers keep a slot.
+    /// Returns how long responses occupy a batch slot.
     pub fn stays(&self) -> MutexGuard<'_, Stays> {
         lock(&self.stays)
     }
@@ -319,27 +320,27 @@
         lock(&self.service_times)
     }
 
-    /// Returns what is known of peers.
+    /// Returns the state of the peers.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         lock(&self.peers)
     }
 
-    /// Returns the position of the store that the list of workers is complete at.
+    /// Returns the store position at which the worker list is complete.
     pub fn list_position(&self) -> StorePosition {
         lock(&self.listing).position()
     }
 
-    /// Returns the demand seen here, by service.
+    /// Returns the demand seen by this instance, by service.
     pub fn demand(&self) -> MutexGuard<'_, HashMap<Arc<str>, Demand>> {
         lock(&self.demand)
     }
 
-    /// Returns what this instance's orders did, by service.
+    /// Returns the changes made by this instance's orders, by service.
     pub fn announced(&self) -> MutexGuard<'_, HashMap<Arc<str>, Announced>> {
         lock(&self.announced)
     }
 
-    /// Notes a request to a service in the bound of repeats.
+    /// Counts a request to a service towards the service's retry budget.
     pub fn note_request(&self, service: &Arc<str>) {
         let now_ms = self.now_ms();
         let bounds = self.settings.bounds;
@@ -354,7 +355,7 @@
         window.request(now_ms);
     }
 
-    /// Spends one repeat towards a service, if the bound allows it.
+    /// Spends one retry from a service's retry budget; returns whether one was left.
     pub fn spend_repeat(&self, service: &str) -> bool {
         let now_ms = self.now_ms();
         let instance_count = self.peers().members().known_count();
@@ -363,26 +364,26 @@
         window.is_some_and(|window| window.spend(now_ms, instance_count))
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a stop was requested.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// Tells peers news at once that came from somewhere.
+    /// Sends a digest at once, since there is news from `origin`.
     pub fn tell_news(&self, origin: Origin) {
         self.peers().note_news(self.now_ms(), origin);
         self.digest_wanted.notify_one();
     }
 
-    /// Tells peers at once that the list of workers has changed, or is known to be the
-    /// newest, as whoever stands at `origin` told.
+    /// Sends the worker list's changes to peers at once, after the list changed or was
+    /// confirmed as the newest by `origin`.
     pub fn tell_list(&self, origin: Origin) {
         let mut widest = lock(&self.list_origin);
         *widest = Some(widest.map_or(origin, |before| before.max(origin)));
         self.list_update_wanted.notify_one();
     }
 
-    /// Asks for a stop.
+    /// Requests a stop.
     pub fn ask_stop(&self) {
         self.is_stopping.store(true, Ordering::Release);
         self.tell_news(Origin::Own);
--- a/crates/cranereach-gateway/src/node/configuration.rs
+++ b/crates/cranereach-gateway/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at an instance, and what it allows to be served.
+//! The configuration in force at an instance, and the checks on serving by it.
 
 use std::sync::Arc;
 
@@ -17,17 +17,18 @@
         lock(&self.configuration).clone()
     }
 
-    /// Returns the version in force; zero if none is known.
+    /// Returns the version in force; zero if there is none.
     pub fn configuration_version(&self) -> u64 {
         lock(&self.configuration)
             .as_ref()
             .map_or(0, |known| known.version)
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one; returns whether it
+    /// did.
     pub fn offer_configuration(&self, body: &Bytes, from: &str) -> Result<bool, FormatError> {
         let offered = (self.adapter.parse_configuration)(body)?;
-        // Peers are told hashes, never keys.
+        // Peers are sent hashes of API keys, never the keys.
         let redacted = (self.adapter.conceal_keys)(body)?;
         let version = offered.version;
         let mut configuration = lock(&self.configuration);
@@ -57,15 +58,19 @@
         self.configuration()?.services.get(name).cloned()
     }
 
-    /// Whether keys may be served: what is known of them was the newest lately.
+    /// Whether API keys may be served: under strict revocation, only while the configuration
+    /// is proven to have been the newest within the revocation bound.
     pub fn may_serve_keys(&self) -> bool {
         let bounds = self.settings.bounds;
         let is_proven = || lock(&self.proof).is_proven(self.now_ms(), bounds.revocation_ms);
         !bounds.is_revocation_strict || is_proven()
     }
 
-    /// Whether the platform should send callers here: not while each call that
-    /// carries a key, or each for want of the list of workers, would have to be refused.
+    /// Whether the platform should route callers here.
+    ///
+    /// Not while the instance is stopping, nor while it would have to refuse every call that
+    /// carries a key for lack of a recent proof, or every call for lack of a configuration or
+    /// worker list.
     pub fn is_ready(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
--- a/crates/cranereach-gateway/src/node/connections.rs
+++ b/crates/cranereach-gateway/src/node/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to workers.
+//! Connection pools for workers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,26 +10,27 @@
 use super::lock;
 use cranereach_http::pool::Pool;
 
-/// Time after which unconfirmed bytes break a worker's connection, in milliseconds.
+/// Time for which sent bytes may stay unacknowledged before the connection to a worker is
+/// broken, in milliseconds.
 const WORKER_ACK_TIMEOUT_MS: u64 = 1_200;
 
-/// Connections to each worker, by its identity.
+/// Connection pools by worker ID.
 pub type Pools = HashMap<Arc<str>, Arc<Pool<Full<Bytes>>>>;
 
 impl Node {
-    /// Returns the connections to a worker.
+    /// Returns the connection pool of a worker.
     pub fn pool(&self, worker: &Arc<str>, address: &str) -> Arc<Pool<Full<Bytes>>> {
         let mut pools = lock(&self.pools);
         let make = || Arc::new(Pool::new(address).with_silence_max_ms(WORKER_ACK_TIMEOUT_MS));
         let pool = pools.entry(Arc::clone(worker)).or_insert_with(make);
         if pool.address() != address {
-            // It started again elsewhere.
+            // The worker has restarted at another address.
             *pool = make();
         }
         Arc::clone(pool)
     }
 
-    /// Forgets the connections to workers that are gone.
+    /// Drops the connection pools of workers that are gone.
     pub fn forget_pools(&self, gone: &[Arc<str>]) {
         let mut pools = lock(&self.pools);
         for worker in gone {
--- a/crates/cranereach-gateway/src/questions.rs
+++ b/crates/cranereach-gateway/src/questions.rs
@@ -1,4 +1,4 @@
-//! Questions to peers that wait for answers, told apart by a number.
+//! Pending questions to peers, matched to their answers by ticket.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 
 use crate::node::lock;
 
-/// Questions of one kind that wait for answers.
+/// Pending questions of one kind.
 #[derive(Debug)]
 pub struct Questions<T> {
     pending: Mutex<HashMap<u64, UnboundedSender<T>>>,
@@ -23,13 +23,13 @@
     }
 }
 
-/// A question that is forgotten when it is dropped, also with a caller who left.
+/// A pending question, removed on drop, also when its caller has disconnected.
 #[derive(Debug)]
 pub struct Question<'a, T> {
     questions: &'a Questions<T>,
-    /// Number that answers have to name.
+    /// Number that answers must carry.
     pub ticket: u64,
-    /// The answers.
+    /// Answers received so far.
     pub answers: UnboundedReceiver<T>,
 }
 
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Counts the questions that wait.
+    /// Returns the number of pending questions.
     pub fn open_count(&self) -> usize {
         lock(&self.pending).len()
     }
 
-    /// Hands an answer to whoever asked.
+    /// Delivers an answer to the question with this ticket.
     pub fn answered(&self, ticket: u64, answer: T) {
         if let Some(asker) = lock(&self.pending).get(&ticket) {
-            // Whoever asked may have stopped waiting.
+            // The receiver may have been dropped.
             let _taken = asker.send(answer);
         }
     }
--- a/crates/cranereach-gateway/src/traffic.rs
+++ b/crates/cranereach-gateway/src/traffic.rs
@@ -1,7 +1,7 @@
-//! The account of bytes: what this instance sends its peers, by kind and distance.
+//! Byte counts of what this instance sends to its peers, by kind and distance.
 //!
-//! Every message between instances leaves through [`Node::send_now`], [`Node::send_all`]
-//! or [`Node::note_sent`], so that the counters add up to what leaves the process.
+//! Every message between instances leaves through [`Node::send_now`], [`Node::send_all`] or
+//! [`Node::note_sent`], so that the counters cover everything that leaves the process.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -18,42 +18,42 @@
 use crate::node::pause;
 use cranereach_fleet::topology::Distance;
 
-/// Name in metrics of the distance to whoever hasn't said yet where it stands.
+/// Metric label for the distance to a peer whose failure domain is not known yet.
 const UNKNOWN_DISTANCE: &str = "unknown";
 
-/// Time between two log lines of what was sent, in milliseconds.
+/// Interval between two log lines with the bytes sent, in milliseconds.
 const LOG_INTERVAL_MS: u64 = 10_000;
 
-/// What bytes are sent for.
+/// Purpose that bytes are sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// Digests.
     Digest,
-    /// Changes of the list of workers.
+    /// Changes of the worker list.
     List,
-    /// Bodies of configurations.
+    /// Configuration bodies.
     Configuration,
-    /// Whole lists of workers.
+    /// Whole worker lists.
     Workers,
     /// Questions to owners of workers.
     Question,
-    /// Their answers.
+    /// Answers of owners of workers.
     Answer,
-    /// Words to owners: a request begins, its prompt is read, it ends.
+    /// Notices to owners: a request was sent, its prompt has been read, it has ended.
     Word,
-    /// Demand, and what holders of leases answer to it.
+    /// Demand, and lease holders' answers to it.
     Demand,
     /// Questions to owners of limits, and their answers.
     Limit,
-    /// Questions for proof, and their answers.
+    /// Questions for proof of the configuration, and their answers.
     Proof,
-    /// Questions to owners of workers that get only so many requests, and their answers.
+    /// Questions to owners of cold or rate-limited workers, and their answers.
     Grant,
-    /// Lists of the failure domains that are to be evacuated, beside digests.
+    /// Lists of the failure domains that are to be evacuated, sent apart from digests.
     Evacuation,
-    /// Requests under which workers ended, beside digests.
+    /// Requests during which workers ended, sent apart from digests.
     Suspect,
-    /// Anything else, such as what a body is asked for with.
+    /// Anything else, such as requests for bodies.
     Other,
 }
 
@@ -76,7 +76,7 @@
         Self::Other,
     ];
 
-    /// Returns the name that metrics use.
+    /// Returns the metric label.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Digest => "digest",
@@ -119,7 +119,7 @@
     }
 }
 
-/// Logs now and then what was sent since the start, until the process ends.
+/// Logs the bytes sent since the start at a fixed interval, until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
         pause(LOG_INTERVAL_MS).await;
@@ -127,7 +127,7 @@
     }
 }
 
-/// Lists the bytes sent to peers: `kind/distance bytes`, those that are none left out.
+/// Formats the bytes sent to peers as `kind/distance bytes`, leaving out zeros.
 fn peer_bytes(node: &Node) -> String {
     let distances = Distance::ALL.map(Distance::name);
     let distances: Vec<&str> = distances.into_iter().chain([UNKNOWN_DISTANCE]).collect();
@@ -135,14 +135,14 @@
     list(&node.metrics.peer_sent_bytes_total, kinds, &distances)
 }
 
-/// Lists the bytes of calls and answers, `direction/distance bytes`.
+/// Formats the bytes of calls to workers and their answers as `direction/distance bytes`.
 fn worker_bytes(node: &Node) -> String {
     let distances = Distance::ALL.map(Distance::name);
     let directions = ["sent", "received"].into_iter();
     list(&node.metrics.worker_bytes_total, directions, &distances)
 }
 
-/// Lists a counter's values that aren't zero.
+/// Formats the values of a counter that aren't zero.
 fn list<'a>(
     counter: &IntCounterVec,
     first: impl Iterator<Item = &'a str>,
@@ -161,8 +161,8 @@
 }
 
 impl Node {
-    /// Sends a message to a peer without waiting; one that finds no room is lost, as
-    /// any datagram may be.
+    /// Sends a message to a peer without waiting; it is dropped if the socket buffer is full,
+    /// as any datagram may be.
     pub fn send_now(&self, peer: SocketAddr, message: Message) {
         let Some(socket) = self.peer_socket.get() else {
             return;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Sends a message to some peers.
+    /// Sends a message to several peers.
     pub async fn send_all(&self, message: Message, recipients: &[Ipv4Addr]) {
         let Some(socket) = self.peer_socket.get() else {
             return;
@@ -183,14 +183,14 @@
         let datagram = encode(message);
         for recipient in recipients {
             let address = SocketAddr::from((*recipient, self.peer_port()));
-            // A lost datagram is made good by the next.
+            // The next message makes up for a lost datagram.
             if let Ok(byte_count) = socket.send_to(&datagram, address).await {
                 self.note_sent(*recipient, kind, byte_count);
             }
         }
     }
 
-    /// Counts bytes sent to a peer; headers of the network aren't among them.
+    /// Counts bytes sent to a peer, without network headers.
     pub fn note_sent(&self, peer: Ipv4Addr, kind: Kind, byte_count: usize) {
         let labels = [
             kind.name(),
@@ -206,7 +206,7 @@
         messages.with_label_values(&labels).inc();
     }
 
-    /// Returns how far a peer is; none if it hasn't said yet where it stands.
+    /// Returns the distance to a peer; `None` if its failure domain is not known yet.
     pub fn distance_to(&self, peer: Ipv4Addr) -> Option<Distance> {
         let domain = self.peers().members().domain_of(peer)?;
         Some(self.topology.distance_to(domain))
