--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -1,7 +1,8 @@
-//! Messages to and from peers over UDP.
+//! UDP messages to and from peers.
 //!
-//! [`crate::news`] says what they change. A digest is complete in itself, so that a lost or doubled one does no harm.
-//! What a digest only names is fetched by [`crate::bodies`].
+//! [`crate::news`] applies their content. Each digest is complete in itself, so that a lost or
+//! duplicated one does no harm. What a digest only mentions, such as a newer configuration, is
+//! fetched by [`crate::bodies`].
 
 use std::collections::HashMap;
 use std::mem;
@@ -46,25 +47,26 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::topology::DomainTag;
 
-/// Rounds after which silent peers are tried again.
+/// Every this many rounds is a slow one, which also goes to far and silent peers.
 const SLOW_ROUND_EVERY: u64 = 4;
 
-/// Least time between two rounds of digests, in milliseconds.
+/// Minimum interval between two rounds of digests, in milliseconds.
 const ROUND_MIN_INTERVAL_MS: u64 = 20;
 
-/// Time for which the candidates for a lease hear that its term is over, in
+/// Time for which the candidates for a lease are told that its term has ended, in
 /// milliseconds: some rounds.
 const ENDED_LEASE_GOSSIP_MS: u64 = 1_500;
 
-/// Time between two messages of demand to a holder in another failure domain, in
-/// milliseconds.
+/// Interval between two demand messages to a lease holder in another failure domain of this
+/// region, in milliseconds.
 const DEMAND_OWN_REGION_INTERVAL_MS: u64 = 480;
 
-/// The same in another region: three that are missed still count (`peers::demand`).
+/// The same for a holder in another region: demand still counts when three messages in a row
+/// are missed (see [`Peers::demand`](crate::peers::Peers::demand)).
 const DEMAND_OTHER_REGION_INTERVAL_MS: u64 = 720;
 
-/// Adapters that one digest names at most, so that a holder's link stays free: who
-/// waits for one is told in particular.
+/// Maximum number of adapters in one digest, to keep a lease holder's link free: instances
+/// that wait for an adapter are told directly.
 const DIGEST_ADAPTERS_MAX_COUNT: usize = 48;
 
 /// Sends digests until the process ends.
@@ -82,13 +84,13 @@
             .await;
         pause(ROUND_MIN_INTERVAL_MS).await;
         let every = Duration::from_millis(node.settings.peers.digest_every_ms);
-        // Whoever wants a digest at once ends the wait early.
+        // A digest wanted at once ends the wait early.
         let _waited = tokio::time::timeout(every, node.digest_wanted.notified()).await;
     }
 }
 
-/// Lists the services whose candidates have to hear a digest: their lease is held by
-/// its sender, or was until a moment ago.
+/// Lists the services whose lease candidates need the digest: the sender holds their lease, or
+/// did until a moment ago.
 fn services_to_notify(digest: &Digest) -> Vec<u64> {
     let ended = digest.ended.iter();
     let ended = ended.filter(|ended| ended.age_ms < ENDED_LEASE_GOSSIP_MS);
@@ -96,7 +98,7 @@
     held.chain(ended.map(|ended| ended.service)).collect()
 }
 
-/// Tells holders of leases what is asked for here, until the process ends.
+/// Sends the local demand to lease holders until the process ends.
 pub async fn send_demand(node: Arc<Node>) {
     let mut count = 0_u64;
     let mut sent_at_ms: HashMap<Ipv4Addr, u64> = HashMap::new();
@@ -127,13 +129,13 @@
         pause(ROUND_MIN_INTERVAL_MS).await;
         let round_ms = node.settings.peers.digest_every_ms;
         let every = Duration::from_millis(node.peers().demand_every_ms(round_ms));
-        // Whoever waits for what nobody holds ends the wait early.
+        // A request that waits for something no worker holds ends the wait early.
         let _waited = tokio::time::timeout(every, node.demand_wanted.notified()).await;
     }
 }
 
-/// Returns the least time between two messages of demand that hold nothing urgent, in
-/// milliseconds: demand is an average over some seconds.
+/// Returns the minimum interval between two demand messages without urgent content, in
+/// milliseconds; demand is an average over some seconds.
 const fn demand_every_ms(distance: Option<Distance>) -> u64 {
     match distance {
         Some(Distance::OwnDomain) | None => 0,
@@ -142,7 +144,7 @@
     }
 }
 
-/// Makes a digest of what this instance knows and does.
+/// Makes a digest of this instance's state.
 fn make_digest(node: &Node, now_ms: u64, members: Vec<MemberNews>) -> Digest {
     let count = node.digest_count.fetch_add(1, Ordering::AcqRel) + 1;
     let peers = node.peers();
@@ -193,7 +195,7 @@
     }
 }
 
-/// Lists the leases whose term is over here.
+/// Lists the leases whose term has ended at this instance.
 fn ended_leases(node: &Node, now_ms: u64) -> Vec<EndedLease> {
     let ended = lock(&node.ended_leases);
     let ended = ended.iter().map(|(service, term)| EndedLease {
@@ -204,7 +206,7 @@
     ended.collect()
 }
 
-/// Returns the demand seen here.
+/// Returns the local demand.
 fn demand_parts(node: &Node, now_ms: u64) -> Vec<DemandPart> {
     let mut parts = Vec::new();
     for (service, demand) in node.demand().iter_mut() {
@@ -218,7 +220,7 @@
     parts
 }
 
-/// Receives digests until the process ends.
+/// Receives messages from peers until the process ends.
 pub async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     loop {
@@ -271,8 +273,8 @@
     }
 }
 
-/// Answers an instance that has no list yet with a digest at once, so that it knows
-/// whom to ask: the members that stand where it does come first.
+/// Sends a digest at once to an instance that has no worker list yet, so that it learns whom
+/// to ask; members of its own failure domain come first.
 fn reply_to_joining(node: &Node, now_ms: u64, newcomer: Ipv4Addr, heard: &Digest) {
     let members = {
         let mut peers = node.peers();
@@ -282,7 +284,7 @@
         peers.member_news_for(now_ms, DomainTag::from_key(heard.domain))
     };
     let digest = Digest {
-        // What was told before it came up.
+        // The joining instance has missed earlier announcements.
         departures: departures::all(node),
         ..make_digest(node, now_ms, members)
     };
@@ -290,12 +292,12 @@
     node.send_now(newcomer, Message::Digest(Box::new(digest)));
 }
 
-/// Returns where what a peer tells comes from.
+/// Returns the origin of news from a peer.
 fn origin(node: &Node, peer: Ipv4Addr) -> Origin {
     Origin::at(node.distance_to(peer))
 }
 
-/// Takes a digest; true if its sender's list of workers is behind this one's.
+/// Applies a digest; returns whether its sender's worker list is behind the local one.
 fn handle_digest(node: &Arc<Node>, sender: Ipv4Addr, digest: &Digest) -> bool {
     let now_ms = node.now_ms();
     let is_new = {
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! What is known of the other instances.
+//! State of the other instances, as known from their messages.
 
 mod selection;
 
@@ -24,56 +24,57 @@
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
 
-/// Peers that a holder hears the demand of within one round: with more of them, each
-/// tells it in one round of several.
+/// Maximum number of peers that send their demand to a lease holder in one round; with more
+/// peers, each sends it only once in several rounds.
 const DEMAND_SENDERS_PER_ROUND_COUNT: usize = 64;
 
-/// Rounds in which demand may not be heard before it no longer counts.
+/// Intervals for which a peer's demand may go unheard before it no longer counts.
 const DEMAND_MISSED_MAX_COUNT: u64 = 3;
 
-/// Time for which a holder remembers what a peer waits for, in milliseconds: longer
-/// than requests wait.
+/// Time for which a lease holder remembers what a peer waits for, in milliseconds: longer than
+/// requests wait.
 const WAIT_EXPIRES_AFTER_MS: u64 = 1_200;
 
-/// Waits that a holder remembers at most.
+/// Maximum number of waits that a lease holder remembers.
 const WAIT_MAX_COUNT: usize = 4_096;
 
-/// Peers that must have been heard before a whole fleet counts as just started.
+/// Minimum number of peers heard before the whole fleet can count as just started.
 const STARTED_PEERS_MIN_COUNT: usize = 3;
 
-/// Time between two messages that tell one peer that its list is behind, in
+/// Minimum interval between two list updates to one peer whose list is behind, in
 /// milliseconds.
 const LAGGING_UPDATE_INTERVAL_MS: u64 = 300;
 
-/// Time between two digests that one newcomer is answered with, in milliseconds.
+/// Minimum interval between two digests sent in reply to the same joining instance, in
+/// milliseconds.
 const JOIN_REPLY_PER_PEER_INTERVAL_MS: u64 = 400;
 
-/// Time between two digests that newcomers are answered with, in milliseconds: at a
-/// start of all, those that the settings name hear all others.
+/// Minimum interval between two digests sent in reply to any joining instance, in
+/// milliseconds: when the whole fleet starts, the seeds hear all other instances at once.
 const JOIN_REPLY_INTERVAL_MS: u64 = 3;
 
 pub use selection::FAN_OUT_COUNT;
 pub use selection::Holders;
 
-/// What one peer said last.
+/// State of one peer, from its last digest.
 #[derive(Clone, Debug, Default)]
 struct PeerState {
     heard_at_ms: u64,
     boot: u64,
-    /// Time for which it had been up then, in milliseconds.
+    /// Peer's uptime at that moment, in milliseconds.
     up_for_ms: u64,
     count: u64,
     configuration_version: u64,
     list_position: StorePosition,
     holds: Vec<u64>,
     ended: Vec<EndedLease>,
-    /// When it was last told that its list is behind, in milliseconds.
+    /// When the peer was last sent list changes because its list was behind, in milliseconds.
     lagging_updated_at_ms: u64,
-    /// When it was last answered at once since it had no list, in milliseconds.
+    /// When the peer was last sent a digest in reply because it had no list, in milliseconds.
     join_reply_at_ms: Option<u64>,
 }
 
-/// The demand that one peer told.
+/// Demand reported by one peer.
 #[derive(Clone, Debug)]
 struct PeerDemand {
     heard_at_ms: u64,
@@ -82,47 +83,49 @@
     parts: Vec<DemandPart>,
 }
 
-/// All peers.
+/// State of all peers.
 #[derive(Clone, Debug)]
 pub struct Peers {
     own_ip: Ipv4Addr,
     own_domain: u64,
     topology: Topology,
-    /// Where the newest news came from, and until when gates are told of them, in
-    /// milliseconds.
+    /// Widest origin of the recent news, and until when relays are sent digests because of it,
+    /// in milliseconds.
     news: Option<(Origin, u64)>,
-    /// Whether the last slow round went to another region, too.
+    /// Whether the last slow round also went to another region.
     is_cross_region_round: bool,
     members: Membership,
     peer_states: HashMap<Ipv4Addr, PeerState>,
     demand: HashMap<Ipv4Addr, PeerDemand>,
-    /// Adapters that peers wait for, by service, model and adapter, and since when, in
+    /// Adapters that peers wait for, by peer, service and adapter, and since when, in
     /// milliseconds.
     waits: HashMap<(Ipv4Addr, u64, ModelKey), u64>,
-    /// Which instances could not reach the store lately.
+    /// Instances that recently could not reach the store.
     store_failures: StoreFailures,
-    /// Who is heard to hold which lease.
+    /// Lease holders, as reported by themselves and by others.
     leases: HeardLeases,
-    /// When a newcomer was last answered at once, in milliseconds.
+    /// When any joining instance was last sent a digest in reply, in milliseconds.
     join_reply_at_ms: Option<u64>,
-    /// Whether a peer of another failure domain told this one of its list.
+    /// Whether a peer of another failure domain has advertised its worker list to this
+    /// instance.
     is_gate: bool,
-    /// Who told this one of its list last, and of which position.
+    /// Peer that last advertised its worker list, and the list's position.
     list_advertiser: Option<(Ipv4Addr, StorePosition)>,
-    /// A number from zero to one, drawn at the start.
+    /// Random number from zero to one, drawn at the start.
     chance: f64,
 }
 
 impl Peers {
-    /// Makes the list from the seeds, for an instance that knows no failure domain but
-    /// its own: all others are far.
+    /// Creates the state from the seeds, for an instance that knows no failure domain but its
+    /// own: all others count as another region.
     pub fn new(own_ip: Ipv4Addr, own_domain: &str, seeds: &[Ipv4Addr]) -> Self {
         Self {
             own_ip,
             own_domain: worker_key(own_domain),
             topology: Topology::of_domain(own_domain),
             news: None,
-            // So that not all that start together do so in the same rounds.
+            // Random, so that instances that start together don't cross regions in the same
+            // rounds.
             is_cross_region_round: rand::random(),
             members: Membership::new(own_ip, DomainTag::of(own_domain), seeds),
             peer_states: HashMap::new(),
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Takes the table of failure domains.
+    /// Sets the table of failure domains and regions.
     #[must_use]
     pub fn within(mut self, topology: &Topology) -> Self {
         self.topology = topology.clone();
@@ -154,17 +157,17 @@
         self.own_ip
     }
 
-    /// Returns which instances live.
+    /// Returns the membership: which instances are alive.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// Returns which instances live, to note that one did not answer.
+    /// Returns the membership for changes, such as noting that an instance did not answer.
     pub fn members_mut(&mut self) -> &mut Membership {
         &mut self.members
     }
 
-    /// Takes a digest; false if it is an old one.
+    /// Applies a digest; returns false if it is outdated.
     pub fn heard(&mut self, now_ms: u64, sender: Ipv4Addr, digest: &Digest) -> bool {
         if sender == self.own_ip {
             return false;
@@ -202,36 +205,43 @@
         true
     }
 
-    /// Whether all peers heard started within a time, as after a loss of power everywhere.
+    /// Whether all peers heard have started within a time, as after a power failure of the
+    /// whole fleet.
     pub fn have_all_started_within(&self, now_ms: u64, within_ms: u64) -> bool {
         let mut heard = self.peer_states.values();
         self.peer_states.len() >= STARTED_PEERS_MIN_COUNT
             && heard.all(|state| state.up_for_ms + now_ms < within_ms + state.heard_at_ms)
     }
 
-    /// Returns the number of a peer's last digest; none before the first.
+    /// Returns the sequence number of a peer's last digest; `None` before the first.
     pub fn last_count(&self, peer: Ipv4Addr) -> Option<u64> {
         self.peer_states.get(&peer).map(|state| state.count)
     }
 
-    /// Takes a peer's demand; false if it is old or comes from a stranger.
-    pub fn heard_demand(&mut self, now_ms: u64, sender: Ipv4Addr, told: &DemandMessage) -> bool {
+    /// Applies a peer's demand; returns false if it is outdated or its sender is not a known
+    /// member.
+    pub fn heard_demand(
+        &mut self,
+        now_ms: u64,
+        sender: Ipv4Addr,
+        reported: &DemandMessage,
+    ) -> bool {
         let known = self.demand.get(&sender);
         let is_old = known.is_some_and(|known| {
-            let is_same_start = known.boot == told.boot;
-            is_same_start && known.count >= told.count
+            let is_same_start = known.boot == reported.boot;
+            is_same_start && known.count >= reported.count
         });
         if is_old || !self.members.is_known(sender) {
             return false;
         }
         let demand = PeerDemand {
             heard_at_ms: now_ms,
-            boot: told.boot,
-            count: told.count,
-            parts: told.parts.clone(),
+            boot: reported.boot,
+            count: reported.count,
+            parts: reported.parts.clone(),
         };
         self.demand.insert(sender, demand);
-        for (service, adapter) in &told.waits_for {
+        for (service, adapter) in &reported.waits_for {
             if self.waits.len() < WAIT_MAX_COUNT {
                 self.waits.insert((sender, *service, *adapter), now_ms);
             }
@@ -239,7 +249,8 @@
         true
     }
 
-    /// Takes out who waits for adapters of a service that are there now.
+    /// Removes the waits for adapters of a service that are now loaded, and returns these
+    /// adapters by waiting peer.
     pub fn take_answered(
         &mut self,
         now_ms: u64,
@@ -263,26 +274,26 @@
         answers
     }
 
-    /// Lists the demand that peers told lately.
+    /// Lists the demand that peers have reported recently.
     pub fn demand(&self, now_ms: u64, round_ms: u64) -> impl Iterator<Item = &DemandPart> {
         let within_ms = HEARD_WITHIN_MS + DEMAND_MISSED_MAX_COUNT * self.demand_every_ms(round_ms);
         let known = self.demand.values();
-        let recent = known.filter(move |told| now_ms < told.heard_at_ms + within_ms);
-        recent.flat_map(|told| &told.parts)
+        let recent = known.filter(move |reported| now_ms < reported.heard_at_ms + within_ms);
+        recent.flat_map(|reported| &reported.parts)
     }
 
-    /// Lists the leases that are heard to be held.
+    /// Lists the leases known to be held.
     pub fn held(&self, now_ms: u64) -> Vec<HeldLease> {
         self.leases.held(now_ms)
     }
 
-    /// Whether some peer is heard to hold a lease, directly or through others.
+    /// Whether some peer is known to hold a lease, from its own digest or from others'.
     pub fn hears_holder(&self, now_ms: u64, service: u64) -> bool {
         let held = self.held(now_ms);
         held.iter().any(|held| held.service == service)
     }
 
-    /// Lists the terms of a service's lease that peers say are over.
+    /// Lists the terms of a service's lease that peers report as ended.
     pub fn ended_terms(&self, now_ms: u64, service: u64) -> Vec<EndedTerm> {
         let known = self.peer_states.values();
         let heard = known.filter(|state| now_ms < state.heard_at_ms + HEARD_WITHIN_MS);
@@ -301,23 +312,24 @@
         self.store_failures.note(now_ms, self.own_ip, 0);
     }
 
-    /// Lists the instances that could not reach the store lately.
+    /// Lists the instances that recently could not reach the store.
     pub fn store_failures(&self, now_ms: u64) -> Vec<StoreFailure> {
         self.store_failures.recent(now_ms)
     }
 
-    /// Whether others say that they can't reach the store.
+    /// Whether other instances report that they can't reach the store.
     pub fn is_store_lost(&self, now_ms: u64) -> bool {
         self.store_failures.is_lost(now_ms, self.own_ip)
     }
 
-    /// Counts the instances that come before this one in an order of their own for
-    /// each purpose.
+    /// Returns the number of living instances that come before this one in the rendezvous hash
+    /// order of a purpose.
     pub fn rank(&self, now_ms: u64, purpose: &str) -> u64 {
         self.members.rank(now_ms, worker_key(purpose))
     }
 
-    /// Whether a peer whose list is behind is to be told so now; notes that it is.
+    /// Whether a peer whose list is behind may be sent list changes now; if so, notes that it
+    /// is.
     pub fn may_update_lagging_peer(&mut self, now_ms: u64, peer: Ipv4Addr) -> bool {
         let Some(state) = self.peer_states.get_mut(&peer) else {
             return false;
@@ -329,7 +341,7 @@
         may_update
     }
 
-    /// Whether a newcomer is to be answered at once now; notes that it is.
+    /// Whether a joining instance may be sent a digest in reply now; if so, notes that it is.
     pub fn may_greet(&mut self, now_ms: u64, newcomer: Ipv4Addr) -> bool {
         let Some(state) = self.peer_states.get_mut(&newcomer) else {
             return false;
@@ -346,8 +358,8 @@
         may_greet
     }
 
-    /// Returns the time between two messages of demand, in milliseconds: a holder
-    /// hears every instance.
+    /// Returns the interval between two demand messages, in milliseconds; it grows with the
+    /// fleet, since a lease holder hears every instance.
     pub fn demand_every_ms(&self, round_ms: u64) -> u64 {
         let rounds = self
             .members
@@ -356,7 +368,7 @@
         round_ms * rounds as u64
     }
 
-    /// Lists the other instances that are heard to hold a lease.
+    /// Lists the other instances known to hold a lease.
     pub fn holders(&self, now_ms: u64) -> Vec<Ipv4Addr> {
         let mut holders: Vec<Ipv4Addr> = self.held(now_ms).iter().map(|held| held.holder).collect();
         holders.retain(|holder| *holder != self.own_ip);
@@ -365,7 +377,7 @@
         holders
     }
 
-    /// Forgets what is old.
+    /// Drops the state of members that are no longer known.
     fn forget(&mut self, now_ms: u64) {
         self.members.forget(now_ms);
         self.members.look(now_ms);
@@ -375,12 +387,12 @@
         self.demand.retain(|address, _| members.is_known(*address));
     }
 
-    /// Chooses what a digest tells of other members.
+    /// Samples the members that a digest reports.
     pub fn member_news(&self, now_ms: u64) -> Vec<MemberNews> {
         self.members.sample(now_ms, &mut rand::rng())
     }
 
-    /// Chooses what a digest tells a newcomer of a failure domain.
+    /// Samples the members that a digest reports to a joining instance of a failure domain.
     pub fn member_news_for(&self, now_ms: u64, domain: DomainTag) -> Vec<MemberNews> {
         self.members.sample_for(now_ms, domain, &mut rand::rng())
     }
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -1,4 +1,4 @@
-//! Whom of the peers this instance tells next, and whom it asks for bodies.
+//! Selection of the peers that the next messages go to, and of those to fetch bodies from.
 
 use std::net::Ipv4Addr;
 
@@ -14,55 +14,54 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::DomainTag;
 
-/// Peers that one round of digests goes to at most, besides those that need it at once:
-/// news that each instance tells six others reach nearly all of 1,000 in some six rounds
-/// (`tests/spreading.rs`).
+/// Maximum number of peers that one round of digests goes to, apart from those that need it at
+/// once. News that each instance passes to six others reaches nearly all of 1,000 in some six
+/// rounds (`tests/spreading.rs`).
 pub const FAN_OUT_COUNT: usize = 6;
 
-/// Those of them that are of the own failure domain, where bytes cost nothing.
+/// Number of them in this instance's failure domain, where traffic is free.
 const OWN_DOMAIN_FAN_OUT_COUNT: usize = 4;
 
-/// Peers of other failure domains that a slow round goes to besides: of the own region,
-/// and of other regions, to which every second one goes.
+/// Additional peers of other failure domains in a slow round: so many of this region and, in
+/// every second slow round, of other regions.
 const SLOW_ROUND_FAR_COUNT: usize = 1;
 
-/// Time for which each round also goes to the gates of other domains after news, in
+/// Time for which every round also goes to the relays of other failure domains after news, in
 /// milliseconds: three rounds, since one datagram may be lost.
 const UPDATE_RELAY_FOR_MS: u64 = 700;
 
-/// Silent peers that a slow round tries once more.
+/// Silent peers that a slow round retries.
 const SILENT_RETRY_COUNT: usize = 1;
 
-/// Candidates for a lease that its holder tells in each round that it holds it.
+/// Candidates for a lease that its holder sends every digest to.
 const LEASE_CANDIDATE_COUNT: usize = 3;
 
-/// Peers of the own failure domain that changes of the list are passed on to; whoever
-/// none of them reaches is behind, and told so by the next digest.
+/// Peers of this failure domain that list changes are forwarded to. A peer that none of them
+/// reaches is behind, and is brought up to date after its next digest.
 const LIST_OWN_DOMAIN_FAN_OUT_COUNT: usize = 3;
 
-/// Peers of the own failure domain that one round of questions for proof goes to.
+/// Peers of this failure domain that one round of proof questions goes to.
 const PROOF_OWN_DOMAIN_COUNT: usize = 1;
 
-/// Peers of other failure domains that it goes to besides: whoever watches the store
-/// may be in none but another.
+/// Peers of other failure domains that it also goes to: the instances that watch the store may
+/// all be in another domain.
 const PROOF_OTHER_DOMAIN_COUNT: usize = 1;
 
-/// Share of the rounds in which that one is of another region: all who watch may be
-/// there.
+/// Share of the rounds in which that peer is of another region: the instances that watch the
+/// store may all be there.
 const PROOF_OTHER_REGION_RATIO: f64 = 0.25;
 
-/// Peers that were heard to have a newer list of workers.
+/// Peers known to have a newer worker list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Holders {
-    /// Of the own failure domain.
+    /// Peers of this failure domain.
     pub near: Vec<Ipv4Addr>,
-    /// Of the own region, or if none is there, of others.
+    /// Peers of other failure domains of this region or, if there are none, of other regions.
     pub far: Vec<Ipv4Addr>,
 }
 
 impl Peers {
-    /// Lists the living peers that were heard to have a newer list of workers than one of
-    /// a position.
+    /// Lists the living peers known to have a worker list newer than `position`.
     pub fn list_holders(&self, now_ms: u64, position: StorePosition) -> Holders {
         let has_newer = |peer: &Ipv4Addr| {
             let state = self.peer_states.get(peer);
@@ -75,8 +74,10 @@
         if far.is_empty() {
             far = of(by_distance.all_in_other_regions());
         }
-        // Whoever told of its list may not have been heard otherwise.
-        let advertiser = self.list_advertiser.filter(|(_, told)| *told > position);
+        // The peer that advertised its list may not have sent a digest yet.
+        let advertiser = self
+            .list_advertiser
+            .filter(|(_, advertised_position)| *advertised_position > position);
         let advertiser = advertiser.map(|(advertiser, _)| advertiser);
         far.extend(
             advertiser.filter(|advertiser| !near.contains(advertiser) && !far.contains(advertiser)),
@@ -84,7 +85,7 @@
         Holders { near, far }
     }
 
-    /// Notes that a peer told of its list: it can be asked for it.
+    /// Notes that a peer advertised its worker list, so that the list can be fetched from it.
     pub fn told_list(&mut self, peer: Ipv4Addr, position: StorePosition) {
         let own_domain = DomainTag::from_key(self.own_domain);
         self.is_gate |= self.members.domain_of(peer) != Some(own_domain);
@@ -94,8 +95,8 @@
         self.list_advertiser = Some((peer, position));
     }
 
-    /// Returns what an instance that has nothing yet goes by, but for who has what it
-    /// lacks.
+    /// Returns the state of an instance that has no list or configuration yet, except for who
+    /// holds what it lacks.
     pub fn newcomer(&self, now_ms: u64, purpose: &str) -> Newcomer {
         Newcomer {
             up_for_ms: now_ms,
@@ -109,14 +110,14 @@
         }
     }
 
-    /// Returns this instance's part of the time over which reads of the store are spread
-    /// that all may have to do, in milliseconds.
+    /// Returns this instance's share, in milliseconds, of the time over which store reads are
+    /// spread when all instances may have to read.
     pub fn read_spread_ms(&self) -> u64 {
         let longest_ms = SPREAD_EACH_MS * self.members.known_count() as u64;
         (longest_ms as f64 * self.chance) as u64
     }
 
-    /// Chooses whom changes of the list of workers go to that came from somewhere.
+    /// Selects the recipients of worker list changes that came from `origin`.
     pub fn list_recipients(&self, now_ms: u64, origin: Origin) -> Vec<Ipv4Addr> {
         let by_distance = self.peers_by_distance(now_ms);
         let mut chosen = by_distance.sample_own_domain(LIST_OWN_DOMAIN_FAN_OUT_COUNT);
@@ -124,7 +125,7 @@
         chosen
     }
 
-    /// Chooses whom the next question for proof goes to.
+    /// Selects the recipients of the next proof question.
     pub fn proof_recipients(&self, now_ms: u64) -> Vec<Ipv4Addr> {
         let by_distance = self.peers_by_distance(now_ms);
         let mut chosen = by_distance.sample_own_domain(PROOF_OWN_DOMAIN_COUNT);
@@ -137,21 +138,21 @@
         chosen
     }
 
-    /// Sorts the others that live by distance.
+    /// Groups the living peers by distance.
     fn peers_by_distance(&self, now_ms: u64) -> PeersByDistance {
         PeersByDistance::of(&self.members, &self.topology, now_ms)
     }
 
-    /// Notes that there are news to be told, and where they came from: the gates of the
-    /// domains that hear of them from nobody else get the next rounds, too.
+    /// Notes that there is news from `origin`: for the next rounds, digests also go to the
+    /// relays of the failure domains that nobody else passes it to.
     pub fn note_news(&mut self, now_ms: u64, origin: Origin) {
         let widest = self.news.filter(|(_, until_ms)| now_ms < *until_ms);
         let widest = widest.map_or(origin, |(before, _)| before.max(origin));
         self.news = Some((widest, now_ms + UPDATE_RELAY_FOR_MS));
     }
 
-    /// Returns the peer of the own failure domain, or else `teller`, to fetch a version
-    /// of the configuration from.
+    /// Returns a peer of this failure domain that has a version of the configuration or, if
+    /// there is none, `advertiser`.
     pub fn configuration_source(
         &self,
         now_ms: u64,
@@ -169,29 +170,29 @@
         near.choose(&mut rand::rng()).unwrap_or(advertiser)
     }
 
-    /// Whether this instance comes first in its failure domain in the order for a
-    /// purpose: it fetches from elsewhere what the others then have from it.
+    /// Whether this instance comes first in its failure domain for a purpose: it fetches from
+    /// other domains what the others then fetch from it.
     pub fn is_first_in_domain(&self, now_ms: u64, purpose: &str) -> bool {
         self.rank_in_domain(now_ms, purpose) == 0
     }
 
-    /// Counts the instances of this one's failure domain that come before it in the
-    /// order for a purpose.
+    /// Returns the number of living instances of this failure domain that come before this one
+    /// in the rendezvous hash order of a purpose.
     fn rank_in_domain(&self, now_ms: u64, purpose: &str) -> u64 {
         let own_domain = DomainTag::from_key(self.own_domain);
         let purpose = worker_key(purpose);
         self.members.rank_in(now_ms, purpose, own_domain)
     }
 
-    /// Chooses whom the next digest goes to.
+    /// Selects the recipients of the next digest.
     ///
-    /// `holds` names the services whose lease this instance holds: the candidates
-    /// for them hear of it in each round.
+    /// `holds` lists the services whose lease this instance holds; the candidates for these
+    /// leases get every digest.
     pub fn recipients(&mut self, now_ms: u64, is_slow_round: bool, holds: &[u64]) -> Vec<Ipv4Addr> {
         self.forget(now_ms);
         let by_distance = self.peers_by_distance(now_ms);
         let mut chosen = by_distance.sample_own_domain(OWN_DOMAIN_FAN_OUT_COUNT);
-        // Where the own domain has few, others make up for them.
+        // Peers of other domains fill up where this domain has too few.
         chosen.extend(by_distance.sample_other_domains(OWN_DOMAIN_FAN_OUT_COUNT - chosen.len()));
         if is_slow_round {
             chosen.extend(by_distance.sample_own_region(SLOW_ROUND_FAR_COUNT));
--- a/crates/cranereach-gateway/src/recipients.rs
+++ b/crates/cranereach-gateway/src/recipients.rs
@@ -1,9 +1,9 @@
-//! Whom messages to peers go to: near ones often, others seldom.
+//! Recipients of messages to peers by distance: near ones often, far ones rarely.
 //!
-//! Bytes within a failure domain cost nothing; between domains, and still more between
-//! regions, they do, and the link between regions is shared with requests. News enter
-//! another domain through one of its instances, its gate, and spread inside it. So what
-//! crosses grows with the number of domains, not of instances.
+//! Traffic within a failure domain is free; between domains, and even more between regions, it
+//! costs, and the link between regions is shared with requests. So news enters another domain
+//! through a few of its instances, the relays, and spreads inside the domain from there.
+//! Traffic across domains thus grows with the number of domains, not of instances.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -15,30 +15,29 @@
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
 
-/// Gates that one message goes to at most, whatever domains peers name: two of each of
-/// 32.
+/// Maximum number of relays that one message goes to, whatever failure domains peers claim:
+/// two in each of 32.
 const RELAYS_MAX_COUNT: usize = 64;
 
-/// Gates that news go to in each place: were one lost datagram to keep them from a whole
-/// domain or region, only a digest that shows it to be behind would mend that.
+/// Relays per failure domain or region. With one, a single lost datagram would leave the
+/// domain or region without the news until a digest shows that it is behind.
 const RELAYS_PER_TARGET_COUNT: usize = 2;
 
 /// Where news came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
-    /// From an instance of the own failure domain: the others are told by others.
+    /// An instance of this failure domain: others pass the news on to other domains.
     OwnDomain,
-    /// From another failure domain of the own region, whose gates were told with this
-    /// one.
+    /// Another failure domain of this region, which sent it to all relays of the region.
     OwnRegion,
-    /// From another region: the own region's domains are told from here.
+    /// Another region: this instance passes the news on to the domains of its own region.
     OtherRegion,
-    /// From the store, or made here: everybody is told from here.
+    /// The store or this instance itself, which passes the news on everywhere.
     Own,
 }
 
 impl Origin {
-    /// Returns the origin of what a peer at a distance told.
+    /// Returns the origin of news from a peer at a distance.
     pub fn at(distance: Option<Distance>) -> Self {
         match distance {
             Some(Distance::OwnDomain) => Self::OwnDomain,
@@ -48,19 +47,19 @@
     }
 }
 
-/// The living peers, by distance.
+/// Living peers by distance.
 #[derive(Clone, Debug, Default)]
 pub struct PeersByDistance {
-    /// Of the own failure domain.
+    /// Peers of this failure domain.
     pub near: Vec<Ipv4Addr>,
-    /// Of other failure domains of the own region.
+    /// Peers of other failure domains of this region.
     own_region: BTreeMap<DomainTag, Vec<Ipv4Addr>>,
-    /// Of other regions, or of domains that the table doesn't name.
+    /// Peers of other regions, or of failure domains missing from the topology.
     other_regions: BTreeMap<DomainTag, Vec<Ipv4Addr>>,
 }
 
 impl PeersByDistance {
-    /// Sorts the living peers by distance.
+    /// Groups the living peers by distance.
     pub fn of(members: &Membership, topology: &Topology, now_ms: u64) -> Self {
         let mut by_distance = Self::default();
         let around = topology.around(topology.own_domain());
@@ -82,46 +81,46 @@
         by_distance
     }
 
-    /// Chooses some of the own domain.
+    /// Samples peers of this failure domain.
     pub fn sample_own_domain(&self, count: usize) -> Vec<Ipv4Addr> {
         self.near.iter().copied().sample(&mut rand::rng(), count)
     }
 
-    /// Lists those of other failure domains of the own region.
+    /// Lists the peers of other failure domains of this region.
     pub fn all_in_own_region(&self) -> Vec<Ipv4Addr> {
         self.own_region.values().flatten().copied().collect()
     }
 
-    /// Lists those of other regions.
+    /// Lists the peers of other regions.
     pub fn all_in_other_regions(&self) -> Vec<Ipv4Addr> {
         self.other_regions.values().flatten().copied().collect()
     }
 
-    /// Chooses some of other failure domains of the own region.
+    /// Samples peers of other failure domains of this region.
     pub fn sample_own_region(&self, count: usize) -> Vec<Ipv4Addr> {
         let all = self.own_region.values().flatten().copied();
         all.sample(&mut rand::rng(), count)
     }
 
-    /// Chooses some of other regions.
+    /// Samples peers of other regions.
     pub fn sample_other_regions(&self, count: usize) -> Vec<Ipv4Addr> {
         let all = self.other_regions.values().flatten().copied();
         all.sample(&mut rand::rng(), count)
     }
 
-    /// Chooses some of other failure domains, those of the own region first.
+    /// Samples peers of other failure domains, preferring this region.
     pub fn sample_other_domains(&self, count: usize) -> Vec<Ipv4Addr> {
         let mut chosen = self.sample_own_region(count);
         chosen.extend(self.sample_other_regions(count - chosen.len()));
         chosen
     }
 
-    /// Chooses gates of the domains and regions that news of an origin have to be carried
-    /// to.
+    /// Selects relays in the failure domains and regions that news from `origin` has to be
+    /// passed on to.
     pub fn choose_relays(&self, topology: &Topology, origin: Origin) -> Vec<Ipv4Addr> {
         let mut relays = Vec::new();
         if origin >= Origin::OtherRegion {
-            // News from another region came to several gates, which all do so.
+            // News from another region reached several relays here, and each passes it on.
             let count = if origin == Origin::Own {
                 RELAYS_PER_TARGET_COUNT
             } else {
@@ -140,7 +139,7 @@
         relays
     }
 
-    /// Chooses one of each other failure domain, wherever it is.
+    /// Samples one peer of each other failure domain, in any region.
     pub fn sample_each_domain(&self) -> Vec<Ipv4Addr> {
         let all = self.own_region.values().chain(self.other_regions.values());
         all.flat_map(|of| sample_peers(of, 1))
@@ -148,8 +147,8 @@
             .collect()
     }
 
-    /// Chooses a few of each other region; a domain that the table doesn't name counts
-    /// as a region of its own.
+    /// Samples a few peers of each other region; a failure domain missing from the topology
+    /// counts as its own region.
     fn sample_each_region(&self, topology: &Topology) -> Vec<Ipv4Addr> {
         let mut regions: BTreeMap<(Option<&str>, DomainTag), Vec<Ipv4Addr>> = BTreeMap::new();
         for (domain, of) in &self.other_regions {
@@ -164,7 +163,7 @@
     }
 }
 
-/// Chooses some by chance.
+/// Samples peers at random.
 fn sample_peers(all: &[Ipv4Addr], count: usize) -> Vec<Ipv4Addr> {
     all.iter().copied().sample(&mut rand::rng(), count)
 }
