--- a/crates/cranereach-gateway/src/bodies.rs
+++ b/crates/cranereach-gateway/src/bodies.rs
@@ -1,4 +1,4 @@
-//! Configurations from peers, and the way over TCP that they and lists of workers take.
+//! Transfer of configurations and worker lists between peers over TCP.
 
 use std::io;
 use std::net::IpAddr;
@@ -29,55 +29,55 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Distance;
 
-/// Time after a failed accept, in milliseconds.
+/// Delay after a failed accept, in milliseconds.
 const ACCEPT_RETRY_DELAY_MS: u64 = 20;
 
-/// Time for a configuration from a peer, in milliseconds: another peer has to be asked
-/// while the bound of changes, 2,000 at least, still allows it.
+/// Timeout for fetching a configuration from a peer, in milliseconds: it leaves time to ask
+/// another peer within the bound for configuration changes, which is at least 2,000 ms.
 const CONFIGURATION_TIMEOUT_MS: u64 = 1_500;
 
-/// Time for a list of workers from a peer, in milliseconds: one of 10,000 is some 300 KB
-/// packed, three of which a link of 10 Mbit/s carries in 0.7 s, a busy one later.
+/// Timeout for fetching a worker list from a peer, in milliseconds: a list of 10,000 workers
+/// is some 300 KB compressed, and a 10 Mbit/s link carries three of them in 0.7 s, or later if
+/// it is busy.
 const WORKERS_TIMEOUT_MS: u64 = 6_000;
 
-/// Time without a byte after which a peer is given up, in milliseconds: another one is
-/// asked next.
+/// Time without any received byte after which another peer is asked, in milliseconds.
 const IDLE_TIMEOUT_MS: u64 = 500;
 
-/// Time to connect to a peer, in milliseconds: another one is asked next.
+/// Timeout for connecting to a peer, in milliseconds; another one is asked next.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Longest question, in bytes: its number, and the longest of a position.
+/// Maximum size of a request, in bytes: the variant and the longest encoded position.
 const REQUEST_MAX_BYTES: u64 = 24;
 
-/// Largest body from a peer, in bytes.
+/// Maximum size of a body from a peer, in bytes.
 pub(crate) const FETCH_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// Part of the bound of configurations over which fetches from peers are spread: one
-/// in so many. Bodies are large, and all instances hear of a change at once.
+/// Divisor of the bound for configuration changes that gives the time over which fetches from
+/// peers are spread: bodies are large, and all instances hear of a change at once.
 const FETCH_SPREAD_DIVISOR: u64 = 16;
 
-/// Part of that bound for which an instance leaves it to another one of its failure
-/// domain to fetch a body from elsewhere: one in so many.
+/// Divisor of that bound that gives the time for which an instance waits for another one of
+/// its failure domain to fetch a body from outside.
 const OWN_DOMAIN_WAIT_DIVISOR: u64 = 8;
 
-/// Time between two looks whether it has, in milliseconds.
+/// Interval between two checks whether that has happened, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 20;
 
-/// Purpose that instances of a failure domain are ranked for.
+/// Purpose that the instances of a failure domain are ranked for.
 const PURPOSE: &str = "bodies";
 
-/// What is asked of a peer over TCP.
+/// A request to a peer over TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BodyRequest {
-    /// The configuration in force.
+    /// Asks for the configuration in force.
     Configuration,
-    /// The list of workers, for whoever knows it as of a position.
+    /// Asks for the worker list, or its changes since a position.
     Workers(StorePosition),
 }
 
 impl BodyRequest {
-    /// Returns the time for the whole answer.
+    /// Returns the timeout for the whole answer.
     const fn total_timeout(self) -> Duration {
         Duration::from_millis(match self {
             Self::Configuration => CONFIGURATION_TIMEOUT_MS,
@@ -86,11 +86,11 @@
     }
 }
 
-/// Fetches the configuration in force that a peer told of, after a short while, unless
-/// it comes otherwise before.
+/// Fetches a newer configuration that a peer has in force, after a short random delay, unless
+/// it arrives otherwise before.
 ///
-/// Within a failure domain one instance fetches it from elsewhere, the others from those
-/// that have it there.
+/// Within a failure domain, one instance fetches it from outside and the others from an
+/// instance of the domain that has it.
 pub fn fetch_configuration_if_behind(node: &Arc<Node>, advertiser: Ipv4Addr, version: u64) {
     if version <= node.configuration_version() {
         return;
@@ -103,8 +103,8 @@
     let node = Arc::clone(node);
     tokio::spawn(async move {
         let bound_ms = node.settings.bounds.configuration_ms;
-        // Without any configuration each call is refused: that is worth a body more from
-        // another failure domain.
+        // Without any configuration every call is refused, which is worse than one more
+        // transfer between failure domains.
         if node.configuration_version() > 0 {
             pause(rand::random_range(0..=bound_ms / FETCH_SPREAD_DIVISOR)).await;
             if is_left_to_others(&node, advertiser) {
@@ -123,15 +123,15 @@
     });
 }
 
-/// Whether what a peer tells is left to another instance of the own failure domain to
-/// fetch first.
+/// Whether another instance of this failure domain is to fetch first what a peer of another
+/// domain advertised.
 fn is_left_to_others(node: &Node, advertiser: Ipv4Addr) -> bool {
     let is_near = node.distance_to(advertiser) == Some(Distance::OwnDomain);
     !is_near && !node.peers().is_first_in_domain(node.now_ms(), PURPOSE)
 }
 
-/// Waits until a peer of the own failure domain has a version of the configuration, or
-/// a time is over.
+/// Waits until a peer of this failure domain has a version of the configuration, at most for a
+/// time.
 async fn wait_for_domain_copy(node: &Node, version: u64, within_ms: u64) {
     let until_ms = node.now_ms() + within_ms;
     let own_ip = node.own_ip();
@@ -145,11 +145,11 @@
     }
 }
 
-/// Fetches the configuration in force at a peer.
+/// Fetches the configuration in force from a peer.
 async fn fetch_configuration(node: &Node, peer: Ipv4Addr) {
     let body = fetch(node, peer, BodyRequest::Configuration).await;
     let Ok(body) = body.and_then(|body| unpack_body(&body)) else {
-        // The next digest tries again.
+        // The next digest triggers another try.
         return;
     };
     if body.is_empty() {
@@ -168,12 +168,13 @@
     }
 }
 
-/// Unpacks a body.
+/// Decompresses a body.
 fn unpack_body(body: &[u8]) -> io::Result<Vec<u8>> {
     unpack(body, FETCH_MAX_BYTES as u64).ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// Asks a peer over TCP; an empty answer says that it has nothing to give.
+/// Requests a body from a peer over TCP; an empty body means that the peer has nothing to
+/// send.
 pub(crate) async fn fetch(node: &Node, peer: Ipv4Addr, request: BodyRequest) -> io::Result<Bytes> {
     let port = node.settings.listen.peers.port();
     let fetching = async {
@@ -191,7 +192,8 @@
         .unwrap_or_else(|_elapsed| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Reads what a peer sends until it closes, unless it falls silent or sends too much.
+/// Reads from a peer until it closes the connection; fails if it falls silent or sends too
+/// much.
 async fn read_whole(stream: &mut TcpStream) -> io::Result<Bytes> {
     let mut body = BytesMut::new();
     let idle_timeout = Duration::from_millis(IDLE_TIMEOUT_MS);
@@ -207,7 +209,7 @@
     }
 }
 
-/// Answers what peers ask over TCP, until the process ends.
+/// Serves requests from peers over TCP until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -217,13 +219,13 @@
         let node = Arc::clone(&node);
         tokio::spawn(async move {
             let answer_timeout = Duration::from_millis(WORKERS_TIMEOUT_MS);
-            // A peer that breaks off asks again.
+            // A peer whose connection breaks asks again.
             let _answered = tokio::time::timeout(answer_timeout, answer(&node, peer, stream)).await;
         });
     }
 }
 
-/// Answers one question.
+/// Answers one request.
 async fn answer(node: &Node, peer: SocketAddr, mut stream: TcpStream) -> io::Result<()> {
     let mut received = Vec::new();
     (&mut stream)
@@ -231,8 +233,8 @@
         .read_to_end(&mut received)
         .await?;
     let request: BodyRequest = postcard::from_bytes(&received).map_err(io::Error::other)?;
-    // Kept until the body is sent.
-    let (kind, body, _place) = match request {
+    // The slot for sending a whole list, if any, is held until the body is sent.
+    let (kind, body, _slot) = match request {
         BodyRequest::Configuration => (Kind::Configuration, packed_configuration(node), None),
         BodyRequest::Workers(known_version) => {
             let (body, slot) = list_bodies::answer(node, known_version);
@@ -246,7 +248,7 @@
     stream.shutdown().await
 }
 
-/// Returns the configuration's body as peers are told it, packed; it is packed once.
+/// Returns the configuration's body for peers in compressed form, which is cached.
 fn packed_configuration(node: &Node) -> Bytes {
     let plain = lock(&node.configuration_body).clone();
     let mut packed = lock(&node.packed_configuration);
--- a/crates/cranereach-gateway/src/list_bodies.rs
+++ b/crates/cranereach-gateway/src/list_bodies.rs
@@ -1,7 +1,8 @@
-//! The list of workers from peers, over TCP: whole, or what has changed since a position.
+//! Transfer of the worker list from peers over TCP: the whole list, or its changes since a
+//! position.
 //!
-//! Datagrams carry small changes ([`crate::gossip`]). Whoever starts, has missed a
-//! change, or is told of one that is too large for a datagram fetches it here.
+//! Datagrams carry small changes ([`crate::gossip`]). An instance that starts, has missed a
+//! change, or is told of one too large for a datagram fetches it here.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -31,34 +32,35 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Distance;
 
-/// Whole lists that are sent at one time: more would share the link, and nobody could
-/// pass one on before all are done. Whoever is turned away asks another peer.
+/// Maximum number of whole lists sent at a time. More would share the link's bandwidth, so
+/// that no receiver could pass the list on before all are done; a peer that is turned away
+/// asks another one.
 const CONCURRENT_WHOLE_LISTS_MAX_COUNT: usize = 3;
 
-/// Time for which a packed whole list is sent again, in milliseconds: packing 10,000
-/// rows takes some 30 ms of a core, and changes since then are fetched by themselves.
+/// Time for which a compressed whole list is reused, in milliseconds: compressing 10,000 rows
+/// takes some 30 ms of a core, and later changes are fetched separately.
 const PACKED_LIST_TTL_MS: u64 = 5_000;
 
-/// Longest wait before changes that were too large for a datagram are fetched, in
-/// milliseconds: all of a failure domain hear of them at one moment.
+/// Maximum delay before changes too large for a datagram are fetched, in milliseconds: all
+/// instances of a failure domain hear of them at the same moment.
 const FETCH_SPREAD_MS: u64 = 200;
 
-/// Time that an own list may lag behind one that a digest tells of before changes are
-/// fetched, in milliseconds: they are usually on their way by themselves.
+/// Time for which the local list may lag behind that of a peer before its changes are fetched,
+/// in milliseconds: usually they are already on their way.
 const OWN_DOMAIN_LAG_MS: u64 = 600;
 
-/// The same where the teller stands in another failure domain: neighbours come first.
+/// The same for a peer of another failure domain; peers of this domain are asked first.
 const OTHER_DOMAIN_LAG_MS: u64 = 1_800;
 
-/// What a peer answers.
+/// Response body: a worker list, or its changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ListBody {
     list: ListMessage,
-    /// What is known of the time before, if the rows are the whole list.
+    /// Change history before the list's position; set if the rows are the whole list.
     history: Option<History>,
 }
 
-/// What sending whole lists needs.
+/// State for sending whole lists.
 #[derive(Debug)]
 pub struct ListSending {
     send_slots: Semaphore,
@@ -74,30 +76,32 @@
     }
 }
 
-/// A whole list, packed.
+/// A compressed whole list.
 #[derive(Clone, Debug)]
 struct PackedList {
     packed_at_ms: u64,
     position: StorePosition,
-    /// When that position was known to hold, in milliseconds.
+    /// Time at which `position` was known to be the newest, in milliseconds.
     true_at_ms: u64,
     packed_rows: Vec<u8>,
     history: History,
 }
 
-/// How a fetch ended.
+/// Result of a fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchOutcome {
-    /// The own list is newer, or known to hold since later, than before.
+    /// The local list is newer than before, or confirmed as of a later time.
     Updated,
-    /// The peer has nothing to give now.
+    /// The peer has no list, nothing newer, or no free slot to send it.
     NothingNew,
-    /// The peer could not be reached, or not be understood.
+    /// The peer could not be reached, or its answer was malformed.
     Failed,
 }
 
-/// Answers a peer that knows the list as of a position. What comes with the body is kept
-/// until it is sent; an empty body says that there is nothing to give now.
+/// Answers a peer that has the list as of `known`.
+///
+/// An empty body means that there is nothing to send now. The permit, if any, must be held
+/// until the body is sent.
 pub fn answer(node: &Node, known: StorePosition) -> (Bytes, Option<SemaphorePermit<'_>>) {
     let Some(age_ms) = lock(&node.list).age_ms(node.now_ms()) else {
         return (Bytes::new(), None);
@@ -112,7 +116,7 @@
     (encode(list, Some(history)), Some(slot))
 }
 
-/// Returns what has changed since a position; none if that isn't known.
+/// Returns the changes since a position; `None` if they aren't known.
 fn changes_since(node: &Node, known: StorePosition, age_ms: u64) -> Option<ListMessage> {
     let listing = lock(&node.listing);
     if known.is_none() || known > listing.position() {
@@ -129,7 +133,7 @@
     })
 }
 
-/// Returns the whole list; it is packed once for some time.
+/// Returns the whole list, from the cache if that is recent enough.
 fn whole(node: &Node, age_ms: u64) -> (ListMessage, History) {
     let now_ms = node.now_ms();
     let mut packed = lock(&node.list_sending.packed);
@@ -150,7 +154,7 @@
     (message, history)
 }
 
-/// Packs the whole list.
+/// Compresses the whole list.
 fn pack(node: &Node, now_ms: u64, age_ms: u64) -> PackedList {
     let listing = lock(&node.listing);
     let rows = listing.rows().map(|(key, position, value)| ChangedRow {
@@ -169,13 +173,13 @@
     }
 }
 
-/// Writes an answer.
+/// Encodes a response body.
 fn encode(list: ListMessage, history: Option<History>) -> Bytes {
     let body = ListBody { list, history };
     Bytes::from(postcard::to_stdvec(&body).unwrap_or_default())
 }
 
-/// Fetches from a peer what is newer there than here.
+/// Fetches from a peer whatever its list has that the local one lacks.
 pub async fn fetch(node: &Node, peer: Ipv4Addr) -> FetchOutcome {
     let asked_at_ms = node.now_ms();
     let known = node.list_position();
@@ -188,7 +192,8 @@
     let Ok(ListBody { list, history }) = postcard::from_bytes(&body) else {
         return refuse(node);
     };
-    // However long it took, it was true no earlier than when it was asked for.
+    // However long the answer took, its age is counted from the question, so that the list
+    // never seems fresher than it is.
     let true_at_ms = asked_at_ms.saturating_sub(list.age_ms);
     let is_newer = list.position > known || lock(&node.list).is_older_than(true_at_ms);
     if let Some(history) = history {
@@ -213,14 +218,14 @@
     }
 }
 
-/// Counts an answer that can't be understood.
+/// Counts a malformed answer.
 fn refuse(node: &Node) -> FetchOutcome {
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["peer"]).inc();
     FetchOutcome::Failed
 }
 
-/// Fetches changes of the list that a peer has told of, but not told, by and by.
+/// Fetches list changes that a peer has announced but not sent, after a random delay.
 pub fn fetch_missing(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition) {
     fetch_after(
         node,
@@ -230,10 +235,10 @@
     );
 }
 
-/// Fetches the list from a peer whose list is newer, unless its changes come by
-/// themselves within a while.
+/// Fetches the list from a peer that has a newer one, unless the changes arrive otherwise
+/// within the allowed lag.
 pub fn fetch_if_behind(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition) {
-    // Who has no list at all looks for one in an order of its own.
+    // An instance without a list selects its first source elsewhere (`list_source`).
     if node.list_position().is_none() {
         return;
     }
@@ -250,7 +255,7 @@
     );
 }
 
-/// Fetches the list from a peer after a while, unless it is as new by then.
+/// Fetches the list from a peer after a delay, unless the local one has caught up by then.
 fn fetch_after(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition, after_ms: u64) {
     if position <= node.list_position() || node.is_fetching_list.swap(true, Ordering::AcqRel) {
         return;
@@ -262,7 +267,7 @@
         if known < position {
             info!(node.log, "changes of the list missing"; "peer" => peer.to_string(),
                 "known" => %known, "position" => %position);
-            // Whoever fails is behind at the next digest, too.
+            // After a failure, the next digest triggers another fetch.
             let _fetched = fetch(&node, peer).await;
         }
         node.is_fetching_list.store(false, Ordering::Release);
--- a/crates/cranereach-gateway/src/list_news.rs
+++ b/crates/cranereach-gateway/src/list_news.rs
@@ -1,7 +1,7 @@
-//! Changes of the list of workers, told over UDP whenever there are some.
+//! Changes of the worker list, sent to peers over UDP as they occur.
 //!
-//! A change that is too large for a datagram is told of all the same; whoever lacks it
-//! fetches it ([`crate::list_bodies`]).
+//! A change too large for a datagram is announced without its rows; peers that lack it fetch
+//! it ([`crate::list_bodies`]).
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,15 +16,14 @@
 use cranereach_fleet::listing::Span;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Largest packed rows that one message carries, in bytes.
+/// Maximum size of the compressed rows in one message, in bytes.
 const LIST_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - 1_024;
 
-/// Age from which changes of the list count as known to all but those whom they have
-/// missed, in milliseconds: some hops from peer to peer.
+/// Age from which changes should have reached all peers, in milliseconds: some hops between
+/// peers. A peer that still lacks them has missed them.
 const PROPAGATION_MS: u64 = 400;
 
-/// Tells changes of the list of workers whenever there are some, until the
-/// process ends.
+/// Sends the worker list's changes to peers as they occur, until the process ends.
 pub async fn send(node: Arc<Node>) {
     let mut announced_position = StorePosition::default();
     loop {
@@ -36,7 +35,8 @@
             continue;
         };
         if changes.position == announced_position {
-            // Only that it is still the newest is new.
+            // The rows were already sent; only the confirmation that they are the newest is
+            // new.
             changes = without_rows(&changes);
         }
         announced_position = changes.position;
@@ -45,9 +45,9 @@
     }
 }
 
-/// Tells one peer whose list is behind what has changed.
+/// Sends the latest changes to one peer whose list is behind.
 ///
-/// News that are young are still on their way by themselves.
+/// Recent changes are not sent: they are still on their way through other peers.
 pub async fn update_lagging_peer(node: &Node, peer: Ipv4Addr) {
     let age_ms = lock(&node.list).age_ms(node.now_ms());
     if age_ms.is_none_or(|age_ms| age_ms < PROPAGATION_MS) {
@@ -61,14 +61,14 @@
     }
 }
 
-/// Returns the newest changes of the list; none before the first read.
+/// Returns the latest changes of the list; `None` before the first read.
 fn list_changes(node: &Node) -> Option<ListMessage> {
     let age_ms = lock(&node.list).age_ms(node.now_ms())?;
     let listing = lock(&node.listing);
     listing.part().map(|part| list_message(&part, age_ms))
 }
 
-/// Makes the message of changes of the list.
+/// Builds the message with the list's changes, without rows if they are too large.
 fn list_message(part: &ListPart<'_>, age_ms: u64) -> ListMessage {
     let packed_rows = pack_rows(&part.rows);
     let fits = packed_rows.len() <= LIST_MAX_BYTES;
@@ -86,8 +86,7 @@
     }
 }
 
-/// Leaves the rows out: the message still says that there is something newer, or that
-/// there is nothing.
+/// Removes the rows: the message then only announces the list's position and age.
 fn without_rows(message: &ListMessage) -> ListMessage {
     ListMessage {
         from: message.position,
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -1,8 +1,8 @@
-//! When this instance has to learn the list of workers anew, and where.
+//! Decides when this instance has to refresh its worker list, and from where.
 //!
-//! [`Freshness`] says when. The first few in rank read the store; the others, and
-//! whoever has no list yet ([`Newcomer`]), look at a peer that knows more before they
-//! read for themselves. So what the store is asked doesn't grow with the fleet.
+//! [`Freshness`] says when. The instances that rank first read the store; the others, and
+//! those without a list ([`Newcomer`]), fetch it from a peer that has a newer one before they
+//! fall back to the store. So the load on the store doesn't grow with the fleet.
 //!
 //! [`Freshness`]: cranereach_fleet::freshness::Freshness
 
@@ -22,36 +22,35 @@
 use cranereach_fleet::first_read::Newcomer;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Longest pause between two looks whether a read is due, in milliseconds.
+/// Interval between two checks whether a refresh is due, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 50;
 
-/// Time by which a pause may last longer before the process counts as stalled,
-/// in milliseconds.
+/// Excess duration of a sleep from which the process counts as stalled, in milliseconds.
 const STALL_MIN_MS: u64 = 500;
 
-/// Instances that read the store when they have to, whatever peers know.
+/// Number of instances that read the store when a refresh is due, without asking peers first.
 const STORE_READER_COUNT: u64 = 3;
 
-/// Time for which a peer that had nothing to give, or failed, isn't asked again, in
+/// Time for which a peer that had nothing newer, or failed, isn't asked again, in
 /// milliseconds.
 const SKIP_PEER_FOR_MS: u64 = 400;
 
-/// Fetches in a row that may fail before the store is read.
+/// Consecutive failed fetches after which the store is read instead.
 const FAILED_FETCHES_MAX_COUNT: u32 = 6;
 
 /// Purpose that instances are ranked for.
 const PURPOSE: &str = "list of workers";
 
-/// Where the list is to be learnt.
+/// Source to refresh the list from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// At the store.
+    /// The platform's store.
     Store,
-    /// At a peer.
+    /// A peer.
     Peer(Ipv4Addr),
 }
 
-/// Finds out where to learn the list next.
+/// Selects when and from where to refresh the list.
 #[derive(Clone, Debug, Default)]
 pub struct Finder {
     /// Whether a peer was asked since the last read of the store.
@@ -62,8 +61,8 @@
 }
 
 impl Finder {
-    /// Waits until this instance has to learn the list, and says where; drops workers
-    /// that have lapsed meanwhile.
+    /// Waits until a refresh is due and returns its source; meanwhile drops workers whose rows
+    /// have lapsed.
     pub async fn next(&mut self, node: &Node) -> Source {
         loop {
             let now_ms = node.now_ms();
@@ -73,13 +72,14 @@
             }
             pause(POLL_INTERVAL_MS).await;
             if node.now_ms() > now_ms + POLL_INTERVAL_MS + STALL_MIN_MS {
-                // What waited in the socket meanwhile looks fresher than it is.
+                // Messages that waited in the socket meanwhile would seem fresher than they
+                // are.
                 lock(&node.list).distrust();
             }
         }
     }
 
-    /// Notes how a fetch from a peer ended.
+    /// Notes the result of a fetch from a peer.
     pub fn fetched(&mut self, now_ms: u64, peer: Ipv4Addr, outcome: FetchOutcome) {
         self.has_asked_peer = true;
         match outcome {
@@ -92,23 +92,23 @@
         }
     }
 
-    /// Notes that the store was read, with success or without.
+    /// Notes that the store was read, successfully or not.
     pub fn has_read(&mut self) {
         self.has_asked_peer = false;
         self.failed_count = 0;
     }
 
-    /// Says where to learn the list now; none if that isn't due.
+    /// Returns the source to refresh from now; `None` if no refresh is due.
     fn source(&mut self, node: &Node, now_ms: u64) -> Option<Source> {
         let rank = rank(node);
         let is_left_to_others = store_pace::is_left_to_others(node, rank);
         let source = if node.list_position().is_none() {
             let first = self.first_source(node, now_ms);
-            // Who reads first for all may be just who is turned away.
+            // The store may be refusing exactly the instances that would read it first.
             first.or(is_left_to_others.then_some(Source::Store))
         } else {
-            // Those who try a lost store may be just those whom it turns away: the others
-            // don't wait for their own turn.
+            // The store may be refusing exactly the few instances that try it during an
+            // outage, so the others don't wait for their turn by rank.
             self.next_source(node, now_ms, if is_left_to_others { 0 } else { rank })
         };
         let is_held_back = source == Some(Source::Store)
@@ -117,7 +117,8 @@
         source.filter(|_| !is_held_back)
     }
 
-    /// Says where an instance of a rank that has a list is to learn the next.
+    /// Returns the source for an instance that already has a list; `None` if no refresh is
+    /// due.
     fn next_source(&mut self, node: &Node, now_ms: u64, rank: u64) -> Option<Source> {
         if now_ms < due_at_ms(node, now_ms, rank) {
             self.has_asked_peer = false;
@@ -131,7 +132,7 @@
         Some(peer.map_or(Source::Store, Source::Peer))
     }
 
-    /// Says where to look for the first list now.
+    /// Returns the source for an instance that has no list yet; `None` if it is to wait.
     fn first_source(&mut self, node: &Node, now_ms: u64) -> Option<Source> {
         let peers = node.peers();
         let Holders { near, far } = peers.list_holders(now_ms, StorePosition::default());
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Chooses one by chance, other than those that had nothing to give lately.
+    /// Selects a random peer, except those that recently had nothing newer or failed.
     fn choose_peer(&mut self, now_ms: u64, peers: &[Ipv4Addr]) -> Option<Ipv4Addr> {
         self.skipped.retain(|(_, until_ms)| now_ms < *until_ms);
         let skipped = &self.skipped;
@@ -175,7 +176,8 @@
     }
 }
 
-/// Returns when an instance of a rank has to read the list; notes how old it is.
+/// Returns when an instance of a rank has to refresh the list; also exports the list's age as
+/// a metric.
 fn due_at_ms(node: &Node, now_ms: u64, rank: u64) -> u64 {
     let list = lock(&node.list);
     let age_ms = list.age_ms(now_ms).unwrap_or(now_ms);
@@ -184,15 +186,15 @@
     let is_restored = list.restored_at_ms().is_some();
     drop(list);
     if is_restored && rank >= STORE_READER_COUNT {
-        // Those who read tell the others; should none of them reach the store, these
-        // follow by and by.
+        // The instances that read the store update the others. Should none of them reach it,
+        // the others read it too, spread over time.
         due_at_ms + node.peers().read_spread_ms()
     } else {
         due_at_ms
     }
 }
 
-/// Returns how many instances come before this one.
+/// Returns the number of living instances that rank before this one.
 fn rank(node: &Node) -> u64 {
     node.peers().rank(node.now_ms(), PURPOSE)
 }
--- a/crates/cranereach-gateway/src/messages.rs
+++ b/crates/cranereach-gateway/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between instances.
 //!
-//! Each is complete in itself, so that a lost or doubled one does no harm.
+//! Each message is complete in itself, so that a lost or duplicated one does no harm.
 
 mod grants;
 mod packed_parts;
@@ -32,13 +32,13 @@
 use cranereach_fleet::quarantine::SuspectNews;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Version of the messages; others are dropped.
+/// Version of the message format; messages of other versions are dropped.
 pub const VERSION: u8 = 10;
 
-/// Largest datagram that is taken, in bytes.
+/// Largest datagram accepted, in bytes.
 pub const DATAGRAM_MAX_BYTES: usize = 32 * 1024;
 
-/// Largest content of packed rows or parts of a datagram that is taken, in bytes.
+/// Largest decompressed size of the rows or parts of a datagram, in bytes.
 pub const UNPACKED_MAX_BYTES: u64 = 512 * 1024;
 
 /// Load of one worker.
@@ -46,164 +46,167 @@
 pub struct LoadPart {
     /// Requests that have not ended.
     pub open_count: u32,
-    /// Those of them that have not begun to answer, by rank.
+    /// Those of them that have not begun to answer, by priority rank.
     pub waiting_count: [u32; RANK_COUNT],
-    /// Time for which the requests are expected to keep a slot, in milliseconds.
+    /// Total time for which the requests are expected to occupy a slot, in milliseconds.
     pub stay_ms: u32,
-    /// Time to read the prompts that aren't read yet, in milliseconds by rank.
+    /// Time to prefill the prompts that have not been read yet, in milliseconds by priority
+    /// rank.
     pub unread_ms: [u32; RANK_COUNT],
-    /// Tokens that the requests may come to hold.
+    /// Tokens that the requests may come to hold in the KV cache.
     pub held_tokens: u32,
 }
 
-/// Demand at the sender for one model or adapter.
+/// Demand seen by the sender for one model or adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DemandPart {
     /// Key of the service.
     pub service: u64,
     /// Model and adapter.
     pub model: ModelKey,
-    /// Workers' time asked for, in milliseconds per second.
+    /// Worker time requested, in milliseconds per second.
     pub work_ms_per_s: f32,
 }
 
-/// A datagram.
+/// A versioned message, sent as one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Version of the message.
+    /// Version of the message format.
     pub version: u8,
     /// The message.
     pub message: Message,
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// What the sender knows and does.
+    /// The sender's state.
     Digest(Box<Digest>),
-    /// What has changed on the list of workers.
+    /// Changes of the worker list.
     List(ListMessage),
-    /// What the sender is asked for; only holders of leases are told.
+    /// Demand seen by the sender, sent only to lease holders.
     Demand(DemandMessage),
-    /// A question or word to the owner of a worker.
+    /// A question or notice to the owner of a worker.
     Owner(OwnerMessage),
-    /// An owner's answer.
+    /// Answer of a worker's owner.
     Quote(Quote),
-    /// Adapters that are there now, for whoever waits for them: worker, model and
+    /// Adapters that are now loaded, for an instance that waits for them: worker, model and
     /// adapter.
     Placed(Vec<(u64, ModelKey)>),
-    /// A holder's word on models that the receiver's requests lack.
+    /// A lease holder's answer on when the models that the receiver's requests lack are
+    /// expected.
     Expected(Vec<ExpectedModel>),
     /// A question for proof that the sender's configuration is the newest.
     Prove(ProofQuestion),
-    /// The answer.
+    /// Answer to a question for proof.
     Proof(ProofAnswer),
-    /// A question to the owner of a part of an account's limit.
+    /// A request for units to the owner of a part of an account's limit.
     Limit(LimitAsk),
-    /// The answer.
+    /// Answer to a request for units.
     Granted(LimitGrant),
     /// Granted units that no request used.
     Returned(LimitReturn),
-    /// Failure domains that are to be evacuated, for whoever is behind.
+    /// Failure domains that are to be evacuated, for a peer whose list is behind.
     Evacuations(EvacuationList),
-    /// A question to the owner of a worker's grants: may one request be sent there?
+    /// A question to the owner of a worker whether one request may be sent to it.
     MaySend(GrantAsk),
-    /// The answer.
+    /// Answer to a question whether a request may be sent.
     SendGranted(SendGrant),
-    /// A request under which a worker ended, for those who count its ends.
+    /// A request during which a worker ended, for the instances that count such ends.
     Suspect(Box<SuspectNews>),
 }
 
-/// When a model is expected at some worker.
+/// Time at which a model is expected to be loaded at some worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedModel {
     /// Key of the service.
     pub service: u64,
-    /// The model's place in the declared list.
+    /// Index of the model in the service's declared list.
     pub model: u16,
-    /// Time until then, in milliseconds; none if it isn't being loaded.
+    /// Time until then, in milliseconds; `None` if the model isn't being loaded.
     pub in_ms: Option<u32>,
 }
 
-/// What an owner of a part of a limit is asked for.
+/// A request for units to the owner of a part of an account's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitAsk {
-    /// Number of the question.
+    /// Number that the answer must carry.
     pub ticket: u64,
     /// Key of the account.
     pub account: u64,
-    /// Number of the part.
+    /// Index of the part.
     pub part: u32,
-    /// The least that is of use, in units.
+    /// Smallest useful grant, in units.
     pub least: f32,
-    /// The most that is taken, in units.
+    /// Largest grant wanted, in units.
     pub most: f32,
 }
 
-/// What an owner of a part of a limit grants.
+/// Answer of the owner of a part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitGrant {
     /// Number of the question.
     pub ticket: u64,
-    /// Units; none where the limit has no room.
+    /// Granted units; `None` if the limit has no room.
     pub units: Option<f32>,
-    /// Time until there is room, in milliseconds.
+    /// Time until the limit has room, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Units of an account's limit that were granted and not used.
+/// Units of an account's limit that were granted but not used.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReturn {
     /// Key of the account.
     pub account: u64,
-    /// Number of the part.
+    /// Index of the part.
     pub part: u32,
-    /// Units.
+    /// Number of units.
     pub units: f32,
 }
 
-/// A question or word about one request to the owner of a worker.
+/// A question or notice about one request to the owner of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OwnerMessage {
     /// Key of the worker.
     pub worker: u64,
     /// Number that the sender gave the question or request.
     pub ticket: u64,
-    /// What it is about.
+    /// Content of the question or notice.
     pub event: OwnerEvent,
 }
 
-/// What the owner of a worker is asked or told.
+/// Content of a message to the owner of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OwnerEvent {
-    /// How does the worker stand for a call?
+    /// Asks for the worker's state with regard to a call.
     Ask(OwnerAsk),
-    /// A request of these parts is sent to the worker.
+    /// A request with these prompt prefixes is sent to the worker.
     Begun(Opening, Vec<u64>),
-    /// The worker has read the request's prompt, after so many milliseconds.
+    /// The worker has read the request's prompt, after this many milliseconds.
     Read(u32),
     /// The request has ended.
     Ended(Outcome),
-    /// The worker names another limit, or none any more.
+    /// The worker has announced another rate limit, or no longer has one.
     Limit(LimitWord),
 }
 
-/// A call that an owner is asked about.
+/// A call that the owner of a worker is asked about.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OwnerAsk {
-    /// Leading parts of the prompt, each with all before it.
+    /// Hashes of the prompt's leading parts, each covering all parts before it.
     pub chains: Vec<u64>,
-    /// Time to read the prompt, in milliseconds.
+    /// Prefill time of the prompt, in milliseconds.
     pub reading_ms: u32,
-    /// The same of each of those parts: what is kept isn't read again.
+    /// Prefill time of each of those parts, in milliseconds: parts in the worker's prefix
+    /// cache aren't read again.
     pub part_reading_ms: Vec<u32>,
-    /// Whether the call may be sent elsewhere should it fail.
+    /// Whether the call may be retried on another worker if it fails.
     pub may_repeat: bool,
-    /// What the sender knows of the worker's limit.
+    /// The worker's rate limit, as the sender knows it.
     pub limit: Option<LimitWord>,
 }
 
-/// An owner's answer.
+/// State of a worker with regard to a call, from the worker's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quote {
     /// Number of the question.
@@ -212,59 +215,61 @@
     pub worker: u64,
     /// Requests at the worker.
     pub load: LoadPart,
-    /// Leading parts of the prompt that it has probably kept.
+    /// Number of leading prompt parts that are probably in the worker's prefix cache.
     pub kept_part_count: u32,
-    /// How much longer than predicted it takes to begin, in percent; 100 is as long.
+    /// Ratio of the actual to the predicted time until an answer begins, in percent.
     pub pace_percent: u32,
-    /// Share of the calls that failed lately, in percent.
+    /// Share of recent calls that failed, in percent.
     pub failed_percent: u32,
-    /// Whether calls should go elsewhere for now.
+    /// Whether calls should avoid the worker for now.
     pub is_aside: bool,
-    /// Whether a request is there that runs apart from others under which workers ended.
+    /// Whether the worker runs a request that is kept apart from others during which workers
+    /// ended.
     pub has_suspect: bool,
-    /// Time until the prompt is to be sent, in milliseconds.
+    /// Time to wait before sending the prompt, in milliseconds.
     pub send_in_ms: u32,
-    /// Longest pause that its reading makes in streams that run, in milliseconds.
+    /// Longest pause that the prompt's prefill causes in running streams, in milliseconds.
     pub pause_ms: u32,
-    /// What the owner knows of the worker's limit.
+    /// The worker's rate limit, as the owner knows it.
     pub limit: Option<LimitWord>,
-    /// Key of the start of the worker that leaves by its own word, as the owner knows.
+    /// Key of the worker's incarnation that has announced its departure, as the owner knows
+    /// it.
     pub leaving_start: Option<u64>,
 }
 
-/// What an instance is asked for.
+/// Demand seen by the sender.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandMessage {
-    /// Number of the sender's start.
+    /// Random ID of the sender's process start.
     pub boot: u64,
-    /// Grows with each message of a start.
+    /// Sequence number of the message within that start.
     pub count: u64,
-    /// Adapters that requests wait for here since nobody is known to hold them:
+    /// Adapters that the sender's requests wait for because no worker is known to hold them:
     /// service, model and adapter.
     pub waits_for: Vec<(u64, ModelKey)>,
-    /// Models that requests lack here: service, model.
+    /// Models that the sender's requests lack: service, model.
     pub lacks: Vec<(u64, u16)>,
-    /// The demand; packed on the way, since each part names its service.
+    /// Demand by model and adapter, compressed since each part repeats its service.
     #[serde(with = "packed_parts")]
     pub parts: Vec<DemandPart>,
 }
 
-/// Changes of the list of workers, from whoever has just read them.
+/// Changes of the worker list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListMessage {
-    /// Position of the store that the rows begin at.
+    /// Store position that the rows start from.
     pub from: StorePosition,
-    /// What the rows are.
+    /// Whether the rows are all changes or only the difference between two lists.
     pub span: Span,
-    /// Position of the store that the list is complete at.
+    /// Store position at which the list is complete with these rows.
     pub position: StorePosition,
-    /// Time for which that position has been known to hold, in milliseconds.
+    /// Time since that position was known to be the newest, in milliseconds.
     pub age_ms: u64,
-    /// The changed rows, packed.
+    /// The changed rows, compressed.
     pub packed_rows: Vec<u8>,
 }
 
-/// Writes a datagram.
+/// Encodes a message as a datagram.
 pub fn encode(message: Message) -> Vec<u8> {
     let datagram = Datagram {
         version: VERSION,
@@ -273,17 +278,17 @@
     postcard::to_stdvec(&datagram).unwrap_or_default()
 }
 
-/// Packs changed rows: they repeat the same words, and reach everybody.
+/// Compresses changed rows, which repeat the same strings and are sent to every instance.
 pub fn pack_rows(rows: &[&ChangedRow]) -> Vec<u8> {
     pack(&postcard::to_stdvec(rows).unwrap_or_default())
 }
 
-/// Unpacks changed rows; none if they can't be understood or are more than so many bytes.
+/// Decompresses changed rows; `None` if they are malformed or larger than `max_bytes`.
 pub fn unpack_rows(packed: &[u8], max_bytes: u64) -> Option<Vec<ChangedRow>> {
     postcard::from_bytes(&unpack(packed, max_bytes)?).ok()
 }
 
-/// Packs bytes.
+/// Compresses bytes.
 ///
 /// ```
 /// use cranereach_gateway::messages::pack;
@@ -301,7 +306,7 @@
     packed.finish().unwrap_or_default()
 }
 
-/// Unpacks bytes; none if they can't be understood or are more than so many.
+/// Decompresses bytes; `None` if they are malformed or larger than `max_bytes`.
 pub fn unpack(packed: &[u8], max_bytes: u64) -> Option<Vec<u8>> {
     let mut plain = Vec::new();
     let unpacked = DeflateDecoder::new(packed)
@@ -311,80 +316,80 @@
     (plain.len() as u64 <= max_bytes).then_some(plain)
 }
 
-/// A lease that some instance was heard to hold.
+/// A lease that some instance is known to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
     /// Key of the service.
     pub service: u64,
-    /// Who holds it.
+    /// Address of the holder.
     pub holder: Ipv4Addr,
-    /// Time for which it hasn't been heard, in milliseconds.
+    /// Time since the holder last reported it, in milliseconds.
     pub age_ms: u64,
 }
 
 /// An instance that could not reach the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreFailure {
-    /// Which one.
+    /// Address of the instance.
     pub address: Ipv4Addr,
-    /// Time since then, in milliseconds.
+    /// Time since the failure, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A lease whose term is over at its holder.
+/// A lease whose term has ended at its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedLease {
     /// Key of the service.
     pub service: u64,
-    /// Position of the row that it was held under.
+    /// Store position of the lease row that it was held under.
     pub position: StorePosition,
-    /// Time for which it has been over, in milliseconds.
+    /// Time since the end of the term, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What an instance tells its peers, some times a second.
+/// State of an instance, gossiped to peers some times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Number of the sender's start.
+    /// Random ID of the sender's process start.
     pub boot: u64,
-    /// Time since then, in milliseconds.
+    /// Time since that start, in milliseconds.
     pub up_for_ms: u64,
     /// Key of the sender's failure domain.
     pub domain: u64,
-    /// Grows with each digest of a start.
+    /// Sequence number of the digest within that start.
     pub count: u64,
     /// Whether the sender is stopping.
     pub is_leaving: bool,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at the sender.
     pub configuration_version: u64,
-    /// Newest era of the store that it knows.
+    /// Newest store era that the sender knows.
     pub store_era: u64,
-    /// Position of the store that its list of workers is complete at.
+    /// Store position at which the sender's worker list is complete.
     pub list_position: StorePosition,
     /// Time since that list was last known to be complete, in milliseconds.
     pub list_age_ms: u64,
-    /// Keys of the services whose lease it holds.
+    /// Keys of the services whose lease the sender holds.
     pub holds: Vec<u64>,
-    /// Leases that the sender, or others who told it, heard to be held.
+    /// Leases known to be held, directly or through other instances.
     pub held: Vec<HeldLease>,
-    /// Leases whose term is over at the sender.
+    /// Leases whose term has ended at the sender.
     pub ended: Vec<EndedLease>,
-    /// Instances that could not reach the store lately, the sender perhaps one of them.
+    /// Instances that recently could not reach the store, possibly including the sender.
     pub store_failed: Vec<StoreFailure>,
-    /// Some of the other instances that live.
+    /// A sample of the other living instances.
     pub members: Vec<MemberNews>,
-    /// Workers that were read as leaving or gone: key, position.
+    /// Workers whose rows say that they are leaving or gone: key, position.
     pub leaving: Vec<(u64, StorePosition)>,
-    /// Some of the workers that were lately heard to leave, by their own word.
+    /// A sample of the workers that recently announced their own departure.
     pub departures: Vec<DepartureNews>,
-    /// Keys of the workers that it could not reach lately.
+    /// Keys of the workers that the sender recently could not reach.
     pub unreachable: Vec<u64>,
-    /// Adapters that it has loaded: worker, model and adapter.
+    /// Adapters that the sender has loaded: worker, model and adapter.
     pub adapters: Vec<(u64, ModelKey)>,
-    /// Models that it unloads: worker, model.
+    /// Models that the sender is unloading: worker, model.
     pub withheld: Vec<(u64, u16)>,
-    /// Failure domains that are to be evacuated, as far as it knows.
+    /// Failure domains that are to be evacuated, as the sender knows them.
     pub evacuations: EvacuationList,
-    /// Some of the requests under which workers ended.
+    /// A sample of the requests during which workers ended.
     pub suspects: Vec<SuspectNews>,
 }
--- a/crates/cranereach-gateway/src/messages/grants.rs
+++ b/crates/cranereach-gateway/src/messages/grants.rs
@@ -1,4 +1,4 @@
-//! Questions whether a worker that gets only so many requests may be sent one, and their
+//! Questions whether one request may be sent to a cold or rate-limited worker, and their
 //! answers.
 
 use serde::Deserialize;
@@ -6,31 +6,31 @@
 
 use cranereach_fleet::named_limit::LimitWord;
 
-/// A request that is to be sent to a worker which gets only so many.
+/// A question whether one request may be sent to a cold or rate-limited worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantAsk {
-    /// Number of the question.
+    /// Number that the answer must carry.
     pub ticket: u64,
     /// Key of the worker.
     pub worker: u64,
-    /// Rank of the request, zero first.
+    /// Priority rank of the request; zero is the most urgent.
     pub rank: u8,
-    /// Whether the sender takes the worker for cold.
+    /// Whether the sender considers the worker cold.
     pub is_cold: bool,
-    /// What the sender knows of the worker's limit.
+    /// The worker's rate limit, as the sender knows it.
     pub limit: Option<LimitWord>,
 }
 
-/// What the owner of a worker's grants answers.
+/// Answer of the owner of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SendGrant {
     /// Number of the question.
     pub ticket: u64,
     /// Key of the worker.
     pub worker: u64,
-    /// Time until it is worth asking again, in milliseconds; none if the request may be
-    /// sent, at once.
+    /// Time after which to ask again, in milliseconds; `None` if the request may be sent at
+    /// once.
     pub wait_ms: Option<u32>,
-    /// What the owner knows of the worker's limit.
+    /// The worker's rate limit, as the owner knows it.
     pub limit: Option<LimitWord>,
 }
--- a/crates/cranereach-gateway/src/messages/packed_parts.rs
+++ b/crates/cranereach-gateway/src/messages/packed_parts.rs
@@ -1,4 +1,4 @@
-//! Parts of demand, packed on the way.
+//! Serialization of demand parts in compressed form.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -12,7 +12,7 @@
 use super::pack;
 use super::unpack;
 
-/// Writes parts.
+/// Serializes and compresses parts.
 pub(super) fn serialize<S: Serializer>(
     parts: &[DemandPart],
     serializer: S,
@@ -21,7 +21,7 @@
     pack(&plain).serialize(serializer)
 }
 
-/// Reads parts.
+/// Decompresses and deserializes parts.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<DemandPart>, D::Error> {
