--- a/crates/cranereach-gateway/src/bodies.rs
+++ b/crates/cranereach-gateway/src/bodies.rs
@@ -162,7 +162,7 @@
             }
         }
         Err(error) => {
-            warn!(node.log, "configuration not understood";
+            warn!(node.log, "cannot parse configuration from peer";
                 "peer" => peer.to_string(), "error" => error.to_string());
         }
     }
--- a/crates/cranereach-gateway/src/messages/packed_parts.rs
+++ b/crates/cranereach-gateway/src/messages/packed_parts.rs
@@ -27,6 +27,6 @@
 ) -> Result<Vec<DemandPart>, D::Error> {
     let packed = Vec::<u8>::deserialize(deserializer)?;
     let plain = unpack(&packed, UNPACKED_MAX_BYTES);
-    let plain = plain.ok_or_else(|| de::Error::custom("parts can't be unpacked"))?;
+    let plain = plain.ok_or_else(|| de::Error::custom("cannot decompress demand parts"))?;
     postcard::from_bytes(&plain).map_err(de::Error::custom)
 }
