--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -158,18 +158,18 @@
     drop(roster);
     let leaving = lock(&node.recent_leaving).told().collect();
     let announced = node.announced();
-    let adapters = announced.values().flat_map(|of| &of.adapters);
+    let adapters = announced.values().flat_map(|changes| &changes.adapters);
     let adapters = adapters.copied().take(DIGEST_ADAPTERS_MAX_COUNT).collect();
     let withheld = announced
         .values()
-        .flat_map(|of| of.withheld.clone())
+        .flat_map(|changes| changes.withheld.clone())
         .collect();
     let holds = announced
         .keys()
         .map(|service| worker_key(service))
         .collect();
     drop(announced);
-    let age_ms = |of: &Mutex<Freshness>| lock(of).age_ms(now_ms).unwrap_or(u64::MAX);
+    let age_ms = |freshness: &Mutex<Freshness>| lock(freshness).age_ms(now_ms).unwrap_or(u64::MAX);
     Digest {
         boot: node.boot,
         up_for_ms: now_ms,
@@ -275,13 +275,13 @@
 
 /// Sends a digest at once to an instance that has no worker list yet, so that it learns whom
 /// to ask; members of its own failure domain come first.
-fn reply_to_joining(node: &Node, now_ms: u64, newcomer: Ipv4Addr, heard: &Digest) {
+fn reply_to_joining(node: &Node, now_ms: u64, newcomer: Ipv4Addr, received: &Digest) {
     let members = {
         let mut peers = node.peers();
         if !peers.may_greet(now_ms, newcomer) {
             return;
         }
-        peers.member_news_for(now_ms, DomainTag::from_key(heard.domain))
+        peers.member_news_for(now_ms, DomainTag::from_key(received.domain))
     };
     let digest = Digest {
         // The joining instance has missed earlier announcements.
--- a/crates/cranereach-gateway/src/list_bodies.rs
+++ b/crates/cranereach-gateway/src/list_bodies.rs
@@ -107,13 +107,13 @@
         return (Bytes::new(), None);
     };
     if let Some(list) = changes_since(node, known, age_ms) {
-        return (encode(list, None), None);
+        return (encode_body(list, None), None);
     }
     let Ok(slot) = node.list_sending.send_slots.try_acquire() else {
         return (Bytes::new(), None);
     };
-    let (list, history) = whole(node, age_ms);
-    (encode(list, Some(history)), Some(slot))
+    let (list, history) = whole_list(node, age_ms);
+    (encode_body(list, Some(history)), Some(slot))
 }
 
 /// Returns the changes since a position; `None` if they aren't known.
@@ -134,14 +134,14 @@
 }
 
 /// Returns the whole list, from the cache if that is recent enough.
-fn whole(node: &Node, age_ms: u64) -> (ListMessage, History) {
+fn whole_list(node: &Node, age_ms: u64) -> (ListMessage, History) {
     let now_ms = node.now_ms();
     let mut packed = lock(&node.list_sending.packed);
     let era = node.list_position().era;
     let cached = packed.take().filter(|cached| {
         now_ms < cached.packed_at_ms + PACKED_LIST_TTL_MS && cached.position.era == era
     });
-    let cached = cached.unwrap_or_else(|| pack(node, now_ms, age_ms));
+    let cached = cached.unwrap_or_else(|| pack_list(node, now_ms, age_ms));
     let message = ListMessage {
         from: StorePosition::default(),
         span: Span::Difference,
@@ -155,7 +155,7 @@
 }
 
 /// Compresses the whole list.
-fn pack(node: &Node, now_ms: u64, age_ms: u64) -> PackedList {
+fn pack_list(node: &Node, now_ms: u64, age_ms: u64) -> PackedList {
     let listing = lock(&node.listing);
     let rows = listing.rows().map(|(key, position, value)| ChangedRow {
         key: key.to_owned(),
@@ -174,7 +174,7 @@
 }
 
 /// Encodes a response body.
-fn encode(list: ListMessage, history: Option<History>) -> Bytes {
+fn encode_body(list: ListMessage, history: Option<History>) -> Bytes {
     let body = ListBody { list, history };
     Bytes::from(postcard::to_stdvec(&body).unwrap_or_default())
 }
@@ -190,7 +190,7 @@
         return FetchOutcome::NothingNew;
     }
     let Ok(ListBody { list, history }) = postcard::from_bytes(&body) else {
-        return refuse(node);
+        return count_malformed(node);
     };
     // However long the answer took, its age is counted from the question, so that the list
     // never seems fresher than it is.
@@ -198,7 +198,7 @@
     let is_newer = list.position > known || lock(&node.list).is_older_than(true_at_ms);
     if let Some(history) = history {
         let Some(rows) = unpack_rows(&list.packed_rows, bodies::FETCH_MAX_BYTES as u64) else {
-            return refuse(node);
+            return count_malformed(node);
         };
         info!(node.log, "workers from a peer"; "peer" => peer.to_string(),
             "position" => %list.position, "rows" => rows.len());
@@ -219,7 +219,7 @@
 }
 
 /// Counts a malformed answer.
-fn refuse(node: &Node) -> FetchOutcome {
+fn count_malformed(node: &Node) -> FetchOutcome {
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["peer"]).inc();
     FetchOutcome::Failed
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -169,9 +169,11 @@
     fn choose_peer(&mut self, now_ms: u64, peers: &[Ipv4Addr]) -> Option<Ipv4Addr> {
         self.skipped.retain(|(_, until_ms)| now_ms < *until_ms);
         let skipped = &self.skipped;
-        let candidates = peers
-            .iter()
-            .filter(|peer| skipped.iter().all(|(of, _)| of != *peer));
+        let candidates = peers.iter().filter(|peer| {
+            skipped
+                .iter()
+                .all(|(skipped_peer, _)| skipped_peer != *peer)
+        });
         candidates.copied().choose(&mut rand::rng())
     }
 }
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -68,11 +68,11 @@
             state.is_some_and(|state| state.list_position > position)
         };
         let by_distance = self.peers_by_distance(now_ms);
-        let of = |peers: Vec<Ipv4Addr>| peers.into_iter().filter(has_newer).collect();
-        let near: Vec<Ipv4Addr> = of(by_distance.near.clone());
-        let mut far: Vec<Ipv4Addr> = of(by_distance.all_in_own_region());
+        let keep_newer = |peers: Vec<Ipv4Addr>| peers.into_iter().filter(has_newer).collect();
+        let near: Vec<Ipv4Addr> = keep_newer(by_distance.near.clone());
+        let mut far: Vec<Ipv4Addr> = keep_newer(by_distance.all_in_own_region());
         if far.is_empty() {
-            far = of(by_distance.all_in_other_regions());
+            far = keep_newer(by_distance.all_in_other_regions());
         }
         // The peer that advertised its list may not have sent a digest yet.
         let advertiser = self
--- a/crates/cranereach-gateway/src/recipients.rs
+++ b/crates/cranereach-gateway/src/recipients.rs
@@ -129,7 +129,7 @@
             relays.extend(
                 self.own_region
                     .values()
-                    .flat_map(|of| sample_peers(of, count)),
+                    .flat_map(|peers| sample_peers(peers, count)),
             );
         }
         if origin == Origin::Own {
@@ -142,7 +142,7 @@
     /// Samples one peer of each other failure domain, in any region.
     pub fn sample_each_domain(&self) -> Vec<Ipv4Addr> {
         let all = self.own_region.values().chain(self.other_regions.values());
-        all.flat_map(|of| sample_peers(of, 1))
+        all.flat_map(|peers| sample_peers(peers, 1))
             .take(RELAYS_MAX_COUNT)
             .collect()
     }
@@ -151,14 +151,14 @@
     /// counts as its own region.
     fn sample_each_region(&self, topology: &Topology) -> Vec<Ipv4Addr> {
         let mut regions: BTreeMap<(Option<&str>, DomainTag), Vec<Ipv4Addr>> = BTreeMap::new();
-        for (domain, of) in &self.other_regions {
+        for (domain, peers) in &self.other_regions {
             let region = topology.region_of_tag(*domain);
             let key = region.map_or((None, *domain), |name| (Some(name), DomainTag::default()));
-            regions.entry(key).or_default().extend(of);
+            regions.entry(key).or_default().extend(peers);
         }
         regions
             .values()
-            .flat_map(|of| sample_peers(of, RELAYS_PER_TARGET_COUNT))
+            .flat_map(|peers| sample_peers(peers, RELAYS_PER_TARGET_COUNT))
             .collect()
     }
 }
--- a/crates/cranereach-gateway/src/traffic.rs
+++ b/crates/cranereach-gateway/src/traffic.rs
@@ -40,7 +40,7 @@
     /// Answers of owners of workers.
     Answer,
     /// Notices to owners: a request was sent, its prompt has been read, it has ended.
-    Word,
+    OwnerNotice,
     /// Demand, and lease holders' answers to it.
     Demand,
     /// Questions to owners of limits, and their answers.
@@ -66,7 +66,7 @@
         Self::Workers,
         Self::Question,
         Self::Answer,
-        Self::Word,
+        Self::OwnerNotice,
         Self::Demand,
         Self::Limit,
         Self::Proof,
@@ -85,7 +85,7 @@
             Self::Workers => "workers",
             Self::Question => "question",
             Self::Answer => "answer",
-            Self::Word => "word",
+            Self::OwnerNotice => "word",
             Self::Demand => "demand",
             Self::Limit => "limit",
             Self::Proof => "proof",
@@ -107,7 +107,7 @@
                 OwnerEvent::Begun(..)
                 | OwnerEvent::Read(_)
                 | OwnerEvent::Ended(_)
-                | OwnerEvent::Limit(_) => Self::Word,
+                | OwnerEvent::Limit(_) => Self::OwnerNotice,
             },
             Message::Quote(_) => Self::Answer,
             Message::Prove(_) | Message::Proof(_) => Self::Proof,
@@ -132,25 +132,25 @@
     let distances = Distance::ALL.map(Distance::name);
     let distances: Vec<&str> = distances.into_iter().chain([UNKNOWN_DISTANCE]).collect();
     let kinds = Kind::ALL.iter().map(|kind| kind.name());
-    list(&node.metrics.peer_sent_bytes_total, kinds, &distances)
+    format_counter(&node.metrics.peer_sent_bytes_total, kinds, &distances)
 }
 
 /// Formats the bytes of calls to workers and their answers as `direction/distance bytes`.
 fn worker_bytes(node: &Node) -> String {
     let distances = Distance::ALL.map(Distance::name);
     let directions = ["sent", "received"].into_iter();
-    list(&node.metrics.worker_bytes_total, directions, &distances)
+    format_counter(&node.metrics.worker_bytes_total, directions, &distances)
 }
 
 /// Formats the values of a counter that aren't zero.
-fn list<'a>(
+fn format_counter<'a>(
     counter: &IntCounterVec,
-    first: impl Iterator<Item = &'a str>,
-    second: &[&str],
+    first_labels: impl Iterator<Item = &'a str>,
+    second_labels: &[&str],
 ) -> String {
     let mut listed = Vec::new();
-    for first in first {
-        for second in second {
+    for first in first_labels {
+        for second in second_labels {
             let byte_count = counter.with_label_values(&[first, *second]).get();
             if byte_count > 0 {
                 listed.push(format!("{first}/{second} {byte_count}"));
