--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -47,7 +47,7 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::topology::DomainTag;
 
-/// Every this many rounds is a slow one, which also goes to far and silent peers.
+/// Number of rounds after which one is slow: it also goes to far and to silent peers.
 const SLOW_ROUND_EVERY: u64 = 4;
 
 /// Minimum interval between two rounds of digests, in milliseconds.
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -33,7 +33,7 @@
 /// Silent peers that a slow round retries.
 const SILENT_RETRY_COUNT: usize = 1;
 
-/// Candidates for a lease that its holder sends every digest to.
+/// Number of candidates per lease that its holder sends every digest to.
 const LEASE_CANDIDATE_COUNT: usize = 3;
 
 /// Peers of this failure domain that list changes are forwarded to. A peer that none of them
@@ -186,8 +186,8 @@
 
     /// Selects the recipients of the next digest.
     ///
-    /// `holds` lists the services whose lease this instance holds; the candidates for these
-    /// leases get every digest.
+    /// `holds` lists the services whose lease this instance holds or held until a moment ago;
+    /// the candidates for these leases get every digest.
     pub fn recipients(&mut self, now_ms: u64, is_slow_round: bool, holds: &[u64]) -> Vec<Ipv4Addr> {
         self.forget(now_ms);
         let by_distance = self.peers_by_distance(now_ms);
--- a/crates/cranereach-gateway/src/recipients.rs
+++ b/crates/cranereach-gateway/src/recipients.rs
@@ -28,7 +28,7 @@
 pub enum Origin {
     /// An instance of this failure domain: others pass the news on to other domains.
     OwnDomain,
-    /// Another failure domain of this region, which sent it to all relays of the region.
+    /// Another failure domain of this region, which sent it to the region's other domains, too.
     OwnRegion,
     /// Another region: this instance passes the news on to the domains of its own region.
     OtherRegion,
