--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -1,7 +1,8 @@
-//! Messages to and from peers over UDP.
+//! UDP messages to and from peers.
 //!
-//! [`crate::news`] says what they change. A digest is complete in itself, so that a lost or doubled one does no harm.
-//! What a digest only names is fetched by [`crate::bodies`].
+//! [`crate::news`] applies their content. Each digest is complete in itself, so that a lost or
+//! duplicated one does no harm. What a digest only mentions, such as a newer configuration, is
+//! fetched by [`crate::bodies`].
 
 use std::collections::HashMap;
 use std::mem;
@@ -46,26 +47,27 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::topology::DomainTag;
 
-/// Rounds after which silent peers are tried again.
+/// Number of rounds after which one is slow: it also goes to far and to silent peers.
 const SLOW_ROUND_EVERY: u64 = 4;
 
-/// Least time between two rounds of digests, in milliseconds.
-const ROUND_LEAST_MS: u64 = 20;
+/// Minimum interval between two rounds of digests, in milliseconds.
+const ROUND_MIN_INTERVAL_MS: u64 = 20;
 
-/// Time for which the candidates for a lease hear that its term is over, in
+/// Time for which the candidates for a lease are told that its term has ended, in
 /// milliseconds: some rounds.
-const ENDED_TOLD_FOR_MS: u64 = 1_500;
+const ENDED_LEASE_GOSSIP_MS: u64 = 1_500;
 
-/// Time between two messages of demand to a holder in another failure domain, in
-/// milliseconds.
-const DEMAND_IN_REGION_EVERY_MS: u64 = 480;
+/// Interval between two demand messages to a lease holder in another failure domain of this
+/// region, in milliseconds.
+const DEMAND_OWN_REGION_INTERVAL_MS: u64 = 480;
 
-/// The same in another region: three that are missed still count (`peers::demand`).
-const DEMAND_BEYOND_EVERY_MS: u64 = 720;
+/// The same for a holder in another region: demand still counts when three messages in a row
+/// are missed (see [`Peers::demand`](crate::peers::Peers::demand)).
+const DEMAND_OTHER_REGION_INTERVAL_MS: u64 = 720;
 
-/// Adapters that one digest names at most, so that a holder's link stays free: who
-/// waits for one is told in particular.
-const TOLD_ADAPTER_MAX_COUNT: usize = 48;
+/// Maximum number of adapters in one digest, to keep a lease holder's link free: instances
+/// that wait for an adapter are told directly.
+const DIGEST_ADAPTERS_MAX_COUNT: usize = 48;
 
 /// Sends digests until the process ends.
 pub async fn send(node: Arc<Node>) {
@@ -75,31 +77,31 @@
         round += 1;
         let is_slow_round = round.is_multiple_of(SLOW_ROUND_EVERY);
         let members = node.peers().member_news(now_ms);
-        let digest = make(&node, now_ms, members);
-        let holds = concerned(&digest);
+        let digest = make_digest(&node, now_ms, members);
+        let holds = services_to_notify(&digest);
         let recipients = node.peers().recipients(now_ms, is_slow_round, &holds);
         node.send_all(Message::Digest(Box::new(digest)), &recipients)
             .await;
-        pause(ROUND_LEAST_MS).await;
+        pause(ROUND_MIN_INTERVAL_MS).await;
         let every = Duration::from_millis(node.settings.peers.digest_every_ms);
-        // Whoever wants a digest at once ends the wait early.
+        // A digest wanted at once ends the wait early.
         let _waited = tokio::time::timeout(every, node.digest_wanted.notified()).await;
     }
 }
 
-/// Lists the services whose candidates have to hear a digest: their lease is held by
-/// its sender, or was until a moment ago.
-fn concerned(digest: &Digest) -> Vec<u64> {
+/// Lists the services whose lease candidates need the digest: the sender holds their lease, or
+/// did until a moment ago.
+fn services_to_notify(digest: &Digest) -> Vec<u64> {
     let ended = digest.ended.iter();
-    let ended = ended.filter(|ended| ended.age_ms < ENDED_TOLD_FOR_MS);
+    let ended = ended.filter(|ended| ended.age_ms < ENDED_LEASE_GOSSIP_MS);
     let held = digest.holds.iter().copied();
     held.chain(ended.map(|ended| ended.service)).collect()
 }
 
-/// Tells holders of leases what is asked for here, until the process ends.
+/// Sends the local demand to lease holders until the process ends.
 pub async fn send_demand(node: Arc<Node>) {
     let mut count = 0_u64;
-    let mut told_at_ms: HashMap<Ipv4Addr, u64> = HashMap::new();
+    let mut sent_at_ms: HashMap<Ipv4Addr, u64> = HashMap::new();
     loop {
         let now_ms = node.now_ms();
         count += 1;
@@ -114,36 +116,36 @@
         };
         let is_urgent = !message.waits_for.is_empty() || !message.lacks.is_empty();
         let mut holders = node.peers().holders(now_ms);
-        told_at_ms.retain(|holder, _| holders.contains(holder));
+        sent_at_ms.retain(|holder, _| holders.contains(holder));
         holders.retain(|holder| {
-            let at_ms = told_at_ms.get(holder);
+            let at_ms = sent_at_ms.get(holder);
             let every_ms = demand_every_ms(node.distance_to(*holder));
             is_urgent || at_ms.is_none_or(|at_ms| now_ms >= at_ms + every_ms)
         });
         if !message.parts.is_empty() && !holders.is_empty() {
             node.send_all(Message::Demand(message), &holders).await;
-            told_at_ms.extend(holders.into_iter().map(|holder| (holder, now_ms)));
+            sent_at_ms.extend(holders.into_iter().map(|holder| (holder, now_ms)));
         }
-        pause(ROUND_LEAST_MS).await;
+        pause(ROUND_MIN_INTERVAL_MS).await;
         let round_ms = node.settings.peers.digest_every_ms;
         let every = Duration::from_millis(node.peers().demand_every_ms(round_ms));
-        // Whoever waits for what nobody holds ends the wait early.
+        // A request that waits for something no worker holds ends the wait early.
         let _waited = tokio::time::timeout(every, node.demand_wanted.notified()).await;
     }
 }
 
-/// Returns the least time between two messages of demand that hold nothing urgent, in
-/// milliseconds: demand is an average over some seconds.
+/// Returns the minimum interval between two demand messages without urgent content, in
+/// milliseconds; demand is an average over some seconds.
 const fn demand_every_ms(distance: Option<Distance>) -> u64 {
     match distance {
         Some(Distance::OwnDomain) | None => 0,
-        Some(Distance::OwnRegion) => DEMAND_IN_REGION_EVERY_MS,
-        Some(Distance::OtherRegion) => DEMAND_BEYOND_EVERY_MS,
+        Some(Distance::OwnRegion) => DEMAND_OWN_REGION_INTERVAL_MS,
+        Some(Distance::OtherRegion) => DEMAND_OTHER_REGION_INTERVAL_MS,
     }
 }
 
-/// Makes a digest of what this instance knows and does.
-fn make(node: &Node, now_ms: u64, members: Vec<MemberNews>) -> Digest {
+/// Makes a digest of this instance's state.
+fn make_digest(node: &Node, now_ms: u64, members: Vec<MemberNews>) -> Digest {
     let count = node.digest_count.fetch_add(1, Ordering::AcqRel) + 1;
     let peers = node.peers();
     let store_failed = peers.store_failures(now_ms);
@@ -156,18 +158,18 @@
     drop(roster);
     let leaving = lock(&node.recent_leaving).told().collect();
     let announced = node.announced();
-    let adapters = announced.values().flat_map(|of| &of.adapters);
-    let adapters = adapters.copied().take(TOLD_ADAPTER_MAX_COUNT).collect();
+    let adapters = announced.values().flat_map(|changes| &changes.adapters);
+    let adapters = adapters.copied().take(DIGEST_ADAPTERS_MAX_COUNT).collect();
     let withheld = announced
         .values()
-        .flat_map(|of| of.withheld.clone())
+        .flat_map(|changes| changes.withheld.clone())
         .collect();
     let holds = announced
         .keys()
         .map(|service| worker_key(service))
         .collect();
     drop(announced);
-    let age_ms = |of: &Mutex<Freshness>| lock(of).age_ms(now_ms).unwrap_or(u64::MAX);
+    let age_ms = |freshness: &Mutex<Freshness>| lock(freshness).age_ms(now_ms).unwrap_or(u64::MAX);
     Digest {
         boot: node.boot,
         up_for_ms: now_ms,
@@ -193,7 +195,7 @@
     }
 }
 
-/// Lists the leases whose term is over here.
+/// Lists the leases whose term has ended at this instance.
 fn ended_leases(node: &Node, now_ms: u64) -> Vec<EndedLease> {
     let ended = lock(&node.ended_leases);
     let ended = ended.iter().map(|(service, term)| EndedLease {
@@ -204,7 +206,7 @@
     ended.collect()
 }
 
-/// Returns the demand seen here.
+/// Returns the local demand.
 fn demand_parts(node: &Node, now_ms: u64) -> Vec<DemandPart> {
     let mut parts = Vec::new();
     for (service, demand) in node.demand().iter_mut() {
@@ -218,12 +220,12 @@
     parts
 }
 
-/// Receives digests until the process ends.
+/// Receives messages from peers until the process ends.
 pub async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-            pause(ROUND_LEAST_MS).await;
+            pause(ROUND_MIN_INTERVAL_MS).await;
             continue;
         };
         let datagram = postcard::from_bytes::<Datagram>(&buffer[..length]);
@@ -231,9 +233,9 @@
             (Ok(datagram), IpAddr::V4(ip)) if datagram.version == VERSION => {
                 match datagram.message {
                     Message::Digest(digest) => {
-                        let is_behind = take(&node, ip, &digest);
+                        let is_behind = handle_digest(&node, ip, &digest);
                         if is_behind {
-                            list_news::tell_behind(&node, ip).await;
+                            list_news::update_lagging_peer(&node, ip).await;
                         }
                     }
                     Message::Demand(demand) => news::take_demand(&node, ip, &demand),
@@ -271,32 +273,32 @@
     }
 }
 
-/// Answers an instance that has no list yet with a digest at once, so that it knows
-/// whom to ask: the members that stand where it does come first.
-fn greet(node: &Node, now_ms: u64, newcomer: Ipv4Addr, heard: &Digest) {
+/// Sends a digest at once to an instance that has no worker list yet, so that it learns whom
+/// to ask; members of its own failure domain come first.
+fn reply_to_joining(node: &Node, now_ms: u64, newcomer: Ipv4Addr, received: &Digest) {
     let members = {
         let mut peers = node.peers();
         if !peers.may_greet(now_ms, newcomer) {
             return;
         }
-        peers.member_news_for(now_ms, DomainTag::from_key(heard.domain))
+        peers.member_news_for(now_ms, DomainTag::from_key(received.domain))
     };
     let digest = Digest {
-        // What was told before it came up.
+        // The joining instance has missed earlier announcements.
         departures: departures::all(node),
-        ..make(node, now_ms, members)
+        ..make_digest(node, now_ms, members)
     };
     let newcomer = SocketAddr::from((newcomer, node.peer_port()));
     node.send_now(newcomer, Message::Digest(Box::new(digest)));
 }
 
-/// Returns where what a peer tells comes from.
+/// Returns the origin of news from a peer.
 fn origin(node: &Node, peer: Ipv4Addr) -> Origin {
     Origin::at(node.distance_to(peer))
 }
 
-/// Takes a digest; true if its sender's list of workers is behind this one's.
-fn take(node: &Arc<Node>, sender: Ipv4Addr, digest: &Digest) -> bool {
+/// Applies a digest; returns whether its sender's worker list is behind the local one.
+fn handle_digest(node: &Arc<Node>, sender: Ipv4Addr, digest: &Digest) -> bool {
     let now_ms = node.now_ms();
     let is_new = {
         let mut peers = node.peers();
@@ -309,7 +311,7 @@
         return false;
     }
     if digest.list_position.is_none() {
-        greet(node, now_ms, sender, digest);
+        reply_to_joining(node, now_ms, sender, digest);
     }
     node.store.eras().rise_to(digest.store_era, "peer");
     bodies::fetch_configuration_if_behind(node, sender, digest.configuration_version);
--- a/crates/cranereach-gateway/src/list_bodies.rs
+++ b/crates/cranereach-gateway/src/list_bodies.rs
@@ -1,7 +1,8 @@
-//! The list of workers from peers, over TCP: whole, or what has changed since a position.
+//! Transfer of the worker list from peers over TCP: the whole list, or its changes since a
+//! position.
 //!
-//! Datagrams carry small changes ([`crate::gossip`]). Whoever starts, has missed a
-//! change, or is told of one that is too large for a datagram fetches it here.
+//! Datagrams carry small changes ([`crate::gossip`]). An instance that starts, has missed a
+//! change, or is told of one too large for a datagram fetches it here.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,7 +17,7 @@
 use tokio::sync::SemaphorePermit;
 
 use crate::bodies;
-use crate::bodies::Ask;
+use crate::bodies::BodyRequest;
 use crate::messages::ListMessage;
 use crate::messages::pack_rows;
 use crate::messages::unpack_rows;
@@ -31,88 +32,91 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Distance;
 
-/// Whole lists that are sent at one time: more would share the link, and nobody could
-/// pass one on before all are done. Whoever is turned away asks another peer.
-const WHOLE_AT_ONCE_COUNT: usize = 3;
+/// Maximum number of whole lists sent at a time. More would share the link's bandwidth, so
+/// that no receiver could pass the list on before all are done; a peer that is turned away
+/// asks another one.
+const CONCURRENT_WHOLE_LISTS_MAX_COUNT: usize = 3;
 
-/// Time for which a packed whole list is sent again, in milliseconds: packing 10,000
-/// rows takes some 30 ms of a core, and changes since then are fetched by themselves.
-const PACKED_FOR_MS: u64 = 5_000;
+/// Time for which a compressed whole list is reused, in milliseconds: compressing 10,000 rows
+/// takes some 30 ms of a core, and later changes are fetched separately.
+const PACKED_LIST_TTL_MS: u64 = 5_000;
 
-/// Longest wait before changes that were too large for a datagram are fetched, in
-/// milliseconds: all of a failure domain hear of them at one moment.
+/// Maximum delay before changes too large for a datagram are fetched, in milliseconds: all
+/// instances of a failure domain hear of them at the same moment.
 const FETCH_SPREAD_MS: u64 = 200;
 
-/// Time that an own list may lag behind one that a digest tells of before changes are
-/// fetched, in milliseconds: they are usually on their way by themselves.
-const LAG_MS: u64 = 600;
+/// Time for which the local list may lag behind that of a peer before its changes are fetched,
+/// in milliseconds: usually they are already on their way.
+const OWN_DOMAIN_LAG_MS: u64 = 600;
 
-/// The same where the teller stands in another failure domain: neighbours come first.
-const FAR_LAG_MS: u64 = 1_800;
+/// The same for a peer of another failure domain; peers of this domain are asked first.
+const OTHER_DOMAIN_LAG_MS: u64 = 1_800;
 
-/// What a peer answers.
+/// Response body: a worker list, or its changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ListBody {
     list: ListMessage,
-    /// What is known of the time before, if the rows are the whole list.
+    /// Change history before the list's position; set if the rows are the whole list.
     history: Option<History>,
 }
 
-/// What sending whole lists needs.
+/// State for sending whole lists.
 #[derive(Debug)]
-pub struct Sending {
-    places: Semaphore,
+pub struct ListSending {
+    send_slots: Semaphore,
     packed: Mutex<Option<PackedList>>,
 }
 
-impl Default for Sending {
+impl Default for ListSending {
     fn default() -> Self {
         Self {
-            places: Semaphore::new(WHOLE_AT_ONCE_COUNT),
+            send_slots: Semaphore::new(CONCURRENT_WHOLE_LISTS_MAX_COUNT),
             packed: Mutex::default(),
         }
     }
 }
 
-/// A whole list, packed.
+/// A compressed whole list.
 #[derive(Clone, Debug)]
 struct PackedList {
     packed_at_ms: u64,
     position: StorePosition,
-    /// When that position was known to hold, in milliseconds.
+    /// Time at which `position` was known to be the newest, in milliseconds.
     true_at_ms: u64,
     packed_rows: Vec<u8>,
     history: History,
 }
 
-/// How a fetch ended.
+/// Result of a fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fetched {
-    /// The own list is newer, or known to hold since later, than before.
-    News,
-    /// The peer has nothing to give now.
-    Nothing,
-    /// The peer could not be reached, or not be understood.
+pub enum FetchOutcome {
+    /// The local list is newer than before, or confirmed as of a later time.
+    Updated,
+    /// The peer has no list, nothing newer, or no free slot to send it.
+    NothingNew,
+    /// The peer could not be reached, or its answer was malformed.
     Failed,
 }
 
-/// Answers a peer that knows the list as of a position. What comes with the body is kept
-/// until it is sent; an empty body says that there is nothing to give now.
+/// Answers a peer that has the list as of `known`.
+///
+/// An empty body means that there is nothing to send now. The permit, if any, must be held
+/// until the body is sent.
 pub fn answer(node: &Node, known: StorePosition) -> (Bytes, Option<SemaphorePermit<'_>>) {
     let Some(age_ms) = lock(&node.list).age_ms(node.now_ms()) else {
         return (Bytes::new(), None);
     };
     if let Some(list) = changes_since(node, known, age_ms) {
-        return (encode(list, None), None);
+        return (encode_body(list, None), None);
     }
-    let Ok(place) = node.list_sending.places.try_acquire() else {
+    let Ok(slot) = node.list_sending.send_slots.try_acquire() else {
         return (Bytes::new(), None);
     };
-    let (list, history) = whole(node, age_ms);
-    (encode(list, Some(history)), Some(place))
+    let (list, history) = whole_list(node, age_ms);
+    (encode_body(list, Some(history)), Some(slot))
 }
 
-/// Returns what has changed since a position; none if that isn't known.
+/// Returns the changes since a position; `None` if they aren't known.
 fn changes_since(node: &Node, known: StorePosition, age_ms: u64) -> Option<ListMessage> {
     let listing = lock(&node.listing);
     if known.is_none() || known > listing.position() {
@@ -129,29 +133,29 @@
     })
 }
 
-/// Returns the whole list; it is packed once for some time.
-fn whole(node: &Node, age_ms: u64) -> (ListMessage, History) {
+/// Returns the whole list, from the cache if that is recent enough.
+fn whole_list(node: &Node, age_ms: u64) -> (ListMessage, History) {
     let now_ms = node.now_ms();
     let mut packed = lock(&node.list_sending.packed);
     let era = node.list_position().era;
-    let kept = packed
-        .take()
-        .filter(|kept| now_ms < kept.packed_at_ms + PACKED_FOR_MS && kept.position.era == era);
-    let kept = kept.unwrap_or_else(|| pack(node, now_ms, age_ms));
+    let cached = packed.take().filter(|cached| {
+        now_ms < cached.packed_at_ms + PACKED_LIST_TTL_MS && cached.position.era == era
+    });
+    let cached = cached.unwrap_or_else(|| pack_list(node, now_ms, age_ms));
     let message = ListMessage {
         from: StorePosition::default(),
         span: Span::Difference,
-        position: kept.position,
-        age_ms: now_ms.saturating_sub(kept.true_at_ms),
-        packed_rows: kept.packed_rows.clone(),
+        position: cached.position,
+        age_ms: now_ms.saturating_sub(cached.true_at_ms),
+        packed_rows: cached.packed_rows.clone(),
     };
-    let history = kept.history.clone();
-    *packed = Some(kept);
+    let history = cached.history.clone();
+    *packed = Some(cached);
     (message, history)
 }
 
-/// Packs the whole list.
-fn pack(node: &Node, now_ms: u64, age_ms: u64) -> PackedList {
+/// Compresses the whole list.
+fn pack_list(node: &Node, now_ms: u64, age_ms: u64) -> PackedList {
     let listing = lock(&node.listing);
     let rows = listing.rows().map(|(key, position, value)| ChangedRow {
         key: key.to_owned(),
@@ -169,36 +173,37 @@
     }
 }
 
-/// Writes an answer.
-fn encode(list: ListMessage, history: Option<History>) -> Bytes {
+/// Encodes a response body.
+fn encode_body(list: ListMessage, history: Option<History>) -> Bytes {
     let body = ListBody { list, history };
     Bytes::from(postcard::to_stdvec(&body).unwrap_or_default())
 }
 
-/// Fetches from a peer what is newer there than here.
-pub async fn fetch(node: &Node, peer: Ipv4Addr) -> Fetched {
+/// Fetches from a peer whatever its list has that the local one lacks.
+pub async fn fetch(node: &Node, peer: Ipv4Addr) -> FetchOutcome {
     let asked_at_ms = node.now_ms();
     let known = node.list_position();
-    let Ok(body) = bodies::fetch(node, peer, Ask::Workers(known)).await else {
-        return Fetched::Failed;
+    let Ok(body) = bodies::fetch(node, peer, BodyRequest::Workers(known)).await else {
+        return FetchOutcome::Failed;
     };
     if body.is_empty() {
-        return Fetched::Nothing;
+        return FetchOutcome::NothingNew;
     }
     let Ok(ListBody { list, history }) = postcard::from_bytes(&body) else {
-        return refuse(node);
+        return count_malformed(node);
     };
-    // However long it took, it was true no earlier than when it was asked for.
+    // However long the answer took, its age is counted from the question, so that the list
+    // never seems fresher than it is.
     let true_at_ms = asked_at_ms.saturating_sub(list.age_ms);
-    let is_news = list.position > known || lock(&node.list).is_older_than(true_at_ms);
+    let is_newer = list.position > known || lock(&node.list).is_older_than(true_at_ms);
     if let Some(history) = history {
         let Some(rows) = unpack_rows(&list.packed_rows, bodies::FETCH_MAX_BYTES as u64) else {
-            return refuse(node);
+            return count_malformed(node);
         };
         info!(node.log, "workers from a peer"; "peer" => peer.to_string(),
             "position" => %list.position, "rows" => rows.len());
         if list.position < node.list_position() {
-            return Fetched::Nothing;
+            return FetchOutcome::NothingNew;
         }
         roster_sync::take_whole(node, true_at_ms, list.position, rows);
         lock(&node.listing).inherit(list.position, history);
@@ -206,21 +211,21 @@
     } else {
         roster_sync::take_changes(node, peer, true_at_ms, &list);
     }
-    if is_news {
-        Fetched::News
+    if is_newer {
+        FetchOutcome::Updated
     } else {
-        Fetched::Nothing
+        FetchOutcome::NothingNew
     }
 }
 
-/// Counts an answer that can't be understood.
-fn refuse(node: &Node) -> Fetched {
+/// Counts a malformed answer.
+fn count_malformed(node: &Node) -> FetchOutcome {
     let counter = &node.metrics.bad_input_total;
     counter.with_label_values(&["peer"]).inc();
-    Fetched::Failed
+    FetchOutcome::Failed
 }
 
-/// Fetches changes of the list that a peer has told of, but not told, by and by.
+/// Fetches list changes that a peer has announced but not sent, after a random delay.
 pub fn fetch_missing(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition) {
     fetch_after(
         node,
@@ -230,10 +235,10 @@
     );
 }
 
-/// Fetches the list from a peer whose list is newer, unless its changes come by
-/// themselves within a while.
+/// Fetches the list from a peer that has a newer one, unless the changes arrive otherwise
+/// within the allowed lag.
 pub fn fetch_if_behind(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition) {
-    // Who has no list at all looks for one in an order of its own.
+    // An instance without a list selects its first source elsewhere (`list_source`).
     if node.list_position().is_none() {
         return;
     }
@@ -242,13 +247,17 @@
         node,
         peer,
         position,
-        if is_near { LAG_MS } else { FAR_LAG_MS },
+        if is_near {
+            OWN_DOMAIN_LAG_MS
+        } else {
+            OTHER_DOMAIN_LAG_MS
+        },
     );
 }
 
-/// Fetches the list from a peer after a while, unless it is as new by then.
+/// Fetches the list from a peer after a delay, unless the local one has caught up by then.
 fn fetch_after(node: &Arc<Node>, peer: Ipv4Addr, position: StorePosition, after_ms: u64) {
-    if position <= node.list_position() || node.is_fetching.swap(true, Ordering::AcqRel) {
+    if position <= node.list_position() || node.is_fetching_list.swap(true, Ordering::AcqRel) {
         return;
     }
     let node = Arc::clone(node);
@@ -258,9 +267,9 @@
         if known < position {
             info!(node.log, "changes of the list missing"; "peer" => peer.to_string(),
                 "known" => %known, "position" => %position);
-            // Whoever fails is behind at the next digest, too.
+            // After a failure, the next digest triggers another fetch.
             let _fetched = fetch(&node, peer).await;
         }
-        node.is_fetching.store(false, Ordering::Release);
+        node.is_fetching_list.store(false, Ordering::Release);
     });
 }
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -1,8 +1,8 @@
-//! When this instance has to learn the list of workers anew, and where.
+//! Decides when this instance has to refresh its worker list, and from where.
 //!
-//! [`Freshness`] says when. The first few in rank read the store; the others, and
-//! whoever has no list yet ([`Newcomer`]), look at a peer that knows more before they
-//! read for themselves. So what the store is asked doesn't grow with the fleet.
+//! [`Freshness`] says when. The instances that rank first read the store; the others, and
+//! those without a list ([`Newcomer`]), fetch it from a peer that has a newer one before they
+//! fall back to the store. So the load on the store doesn't grow with the fleet.
 //!
 //! [`Freshness`]: cranereach_fleet::freshness::Freshness
 
@@ -10,7 +10,7 @@
 
 use rand::seq::IteratorRandom;
 
-use crate::list_bodies::Fetched;
+use crate::list_bodies::FetchOutcome;
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
@@ -22,48 +22,47 @@
 use cranereach_fleet::first_read::Newcomer;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Longest pause between two looks whether a read is due, in milliseconds.
-const LOOK_EVERY_MS: u64 = 50;
+/// Interval between two checks whether a refresh is due, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 50;
 
-/// Time by which a pause may last longer before the process counts as stalled,
-/// in milliseconds.
-const STALLED_FROM_MS: u64 = 500;
+/// Excess duration of a sleep from which the process counts as stalled, in milliseconds.
+const STALL_MIN_MS: u64 = 500;
 
-/// Instances that read the store when they have to, whatever peers know.
-const READING_COUNT: u64 = 3;
+/// Number of instances that read the store when a refresh is due, without asking peers first.
+const STORE_READER_COUNT: u64 = 3;
 
-/// Time for which a peer that had nothing to give, or failed, isn't asked again, in
+/// Time for which a peer that had nothing newer, or failed, isn't asked again, in
 /// milliseconds.
-const PASSED_OVER_FOR_MS: u64 = 400;
+const SKIP_PEER_FOR_MS: u64 = 400;
 
-/// Fetches in a row that may fail before the store is read.
-const FAILED_MAX_COUNT: u32 = 6;
+/// Consecutive failed fetches after which the store is read instead.
+const FAILED_FETCHES_MAX_COUNT: u32 = 6;
 
 /// Purpose that instances are ranked for.
 const PURPOSE: &str = "list of workers";
 
-/// Where the list is to be learnt.
+/// Source to refresh the list from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// At the store.
+    /// The platform's store.
     Store,
-    /// At a peer.
+    /// A peer.
     Peer(Ipv4Addr),
 }
 
-/// Finds out where to learn the list next.
+/// Selects when and from where to refresh the list.
 #[derive(Clone, Debug, Default)]
 pub struct Finder {
     /// Whether a peer was asked since the last read of the store.
-    has_asked: bool,
+    has_asked_peer: bool,
     failed_count: u32,
-    passed_over: Vec<(Ipv4Addr, u64)>,
-    known_to_exist_at_ms: Option<u64>,
+    skipped: Vec<(Ipv4Addr, u64)>,
+    holder_known_since_ms: Option<u64>,
 }
 
 impl Finder {
-    /// Waits until this instance has to learn the list, and says where; drops workers
-    /// that have lapsed meanwhile.
+    /// Waits until a refresh is due and returns its source; meanwhile drops workers whose rows
+    /// have lapsed.
     pub async fn next(&mut self, node: &Node) -> Source {
         loop {
             let now_ms = node.now_ms();
@@ -71,77 +70,79 @@
             if let Some(source) = self.source(node, now_ms) {
                 return source;
             }
-            pause(LOOK_EVERY_MS).await;
-            if node.now_ms() > now_ms + LOOK_EVERY_MS + STALLED_FROM_MS {
-                // What waited in the socket meanwhile looks fresher than it is.
+            pause(POLL_INTERVAL_MS).await;
+            if node.now_ms() > now_ms + POLL_INTERVAL_MS + STALL_MIN_MS {
+                // Messages that waited in the socket meanwhile would seem fresher than they
+                // are.
                 lock(&node.list).distrust();
             }
         }
     }
 
-    /// Notes how a fetch from a peer ended.
-    pub fn fetched(&mut self, now_ms: u64, peer: Ipv4Addr, fetched: Fetched) {
-        self.has_asked = true;
-        match fetched {
-            Fetched::News => self.failed_count = 0,
-            Fetched::Nothing => {}
-            Fetched::Failed => self.failed_count += 1,
+    /// Notes the result of a fetch from a peer.
+    pub fn fetched(&mut self, now_ms: u64, peer: Ipv4Addr, outcome: FetchOutcome) {
+        self.has_asked_peer = true;
+        match outcome {
+            FetchOutcome::Updated => self.failed_count = 0,
+            FetchOutcome::NothingNew => {}
+            FetchOutcome::Failed => self.failed_count += 1,
         }
-        if fetched != Fetched::News {
-            self.passed_over.push((peer, now_ms + PASSED_OVER_FOR_MS));
+        if outcome != FetchOutcome::Updated {
+            self.skipped.push((peer, now_ms + SKIP_PEER_FOR_MS));
         }
     }
 
-    /// Notes that the store was read, with success or without.
+    /// Notes that the store was read, successfully or not.
     pub fn has_read(&mut self) {
-        self.has_asked = false;
+        self.has_asked_peer = false;
         self.failed_count = 0;
     }
 
-    /// Says where to learn the list now; none if that isn't due.
+    /// Returns the source to refresh from now; `None` if no refresh is due.
     fn source(&mut self, node: &Node, now_ms: u64) -> Option<Source> {
         let rank = rank(node);
         let is_left_to_others = store_pace::is_left_to_others(node, rank);
         let source = if node.list_position().is_none() {
             let first = self.first_source(node, now_ms);
-            // Who reads first for all may be just who is turned away.
+            // The store may be refusing exactly the instances that would read it first.
             first.or(is_left_to_others.then_some(Source::Store))
         } else {
-            // Those who try a lost store may be just those whom it turns away: the others
-            // don't wait for their own turn.
+            // The store may be refusing exactly the few instances that try it during an
+            // outage, so the others don't wait for their turn by rank.
             self.next_source(node, now_ms, if is_left_to_others { 0 } else { rank })
         };
         let is_held_back = source == Some(Source::Store)
             && is_left_to_others
-            && !store_pace::tries_now(node, LOOK_EVERY_MS);
+            && !store_pace::tries_now(node, POLL_INTERVAL_MS);
         source.filter(|_| !is_held_back)
     }
 
-    /// Says where an instance of a rank that has a list is to learn the next.
+    /// Returns the source for an instance that already has a list; `None` if no refresh is
+    /// due.
     fn next_source(&mut self, node: &Node, now_ms: u64, rank: u64) -> Option<Source> {
         if now_ms < due_at_ms(node, now_ms, rank) {
-            self.has_asked = false;
+            self.has_asked_peer = false;
             return None;
         }
-        if rank < READING_COUNT || self.has_asked {
+        if rank < STORE_READER_COUNT || self.has_asked_peer {
             return Some(Source::Store);
         }
         let holders = node.peers().list_holders(now_ms, node.list_position());
-        let peer = self.one_of(now_ms, &holders.near);
+        let peer = self.choose_peer(now_ms, &holders.near);
         Some(peer.map_or(Source::Store, Source::Peer))
     }
 
-    /// Says where to look for the first list now.
+    /// Returns the source for an instance that has no list yet; `None` if it is to wait.
     fn first_source(&mut self, node: &Node, now_ms: u64) -> Option<Source> {
         let peers = node.peers();
         let Holders { near, far } = peers.list_holders(now_ms, StorePosition::default());
         let is_known = !near.is_empty() || !far.is_empty();
-        let near = self.one_of(now_ms, &near);
-        let far = self.one_of(now_ms, &far);
+        let near = self.choose_peer(now_ms, &near);
+        let far = self.choose_peer(now_ms, &far);
         let holder = if near.is_some() {
             Holder::Near
         } else if is_known {
-            let since_ms = *self.known_to_exist_at_ms.get_or_insert(now_ms);
+            let since_ms = *self.holder_known_since_ms.get_or_insert(now_ms);
             Holder::Elsewhere {
                 known_for_ms: now_ms - since_ms,
             }
@@ -153,7 +154,7 @@
             ..peers.newcomer(now_ms, PURPOSE)
         };
         drop(peers);
-        if self.failed_count >= FAILED_MAX_COUNT {
+        if self.failed_count >= FAILED_FETCHES_MAX_COUNT {
             return Some(Source::Store);
         }
         match newcomer.source() {
@@ -164,18 +165,21 @@
         }
     }
 
-    /// Chooses one by chance, other than those that had nothing to give lately.
-    fn one_of(&mut self, now_ms: u64, peers: &[Ipv4Addr]) -> Option<Ipv4Addr> {
-        self.passed_over.retain(|(_, until_ms)| now_ms < *until_ms);
-        let passed_over = &self.passed_over;
-        let asked = peers
-            .iter()
-            .filter(|peer| passed_over.iter().all(|(of, _)| of != *peer));
-        asked.copied().choose(&mut rand::rng())
+    /// Selects a random peer, except those that recently had nothing newer or failed.
+    fn choose_peer(&mut self, now_ms: u64, peers: &[Ipv4Addr]) -> Option<Ipv4Addr> {
+        self.skipped.retain(|(_, until_ms)| now_ms < *until_ms);
+        let skipped = &self.skipped;
+        let candidates = peers.iter().filter(|peer| {
+            skipped
+                .iter()
+                .all(|(skipped_peer, _)| skipped_peer != *peer)
+        });
+        candidates.copied().choose(&mut rand::rng())
     }
 }
 
-/// Returns when an instance of a rank has to read the list; notes how old it is.
+/// Returns when an instance of a rank has to refresh the list; also exports the list's age as
+/// a metric.
 fn due_at_ms(node: &Node, now_ms: u64, rank: u64) -> u64 {
     let list = lock(&node.list);
     let age_ms = list.age_ms(now_ms).unwrap_or(now_ms);
@@ -183,16 +187,16 @@
     let due_at_ms = list.read_due_at_ms(rank);
     let is_restored = list.restored_at_ms().is_some();
     drop(list);
-    if is_restored && rank >= READING_COUNT {
-        // Those who read tell the others; should none of them reach the store, these
-        // follow by and by.
+    if is_restored && rank >= STORE_READER_COUNT {
+        // The instances that read the store update the others. Should none of them reach it,
+        // the others read it too, spread over time.
         due_at_ms + node.peers().read_spread_ms()
     } else {
         due_at_ms
     }
 }
 
-/// Returns how many instances come before this one.
+/// Returns the number of living instances that rank before this one.
 fn rank(node: &Node) -> u64 {
     node.peers().rank(node.now_ms(), PURPOSE)
 }
