--- a/crates/cranereach-gateway/src/heard_leases.rs
+++ b/crates/cranereach-gateway/src/heard_leases.rs
@@ -1,4 +1,5 @@
-//! Who is heard to hold which lease, by its own word or through others.
+//! Holders of leases as learned by gossip, from the holders themselves or through other
+//! instances.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -6,25 +7,28 @@
 use crate::messages::Digest;
 use crate::messages::HeldLease;
 
-/// Age up to which news of a peer's leases count, in milliseconds.
+/// Age up to which news of a held lease counts, in milliseconds.
 pub const HEARD_WITHIN_MS: u64 = 1_500;
 
-/// The leases that are heard of.
+/// The leases that are known from gossip.
 #[derive(Clone, Debug, Default)]
 pub struct HeardLeases {
-    /// Who holds each lease, and when it was heard last, by anybody, in milliseconds.
+    /// Holder of each lease by service key, and the time at which any instance last heard from
+    /// that holder, in milliseconds.
     holders: HashMap<u64, (Ipv4Addr, u64)>,
-    /// When a holder itself was heard to hold a lease no more, in milliseconds.
+    /// Time at which the holder itself announced that it no longer holds a lease, in
+    /// milliseconds.
     released_at_ms: HashMap<u64, u64>,
 }
 
 impl HeardLeases {
-    /// Notes that a holder said that it holds a lease no more.
+    /// Records that the holder of a lease announced that it no longer holds it.
     pub fn given_up(&mut self, now_ms: u64, service: u64) {
         self.released_at_ms.insert(service, now_ms);
     }
 
-    /// Takes which leases a digest says to be held.
+    /// Merges the held leases that a digest reports: those of its sender and those that the
+    /// sender has heard of.
     pub fn heard(&mut self, now_ms: u64, sender: Ipv4Addr, digest: &Digest) {
         let own = digest.holds.iter().filter(|_| !digest.is_leaving);
         let own = own.map(|service| HeldLease {
@@ -42,12 +46,12 @@
         }
     }
 
-    /// Lists the leases that are heard to be held.
+    /// Returns the leases that are currently known to be held.
     pub fn held(&self, now_ms: u64) -> Vec<HeldLease> {
         let known = self.holders.iter();
         let recent = known.filter(|(service, (_, at_ms))| {
             let released_ms = self.released_at_ms.get(service).copied();
-            // What others told was heard before the holder said otherwise.
+            // Relayed news that is older than the holder's own release does not count.
             let is_held = released_ms.is_none_or(|released_ms| *at_ms > released_ms);
             is_held && now_ms < at_ms + HEARD_WITHIN_MS
         });
--- a/crates/cranereach-gateway/src/store.rs
+++ b/crates/cranereach-gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store, each with a deadline.
+//! Client of the platform's store. Every call has a deadline.
 
 mod eras;
 
@@ -19,23 +19,23 @@
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 
-/// Time for an answer beyond what was asked to wait, in milliseconds.
+/// Time allowed for an answer on top of any wait that the call asks for, in milliseconds.
 const ANSWER_WITHIN_MS: u64 = 900;
 
-/// How a call to the store failed.
+/// Failure of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// Nothing was done.
+    /// The store did not execute the call.
     #[error("nothing was done: {0}")]
     NotDone(String),
-    /// It may have been done, or may be done later.
+    /// The outcome is unknown: the store may have executed the call, or may still do so.
     #[error("may have been done: {0}")]
     Unknown(String),
-    /// The history that was asked for is gone.
+    /// The store no longer has the change history after the requested position.
     #[error("the history is gone")]
     HistoryGone,
-    /// The store came back from a copy meanwhile: the answer is of another era than what it
-    /// was asked for by. A write may have been done.
+    /// The store was restored from a backup in the meantime, so the answer belongs to another era
+    /// than the position that the call was based on. A write may have been executed.
     #[error("the store came back from a copy")]
     OtherEra,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Client of the store.
+/// HTTP client of the store.
 #[derive(Debug)]
 pub struct Store {
     client: JsonClient,
@@ -66,7 +66,7 @@
 }
 
 impl Store {
-    /// Makes a client for `ip:port`.
+    /// Creates a client for the store at `ip:port`.
     pub fn new(address: &str, adapter: &'static Adapter, log: &Logger, metrics: &Metrics) -> Self {
         Self {
             client: JsonClient::new(address),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns what is known of the store's era.
+    /// Returns the tracker of the store's era.
     pub fn eras(&self) -> &StoreEras {
         &self.eras
     }
@@ -99,7 +99,7 @@
             }
             let last_key = page.rows.last().map(|row| row.key.as_str());
             if page.has_more && last_key <= all.rows.last().map(|row| row.key.as_str()) {
-                // Asked again, it would say the same.
+                // The next request would start at the same key and get the same page again.
                 let why = format!("a page of {table} leads no further");
                 return Err(StoreError::Unknown(why));
             }
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Waits for changes of a table after a position, and returns all there are.
+    /// Waits for changes of a table after a position and returns all of them.
     ///
-    /// One answer holds a bounded number of them and doesn't say whether there are more.
+    /// One answer holds a bounded number of changes and does not state whether there are more.
     pub async fn watch(
         &self,
         table: &str,
@@ -130,8 +130,8 @@
         Ok(all)
     }
 
-    /// Waits for changes of a table after a position; says of the answer whether it may
-    /// have been cut short.
+    /// Waits for changes of a table after a position. Also returns whether the answer may be
+    /// truncated.
     async fn watch_page(
         &self,
         table: &str,
@@ -142,7 +142,7 @@
         let answer = self.client.get(&path, wait_ms + ANSWER_WITHIN_MS).await?;
         let rows = self.rows(&answer)?;
         if rows.position.era != after.era {
-            // What it says is true after a version of its own era alone.
+            // Versions are comparable within one era only, so the changes do not follow `after`.
             return Err(StoreError::OtherEra);
         }
         let whole = self.adapter.store.watch_whole;
@@ -151,7 +151,8 @@
         Ok((rows, is_cut))
     }
 
-    /// Writes a row if it still has a position; the start of an era stands for no row.
+    /// Writes a row if its position is still the expected one. The start of an era stands for a
+    /// row that does not exist.
     pub async fn write(
         &self,
         row: &RowName,
@@ -162,7 +163,7 @@
         self.change(expected.era, body).await
     }
 
-    /// Removes a row if it still has a position.
+    /// Removes a row if its position is still the expected one.
     pub async fn remove(
         &self,
         row: &RowName,
@@ -172,7 +173,7 @@
         self.change(expected.era, body).await
     }
 
-    /// Sends a change that rests on what was read in an era.
+    /// Sends a conditional change that is based on data read in the given era.
     async fn change(&self, era: u64, body: Vec<u8>) -> Result<WriteAnswer, StoreError> {
         if era < self.eras.newest() {
             let why = "what it rests on is of an earlier era";
@@ -187,17 +188,17 @@
         let parsed = (self.adapter.store.parse_write)(answer.status, answered_era, &answer.body)?;
         match parsed {
             WriteAnswer::Refused(status) => Err(StoreError::NotDone(format!("status {status}"))),
-            // The version that was expected may have been another row's.
+            // The new era may have assigned the expected version to another change of the row.
             WriteAnswer::Done(_) if answered_era != era => Err(StoreError::OtherEra),
             WriteAnswer::Done(_) | WriteAnswer::Conflict => Ok(parsed),
         }
     }
 
-    /// Reads the rows of an answer.
+    /// Parses the rows of an answer to a read or a watch.
     fn rows(&self, answer: &Answer) -> Result<Rows, StoreError> {
         let era = self.eras.heard(&answer.headers);
         if era < self.eras.newest() {
-            // It was under way when the store came back from a copy.
+            // The answer was on its way when the store was restored from a backup.
             return Err(StoreError::OtherEra);
         }
         match (self.adapter.store.parse_read)(answer.status, era, &answer.body)? {
--- a/crates/cranereach-gateway/src/store/eras.rs
+++ b/crates/cranereach-gateway/src/store/eras.rs
@@ -1,4 +1,7 @@
-//! The era of the platform's store, as its answers state it, and what they say besides.
+//! Tracks the era of the platform's store and unknown headers, both taken from the store's
+//! answers.
+//!
+//! The era is a generation number that rises by one when the store is restored from a backup.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -24,7 +27,7 @@
 
 use crate::metrics::Metrics;
 
-/// Headers of any HTTP answer, which say nothing of the store.
+/// Headers of any HTTP answer, which carry no information about the store.
 const COMMON_HEADERS: [HeaderName; 6] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -34,16 +37,16 @@
     TRANSFER_ENCODING,
 ];
 
-/// Another header of that kind, which has no constant.
+/// Another common header, for which `hyper` has no constant.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Names of unknown headers that are told apart at most.
+/// Maximum number of unknown header names that get a metric label of their own.
 const NAME_MAX_COUNT: usize = 16;
 
-/// Name under which the metrics count all further ones.
+/// Metric label that counts all further unknown headers.
 const OTHER: &str = "other";
 
-/// The newest era that is known, and what answers say besides.
+/// The newest known era of the store, and the unknown headers seen in its answers.
 #[derive(Debug)]
 pub struct StoreEras {
     header: &'static str,
@@ -58,7 +61,7 @@
 }
 
 impl StoreEras {
-    /// Makes the state before the first answer, for the name of the header that states eras.
+    /// Creates the state before the first answer. `header` is the header that states the era.
     pub fn new(header: &'static str, log: &Logger, metrics: &Metrics) -> Self {
         Self {
             header,
@@ -73,12 +76,13 @@
         }
     }
 
-    /// Returns the newest era that is known; zero where the store states none.
+    /// Returns the newest known era, or zero if the store states none.
     pub fn newest(&self) -> u64 {
         self.newest.load(Ordering::Acquire)
     }
 
-    /// Takes the headers of an answer, and returns the era that it is from.
+    /// Processes the headers of an answer and returns the era that the answer belongs to. An
+    /// answer without a readable era counts as one of the newest known era.
     pub fn heard(&self, headers: &HeaderMap) -> u64 {
         self.note_unknown(headers);
         let stated = headers.get(self.header);
@@ -97,12 +101,12 @@
         era
     }
 
-    /// Waits until an era begins that wasn't known.
+    /// Waits until a new era becomes known.
     pub async fn risen(&self) {
         self.risen.notified().await;
     }
 
-    /// Notes that an era has begun, as somebody told.
+    /// Raises the newest known era. `source` names who reported it, for the log.
     pub fn rise_to(&self, era: u64, teller: &str) {
         let before = self.newest.fetch_max(era, Ordering::AcqRel);
         if era <= before {
@@ -113,7 +117,8 @@
         self.risen.notify_one();
     }
 
-    /// Counts an era that can't be read or has fallen; logs the first of each kind.
+    /// Counts an era that is missing, unreadable or lower than the newest one, and logs the first
+    /// occurrence of each kind.
     fn note_bad(&self, kind: &'static str) {
         let counter = self.bad_input_total.with_label_values(&[kind]);
         if counter.get() == 0 {
@@ -122,7 +127,7 @@
         counter.inc();
     }
 
-    /// Counts the headers that nobody here reads, and logs each name once.
+    /// Counts the headers that this system does not read, and logs each name once.
     fn note_unknown(&self, headers: &HeaderMap) {
         let is_known = |name: &&HeaderName| {
             let name = *name;
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -1,8 +1,8 @@
-//! What an instance does when the platform's store has come back from a copy.
+//! Handles a restore of the platform's store from a backup.
 //!
-//! Such a store has lost its last changes, and gives versions out again. Its era rises by
-//! one then. All that this instance keeps of the store is brought into the new era at once
-//! ([`enter`]), whoever states it: the store or a peer.
+//! A restored store has lost its latest changes and assigns their versions again, so its era, a
+//! generation number, rises by one. All that this instance keeps of the store is moved into the
+//! new era at once ([`enter`]), whether it learns of the era from the store or from a peer.
 
 use std::sync::Arc;
 
@@ -16,15 +16,16 @@
 use crate::recipients::Origin;
 use cranereach_fleet::freshness::BACK_WITHIN_MS;
 
-/// Purpose that instances are ranked for who write again what the system had written.
+/// Purpose for which instances are ranked: the first in rank rewrites the rows that this system
+/// had stored. The text is hashed into the rank, so all instances must use the same one.
 const PURPOSE: &str = "written again";
 
-/// Enters each new era until the process ends.
+/// Enters each new era of the store until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
         node.store.eras().risen().await;
         enter(&node);
-        // By then the others have written again what a restored store has lost.
+        // By then the other writers have rewritten what the restored store has lost.
         pause(BACK_WITHIN_MS).await;
         let is_first = node.peers().rank(node.now_ms(), PURPOSE) == 0;
         if is_first && lasting::has_some(&node) {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Brings what this instance knows of the store into the newest era, unless it is there.
+/// Moves this instance's knowledge of the store into the newest era, unless it is already there.
 pub fn enter(node: &Node) {
     let era = node.store.eras().newest();
     let now_ms = node.now_ms();
@@ -47,7 +48,7 @@
     if is_restored {
         info!(node.log, "store restored"; "era" => era,
             "list_position" => %node.list_position(), "leaving" => leaving.len());
-        // Whatever waits at the store waits for the era before.
+        // Watches that are open at the store still wait for changes of the previous era.
         node.configuration_wanted.notify_one();
         node.controller_wanted.notify_one();
         node.tell_news(Origin::Own);
--- a/crates/cranereach-gateway/src/store_failures.rs
+++ b/crates/cranereach-gateway/src/store_failures.rs
@@ -1,37 +1,37 @@
-//! Which instances could not reach the store lately, as they tell each other.
+//! Recent failures to reach the store, as instances report them to each other.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
 use crate::messages::StoreFailure;
 
-/// Time for which a peer's failure to reach the store counts, in milliseconds: some
-/// tries of those that try again soon.
+/// Time for which a reported failure to reach the store counts, in milliseconds. It covers
+/// several attempts of the instances that retry soon.
 const STORE_FAILED_FOR_MS: u64 = 1_500;
 
-/// Instances that must have failed before the store counts as lost: one alone may be
-/// cut off.
+/// Number of other instances that must report failures before the store counts as lost. A single
+/// one may be cut off itself.
 const STORE_WITNESS_COUNT: usize = 2;
 
-/// Failures to reach the store that are remembered and told at most.
+/// Maximum number of failures that are kept and passed on.
 const STORE_FAILURE_MAX_COUNT: usize = 6;
 
-/// The failures that are known.
+/// The known failures to reach the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFailures {
-    /// When each instance failed last, in milliseconds.
+    /// Time of the last failure of each instance, in milliseconds.
     at_ms: HashMap<Ipv4Addr, u64>,
 }
 
 impl StoreFailures {
-    /// Takes what a peer tells; more than are remembered are not taken.
+    /// Merges failures that a peer reports, up to the maximum that is kept.
     pub fn told(&mut self, now_ms: u64, failures: &[StoreFailure]) {
         for failure in failures.iter().take(STORE_FAILURE_MAX_COUNT) {
             self.note(now_ms, failure.address, failure.age_ms);
         }
     }
 
-    /// Notes that an instance could not reach the store a while ago.
+    /// Records that an instance failed to reach the store `age_ms` ago.
     pub fn note(&mut self, now_ms: u64, address: Ipv4Addr, age_ms: u64) {
         let at_ms = now_ms.saturating_sub(age_ms);
         self.at_ms
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Lists those that still count.
+    /// Returns the failures that still count.
     pub fn recent(&self, now_ms: u64) -> Vec<StoreFailure> {
         let recent = self
             .at_ms
@@ -57,7 +57,7 @@
             .collect()
     }
 
-    /// Whether instances other than `own` say that they can't reach the store.
+    /// Returns whether enough instances other than `own` report that they cannot reach the store.
     pub fn is_lost(&self, now_ms: u64, own: Ipv4Addr) -> bool {
         let recent = self.recent(now_ms);
         let others = recent.iter().filter(|of| of.address != own);
--- a/crates/cranereach-gateway/src/store_pace.rs
+++ b/crates/cranereach-gateway/src/store_pace.rs
@@ -1,9 +1,9 @@
-//! How often an instance asks a store that may be lost.
+//! Backoff of calls to the store while it may be unreachable.
 //!
-//! A few instances, told apart by rank, try again soon; whoever reaches the store
-//! tells the others. All others hold back while peers say that the store is lost, so
-//! that calls to it don't grow with the fleet. They do try now and then
-//! ([`outage_pace`]), since the store may turn just those few away.
+//! The few instances that come first in rank retry soon, and whichever reaches the store tells
+//! the others. All other instances hold back while peers report that the store is lost, so that
+//! the number of calls does not grow with the fleet. They still try occasionally
+//! ([`outage_pace`]), because the store may be rejecting just the instances that retry.
 
 use crate::adapter::Rows;
 use crate::adapter::WriteAnswer;
@@ -12,29 +12,30 @@
 use crate::store::StoreError;
 use cranereach_fleet::outage_pace;
 
-/// First pause after a failed call, in milliseconds.
+/// Base of the exponential backoff after failed calls, in milliseconds.
 const PAUSE_FIRST_MS: u64 = 60;
 
-/// Longest pause after failed calls, in milliseconds.
+/// Upper limit of the backoff, in milliseconds.
 const PAUSE_MAX_MS: u64 = 500;
 
-/// Instances that try again soon after a failed call.
+/// Number of instances that retry soon after a failed call.
 const TRYING_COUNT: u64 = 4;
 
-/// Whether an instance of a rank leaves it to others to try a store that peers say is
-/// lost.
+/// Returns whether an instance of this rank leaves retries to other instances because peers
+/// report that the store is lost.
 pub fn is_left_to_others(node: &Node, rank: u64) -> bool {
     rank >= TRYING_COUNT && node.peers().is_store_lost(node.now_ms())
 }
 
-/// Whether an instance that leaves it to others tries the store all the same, at a look
-/// that comes so many milliseconds after the one before.
+/// Returns whether an instance that leaves retries to others makes an attempt of its own now,
+/// `elapsed_ms` after the previous time it asked.
 pub fn tries_now(node: &Node, looked_ms: u64) -> bool {
     let alive_count = node.peers().members().alive(node.now_ms()).count();
     outage_pace::tries_now(alive_count, looked_ms, rand::random())
 }
 
-/// Waits after a number of failures in a row, and lets peers know.
+/// Reports a failed call to peers and waits for a backoff with jitter, which grows with the
+/// number of consecutive failures.
 pub async fn after_failure(node: &Node, failure_count: u32) {
     node.peers().store_failed(node.now_ms());
     let doubled_ms = PAUSE_FIRST_MS << failure_count.min(4);
@@ -42,12 +43,12 @@
     pause(longest_ms / 2 + rand::random_range(0..=longest_ms / 2)).await;
 }
 
-/// Waits after an answer of another era: the next one is asked for what it holds now.
+/// Waits after an answer of another era, before the data of the new era is requested.
 pub async fn after_other_era() {
     pause(PAUSE_FIRST_MS).await;
 }
 
-/// Counts a read of the store.
+/// Counts a read of the store by its outcome.
 pub fn note_call(node: &Node, kind: &str, read: &Result<Rows, StoreError>) {
     let outcome = match read {
         Ok(_) => "done",
@@ -56,7 +57,7 @@
     note(node, kind, outcome);
 }
 
-/// Counts a write of the store by its outcome; returns the outcome's name.
+/// Counts a write of the store by its outcome and returns the label of the outcome.
 pub fn note_write(
     node: &Node,
     kind: &str,
@@ -71,7 +72,7 @@
     outcome
 }
 
-/// Returns the name of a failure in metrics.
+/// Returns the metric label of a failure.
 fn failure(error: &StoreError) -> &'static str {
     match error {
         StoreError::HistoryGone => "history_gone",
@@ -81,7 +82,7 @@
     }
 }
 
-/// Counts a call of the store.
+/// Counts a call to the store.
 fn note(node: &Node, kind: &str, outcome: &str) {
     let counter = &node.metrics.store_calls_total;
     counter.with_label_values(&[kind, outcome]).inc();
