--- a/crates/cranereach-gateway/src/store.rs
+++ b/crates/cranereach-gateway/src/store.rs
@@ -20,7 +20,7 @@
 use cranereach_http::client::JsonClient;
 
 /// Time allowed for an answer on top of any wait that the call asks for, in milliseconds.
-const ANSWER_WITHIN_MS: u64 = 900;
+const ANSWER_TIMEOUT_MS: u64 = 900;
 
 /// Failure of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -89,8 +89,8 @@
                 .last()
                 .map_or(String::new(), |row| format!("{}\u{1}", row.key));
             let path = (self.adapter.store.read_path)(table, &from);
-            let answer = self.client.get(&path, ANSWER_WITHIN_MS).await?;
-            let page = self.rows(&answer)?;
+            let answer = self.client.get(&path, ANSWER_TIMEOUT_MS).await?;
+            let page = self.parse_rows(&answer)?;
             if all.rows.is_empty() {
                 all.position = page.position;
             }
@@ -100,8 +100,8 @@
             let last_key = page.rows.last().map(|row| row.key.as_str());
             if page.has_more && last_key <= all.rows.last().map(|row| row.key.as_str()) {
                 // The next request would start at the same key and get the same page again.
-                let why = format!("a page of {table} leads no further");
-                return Err(StoreError::Unknown(why));
+                let reason = format!("a page of {table} leads no further");
+                return Err(StoreError::Unknown(reason));
             }
             let has_more = page.has_more;
             all.rows.extend(page.rows);
@@ -120,12 +120,12 @@
         after: StorePosition,
         wait_ms: u64,
     ) -> Result<Rows, StoreError> {
-        let (mut all, mut is_cut) = self.watch_page(table, after, wait_ms).await?;
-        while is_cut {
-            let (next, is_next_cut) = self.watch_page(table, all.position, 0).await?;
+        let (mut all, mut is_truncated) = self.watch_page(table, after, wait_ms).await?;
+        while is_truncated {
+            let (next, is_next_truncated) = self.watch_page(table, all.position, 0).await?;
             all.position = next.position;
             all.rows.extend(next.rows);
-            is_cut = is_next_cut;
+            is_truncated = is_next_truncated;
         }
         Ok(all)
     }
@@ -139,16 +139,17 @@
         wait_ms: u64,
     ) -> Result<(Rows, bool), StoreError> {
         let path = (self.adapter.store.watch_path)(table, after.version, wait_ms);
-        let answer = self.client.get(&path, wait_ms + ANSWER_WITHIN_MS).await?;
-        let rows = self.rows(&answer)?;
+        let answer = self.client.get(&path, wait_ms + ANSWER_TIMEOUT_MS).await?;
+        let rows = self.parse_rows(&answer)?;
         if rows.position.era != after.era {
             // Versions are comparable within one era only, so the changes do not follow `after`.
             return Err(StoreError::OtherEra);
         }
-        let whole = self.adapter.store.watch_whole;
-        let is_large = rows.rows.len() >= whole.row_count || answer.body.len() >= whole.byte_count;
-        let is_cut = is_large && rows.position > after;
-        Ok((rows, is_cut))
+        let truncation_size = self.adapter.store.watch_whole;
+        let may_be_truncated = rows.rows.len() >= truncation_size.row_count
+            || answer.body.len() >= truncation_size.byte_count;
+        let is_truncated = may_be_truncated && rows.position > after;
+        Ok((rows, is_truncated))
     }
 
     /// Writes a row if its position is still the expected one. The start of an era stands for a
@@ -160,7 +161,7 @@
         value: &[u8],
     ) -> Result<WriteAnswer, StoreError> {
         let body = (self.adapter.store.encode_write)(row, expected.version, value);
-        self.change(expected.era, body).await
+        self.send_change(expected.era, body).await
     }
 
     /// Removes a row if its position is still the expected one.
@@ -170,21 +171,21 @@
         expected: StorePosition,
     ) -> Result<WriteAnswer, StoreError> {
         let body = (self.adapter.store.encode_remove)(row, expected.version);
-        self.change(expected.era, body).await
+        self.send_change(expected.era, body).await
     }
 
     /// Sends a conditional change that is based on data read in the given era.
-    async fn change(&self, era: u64, body: Vec<u8>) -> Result<WriteAnswer, StoreError> {
+    async fn send_change(&self, era: u64, body: Vec<u8>) -> Result<WriteAnswer, StoreError> {
         if era < self.eras.newest() {
-            let why = "what it rests on is of an earlier era";
-            return Err(StoreError::NotDone(why.to_owned()));
+            let reason = "what it rests on is of an earlier era";
+            return Err(StoreError::NotDone(reason.to_owned()));
         }
         let path = self.adapter.store.write_path;
         let answer = self
             .client
-            .post_bytes(path, Bytes::from(body), ANSWER_WITHIN_MS)
+            .post_bytes(path, Bytes::from(body), ANSWER_TIMEOUT_MS)
             .await?;
-        let answered_era = self.eras.heard(&answer.headers);
+        let answered_era = self.eras.observe_headers(&answer.headers);
         let parsed = (self.adapter.store.parse_write)(answer.status, answered_era, &answer.body)?;
         match parsed {
             WriteAnswer::Refused(status) => Err(StoreError::NotDone(format!("status {status}"))),
@@ -195,8 +196,8 @@
     }
 
     /// Parses the rows of an answer to a read or a watch.
-    fn rows(&self, answer: &Answer) -> Result<Rows, StoreError> {
-        let era = self.eras.heard(&answer.headers);
+    fn parse_rows(&self, answer: &Answer) -> Result<Rows, StoreError> {
+        let era = self.eras.observe_headers(&answer.headers);
         if era < self.eras.newest() {
             // The answer was on its way when the store was restored from a backup.
             return Err(StoreError::OtherEra);
--- a/crates/cranereach-gateway/src/store/eras.rs
+++ b/crates/cranereach-gateway/src/store/eras.rs
@@ -41,23 +41,23 @@
 const KEEP_ALIVE: &str = "keep-alive";
 
 /// Maximum number of unknown header names that get a metric label of their own.
-const NAME_MAX_COUNT: usize = 16;
+const LABEL_MAX_COUNT: usize = 16;
 
 /// Metric label that counts all further unknown headers.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 /// The newest known era of the store, and the unknown headers seen in its answers.
 #[derive(Debug)]
 pub struct StoreEras {
     header: &'static str,
     newest: AtomicU64,
-    is_stated: AtomicBool,
-    risen: Notify,
-    unknown: Mutex<BTreeSet<String>>,
+    has_stated_era: AtomicBool,
+    new_era: Notify,
+    unknown_headers: Mutex<BTreeSet<String>>,
     log: Logger,
-    shown: IntGauge,
+    era_gauge: IntGauge,
     bad_input_total: IntCounterVec,
-    unknown_total: IntCounterVec,
+    unknown_headers_total: IntCounterVec,
 }
 
 impl StoreEras {
@@ -66,13 +66,13 @@
         Self {
             header,
             newest: AtomicU64::new(0),
-            is_stated: AtomicBool::new(false),
-            risen: Notify::new(),
-            unknown: Mutex::default(),
+            has_stated_era: AtomicBool::new(false),
+            new_era: Notify::new(),
+            unknown_headers: Mutex::default(),
             log: log.clone(),
-            shown: metrics.store_era.clone(),
+            era_gauge: metrics.store_era.clone(),
             bad_input_total: metrics.bad_input_total.clone(),
-            unknown_total: metrics.store_unknown_words_total.clone(),
+            unknown_headers_total: metrics.store_unknown_words_total.clone(),
         }
     }
 
@@ -83,43 +83,43 @@
 
     /// Processes the headers of an answer and returns the era that the answer belongs to. An
     /// answer without a readable era counts as one of the newest known era.
-    pub fn heard(&self, headers: &HeaderMap) -> u64 {
-        self.note_unknown(headers);
+    pub fn observe_headers(&self, headers: &HeaderMap) -> u64 {
+        self.count_unknown_headers(headers);
         let stated = headers.get(self.header);
         let era = stated.and_then(|value| value.to_str().ok()?.trim().parse().ok());
         let Some(era) = era else {
-            if stated.is_some() || self.is_stated.load(Ordering::Acquire) {
-                self.note_bad("store_era");
+            if stated.is_some() || self.has_stated_era.load(Ordering::Acquire) {
+                self.count_invalid_era("store_era");
             }
             return self.newest();
         };
-        self.is_stated.store(true, Ordering::Release);
+        self.has_stated_era.store(true, Ordering::Release);
         self.rise_to(era, "store");
         if era < self.newest() {
-            self.note_bad("store_era_fallen");
+            self.count_invalid_era("store_era_fallen");
         }
         era
     }
 
     /// Waits until a new era becomes known.
-    pub async fn risen(&self) {
-        self.risen.notified().await;
+    pub async fn wait_for_new_era(&self) {
+        self.new_era.notified().await;
     }
 
     /// Raises the newest known era. `source` names who reported it, for the log.
-    pub fn rise_to(&self, era: u64, teller: &str) {
+    pub fn rise_to(&self, era: u64, source: &str) {
         let before = self.newest.fetch_max(era, Ordering::AcqRel);
         if era <= before {
             return;
         }
-        self.shown.set(era as i64);
-        info!(self.log, "store era"; "era" => era, "before" => before, "from" => teller);
-        self.risen.notify_one();
+        self.era_gauge.set(era as i64);
+        info!(self.log, "store era"; "era" => era, "before" => before, "from" => source);
+        self.new_era.notify_one();
     }
 
     /// Counts an era that is missing, unreadable or lower than the newest one, and logs the first
     /// occurrence of each kind.
-    fn note_bad(&self, kind: &'static str) {
+    fn count_invalid_era(&self, kind: &'static str) {
         let counter = self.bad_input_total.with_label_values(&[kind]);
         if counter.get() == 0 {
             warn!(self.log, "era of the store not taken"; "kind" => kind, "newest" => self.newest());
@@ -128,7 +128,7 @@
     }
 
     /// Counts the headers that this system does not read, and logs each name once.
-    fn note_unknown(&self, headers: &HeaderMap) {
+    fn count_unknown_headers(&self, headers: &HeaderMap) {
         let is_known = |name: &&HeaderName| {
             let name = *name;
             name.as_str() == self.header
@@ -136,17 +136,21 @@
                 || COMMON_HEADERS.contains(name)
         };
         for name in headers.keys().filter(|name| !is_known(name)) {
-            let names = self.unknown.lock();
+            let names = self.unknown_headers.lock();
             let mut names = names.unwrap_or_else(PoisonError::into_inner);
             let is_new = !names.contains(name.as_str());
-            let is_told = !is_new || names.len() < NAME_MAX_COUNT;
-            if is_new && is_told {
+            let has_own_label = !is_new || names.len() < LABEL_MAX_COUNT;
+            if is_new && has_own_label {
                 names.insert(name.as_str().to_owned());
                 warn!(self.log, "unknown word of the store"; "header" => name.as_str());
             }
             drop(names);
-            let label = if is_told { name.as_str() } else { OTHER };
-            self.unknown_total.with_label_values(&[label]).inc();
+            let label = if has_own_label {
+                name.as_str()
+            } else {
+                OTHER_LABEL
+            };
+            self.unknown_headers_total.with_label_values(&[label]).inc();
         }
     }
 }
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -18,16 +18,16 @@
 
 /// Purpose for which instances are ranked: the first in rank rewrites the rows that this system
 /// had stored. The text is hashed into the rank, so all instances must use the same one.
-const PURPOSE: &str = "written again";
+const RANK_PURPOSE: &str = "written again";
 
 /// Enters each new era of the store until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
-        node.store.eras().risen().await;
+        node.store.eras().wait_for_new_era().await;
         enter(&node);
         // By then the other writers have rewritten what the restored store has lost.
         pause(BACK_WITHIN_MS).await;
-        let is_first = node.peers().rank(node.now_ms(), PURPOSE) == 0;
+        let is_first = node.peers().rank(node.now_ms(), RANK_PURPOSE) == 0;
         if is_first && lasting::has_some(&node) {
             lasting::keep(Arc::clone(&node)).await;
         }
--- a/crates/cranereach-gateway/src/store_pace.rs
+++ b/crates/cranereach-gateway/src/store_pace.rs
@@ -13,48 +13,48 @@
 use cranereach_fleet::outage_pace;
 
 /// Base of the exponential backoff after failed calls, in milliseconds.
-const PAUSE_FIRST_MS: u64 = 60;
+const BACKOFF_BASE_MS: u64 = 60;
 
 /// Upper limit of the backoff, in milliseconds.
-const PAUSE_MAX_MS: u64 = 500;
+const BACKOFF_MAX_MS: u64 = 500;
 
 /// Number of instances that retry soon after a failed call.
-const TRYING_COUNT: u64 = 4;
+const RETRYING_INSTANCE_COUNT: u64 = 4;
 
 /// Returns whether an instance of this rank leaves retries to other instances because peers
 /// report that the store is lost.
 pub fn is_left_to_others(node: &Node, rank: u64) -> bool {
-    rank >= TRYING_COUNT && node.peers().is_store_lost(node.now_ms())
+    rank >= RETRYING_INSTANCE_COUNT && node.peers().is_store_lost(node.now_ms())
 }
 
 /// Returns whether an instance that leaves retries to others makes an attempt of its own now,
 /// `elapsed_ms` after the previous time it asked.
-pub fn tries_now(node: &Node, looked_ms: u64) -> bool {
+pub fn tries_now(node: &Node, elapsed_ms: u64) -> bool {
     let alive_count = node.peers().members().alive(node.now_ms()).count();
-    outage_pace::tries_now(alive_count, looked_ms, rand::random())
+    outage_pace::tries_now(alive_count, elapsed_ms, rand::random())
 }
 
 /// Reports a failed call to peers and waits for a backoff with jitter, which grows with the
 /// number of consecutive failures.
 pub async fn after_failure(node: &Node, failure_count: u32) {
     node.peers().store_failed(node.now_ms());
-    let doubled_ms = PAUSE_FIRST_MS << failure_count.min(4);
-    let longest_ms = doubled_ms.min(PAUSE_MAX_MS);
-    pause(longest_ms / 2 + rand::random_range(0..=longest_ms / 2)).await;
+    let uncapped_ms = BACKOFF_BASE_MS << failure_count.min(4);
+    let backoff_ms = uncapped_ms.min(BACKOFF_MAX_MS);
+    pause(backoff_ms / 2 + rand::random_range(0..=backoff_ms / 2)).await;
 }
 
 /// Waits after an answer of another era, before the data of the new era is requested.
 pub async fn after_other_era() {
-    pause(PAUSE_FIRST_MS).await;
+    pause(BACKOFF_BASE_MS).await;
 }
 
 /// Counts a read of the store by its outcome.
 pub fn note_call(node: &Node, kind: &str, read: &Result<Rows, StoreError>) {
     let outcome = match read {
         Ok(_) => "done",
-        Err(error) => failure(error),
+        Err(error) => failure_label(error),
     };
-    note(node, kind, outcome);
+    count_call(node, kind, outcome);
 }
 
 /// Counts a write of the store by its outcome and returns the label of the outcome.
@@ -66,14 +66,14 @@
     let outcome = match written {
         Ok(WriteAnswer::Done(_)) => "done",
         Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => "conflict",
-        Err(error) => failure(error),
+        Err(error) => failure_label(error),
     };
-    note(node, kind, outcome);
+    count_call(node, kind, outcome);
     outcome
 }
 
 /// Returns the metric label of a failure.
-fn failure(error: &StoreError) -> &'static str {
+fn failure_label(error: &StoreError) -> &'static str {
     match error {
         StoreError::HistoryGone => "history_gone",
         StoreError::OtherEra => "other_era",
@@ -83,7 +83,7 @@
 }
 
 /// Counts a call to the store.
-fn note(node: &Node, kind: &str, outcome: &str) {
+fn count_call(node: &Node, kind: &str, outcome: &str) {
     let counter = &node.metrics.store_calls_total;
     counter.with_label_values(&[kind, outcome]).inc();
 }
