--- a/crates/cranereach-gateway/src/store.rs
+++ b/crates/cranereach-gateway/src/store.rs
@@ -26,17 +26,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// The store did not execute the call.
-    #[error("nothing was done: {0}")]
+    #[error("store did not execute the call: {0}")]
     NotDone(String),
     /// The outcome is unknown: the store may have executed the call, or may still do so.
-    #[error("may have been done: {0}")]
+    #[error("store call has an unknown outcome: {0}")]
     Unknown(String),
     /// The store no longer has the change history after the requested position.
-    #[error("the history is gone")]
+    #[error("store no longer has the requested change history")]
     HistoryGone,
     /// The store was restored from a backup in the meantime, so the answer belongs to another era
     /// than the position that the call was based on. A write may have been executed.
-    #[error("the store came back from a copy")]
+    #[error("store was restored from a backup during the call")]
     OtherEra,
 }
 
@@ -100,7 +100,8 @@
             let last_key = page.rows.last().map(|row| row.key.as_str());
             if page.has_more && last_key <= all.rows.last().map(|row| row.key.as_str()) {
                 // The next request would start at the same key and get the same page again.
-                let reason = format!("a page of {table} leads no further");
+                let reason =
+                    format!("page of table {table} does not advance past the previous page");
                 return Err(StoreError::Unknown(reason));
             }
             let has_more = page.has_more;
@@ -177,7 +178,7 @@
     /// Sends a conditional change that is based on data read in the given era.
     async fn send_change(&self, era: u64, body: Vec<u8>) -> Result<WriteAnswer, StoreError> {
         if era < self.eras.newest() {
-            let reason = "what it rests on is of an earlier era";
+            let reason = "change is based on data of an earlier store era";
             return Err(StoreError::NotDone(reason.to_owned()));
         }
         let path = self.adapter.store.write_path;
--- a/crates/cranereach-gateway/src/store/eras.rs
+++ b/crates/cranereach-gateway/src/store/eras.rs
@@ -122,7 +122,7 @@
     fn count_invalid_era(&self, kind: &'static str) {
         let counter = self.bad_input_total.with_label_values(&[kind]);
         if counter.get() == 0 {
-            warn!(self.log, "era of the store not taken"; "kind" => kind, "newest" => self.newest());
+            warn!(self.log, "invalid store era ignored"; "kind" => kind, "newest" => self.newest());
         }
         counter.inc();
     }
@@ -142,7 +142,7 @@
             let has_own_label = !is_new || names.len() < LABEL_MAX_COUNT;
             if is_new && has_own_label {
                 names.insert(name.as_str().to_owned());
-                warn!(self.log, "unknown word of the store"; "header" => name.as_str());
+                warn!(self.log, "unknown header in store answer"; "header" => name.as_str());
             }
             drop(names);
             let label = if has_own_label {
