--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the row of one lease in the store.
+//! Acquires, renews and releases one lease through its row in the store.
 
 use std::sync::Arc;
 
@@ -16,24 +16,24 @@
 use cranereach_fleet::tenure::Step;
 use cranereach_fleet::tenure::Tenure;
 
-/// Table of the leases.
+/// Table of the lease rows.
 const TABLE: &str = "cranereach_leases";
 
-/// Time between two candidates' turns, in milliseconds.
+/// Time between the attempts of two consecutive candidates, in milliseconds.
 const TURN_MS: u64 = 250;
 
-/// Candidates that take their turns so soon; there are as many again each
-/// [`FURTHER_TURN_MS`], so that calls to the store don't grow with the fleet.
+/// Number of candidates in each group. The groups follow each other every [`GROUP_STAGGER_MS`],
+/// so that the number of calls to the store does not grow with the fleet.
 const EARLY_CANDIDATE_COUNT: u64 = 4;
 
-/// Time after which as many further candidates try, in milliseconds: longer than a
-/// successor of a silent holder has to wait.
+/// Time between the first attempts of two groups of candidates, in milliseconds. It is longer
+/// than a successor of a holder that has fallen silent has to wait for the lease.
 const FURTHER_TURN_MS: u64 = 6_000;
 
-/// Pause after a failed call, in milliseconds.
+/// Pause after a failed call to the store, in milliseconds.
 const FAILED_PAUSE_MS: u64 = 450;
 
-/// When this instance may take its turn.
+/// State of this instance's attempts to acquire or keep one lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidacy {
     due_since_ms: Option<u64>,
@@ -41,7 +41,7 @@
     has_released: bool,
 }
 
-/// Does what the lease needs now: nothing, one read or one write.
+/// Performs the next step for the lease: nothing, one read or one write of its row.
 pub async fn keep(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &Arc<str>) {
     let now_ms = node.now_ms();
     if node.is_stopping() {
@@ -63,7 +63,7 @@
     }
     let step = tenure.step(now_ms, is_heard);
     if !tenure.is_holder() && step != Step::Wait {
-        // Whoever comes first reads first, and so may write first.
+        // The first candidate in rank reads first, and so may also write first.
         let since_ms = *candidacy.due_since_ms.get_or_insert(now_ms);
         let rank = node.peers().members().rank(now_ms, key);
         if now_ms < since_ms + turn_ms(rank) {
@@ -79,13 +79,13 @@
     }
 }
 
-/// Returns how long a candidate waits for those before it, in milliseconds.
+/// Returns how long a candidate waits for those that come before it in rank, in milliseconds.
 fn turn_ms(rank: u64) -> u64 {
     let further = rank / EARLY_CANDIDATE_COUNT * FURTHER_TURN_MS;
     further + rank % EARLY_CANDIDATE_COUNT * TURN_MS
 }
 
-/// Tells peers whether this instance's term is over.
+/// Announces to peers whether a term of this instance has expired.
 fn tell_ended(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
     let mut ended = lock(&node.ended_leases);
     let before = match tenure.ended(now_ms) {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Reads the row.
+/// Reads the lease row.
 async fn read(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
     let rows = node.store.read(TABLE).await;
     store_pace::note_call(node, "lease", &rows);
@@ -122,7 +122,7 @@
     }
 }
 
-/// Writes the row to take or renew the lease.
+/// Writes the lease row to acquire or renew the lease.
 async fn write(
     node: &Node,
     tenure: &mut Tenure,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Gives the lease up, once.
+/// Releases the lease on the first call; later calls do nothing.
 async fn release(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
     if candidacy.has_released {
         return;
@@ -166,7 +166,7 @@
     candidacy.has_released = true;
     if let Some(position) = tenure.release() {
         let content = content(node, position.era, true);
-        // Without an answer the successor waits for the end of the term.
+        // If the write fails, the successor waits for the end of the term.
         let _written = node
             .store
             .write(&row_name(service), position, &content)
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns the content of the row, written in an era of the store.
+/// Returns the content of the lease row for an era of the store.
 fn content(node: &Node, era: u64, is_released: bool) -> Vec<u8> {
     let row = LeaseRow {
         holder: node.settings.instance.id.clone(),
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -1,8 +1,8 @@
-//! Holds the leases of engine services and orders their workers.
+//! Holds the leases of engine services and directs which models their workers load.
 //!
-//! One lease per service. Its holder plans from the list of workers and from
-//! the demand that all instances tell; [`lease`] keeps the row in the store,
-//! [`orders`] sends orders and asks for reports.
+//! There is one lease per service. Its holder plans from the list of workers and from the demand
+//! that all instances report. [`lease`] maintains the lease row in the store; [`orders`] sends
+//! orders to workers and requests their reports.
 
 mod lease;
 mod orders;
@@ -33,36 +33,38 @@
 use cranereach_fleet::pressure::WantedModel;
 use cranereach_fleet::tenure::Tenure;
 
-/// Time between two looks, in milliseconds.
+/// Time between two rounds of the control loop, in milliseconds.
 const LOOK_EVERY_MS: u64 = 100;
 
-/// Least time between two looks, in milliseconds.
+/// Minimum time between two rounds, in milliseconds.
 const LOOK_LEAST_MS: u64 = 15;
 
-/// Time before the first look, so that peers can be heard, in milliseconds.
+/// Delay of the first round after the start, in milliseconds, during which digests of peers
+/// arrive.
 const BEGIN_AFTER_MS: u64 = 400;
 
-/// Time for which no worker may have been new before the plan begins, in milliseconds.
+/// Time for which the list of workers must not have grown before planning begins, in
+/// milliseconds.
 ///
-/// While the list fills, models look missing whose workers aren't on it yet.
+/// While the list is still filling, models seem to be missing whose workers are not on it yet.
 const LIST_STILL_FOR_MS: u64 = 2_000;
 
-/// Loads from the weight store that may begin at once.
+/// Number of loads from the weight store that may start at once.
 const LOAD_BURST_COUNT: f64 = 2.0;
 
-/// Time between two log lines of what a plan is made from, in milliseconds.
+/// Time between two log lines with the inputs of the plan, in milliseconds.
 const TOLD_EVERY_MS: u64 = 1_000;
 
-/// Models that such a line names.
+/// Maximum number of models that such a log line names.
 const TOLD_MODEL_COUNT: usize = 8;
 
-/// Orders that one look sends at most.
+/// Maximum number of new orders in one round.
 const ORDER_MAX_COUNT: usize = 16;
 
-/// Adapters that a holder tells peers of at most.
+/// Maximum number of adapters that a lease holder announces to peers.
 const TOLD_ADAPTER_MAX_COUNT: usize = 512;
 
-/// The lease of one service, with what its holder knows.
+/// Controller of one service: its lease and what the lease holder knows.
 #[derive(Debug)]
 struct Group {
     service: Arc<str>,
@@ -77,7 +79,7 @@
     told_at_ms: u64,
 }
 
-/// Runs until the process ends.
+/// Runs the control loop until the process ends.
 pub async fn run(node: Arc<Node>) {
     pause(BEGIN_AFTER_MS).await;
     let (finished, mut ends) = mpsc::unbounded_channel();
@@ -116,7 +118,7 @@
     }
 }
 
-/// Makes a group for each engine service of the configuration.
+/// Adds a controller for each engine service of the configuration that has none.
 fn update_groups(node: &Node, groups: &mut HashMap<Arc<str>, Group>) {
     let Some(configuration) = node.configuration() else {
         return;
@@ -132,7 +134,7 @@
 }
 
 impl Group {
-    /// Makes a group whose lease isn't held.
+    /// Creates a controller that does not hold its lease.
     fn new(node: &Node, service: Arc<str>, engine: &Engine) -> Self {
         let settings = &node.settings;
         Self {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Takes how an order or a question for a report ended.
+    /// Records the result of an order or of a report request in the ledger.
     fn take(&mut self, node: &Node, done: Done) {
         let now_ms = node.now_ms();
         match done.end {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Returns the time that the load of an order takes at most, in milliseconds.
+    /// Returns the load time of the order's model, in milliseconds.
     fn load_ms(&self, node: &Node, done: &Done) -> u64 {
         let service = node.service(&self.service);
         let engine = service.as_ref().and_then(|service| service.engine.as_ref());
@@ -170,7 +172,7 @@
         model.map_or(1_000, |model| (model.load_s * 1_000.0) as u64)
     }
 
-    /// Plans and orders, if the lease allows it now.
+    /// Runs one round: plans and sends orders if the lease permits it now.
     fn look(&mut self, node: &Arc<Node>, sender: &mut Sender) {
         let now_ms = node.now_ms();
         let is_ordering = self.tenure.may_order(now_ms);
@@ -181,7 +183,8 @@
             self.was_ordering = is_ordering;
             self.ledger.clear();
             if !self.is_first {
-                // Whoever ordered before may have begun loads just now.
+                // The previous holder may have started loads just now, so the load budget starts
+                // empty.
                 self.loads.drain(now_ms);
             }
             self.is_first = false;
@@ -215,7 +218,7 @@
         }
         if self.is_list_still(node, now_ms) {
             self.plan(node, engine, sender);
-            // Workers that the plan wants and that were never asked.
+            // The plan may want workers that were never asked for a report.
             for worker in self.ledger.reports_due(now_ms) {
                 sender.ask(&self.service, &worker);
             }
@@ -223,7 +226,8 @@
         self.announce(node, engine);
     }
 
-    /// Whether the list of workers has filled; asked once, at the start.
+    /// Returns whether the list of workers has stopped growing. Growth delays planning only
+    /// shortly after the start.
     fn is_list_still(&mut self, node: &Node, now_ms: u64) -> bool {
         let worker_count = node.roster().of_service(&self.service).count();
         if self.worker_count < worker_count && now_ms < BEGIN_AFTER_MS + 2 * LIST_STILL_FOR_MS {
@@ -234,7 +238,7 @@
         worker_count > 0 && now_ms >= since_ms + LIST_STILL_FOR_MS
     }
 
-    /// Sends what the plan says.
+    /// Plans and sends the resulting orders.
     fn plan(&mut self, node: &Arc<Node>, engine: &Engine, sender: &mut Sender) {
         let now_ms = node.now_ms();
         let demand = view::demand(node, now_ms, &self.service);
@@ -262,7 +266,7 @@
                 }
                 sender.order(&self.tenure, &self.service, engine, &id, open, 1);
             }
-            // Only the worker that was ordered looks different now.
+            // Only the view of the worker that got the order has changed.
             let worker = &mut workers[planned.worker];
             if let Some(view) = self.ledger.view(&id) {
                 let is_evacuated = worker.is_evacuated;
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Logs what the plan is made from.
+    /// Logs the inputs of the plan and updates the metric of missing models.
     fn tell(&self, node: &Node, engine: &Engine, demand: &HashMap<ModelKey, f64>) {
         let (_ids, workers) = view::workers(node, &self.ledger);
         let pressure = Pressure::of(engine.models.len(), demand, &workers);
@@ -303,14 +307,15 @@
             "missing" => missing_count, "wanted" => wanted.join(", "));
     }
 
-    /// Shows how many models no worker serves; none where somebody else holds the lease.
+    /// Sets the metric of models that no worker serves. It is zero on instances that do not hold
+    /// the lease.
     fn show_missing(&self, node: &Node, count: usize) {
         let missing = &node.metrics.models_missing;
         let of_service = missing.with_label_values(&[self.service.as_ref()]);
         of_service.set(count as i64);
     }
 
-    /// Tells peers, and this instance's own roster, what the orders changed.
+    /// Announces to peers, and applies to this instance's own roster, what the orders changed.
     fn announce(&mut self, node: &Node, engine: &Engine) {
         let mut announced = Announced {
             adapters: self.unlisted_adapters(node, engine),
@@ -338,7 +343,7 @@
         }
     }
 
-    /// Lists the adapters that were loaded and aren't on the list yet.
+    /// Returns the adapters that were loaded but do not appear in the list of workers yet.
     fn unlisted_adapters(&mut self, node: &Node, engine: &Engine) -> Vec<(u64, ModelKey)> {
         let adapters = self.ledger.adapters(node.now_ms());
         let roster = node.roster();
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to workers and asks them for reports.
+//! Sends orders to workers and requests their reports.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,39 +29,39 @@
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 
-/// Time for the answer to an order, in milliseconds; sending it again is safe.
+/// Timeout of an order, in milliseconds. Orders are safe to resend.
 const ORDER_WITHIN_MS: u64 = 250;
 
-/// Time for a report, in milliseconds.
+/// Timeout of a report request, in milliseconds.
 const REPORT_WITHIN_MS: u64 = 600;
 
-/// Rank of orders and questions where a worker gets only so many requests: callers' ones
-/// go first.
+/// Rank of orders and report requests at a worker whose request rate is limited: requests of
+/// callers go first.
 const LEAST_URGENT_RANK: u8 = (RANK_COUNT - 1) as u8;
 
-/// How an order or a question ended.
+/// Result of an order or a report request.
 #[derive(Clone, Debug)]
 pub enum End {
-    /// A report, or none.
+    /// The state from the report, or none if the request failed.
     Report(Option<WorkerState>),
-    /// An order that was sent so many times.
+    /// The result of an order, and how many times the order was sent.
     Order(OrderEnd, u32),
 }
 
-/// The end of an order or a question, for the ledger.
+/// A completed order or report request, for the ledger.
 #[derive(Clone, Debug)]
 pub struct Done {
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Worker.
+    /// Identifier of the worker.
     pub worker: Arc<str>,
-    /// Model that the order was about.
+    /// Index of the order's model; zero for a report request.
     pub model: u16,
-    /// How it ended.
+    /// Result.
     pub end: End,
 }
 
-/// Sends orders and questions, each in a task of its own.
+/// Sends orders and report requests, each in a task of its own.
 #[derive(Debug)]
 pub struct Sender {
     node: Arc<Node>,
@@ -70,7 +70,7 @@
 }
 
 impl Sender {
-    /// Makes a sender whose ends go to `finished`.
+    /// Creates a sender that reports completions to `completions`.
     pub fn new(node: Arc<Node>, finished: UnboundedSender<Done>) -> Self {
         Self {
             node,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Asks a worker for its report.
+    /// Requests a worker's report.
     pub fn ask(&mut self, service: &Arc<str>, worker: &Arc<str>) {
         let client = self.client(worker);
         let node = Arc::clone(&self.node);
@@ -95,7 +95,7 @@
             let outcome = if state.is_some() { "done" } else { "failed" };
             counter.with_label_values(&["report", outcome]).inc();
             let end = End::Report(state);
-            // The controller only ends with the process.
+            // The receiver is dropped only when the process ends.
             let _told = finished.send(Done {
                 service,
                 worker,
@@ -105,7 +105,7 @@
         });
     }
 
-    /// Sends an order, if the lease still allows it when it leaves.
+    /// Sends an order, provided that the lease still permits it at the moment of sending.
     pub fn order(
         &mut self,
         tenure: &Tenure,
@@ -132,7 +132,7 @@
                 _ => OrderEnd::NotSent,
             };
             let end = End::Order(end, sent_count);
-            // The controller only ends with the process.
+            // The receiver is dropped only when the process ends.
             let _told = finished.send(Done {
                 service,
                 worker,
@@ -142,7 +142,8 @@
         });
     }
 
-    /// Returns the client of a worker; none if it is no longer listed.
+    /// Returns the HTTP client of a worker, or none if the worker is no longer listed. Drops the
+    /// clients of all workers that are no longer listed.
     fn client(&mut self, worker: &Arc<str>) -> Option<Arc<JsonClient>> {
         let roster = self.node.roster();
         self.clients.retain(|id, _| roster.get(id).is_some());
@@ -156,7 +157,7 @@
     }
 }
 
-/// Returns the model that an order is about.
+/// Returns the index of the model that an order is about.
 fn model_of(order: Order) -> u16 {
     match order {
         Order::Load(model)
@@ -166,7 +167,7 @@
     }
 }
 
-/// Returns the adapter that an order is about.
+/// Returns the number of the adapter that an order is about, if any.
 fn adapter_of(order: Order) -> Option<u16> {
     match order {
         Order::Load(_) | Order::Unload(_) => None,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Sends one order.
+/// Sends one order and waits for its result.
 async fn send(
     node: &Node,
     client: &JsonClient,
@@ -203,7 +204,7 @@
     let body = Bytes::from((format.encode_order)(&order));
     let permit = || async {
         let permit = send_permit::ask(node, worker, Purpose::Order, LEAST_URGENT_RANK).await?;
-        // The last look at the lease before the order leaves.
+        // Last check of the lease before the order is sent.
         (tenure.token(node.now_ms()) == Some(token)).then_some(permit)
     };
     let answer = client
@@ -232,7 +233,7 @@
     end
 }
 
-/// Asks for a report and reads it.
+/// Requests a report and parses it.
 async fn report(
     node: &Node,
     client: &JsonClient,
@@ -254,14 +255,14 @@
     Some(state(service.engine.as_ref()?, &report))
 }
 
-/// Hears what the answer to an order or question says of the worker.
+/// Processes the worker headers of the answer to an order or report request.
 fn hear(node: &Node, permit: &Permit, answer: &Answer) {
-    // The client made the number from a status, so that it is one.
+    // The client took the number from a parsed status, so it is always valid.
     let status = StatusCode::from_u16(answer.status).unwrap_or_default();
     worker_words::hear(node, permit, (status, &answer.headers), true);
 }
 
-/// Returns the state that a report shows, adapters on their way included.
+/// Returns the worker state of a report, with adapters that are still loading counted as held.
 fn state(engine: &Engine, report: &WorkerReport) -> WorkerState {
     let mut places = view::places(engine, &report.models);
     for (model, adapter) in &report.pending {
--- a/crates/cranereach-gateway/src/controller/view.rs
+++ b/crates/cranereach-gateway/src/controller/view.rs
@@ -1,4 +1,5 @@
-//! What the holder plans from: workers, models and demand, by their numbers.
+//! Inputs of the lease holder's plan: workers, models and demand, with models and adapters as
+//! numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,13 +15,13 @@
 use cranereach_fleet::placement::WorkerView;
 use cranereach_fleet::worker::HeldModel;
 
-/// Returns the number of an adapter from its name, `a1` and so on.
+/// Returns the number in an adapter's name, such as 1 for `a1`. A suffix after `@` is ignored.
 pub fn adapter_number(name: &str) -> Option<u16> {
     let name = name.split('@').next().unwrap_or_default();
     name.trim_start_matches('a').parse().ok()
 }
 
-/// Returns what a worker holds, by numbers; unknown models are left out.
+/// Returns the models and adapters that a worker holds, as numbers. Unknown ones are left out.
 pub fn places(engine: &Engine, models: &[HeldModel]) -> Vec<Place> {
     models
         .iter()
@@ -36,7 +37,7 @@
         .collect()
 }
 
-/// Takes the list of workers into the ledger.
+/// Updates the ledger from the list of workers.
 pub fn update_ledger(node: &Node, service: &str, engine: &Engine, ledger: &mut Ledger) {
     let now_ms = node.now_ms();
     let roster = node.roster();
@@ -45,7 +46,8 @@
         let record = &worker.record;
         let is_serving = !worker.is_leaving() && !worker.health.is_aside(now_ms);
         if ledger.knows(&record.id, worker.position, is_serving) {
-            // Looking the names of its models up again takes most of a look.
+            // Skips unchanged rows: resolving the names of their models would dominate the cost
+            // of a round.
             continue;
         }
         let copies = record.in_memory.iter().chain(&record.on_disk);
@@ -63,21 +65,21 @@
     }
 }
 
-/// Returns the workers as the plan sees them, in the order of their names.
+/// Returns the workers as the plan sees them, ordered by identifier.
 pub fn workers(node: &Node, ledger: &Ledger) -> (Vec<Arc<str>>, Vec<WorkerView>) {
     let (ids, mut views) = ledger.views();
     let now_ms = node.now_ms();
     let roster = node.roster();
     for (id, view) in ids.iter().zip(&mut views) {
         view.is_evacuated = roster.is_evacuated(id);
-        // What a worker in need takes is left to callers: each order leads to a question
-        // for a report, too.
+        // The few requests that a limited or resting worker accepts are left to callers. Each
+        // order also leads to a report request.
         view.is_free &= !roster.names_limit(now_ms, id) && !roster.is_resting(now_ms, id);
     }
     (ids, views)
 }
 
-/// Returns the sizes of the models.
+/// Returns the sizes and load times of the models.
 pub fn model_sizes(engine: &Engine) -> Vec<ModelSize> {
     let models = engine.models.iter();
     models
@@ -90,7 +92,7 @@
         .collect()
 }
 
-/// Returns the demand for a service at all instances that are heard.
+/// Returns the demand for a service, summed over this instance and all peers that it hears from.
 pub fn demand(node: &Node, now_ms: u64, service: &Arc<str>) -> HashMap<ModelKey, f64> {
     let mut all: HashMap<ModelKey, f64> = HashMap::new();
     if let Some(own) = node.demand().get_mut(service) {
