--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -20,53 +20,58 @@
 const TABLE: &str = "cranereach_leases";
 
 /// Time between the attempts of two consecutive candidates, in milliseconds.
-const TURN_MS: u64 = 250;
+const CANDIDATE_STAGGER_MS: u64 = 250;
 
 /// Number of candidates in each group. The groups follow each other every [`GROUP_STAGGER_MS`],
 /// so that the number of calls to the store does not grow with the fleet.
-const EARLY_CANDIDATE_COUNT: u64 = 4;
+const CANDIDATE_GROUP_SIZE: u64 = 4;
 
 /// Time between the first attempts of two groups of candidates, in milliseconds. It is longer
 /// than a successor of a holder that has fallen silent has to wait for the lease.
-const FURTHER_TURN_MS: u64 = 6_000;
+const GROUP_STAGGER_MS: u64 = 6_000;
 
 /// Pause after a failed call to the store, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 450;
+const RETRY_DELAY_MS: u64 = 450;
 
 /// State of this instance's attempts to acquire or keep one lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidacy {
-    due_since_ms: Option<u64>,
-    call_after_ms: u64,
+    candidate_since_ms: Option<u64>,
+    next_call_at_ms: u64,
     has_released: bool,
 }
 
 /// Performs the next step for the lease: nothing, one read or one write of its row.
-pub async fn keep(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &Arc<str>) {
+pub async fn advance(
+    node: &Node,
+    tenure: &mut Tenure,
+    candidacy: &mut Candidacy,
+    service: &Arc<str>,
+) {
     let now_ms = node.now_ms();
     if node.is_stopping() {
         release(node, tenure, candidacy, service).await;
         return;
     }
     let key = worker_key(service);
-    let is_heard = node.peers().hears_holder(now_ms, key);
-    if is_heard {
-        candidacy.due_since_ms = None;
+    let is_holder_heard = node.peers().hears_holder(now_ms, key);
+    if is_holder_heard {
+        candidacy.candidate_since_ms = None;
     }
     tenure.enter_era(node.store.eras().newest());
-    tell_ended(node, tenure, now_ms, key);
+    announce_ended_term(node, tenure, now_ms, key);
     for ended in node.peers().ended_terms(now_ms, key) {
         tenure.heard_ended(ended);
     }
-    if now_ms < candidacy.call_after_ms {
+    if now_ms < candidacy.next_call_at_ms {
         return;
     }
-    let step = tenure.step(now_ms, is_heard);
+    let step = tenure.step(now_ms, is_holder_heard);
     if !tenure.is_holder() && step != Step::Wait {
         // The first candidate in rank reads first, and so may also write first.
-        let since_ms = *candidacy.due_since_ms.get_or_insert(now_ms);
+        let since_ms = *candidacy.candidate_since_ms.get_or_insert(now_ms);
         let rank = node.peers().members().rank(now_ms, key);
-        if now_ms < since_ms + turn_ms(rank) {
+        if now_ms < since_ms + stagger_ms(rank) {
             return;
         }
     }
@@ -80,20 +85,20 @@
 }
 
 /// Returns how long a candidate waits for those that come before it in rank, in milliseconds.
-fn turn_ms(rank: u64) -> u64 {
-    let further = rank / EARLY_CANDIDATE_COUNT * FURTHER_TURN_MS;
-    further + rank % EARLY_CANDIDATE_COUNT * TURN_MS
+fn stagger_ms(rank: u64) -> u64 {
+    let group_delay_ms = rank / CANDIDATE_GROUP_SIZE * GROUP_STAGGER_MS;
+    group_delay_ms + rank % CANDIDATE_GROUP_SIZE * CANDIDATE_STAGGER_MS
 }
 
 /// Announces to peers whether a term of this instance has expired.
-fn tell_ended(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
+fn announce_ended_term(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
     let mut ended = lock(&node.ended_leases);
-    let before = match tenure.ended(now_ms) {
+    let is_unchanged = match tenure.ended(now_ms) {
         Some(term) => ended.insert(service, term) == Some(term),
         None => ended.remove(&service).is_none(),
     };
     drop(ended);
-    if !before {
+    if !is_unchanged {
         node.digest_wanted.notify_one();
     }
 }
@@ -118,7 +123,7 @@
             let content = row.and_then(|row| serde_json::from_slice(&row.value).ok());
             tenure.read(now_ms, position, content);
         }
-        Err(_failed) => candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS,
+        Err(_failed) => candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS,
     }
 }
 
@@ -141,15 +146,15 @@
     match written {
         Ok(WriteAnswer::Done(position)) => {
             tenure.written(sent_at_ms, position);
-            candidacy.due_since_ms = None;
+            candidacy.candidate_since_ms = None;
         }
         Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => tenure.conflicted(),
         Err(StoreError::NotDone(_) | StoreError::HistoryGone) => {
-            candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS;
+            candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
         Err(StoreError::Unknown(_) | StoreError::OtherEra) => {
             tenure.unanswered(now_ms);
-            candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS;
+            candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
     }
     if outcome != "done" {
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 
 use self::lease::Candidacy;
-use self::orders::Done;
-use self::orders::Sender;
+use self::orders::Completion;
+use self::orders::OrderSender;
 use crate::news;
 use crate::node::Announced;
 use crate::node::Node;
@@ -34,84 +34,84 @@
 use cranereach_fleet::tenure::Tenure;
 
 /// Time between two rounds of the control loop, in milliseconds.
-const LOOK_EVERY_MS: u64 = 100;
+const ROUND_INTERVAL_MS: u64 = 100;
 
 /// Minimum time between two rounds, in milliseconds.
-const LOOK_LEAST_MS: u64 = 15;
+const ROUND_MIN_INTERVAL_MS: u64 = 15;
 
 /// Delay of the first round after the start, in milliseconds, during which digests of peers
 /// arrive.
-const BEGIN_AFTER_MS: u64 = 400;
+const START_DELAY_MS: u64 = 400;
 
 /// Time for which the list of workers must not have grown before planning begins, in
 /// milliseconds.
 ///
 /// While the list is still filling, models seem to be missing whose workers are not on it yet.
-const LIST_STILL_FOR_MS: u64 = 2_000;
+const LIST_STABLE_FOR_MS: u64 = 2_000;
 
 /// Number of loads from the weight store that may start at once.
 const LOAD_BURST_COUNT: f64 = 2.0;
 
 /// Time between two log lines with the inputs of the plan, in milliseconds.
-const TOLD_EVERY_MS: u64 = 1_000;
+const PLAN_LOG_INTERVAL_MS: u64 = 1_000;
 
 /// Maximum number of models that such a log line names.
-const TOLD_MODEL_COUNT: usize = 8;
+const LOGGED_MODEL_MAX_COUNT: usize = 8;
 
 /// Maximum number of new orders in one round.
-const ORDER_MAX_COUNT: usize = 16;
+const ROUND_ORDER_MAX_COUNT: usize = 16;
 
 /// Maximum number of adapters that a lease holder announces to peers.
-const TOLD_ADAPTER_MAX_COUNT: usize = 512;
+const ANNOUNCED_ADAPTER_MAX_COUNT: usize = 512;
 
 /// Controller of one service: its lease and what the lease holder knows.
 #[derive(Debug)]
-struct Group {
+struct ServiceController {
     service: Arc<str>,
     tenure: Tenure,
     candidacy: Candidacy,
     ledger: Ledger,
-    loads: TokenBucket,
+    load_budget: TokenBucket,
     was_ordering: bool,
-    is_first: bool,
-    still_since_ms: Option<u64>,
+    is_first_term: bool,
+    stable_since_ms: Option<u64>,
     worker_count: usize,
-    told_at_ms: u64,
+    plan_logged_at_ms: u64,
 }
 
 /// Runs the control loop until the process ends.
 pub async fn run(node: Arc<Node>) {
-    pause(BEGIN_AFTER_MS).await;
-    let (finished, mut ends) = mpsc::unbounded_channel();
-    let mut sender = Sender::new(Arc::clone(&node), finished);
-    let mut groups: HashMap<Arc<str>, Group> = HashMap::new();
+    pause(START_DELAY_MS).await;
+    let (completion_sender, mut completions) = mpsc::unbounded_channel();
+    let mut sender = OrderSender::new(Arc::clone(&node), completion_sender);
+    let mut controllers: HashMap<Arc<str>, ServiceController> = HashMap::new();
     loop {
-        while let Ok(done) = ends.try_recv() {
-            if let Some(group) = groups.get_mut(&done.service) {
-                group.take(&node, done);
+        while let Ok(completion) = completions.try_recv() {
+            if let Some(controller) = controllers.get_mut(&completion.service) {
+                controller.apply_result(&node, completion);
             }
         }
-        update_groups(&node, &mut groups);
-        for group in groups.values_mut() {
-            lease::keep(
+        add_missing_controllers(&node, &mut controllers);
+        for controller in controllers.values_mut() {
+            lease::advance(
                 &node,
-                &mut group.tenure,
-                &mut group.candidacy,
-                &group.service,
+                &mut controller.tenure,
+                &mut controller.candidacy,
+                &controller.service,
             )
             .await;
-            group.look(&node, &mut sender);
+            controller.run_round(&node, &mut sender);
         }
-        pause(LOOK_LEAST_MS).await;
-        let look = Duration::from_millis(LOOK_EVERY_MS);
+        pause(ROUND_MIN_INTERVAL_MS).await;
+        let round_interval = Duration::from_millis(ROUND_INTERVAL_MS);
         tokio::select! {
             _wanted = node.controller_wanted.notified() => {}
-            _elapsed = tokio::time::sleep(look) => {}
-            done = ends.recv() => {
-                if let Some(done) = done
-                    && let Some(group) = groups.get_mut(&done.service)
+            _elapsed = tokio::time::sleep(round_interval) => {}
+            completion = completions.recv() => {
+                if let Some(completion) = completion
+                    && let Some(controller) = controllers.get_mut(&completion.service)
                 {
-                    group.take(&node, done);
+                    controller.apply_result(&node, completion);
                 }
             }
         }
@@ -119,21 +119,21 @@
 }
 
 /// Adds a controller for each engine service of the configuration that has none.
-fn update_groups(node: &Node, groups: &mut HashMap<Arc<str>, Group>) {
+fn add_missing_controllers(node: &Node, controllers: &mut HashMap<Arc<str>, ServiceController>) {
     let Some(configuration) = node.configuration() else {
         return;
     };
     for service in configuration.services.values() {
         if let Some(engine) = &service.engine
-            && !groups.contains_key(&service.name)
+            && !controllers.contains_key(&service.name)
         {
-            let group = Group::new(node, Arc::clone(&service.name), engine);
-            groups.insert(Arc::clone(&service.name), group);
+            let controller = ServiceController::new(node, Arc::clone(&service.name), engine);
+            controllers.insert(Arc::clone(&service.name), controller);
         }
     }
 }
 
-impl Group {
+impl ServiceController {
     /// Creates a controller that does not hold its lease.
     fn new(node: &Node, service: Arc<str>, engine: &Engine) -> Self {
         let settings = &node.settings;
@@ -141,39 +141,43 @@
             tenure: Tenure::new(&settings.instance.id, settings.bounds.lease_ms),
             candidacy: Candidacy::default(),
             ledger: Ledger::default(),
-            loads: TokenBucket::new(engine.loads_per_s * 0.95, LOAD_BURST_COUNT, node.now_ms()),
+            load_budget: TokenBucket::new(
+                engine.loads_per_s * 0.95,
+                LOAD_BURST_COUNT,
+                node.now_ms(),
+            ),
             was_ordering: false,
-            is_first: true,
-            still_since_ms: None,
+            is_first_term: true,
+            stable_since_ms: None,
             worker_count: 0,
-            told_at_ms: 0,
+            plan_logged_at_ms: 0,
             service,
         }
     }
 
     /// Records the result of an order or of a report request in the ledger.
-    fn take(&mut self, node: &Node, done: Done) {
+    fn apply_result(&mut self, node: &Node, completion: Completion) {
         let now_ms = node.now_ms();
-        match done.end {
-            orders::End::Report(state) => self.ledger.reported(now_ms, &done.worker, state),
+        match completion.end {
+            orders::End::Report(state) => self.ledger.reported(now_ms, &completion.worker, state),
             orders::End::Order(end, sent_count) => {
-                let load_ms = self.load_ms(node, &done);
+                let load_ms = self.load_ms(node, &completion);
                 self.ledger
-                    .ended(now_ms, &done.worker, end, sent_count, load_ms);
+                    .ended(now_ms, &completion.worker, end, sent_count, load_ms);
             }
         }
     }
 
     /// Returns the load time of the order's model, in milliseconds.
-    fn load_ms(&self, node: &Node, done: &Done) -> u64 {
+    fn load_ms(&self, node: &Node, completion: &Completion) -> u64 {
         let service = node.service(&self.service);
         let engine = service.as_ref().and_then(|service| service.engine.as_ref());
-        let model = engine.and_then(|engine| engine.models.get(usize::from(done.model)));
+        let model = engine.and_then(|engine| engine.models.get(usize::from(completion.model)));
         model.map_or(1_000, |model| (model.load_s * 1_000.0) as u64)
     }
 
     /// Runs one round: plans and sends orders if the lease permits it now.
-    fn look(&mut self, node: &Arc<Node>, sender: &mut Sender) {
+    fn run_round(&mut self, node: &Arc<Node>, sender: &mut OrderSender) {
         let now_ms = node.now_ms();
         let is_ordering = self.tenure.may_order(now_ms);
         if is_ordering != self.was_ordering {
@@ -182,16 +186,16 @@
             node.metrics.leases_held.set(i64::from(is_ordering));
             self.was_ordering = is_ordering;
             self.ledger.clear();
-            if !self.is_first {
+            if !self.is_first_term {
                 // The previous holder may have started loads just now, so the load budget starts
                 // empty.
-                self.loads.drain(now_ms);
+                self.load_budget.drain(now_ms);
             }
-            self.is_first = false;
+            self.is_first_term = false;
         }
         if !is_ordering {
             if node.announced().remove(&self.service).is_some() {
-                self.show_missing(node, 0);
+                self.set_missing_metric(node, 0);
                 node.digest_wanted.notify_one();
             }
             return;
@@ -204,10 +208,10 @@
         };
         view::update_ledger(node, &service.name, engine, &mut self.ledger);
         for worker in self.ledger.reports_due(now_ms) {
-            sender.ask(&self.service, &worker);
+            sender.request_report(&self.service, &worker);
         }
         for (worker, open, sent_count) in self.ledger.resends_due(now_ms) {
-            sender.order(
+            sender.send_order(
                 &self.tenure,
                 &self.service,
                 engine,
@@ -216,11 +220,11 @@
                 sent_count,
             );
         }
-        if self.is_list_still(node, now_ms) {
+        if self.is_list_stable(node, now_ms) {
             self.plan(node, engine, sender);
             // The plan may want workers that were never asked for a report.
             for worker in self.ledger.reports_due(now_ms) {
-                sender.ask(&self.service, &worker);
+                sender.request_report(&self.service, &worker);
             }
         }
         self.announce(node, engine);
@@ -228,27 +232,27 @@
 
     /// Returns whether the list of workers has stopped growing. Growth delays planning only
     /// shortly after the start.
-    fn is_list_still(&mut self, node: &Node, now_ms: u64) -> bool {
+    fn is_list_stable(&mut self, node: &Node, now_ms: u64) -> bool {
         let worker_count = node.roster().of_service(&self.service).count();
-        if self.worker_count < worker_count && now_ms < BEGIN_AFTER_MS + 2 * LIST_STILL_FOR_MS {
-            self.still_since_ms = Some(now_ms);
+        if self.worker_count < worker_count && now_ms < START_DELAY_MS + 2 * LIST_STABLE_FOR_MS {
+            self.stable_since_ms = Some(now_ms);
         }
         self.worker_count = worker_count;
-        let since_ms = self.still_since_ms.unwrap_or(0);
-        worker_count > 0 && now_ms >= since_ms + LIST_STILL_FOR_MS
+        let since_ms = self.stable_since_ms.unwrap_or(0);
+        worker_count > 0 && now_ms >= since_ms + LIST_STABLE_FOR_MS
     }
 
     /// Plans and sends the resulting orders.
-    fn plan(&mut self, node: &Arc<Node>, engine: &Engine, sender: &mut Sender) {
+    fn plan(&mut self, node: &Arc<Node>, engine: &Engine, sender: &mut OrderSender) {
         let now_ms = node.now_ms();
         let demand = view::demand(node, now_ms, &self.service);
         let models = view::model_sizes(engine);
-        if now_ms >= self.told_at_ms + TOLD_EVERY_MS {
-            self.told_at_ms = now_ms;
-            self.tell(node, engine, &demand);
+        if now_ms >= self.plan_logged_at_ms + PLAN_LOG_INTERVAL_MS {
+            self.plan_logged_at_ms = now_ms;
+            self.log_plan_inputs(node, engine, &demand);
         }
         let (ids, mut workers) = view::workers(node, &self.ledger);
-        for _order in 0..ORDER_MAX_COUNT {
+        for _order in 0..ROUND_ORDER_MAX_COUNT {
             let plan = Plan {
                 models: &models,
                 weights_mb: engine.weights_mb,
@@ -256,15 +260,15 @@
                 demand: &demand,
                 workers: &workers,
             };
-            let Some(planned) = plan.next(self.loads.is_filled(now_ms)) else {
+            let Some(planned) = plan.next(self.load_budget.is_filled(now_ms)) else {
                 return;
             };
             let id = Arc::clone(&ids[planned.worker]);
             if let Some(open) = self.ledger.begin(&id, planned.order) {
                 if planned.is_from_store {
-                    self.loads.take(now_ms);
+                    self.load_budget.take(now_ms);
                 }
-                sender.order(&self.tenure, &self.service, engine, &id, open, 1);
+                sender.send_order(&self.tenure, &self.service, engine, &id, open, 1);
             }
             // Only the view of the worker that got the order has changed.
             let worker = &mut workers[planned.worker];
@@ -279,25 +283,31 @@
     }
 
     /// Logs the inputs of the plan and updates the metric of missing models.
-    fn tell(&self, node: &Node, engine: &Engine, demand: &HashMap<ModelKey, f64>) {
+    fn log_plan_inputs(&self, node: &Node, engine: &Engine, demand: &HashMap<ModelKey, f64>) {
         let (_ids, workers) = view::workers(node, &self.ledger);
         let pressure = Pressure::of(engine.models.len(), demand, &workers);
         let (most, mean) = pressure.levels();
         let all = pressure.most_wanted(engine.models.len());
-        let missing_count = all.iter().filter(|of| of.ready_count == 0).count();
-        self.show_missing(node, missing_count);
-        let wanted = &all[..all.len().min(TOLD_MODEL_COUNT)];
+        let missing_count = all
+            .iter()
+            .filter(|candidate| candidate.ready_count == 0)
+            .count();
+        self.set_missing_metric(node, missing_count);
+        let wanted = &all[..all.len().min(LOGGED_MODEL_MAX_COUNT)];
         let wanted: Vec<String> = wanted
             .iter()
-            .map(|of| {
-                let name = engine.models.get(of.model).map_or("", |model| &model.name);
+            .map(|candidate| {
+                let name = engine
+                    .models
+                    .get(candidate.model)
+                    .map_or("", |model| &model.name);
                 let WantedModel {
                     demand,
                     ready_count,
                     coming_count,
                     level,
                     ..
-                } = of;
+                } = candidate;
                 format!("{name} {demand:.2} {ready_count}+{coming_count} {level:.2}")
             })
             .collect();
@@ -309,10 +319,10 @@
 
     /// Sets the metric of models that no worker serves. It is zero on instances that do not hold
     /// the lease.
-    fn show_missing(&self, node: &Node, count: usize) {
+    fn set_missing_metric(&self, node: &Node, count: usize) {
         let missing = &node.metrics.models_missing;
-        let of_service = missing.with_label_values(&[self.service.as_ref()]);
-        of_service.set(count as i64);
+        let service_gauge = missing.with_label_values(&[self.service.as_ref()]);
+        service_gauge.set(count as i64);
     }
 
     /// Announces to peers, and applies to this instance's own roster, what the orders changed.
@@ -322,22 +332,24 @@
             withheld: Vec::new(),
             coming: self.ledger.coming(node.now_ms()),
         };
-        let going = self.ledger.going();
-        announced.withheld = going.map(|(id, model)| (worker_key(id), model)).collect();
+        let unloading = self.ledger.going();
+        announced.withheld = unloading
+            .map(|(id, model)| (worker_key(id), model))
+            .collect();
         let now_ms = node.now_ms();
         news::apply_orders(node, now_ms, &announced.adapters, &announced.withheld);
         news::tell_placed(node, worker_key(&self.service), &announced.adapters);
-        let mut all = node.announced();
-        let before = all.insert(Arc::clone(&self.service), announced.clone());
-        drop(all);
-        let Some(before) = before else {
+        let mut all_announced = node.announced();
+        let previous = all_announced.insert(Arc::clone(&self.service), announced.clone());
+        drop(all_announced);
+        let Some(previous) = previous else {
             node.digest_wanted.notify_one();
             return;
         };
-        if before.adapters.len() != announced.adapters.len() {
+        if previous.adapters.len() != announced.adapters.len() {
             node.roster_changed.notify_waiters();
         }
-        if before.withheld != announced.withheld {
+        if previous.withheld != announced.withheld {
             node.roster_changed.notify_waiters();
             node.digest_wanted.notify_one();
         }
@@ -348,7 +360,10 @@
         let adapters = self.ledger.adapters(node.now_ms());
         let roster = node.roster();
         let is_listed = |id: &str, (model, adapter): ModelKey| {
-            let name = engine.models.get(usize::from(model)).map(|of| &of.name);
+            let name = engine
+                .models
+                .get(usize::from(model))
+                .map(|entry| &entry.name);
             let mut held = roster
                 .get(id)
                 .into_iter()
@@ -364,7 +379,7 @@
             .filter(|(id, adapter)| !is_listed(id, *adapter));
         unlisted
             .map(|(id, key)| (worker_key(&id), key))
-            .take(TOLD_ADAPTER_MAX_COUNT)
+            .take(ANNOUNCED_ADAPTER_MAX_COUNT)
             .collect()
     }
 }
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -30,10 +30,10 @@
 use cranereach_http::client::JsonClient;
 
 /// Timeout of an order, in milliseconds. Orders are safe to resend.
-const ORDER_WITHIN_MS: u64 = 250;
+const ORDER_TIMEOUT_MS: u64 = 250;
 
 /// Timeout of a report request, in milliseconds.
-const REPORT_WITHIN_MS: u64 = 600;
+const REPORT_TIMEOUT_MS: u64 = 600;
 
 /// Rank of orders and report requests at a worker whose request rate is limited: requests of
 /// callers go first.
@@ -50,7 +50,7 @@
 
 /// A completed order or report request, for the ledger.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct Completion {
     /// Name of the service.
     pub service: Arc<str>,
     /// Identifier of the worker.
@@ -63,32 +63,32 @@
 
 /// Sends orders and report requests, each in a task of its own.
 #[derive(Debug)]
-pub struct Sender {
+pub struct OrderSender {
     node: Arc<Node>,
-    finished: UnboundedSender<Done>,
+    completions: UnboundedSender<Completion>,
     clients: HashMap<Arc<str>, Arc<JsonClient>>,
 }
 
-impl Sender {
+impl OrderSender {
     /// Creates a sender that reports completions to `completions`.
-    pub fn new(node: Arc<Node>, finished: UnboundedSender<Done>) -> Self {
+    pub fn new(node: Arc<Node>, completions: UnboundedSender<Completion>) -> Self {
         Self {
             node,
-            finished,
+            completions,
             clients: HashMap::new(),
         }
     }
 
     /// Requests a worker's report.
-    pub fn ask(&mut self, service: &Arc<str>, worker: &Arc<str>) {
+    pub fn request_report(&mut self, service: &Arc<str>, worker: &Arc<str>) {
         let client = self.client(worker);
         let node = Arc::clone(&self.node);
-        let finished = self.finished.clone();
+        let completions = self.completions.clone();
         let service = Arc::clone(service);
         let worker = Arc::clone(worker);
         tokio::spawn(async move {
             let state = match client {
-                Some(client) => report(&node, &client, &service, &worker).await,
+                Some(client) => fetch_report(&node, &client, &service, &worker).await,
                 None => None,
             };
             let counter = &node.metrics.orders_total;
@@ -96,7 +96,7 @@
             counter.with_label_values(&["report", outcome]).inc();
             let end = End::Report(state);
             // The receiver is dropped only when the process ends.
-            let _told = finished.send(Done {
+            let _sent = completions.send(Completion {
                 service,
                 worker,
                 model: 0,
@@ -106,7 +106,7 @@
     }
 
     /// Sends an order, provided that the lease still permits it at the moment of sending.
-    pub fn order(
+    pub fn send_order(
         &mut self,
         tenure: &Tenure,
         service: &Arc<str>,
@@ -115,12 +115,12 @@
         open: OpenOrder,
         sent_count: u32,
     ) {
-        let model = model_of(open.order);
+        let model = order_model(open.order);
         let client = self.client(worker);
         let name = engine.models.get(usize::from(model));
         let name = name.map(|model| model.name.to_string());
         let node = Arc::clone(&self.node);
-        let finished = self.finished.clone();
+        let completions = self.completions.clone();
         let tenure = tenure.clone();
         let service = Arc::clone(service);
         let worker = Arc::clone(worker);
@@ -133,7 +133,7 @@
             };
             let end = End::Order(end, sent_count);
             // The receiver is dropped only when the process ends.
-            let _told = finished.send(Done {
+            let _sent = completions.send(Completion {
                 service,
                 worker,
                 model,
@@ -158,7 +158,7 @@
 }
 
 /// Returns the index of the model that an order is about.
-fn model_of(order: Order) -> u16 {
+fn order_model(order: Order) -> u16 {
     match order {
         Order::Load(model)
         | Order::Unload(model)
@@ -168,7 +168,7 @@
 }
 
 /// Returns the number of the adapter that an order is about, if any.
-fn adapter_of(order: Order) -> Option<u16> {
+fn order_adapter(order: Order) -> Option<u16> {
     match order {
         Order::Load(_) | Order::Unload(_) => None,
         Order::LoadAdapter((_, adapter)) | Order::UnloadAdapter((_, adapter)) => Some(adapter),
@@ -195,7 +195,7 @@
     let order = WorkerOrder {
         kind,
         model,
-        adapter: adapter_of(open.order).map(|adapter| format!("a{adapter}")),
+        adapter: order_adapter(open.order).map(|adapter| format!("a{adapter}")),
         expected_sequence: open.expected_sequence,
         holder: node.settings.instance.id.clone(),
         token,
@@ -208,10 +208,10 @@
         (tenure.token(node.now_ms()) == Some(token)).then_some(permit)
     };
     let answer = client
-        .post_bytes_when(format.order_path, body, ORDER_WITHIN_MS, permit)
+        .post_bytes_when(format.order_path, body, ORDER_TIMEOUT_MS, permit)
         .await;
     if let Ok((answer, permit)) = &answer {
-        hear(node, permit, answer);
+        process_headers(node, permit, answer);
     }
     let end = match answer {
         Ok((answer, _permit)) => match (format.parse_order)(answer.status) {
@@ -234,7 +234,7 @@
 }
 
 /// Requests a report and parses it.
-async fn report(
+async fn fetch_report(
     node: &Node,
     client: &JsonClient,
     service: &str,
@@ -243,27 +243,27 @@
     let format = &node.adapter.engine;
     let permit = || send_permit::ask(node, worker, Purpose::Report, LEAST_URGENT_RANK);
     let (answer, permit) = client
-        .get_when(format.report_path, REPORT_WITHIN_MS, permit)
+        .get_when(format.report_path, REPORT_TIMEOUT_MS, permit)
         .await
         .ok()?;
-    hear(node, &permit, &answer);
+    process_headers(node, &permit, &answer);
     if answer.status != 200 {
         return None;
     }
     let report = (format.parse_report)(&answer.body).ok()?;
     let service = node.service(service)?;
-    Some(state(service.engine.as_ref()?, &report))
+    Some(worker_state(service.engine.as_ref()?, &report))
 }
 
 /// Processes the worker headers of the answer to an order or report request.
-fn hear(node: &Node, permit: &Permit, answer: &Answer) {
+fn process_headers(node: &Node, permit: &Permit, answer: &Answer) {
     // The client took the number from a parsed status, so it is always valid.
     let status = StatusCode::from_u16(answer.status).unwrap_or_default();
     worker_words::hear(node, permit, (status, &answer.headers), true);
 }
 
 /// Returns the worker state of a report, with adapters that are still loading counted as held.
-fn state(engine: &Engine, report: &WorkerReport) -> WorkerState {
+fn worker_state(engine: &Engine, report: &WorkerReport) -> WorkerState {
     let mut places = view::places(engine, &report.models);
     for (model, adapter) in &report.pending {
         let model = engine.model_index(model);
--- a/crates/cranereach-gateway/src/controller/view.rs
+++ b/crates/cranereach-gateway/src/controller/view.rs
@@ -99,10 +99,10 @@
         all.clone_from(own.rates(now_ms));
     }
     let key = worker_key(service);
-    let round_ms = node.settings.peers.digest_every_ms;
+    let digest_interval_ms = node.settings.peers.digest_every_ms;
     let peers = node.peers();
-    let told = peers.demand(now_ms, round_ms);
-    for part in told.filter(|part| part.service == key) {
+    let reported = peers.demand(now_ms, digest_interval_ms);
+    for part in reported.filter(|part| part.service == key) {
         *all.entry(part.model).or_default() += f64::from(part.work_ms_per_s);
     }
     all
