--- a/crates/cranereach-gateway/src/adapter.rs
+++ b/crates/cranereach-gateway/src/adapter.rs
@@ -1,4 +1,5 @@
-//! What a platform's adapter provides: names, formats and calls, nothing that decides.
+//! Interface of platform adapters. An adapter provides names, formats and paths, and makes no
+//! decisions.
 
 use thiserror::Error;
 
@@ -7,11 +8,11 @@
 use cranereach_fleet::worker::HeldModel;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Something from the platform that can't be understood.
+/// Data from the platform that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{what}: {detail}")]
 pub struct FormatError {
-    /// What was being read.
+    /// What was being parsed.
     pub what: &'static str,
     /// What is wrong with it.
     pub detail: String,
@@ -20,45 +21,45 @@
 /// Names of headers, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Identity of a request.
+    /// Identifier of a request.
     pub request_id: &'static str,
-    /// Time that the caller waits, in milliseconds.
+    /// Time for which the caller waits for the answer, in milliseconds.
     pub deadline_ms: &'static str,
-    /// Worker that is meant.
+    /// Worker that the request is addressed to.
     pub expected_worker: &'static str,
-    /// Says that a worker did not run the request.
+    /// States that a worker did not run the request.
     pub not_run: &'static str,
-    /// A worker's load: running, waiting, slots.
+    /// Load of a worker: running requests, waiting requests and slots.
     pub load: &'static str,
-    /// Says that a worker leaves.
+    /// States that a worker is leaving.
     pub leaving: &'static str,
-    /// Worker that answers.
+    /// Worker that sent the answer.
     pub answered_by: &'static str,
-    /// Requests a second that a worker in need takes from all callers together.
+    /// Requests per second that a worker in distress accepts from all callers together.
     pub limit: &'static str,
-    /// Model, with an adapter behind a slash.
+    /// Model, optionally followed by a slash and an adapter.
     pub model: &'static str,
-    /// Tokens of the prompt and of the longest answer.
+    /// Token counts of the prompt and of the longest possible answer.
     pub tokens: &'static str,
-    /// Tokens that the caller expects to come out.
+    /// Number of tokens that the caller expects in the answer.
     pub expected_tokens: &'static str,
-    /// Parts of the prompt.
+    /// Parts of the prompt, for matching prefixes that a worker has cached.
     pub prompt_parts: &'static str,
-    /// Urgency at the worker.
+    /// Priority of the request at the worker.
     pub priority: &'static str,
-    /// Last event that a caller has.
+    /// Last event of a stream that the caller has received.
     pub last_event: &'static str,
-    /// Client account of the request, as the worker is told it.
+    /// Client account of the request, as passed on to the worker.
     pub account: &'static str,
-    /// Beginnings of headers by which workers speak of themselves.
+    /// Prefixes of the headers in which workers describe themselves.
     pub worker_prefixes: &'static [&'static str],
-    /// Headers with such a beginning whose meaning is known.
+    /// Headers with such a prefix whose meaning is known.
     pub worker_known: &'static [&'static str],
-    /// Headers that only this system may set; callers' ones are dropped.
+    /// Headers that only this system may set. They are removed from callers' requests.
     pub reserved: &'static [&'static str],
 }
 
-/// Name of a row.
+/// Name of a row in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowName {
     /// Table.
@@ -67,32 +68,32 @@
     pub key: String,
 }
 
-/// A row as read.
+/// A row as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// Key.
     pub key: String,
-    /// Content; empty if the row is gone.
+    /// Content; empty if the row was removed.
     pub value: Vec<u8>,
-    /// Position of its last change.
+    /// Position of the last change of the row.
     pub position: StorePosition,
-    /// Whether the row was dropped.
+    /// Whether the row was removed.
     pub is_gone: bool,
 }
 
-/// Rows as read, as of one position of the store.
+/// Rows as read from the store, as of one position.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
     /// The rows.
     pub rows: Vec<Row>,
     /// Newest position of the store.
     pub position: StorePosition,
-    /// Whether there are more behind the last.
+    /// Whether more rows follow the last one.
     pub has_more: bool,
 }
 
 impl Rows {
-    /// Returns the position of a row; the start of the era if there is none.
+    /// Returns the position of a row, or the start of the era if there is no such row.
     pub fn position_of(&self, key: &str) -> StorePosition {
         let row = self.rows.iter().find(|row| row.key == key);
         row.map_or(StorePosition::start_of(self.position.era), |row| {
@@ -101,156 +102,157 @@
     }
 }
 
-/// Size of an answer of the store.
+/// Size of an answer from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerSize {
-    /// Rows.
+    /// Number of rows.
     pub row_count: usize,
-    /// Bytes.
+    /// Number of bytes.
     pub byte_count: usize,
 }
 
-/// What the store answers to a read.
+/// Answer of the store to a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadAnswer {
     /// The rows.
     Rows(Rows),
-    /// The history that was asked for is gone.
+    /// The store no longer has the requested change history.
     HistoryGone,
-    /// Nothing was done.
+    /// The store refused with this HTTP status and executed nothing.
     Refused(u16),
 }
 
-/// What the store answers to a conditional write.
+/// Answer of the store to a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteAnswer {
-    /// Done at this position.
+    /// Executed; the row now has this position.
     Done(StorePosition),
-    /// The row had another version.
+    /// Rejected, because the row had another version.
     Conflict,
-    /// Nothing was done.
+    /// The store refused with this HTTP status and executed nothing.
     Refused(u16),
 }
 
-/// How the store is spoken to.
+/// Names and formats of the store's interface.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreFormat {
     /// Table and key of the configuration.
     pub configuration: (&'static str, &'static str),
-    /// Failure domain that a row of the configuration's table asks to be evacuated, by
-    /// its key; none for other rows.
+    /// Returns the failure domain that a row of the configuration's table marks for evacuation,
+    /// from the row's key, or none for other rows.
     pub evacuated_domain: fn(key: &str) -> Option<&str>,
-    /// Key of that row, for operators who ask.
+    /// Returns the key of the row that marks a domain for evacuation, for the operators' command.
     pub evacuation_key: fn(domain: &str) -> String,
     /// Table of the workers.
     pub workers: &'static str,
-    /// Header of each answer that states the era of the store, in lower case.
+    /// Header, in lower case, in which each answer states the era of the store.
     pub era_header: &'static str,
-    /// Path of a read of a table, from a key.
+    /// Returns the path for reading a table from a key on.
     pub read_path: fn(table: &str, from: &str) -> String,
-    /// Path of a wait for changes of a table after a version.
+    /// Returns the path for waiting for changes of a table after a version.
     pub watch_path: fn(table: &str, after: u64, wait_ms: u64) -> String,
-    /// Size from which on the answer to a wait may have been cut short.
+    /// Size from which on the answer to a wait may be truncated.
     pub watch_whole: AnswerSize,
-    /// Reads the answer to either, of an era of the store.
+    /// Parses the answer to a read or a wait, given in an era of the store.
     pub parse_read: fn(status: u16, era: u64, body: &[u8]) -> Result<ReadAnswer, FormatError>,
-    /// Path of a write.
+    /// Path of writes and removals.
     pub write_path: &'static str,
-    /// Body of a write of one row that must have a version.
+    /// Returns the body of a write of one row, conditional on the row's version.
     pub encode_write: fn(row: &RowName, expected_version: u64, value: &[u8]) -> Vec<u8>,
-    /// Body of a removal of one row that must have a version.
+    /// Returns the body of a removal of one row, conditional on the row's version.
     pub encode_remove: fn(row: &RowName, expected_version: u64) -> Vec<u8>,
-    /// Reads the answer to a write or removal, of an era of the store.
+    /// Parses the answer to a write or removal, given in an era of the store.
     pub parse_write: fn(status: u16, era: u64, body: &[u8]) -> Result<WriteAnswer, FormatError>,
 }
 
-/// What an order does.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load a model or an adapter of it.
+    /// Loads a model or one of its adapters.
     Load,
-    /// Unload it.
+    /// Unloads a model or one of its adapters.
     Unload,
 }
 
 /// An order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerOrder {
-    /// What to do.
+    /// Kind.
     pub kind: OrderKind,
     /// Model.
     pub model: String,
-    /// Adapter of the model, if it is about one.
+    /// Adapter of the model, if the order is about one.
     pub adapter: Option<String>,
-    /// Orders that the worker must have taken.
+    /// Number of orders that the worker must have accepted so far; otherwise it rejects this one.
     pub expected_sequence: u64,
-    /// Who orders.
+    /// Instance that sends the order, as the holder of the lease.
     pub holder: String,
-    /// Token of the lease.
+    /// Fencing token of the lease.
     pub token: u64,
 }
 
-/// What a worker answers to an order.
+/// Answer of a worker to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// Under way.
+    /// Accepted; the order is in progress.
     Taken,
-    /// It holds that already.
+    /// The worker is already in the ordered state.
     AlreadyDone,
-    /// Another order is under way, or others were taken meanwhile.
+    /// Another order is in progress, or others were accepted in the meantime.
     Conflict,
-    /// It is another worker.
+    /// The answer comes from another worker than the one addressed.
     OtherWorker,
-    /// Anything else.
+    /// Any other answer, with its HTTP status.
     Refused(u16),
 }
 
-/// What a worker says of itself when asked.
+/// Report of a worker about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// Orders that it has taken.
+    /// Number of orders that the worker has accepted.
     pub sequence: u64,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// What it holds.
+    /// Models that the worker holds.
     pub models: Vec<HeldModel>,
-    /// Adapters on their way.
+    /// Adapters that are being loaded: model and adapter.
     pub pending: Vec<(String, String)>,
 }
 
-/// How a worker's control interface is spoken to.
+/// Names and formats of the workers' control interface.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineFormat {
-    /// Path of orders.
+    /// Path to which orders are posted.
     pub order_path: &'static str,
-    /// Body of an order.
+    /// Returns the body of an order.
     pub encode_order: fn(&WorkerOrder) -> Vec<u8>,
-    /// Reads the status of the answer.
+    /// Interprets the HTTP status of the answer to an order.
     pub parse_order: fn(status: u16) -> OrderAnswer,
     /// Path of the report.
     pub report_path: &'static str,
-    /// Reads a report.
+    /// Parses a report.
     pub parse_report: fn(body: &[u8]) -> Result<WorkerReport, FormatError>,
 }
 
-/// One platform's adapter; it registers itself and is chosen by name.
+/// Adapter for one platform. It registers itself and is chosen by name.
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
-    /// Name, as in settings.
+    /// Name of the adapter, as used in settings.
     pub name: &'static str,
     /// Names of headers.
     pub headers: HeaderNames,
-    /// Path at which the platform asks whether this instance is ready.
+    /// Path at which the platform checks whether this instance is ready.
     pub ready_path: &'static str,
-    /// Reads a configuration.
+    /// Parses a configuration.
     pub parse_configuration: fn(&[u8]) -> Result<Configuration, FormatError>,
-    /// Replaces the keys in a configuration by their hashes, so that it can be told on.
+    /// Replaces the API keys in a configuration by their hashes, so that it can be passed on to
+    /// peers.
     pub conceal_keys: fn(&[u8]) -> Result<Vec<u8>, FormatError>,
-    /// Reads a worker's row.
+    /// Parses the row of a worker.
     pub parse_worker: fn(id: &str, value: &[u8]) -> Result<WorkerRecord, FormatError>,
-    /// The store.
+    /// Interface of the store.
     pub store: StoreFormat,
-    /// Workers' control interface.
+    /// Control interface of the workers.
     pub engine: EngineFormat,
 }
 
@@ -261,7 +263,7 @@
     inventory::iter::<Adapter>().find(|adapter| adapter.name == name)
 }
 
-/// Lists the names of all adapters.
+/// Returns the names of all adapters.
 pub fn names() -> Vec<&'static str> {
     inventory::iter::<Adapter>()
         .map(|adapter| adapter.name)
--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -1,9 +1,9 @@
-//! Follows the configuration in the store, a few instances for all, and with it the
-//! rows that ask for evacuations.
+//! Follows the configuration in the store and the rows of its table that mark failure domains for
+//! evacuation. A few instances watch the store on behalf of all.
 //!
-//! Digests tell which version is in force at their sender; whoever is told of a newer
-//! one fetches it from the peer. Since when a version is known to have been the newest
-//! is asked of peers, see [`crate::proofs`].
+//! Each digest states the version in force at its sender. An instance that learns of a newer
+//! version fetches it from that peer. Peers also prove to each other up to which moment a version
+//! is known to have been the newest, see [`crate::proofs`].
 
 use std::sync::Arc;
 
@@ -24,33 +24,35 @@
 use cranereach_fleet::first_read::Newcomer;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Instances that wait at the store for changes, for all: two, so that one that
-/// falls silent is not missed.
+/// Number of instances that watch the store on behalf of all. There are two, so that the failure
+/// of one does not interrupt the watch.
 const WATCHING_COUNT: u64 = 2;
 
-/// Time that the store is asked to wait for changes, as a share of the bound within
-/// which they must be in force: its answer is news also where nothing has changed.
+/// Time for which the store is asked to wait for changes, as a share of the bound within which
+/// changes must be in force. An answer without changes is useful too: it proves that the known
+/// configuration is still the newest.
 const WAIT_SHARE: f64 = 0.4;
 
-/// Purpose that instances are ranked for.
+/// Purpose for which instances are ranked. The text is hashed into the rank, so all instances
+/// must use the same one.
 const PURPOSE: &str = "configuration";
 
-/// Time until a configuration that isn't understood is read again, in milliseconds.
+/// Time until a configuration that cannot be parsed is read again, in milliseconds.
 const UNREADABLE_PAUSE_MS: u64 = 500;
 
-/// Time in which peers prove to each other what the first have read, in milliseconds: five
-/// rounds of questions.
+/// Time in which proofs of the first reads spread among the peers, in milliseconds: five rounds
+/// of questions.
 const TOLD_WITHIN_MS: u64 = 1_000;
 
-/// Longest pause between two looks whether a read is due, in milliseconds.
+/// Interval at which an instance checks whether a read is due, in milliseconds.
 const LOOK_EVERY_MS: u64 = 100;
 
-/// Runs until the process ends.
+/// Follows the configuration until the process ends.
 pub async fn run(node: Arc<Node>) {
     let (table, key) = node.adapter.store.configuration;
     let mut after: Option<StorePosition> = None;
     let mut is_settled = true;
-    // Whether the table has to be read whole, until that is done.
+    // Whether the table has to be read whole. Stays set until that has succeeded.
     let mut reads_anew = false;
     let mut failure_count = 0_u32;
     loop {
@@ -70,7 +72,7 @@
         store_pace::note_call(&node, "configuration", &read);
         match read {
             Ok(rows) => {
-                // An answer may be the first word of its era.
+                // The answer may be the first sign of a new era.
                 store_era::enter(&node);
                 let is_whole = after.is_none();
                 let position = rows.position;
@@ -81,13 +83,15 @@
                     info!(node.log, "store regained"; "for" => "configuration", "failures" => failure_count);
                 }
                 failure_count = 0;
-                // With nothing new the store answers after the whole wait; a change it
-                // answers at once, and more may have followed since.
+                // Without changes the store answers after the whole wait, so the answer is true
+                // as of that time. With a change it answers at once, and further changes may have
+                // followed since the call began.
                 let waited_ms = if rows.rows.is_empty() { wait_ms } else { 0 };
                 if take(&node, key, rows, is_whole) {
                     lock(&node.proof).read(position.era, begun_ms + waited_ms);
                 } else {
-                    // Later answers would not show that version any more.
+                    // A watch from this position would not return that version again, so the
+                    // table is read whole.
                     after = None;
                     pause(UNREADABLE_PAUSE_MS).await;
                 }
@@ -112,9 +116,9 @@
     }
 }
 
-/// Forgets up to where the table was read where it has to be read whole: in a new era of
-/// the store, and once more when others have written again what it had lost. Returns
-/// whether it has to.
+/// Resets the position if the table has to be read whole: in a new era of the store, and once
+/// more when other writers have rewritten what the restored store had lost. Returns whether it
+/// has to be read whole.
 fn begin_anew(node: &Node, after: &mut Option<StorePosition>, is_settled: &mut bool) -> bool {
     let is_earlier = after.is_some_and(|position| position.era < node.store.eras().newest());
     let settles_now = !*is_settled && !lock(&node.proof).is_settling(node.now_ms());
@@ -125,11 +129,11 @@
     is_earlier || settles_now
 }
 
-/// Waits until this instance has to ask the store, and returns how long the store is
-/// to wait for changes, in milliseconds.
+/// Waits until this instance has to call the store. Returns the time for which the store is to
+/// wait for changes, in milliseconds.
 ///
-/// A few wait at the store for all; the others ask when nobody has told them lately
-/// that what they know is the newest.
+/// A few instances watch the store on behalf of all. The others call it only if no peer has
+/// recently proven to them that their configuration is the newest.
 async fn until_due(node: &Node, has_read: bool, reads_anew: bool) -> u64 {
     if reads_anew && is_watching(node) {
         return 0;
@@ -145,38 +149,39 @@
     }
 }
 
-/// Whether this instance is to ask the store at this look.
+/// Returns whether this instance is to read the store now.
 fn may_read(node: &Node, has_read: bool) -> bool {
     let now_ms = node.now_ms();
     let has_some = has_read || node.configuration_version() > 0;
     if has_some && lock(&node.proof).is_settling(now_ms.saturating_sub(TOLD_WITHIN_MS)) {
-        // Nobody would learn more than those who watch for all, and who then prove it.
+        // While a restored store settles, a read shows no more than the watching instances learn,
+        // and they then prove it to the others.
         return false;
     }
     let rank = rank(node);
     let is_left_to_others = store_pace::is_left_to_others(node, rank);
     let (is_proven, due_ms) = {
         let proof = lock(&node.proof);
-        // Those who try may be just those whom the store turns away: the others don't
-        // wait for their own turn.
+        // The instances that retry may be just those that the store rejects, so the others do not
+        // wait for the turn of their own rank.
         let due_rank = if is_left_to_others { 0 } else { rank };
         (
             proof.age_ms(now_ms).is_some(),
             proof.read_due_at_ms(due_rank),
         )
     };
-    // Who reads first for all may be just who is turned away.
+    // The instance that is to read first may be just the one that the store rejects.
     let is_own_turn = is_proven || is_left_to_others || reads_first(node, now_ms);
     let is_due = now_ms >= due_ms && is_own_turn;
     is_due && (!is_left_to_others || store_pace::tries_now(node, LOOK_EVERY_MS))
 }
 
-/// Whether an instance to which nothing was ever proved is to read, not to take what
-/// peers tell.
+/// Returns whether an instance that has no proof yet is to read the store itself, instead of
+/// taking the configuration from peers.
 fn reads_first(node: &Node, now_ms: u64) -> bool {
     let newcomer = node.peers().newcomer(now_ms, PURPOSE);
-    // It is small, and without it each call is refused: none of those that the settings
-    // name waits for another.
+    // The configuration is small, and without it every call is refused, so no instance that is
+    // listed as a seed waits for another.
     let newcomer = Newcomer {
         seed_rank: newcomer.seed_rank.map(|_rank| 0),
         ..newcomer
@@ -184,18 +189,18 @@
     newcomer.source() == FirstSource::Store
 }
 
-/// Whether this instance is one of those that watch for all.
+/// Returns whether this instance is one of those that watch the store on behalf of all.
 fn is_watching(node: &Node) -> bool {
     rank(node) < WATCHING_COUNT
 }
 
-/// Returns how many instances come before this one.
+/// Returns the number of instances that come before this one in rank.
 fn rank(node: &Node) -> u64 {
     node.peers().rank(node.now_ms(), PURPOSE)
 }
 
-/// Takes evacuations, and puts the newest row of the configuration in force; false if
-/// one wasn't understood, so that nothing is known of the newest.
+/// Applies the evacuation rows and puts the newest configuration row in force. Returns false if a
+/// row could not be parsed, as nothing is known about the newest state then.
 fn take(node: &Node, key: &str, rows: Rows, is_whole: bool) -> bool {
     let mut is_understood = evacuations::take_rows(node, &rows, is_whole);
     for row in rows
--- a/crates/cranereach-gateway/src/metrics.rs
+++ b/crates/cranereach-gateway/src/metrics.rs
@@ -13,7 +13,7 @@
 use prometheus::histogram_opts;
 use prometheus::opts;
 
-/// Bounds of the latency histograms, in seconds.
+/// Bucket bounds of the latency histograms, in seconds.
 const LATENCY_BOUNDS_S: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.6, 3.0, 6.0, 15.0];
 
 /// All metrics of one process.
@@ -24,88 +24,90 @@
     pub requests_total: IntCounterVec,
     /// Time to the first byte, in seconds, by route.
     pub first_byte_seconds: HistogramVec,
-    /// Requests sent to a further worker, by cause.
+    /// Requests sent again to a further worker, by cause.
     pub repeats_total: IntCounterVec,
-    /// Streams whose worker broke off, by what became of them.
+    /// Streams that their worker broke off, by what became of the stream.
     pub streams_broken_total: IntCounterVec,
-    /// Calls whose connection to their worker broke, by what became of the worker.
+    /// Calls whose connection to the worker broke, by what became of the worker.
     pub broken_off_total: IntCounterVec,
-    /// Requests that are quarantined, as far as this instance knows.
+    /// Quarantined requests that this instance knows of.
     pub quarantined_requests: IntGauge,
-    /// Requests under which workers ended that it remembers.
+    /// Requests during which a worker process ended, as remembered by this instance.
     pub suspected_requests: IntGauge,
-    /// Prompts held back so that no stream pauses for too long by them.
+    /// Prompts held back so that reading them does not pause other streams for too long.
     pub prompts_held_total: IntCounter,
-    /// Whole streams with a pause longer than their route aims at.
+    /// Completed streams with a pause longer than the target of their route.
     pub streams_paused_total: IntCounter,
-    /// Store calls by kind and outcome.
+    /// Calls to the store by kind and outcome.
     pub store_calls_total: IntCounterVec,
-    /// Orders by kind and outcome.
+    /// Orders and report requests to workers by kind and outcome.
     pub orders_total: IntCounterVec,
-    /// Input that could not be understood, by source.
+    /// Inputs that could not be parsed, by source.
     pub bad_input_total: IntCounterVec,
     /// Version of the configuration in force.
     pub configuration_version: IntGauge,
-    /// Time since the configuration in force is known to have been the newest, in
-    /// milliseconds.
+    /// Time since the moment at which the configuration in force was last known to be the newest,
+    /// in milliseconds.
     pub configuration_age_ms: IntGauge,
     /// Requests by client account and result.
     pub account_requests_total: IntCounterVec,
     /// Time to the first byte, in seconds, by client account and route.
     pub account_first_byte_seconds: HistogramVec,
-    /// Units charged to limits, by client account.
+    /// Units charged to the limits of client accounts, by account.
     pub account_units_total: CounterVec,
     /// Time for which the list of workers may have been out of date, in milliseconds.
     pub list_age_ms: IntGauge,
     /// Whether this instance holds a lease.
     pub leases_held: IntGauge,
-    /// Requests that are open.
+    /// Open requests of callers.
     pub open_requests: IntGauge,
-    /// Peers heard lately.
+    /// Peers that were heard from recently.
     pub peers_heard: IntGauge,
-    /// Requests that are open at workers, by failure domain.
+    /// Open requests at workers, by failure domain.
     pub open_in_domain: IntGaugeVec,
-    /// Models of the services whose lease is held here that no worker serves.
+    /// Models that no worker serves, by service, for services whose lease this instance holds.
     pub models_missing: IntGaugeVec,
-    /// Failure domains that are to be evacuated.
+    /// Failure domains under evacuation.
     pub evacuated_domains: IntGauge,
     /// Requests sent to workers, by failure domain.
     pub sends_total: IntCounterVec,
-    /// Questions whether a worker that gets only so many requests may be sent one, by why
-    /// and by outcome.
+    /// Requests for a grant to send to a worker with a limited request rate, by reason and
+    /// outcome.
     pub send_grants_total: IntCounterVec,
-    /// Workers that name a limit, when this was asked for.
+    /// Workers that state a limit, updated when the metrics are requested.
     pub limited_workers: IntGauge,
-    /// Workers that leave, when this was asked for.
+    /// Workers that are leaving, updated when the metrics are requested.
     pub leaving_workers: IntGauge,
-    /// Workers that asked this instance for rest, when this was asked for.
+    /// Workers that asked this instance to pause sending, updated when the metrics are requested.
     pub resting_workers: IntGauge,
-    /// Requests sent to workers that name a limit, by what they are for.
+    /// Requests sent to workers that state a limit, by purpose.
     pub limited_sends_total: IntCounterVec,
-    /// Requests that weren't sent to the worker that was chosen, by why and by what they are for.
+    /// Requests that were not sent to the chosen worker, by reason and purpose.
     pub sends_barred_total: IntCounterVec,
-    /// Headers by which workers seem to speak of themselves and that aren't read, by name.
+    /// Headers in which workers seem to describe themselves but which this system does not read,
+    /// by name.
     pub unknown_words_total: IntCounterVec,
-    /// Headers of the store's answers that aren't read, by name.
+    /// Headers of the store's answers that this system does not read, by name.
     pub store_unknown_words_total: IntCounterVec,
     /// Era of the store.
     pub store_era: IntGauge,
-    /// Connections made to workers.
+    /// Connections opened to workers.
     pub connections_total: IntCounter,
     /// Bytes sent to peers, by kind and distance.
     pub peer_sent_bytes_total: IntCounterVec,
     /// Messages sent to peers, by kind and distance.
     pub peer_sent_messages_total: IntCounterVec,
-    /// Bytes of calls and of their answers, by direction and by the worker's distance.
+    /// Body bytes of calls to workers and of their answers, by direction and by the worker's
+    /// distance.
     pub worker_bytes_total: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Panics
     ///
-    /// If two metrics have one name, which a test would see.
+    /// Panics if two metrics have the same name, which any test that creates them detects.
     pub fn new() -> Self {
         let registry = Registry::new();
         let make = Maker(&registry);
@@ -199,24 +201,24 @@
         }
     }
 
-    /// Writes all metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
-        // A metric that can't be written is left out.
+        // On an error the text ends at the metric that could not be encoded.
         let _written = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8(text).unwrap_or_default()
     }
 }
 
-/// Makes metrics and registers each.
+/// Creates metrics and registers them.
 struct Maker<'a>(&'a Registry);
 
 impl Maker<'_> {
-    /// Registers what was made.
+    /// Registers a metric.
     ///
     /// # Panics
     ///
-    /// If two metrics have one name, which a test would see.
+    /// Panics if two metrics have the same name, which any test that creates them detects.
     fn register<T: Collector + Clone + 'static>(&self, made: prometheus::Result<T>) -> T {
         let made = made.expect("names are constants");
         let registered = self.0.register(Box::new(made.clone()));
@@ -224,32 +226,32 @@
         made
     }
 
-    /// Makes counters by labels.
+    /// Creates integer counters with labels.
     fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         self.register(IntCounterVec::new(opts!(name, help), labels))
     }
 
-    /// Makes counters of fractions by labels.
+    /// Creates floating-point counters with labels.
     fn sums(&self, name: &str, help: &str, labels: &[&str]) -> CounterVec {
         self.register(CounterVec::new(opts!(name, help), labels))
     }
 
-    /// Makes a counter.
+    /// Creates an integer counter.
     fn counter(&self, name: &str, help: &str) -> IntCounter {
         self.register(IntCounter::new(name, help))
     }
 
-    /// Makes a gauge.
+    /// Creates a gauge.
     fn gauge(&self, name: &str, help: &str) -> IntGauge {
         self.register(IntGauge::new(name, help))
     }
 
-    /// Makes gauges by labels.
+    /// Creates gauges with labels.
     fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
         self.register(IntGaugeVec::new(opts!(name, help), labels))
     }
 
-    /// Makes a histogram of times to the first byte, by labels.
+    /// Creates a histogram of times to the first byte, with labels.
     fn seconds(&self, name: &str, labels: &[&str]) -> HistogramVec {
         let help = "time from receipt to the first byte of the answer";
         let options = histogram_opts!(name, help, LATENCY_BOUNDS_S.to_vec());
--- a/crates/cranereach-gateway/src/operators.rs
+++ b/crates/cranereach-gateway/src/operators.rs
@@ -1,5 +1,5 @@
-//! What the platform and operators ask an instance: whether it is ready, its metrics, which
-//! requests it sends to no worker, and which workers name a limit, leave or rest.
+//! HTTP endpoints for the platform and for operators: readiness, metrics, quarantined requests,
+//! and the workers that state a limit, leave or rest.
 
 use std::future::Ready;
 use std::future::ready;
@@ -23,19 +23,19 @@
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path of the requests under which workers ended.
+/// Path that lists the requests during which workers ended.
 pub const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Path at which one of them is let through again, before its fingerprint.
+/// Path prefix, followed by a fingerprint, that releases one of these requests from quarantine.
 pub const RELEASE_PATH: &str = "/quarantine/release/";
 
-/// Path of the workers that name a limit.
+/// Path that lists the workers that state a limit.
 pub const LIMITS_PATH: &str = "/limits";
 
-/// Path of the workers that leave or rest.
+/// Path that lists the workers that leave or rest.
 pub const WORKERS_PATH: &str = "/workers";
 
-/// Answers the question whether this instance is ready; anything else is not found.
+/// Answers readiness checks. All other paths are not found.
 pub fn answer_ready(
     node: &Node,
     request: &Request<Incoming>,
@@ -49,7 +49,7 @@
     ready(Ok(answer_with(status, String::new())))
 }
 
-/// Answers operators; anything else is not found.
+/// Answers requests of operators. All other paths are not found.
 pub fn answer(
     node: &Arc<Node>,
     request: &Request<Incoming>,
@@ -81,7 +81,7 @@
     ready(Ok(answer_with(status, text)))
 }
 
-/// Lets a request through again.
+/// Releases a request from quarantine.
 fn release(node: &Arc<Node>, fingerprint: &str) -> StatusCode {
     match Fingerprint::read(fingerprint) {
         None => StatusCode::BAD_REQUEST,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Makes an answer.
+/// Returns a response with a status and a text body.
 fn answer_with(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::new(Bytes::from(text)));
     *answer.status_mut() = status;
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -1,7 +1,7 @@
-//! Asks the owners of workers how these stand, and tells them of requests.
+//! Queries the owners of workers for the workers' state, and reports requests to them.
 //!
-//! See [`cranereach_fleet::owned`]. What this instance owns itself is looked up
-//! without a message.
+//! See [`cranereach_fleet::owned`]. Workers that this instance owns itself are looked up without
+//! a message.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -31,10 +31,10 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::worker::Worker;
 
-/// Parts of a prompt that an owner is asked about at most.
+/// Maximum number of prompt parts in a question to an owner.
 const PART_MAX_COUNT: usize = 16;
 
-/// A request that the owner of its worker knows of.
+/// A request that was reported to the owner of its worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
     owner: Ipv4Addr,
@@ -42,8 +42,8 @@
     ticket: u64,
 }
 
-/// Asks the owners of some workers how these stand for a prompt of which a token takes
-/// a time to read, and notes it.
+/// Asks the owners of the given workers for the workers' standing with respect to a prompt, and
+/// records the answers. `token_ms` is the time to read one token of the prompt.
 pub async fn ask(
     node: &Node,
     workers: &[Arc<str>],
@@ -98,15 +98,15 @@
     }
 }
 
-/// A worker whose owner has been asked.
+/// A worker whose owner has not answered yet.
 struct Asked<'a> {
     owner: Ipv4Addr,
     distance: Distance,
     worker: &'a Arc<str>,
 }
 
-/// Waits until all owners have answered or the time for the farthest of them is over;
-/// takes out who has.
+/// Waits until all owners have answered or the time limit of the farthest one has passed. Removes
+/// the workers whose owners have answered.
 async fn wait(
     node: &Node,
     question: &mut Question<'_, Quote>,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Tells the owner of a worker that a request is sent there.
+/// Reports to the owner of a worker that a request is being sent to the worker.
 pub fn begun(node: &Node, worker: &str, opening: Opening, parts: &[PromptPart]) -> Told {
     let key = worker_key(worker);
     let told = Told {
@@ -155,7 +155,8 @@
     told
 }
 
-/// Tells the owner of a worker, and that of its grants, what it names as its limit.
+/// Reports the limit that a worker states to the owner of the worker and to the owner of its send
+/// grants.
 pub fn tell_limit(node: &Node, worker: &str, word: LimitWord) {
     let key = worker_key(worker);
     let owner = owner_of(node, key);
@@ -168,17 +169,17 @@
 }
 
 impl Told {
-    /// Tells the owner that the prompt has been read after a time.
+    /// Reports to the owner that the worker has read the prompt, and how long that took.
     pub fn read(&self, node: &Node, took_ms: f64) {
         self.follow(node, OwnerEvent::Read(took_ms as u32));
     }
 
-    /// Tells the owner how the request ended.
+    /// Reports to the owner how the request ended.
     pub fn ended(&self, node: &Node, outcome: Outcome) {
         self.follow(node, OwnerEvent::Ended(outcome));
     }
 
-    /// Tells the owner what happened.
+    /// Reports an event of the request to the owner.
     fn follow(&self, node: &Node, event: OwnerEvent) {
         if self.owner == node.own_ip() {
             let message = OwnerMessage {
@@ -186,7 +187,7 @@
                 ticket: self.ticket,
                 event,
             };
-            // Only a question is answered.
+            // Only questions get an answer, and this event is none.
             let _answer = take(node, self.owner, message);
         } else {
             tell(node, self.owner, self.worker, self.ticket, event);
@@ -194,7 +195,8 @@
     }
 }
 
-/// Takes a message to the owner of a worker; returns the answer to a question.
+/// Handles a message to this instance as the owner of a worker. Returns the answer if the message
+/// is a question.
 pub fn take(node: &Node, sender: Ipv4Addr, message: OwnerMessage) -> Option<Quote> {
     let now_ms = node.now_ms();
     let OwnerMessage {
@@ -239,7 +241,7 @@
     None
 }
 
-/// Returns how a worker stands that this instance owns.
+/// Returns the standing of a worker that this instance owns.
 fn own_standing(node: &Node, worker: u64, ask: &OwnerAsk) -> Standing {
     let now_ms = node.now_ms();
     let chains = &ask.chains[..ask.chains.len().min(PART_MAX_COUNT)];
@@ -254,13 +256,13 @@
     }
 }
 
-/// Takes an owner's answer.
+/// Hands an owner's answer to the waiting question.
 pub fn take_quote(node: &Node, quote: Quote) {
     node.questions.answered(quote.ticket, quote);
 }
 
-/// Returns the instance that owns a worker: one of the worker's own failure domain
-/// where some live there, so that asking about near workers crosses nothing.
+/// Returns the instance that owns a worker. It is one of the worker's own failure domain if any
+/// is alive there, so that questions about nearby workers do not leave the domain.
 fn owner_of(node: &Node, worker: u64) -> Ipv4Addr {
     let domain = node
         .roster()
@@ -275,7 +277,7 @@
     )
 }
 
-/// Notes how a worker stands.
+/// Records the standing of a worker in the roster.
 fn note(node: &Node, worker: &Arc<str>, standing: Standing) {
     let now_ms = node.now_ms();
     if let Some(worker) = node.roster().get_mut(worker) {
@@ -283,7 +285,7 @@
     }
 }
 
-/// Sends a message to an owner.
+/// Sends an event to an owner.
 fn tell(node: &Node, owner: Ipv4Addr, worker: u64, ticket: u64, event: OwnerEvent) {
     let message = OwnerMessage {
         worker,
@@ -296,7 +298,7 @@
     );
 }
 
-/// Writes how a worker stands.
+/// Encodes the standing of a worker for the wire.
 fn quote(worker: u64, ticket: u64, standing: &Standing) -> Quote {
     Quote {
         ticket,
@@ -314,7 +316,7 @@
     }
 }
 
-/// Reads how a worker stands.
+/// Decodes the standing of a worker from the wire.
 fn standing_of(quote: &Quote) -> Standing {
     Standing {
         load: load_of(&quote.load),
@@ -328,7 +330,7 @@
     }
 }
 
-/// Writes a load.
+/// Encodes a load for the wire.
 fn load_part(load: &Load) -> LoadPart {
     LoadPart {
         open_count: load.open_count,
@@ -339,7 +341,7 @@
     }
 }
 
-/// Reads a load.
+/// Decodes a load from the wire.
 fn load_of(part: &LoadPart) -> Load {
     Load {
         open_count: part.open_count,
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! An instance put together: start, planned stop, end.
+//! Lifecycle of an instance: start, graceful shutdown and immediate stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,39 +30,41 @@
 use cranereach_http::server;
 use cranereach_http::server::ServeOptions;
 
-/// Time for which a stopping instance still accepts, in milliseconds.
+/// Time for which a stopping instance still accepts requests, in milliseconds.
 ///
-/// The platform asks each second and takes an instance out after two misses.
+/// The platform checks readiness every second and removes an instance after two failed checks.
 const ACCEPT_FOR_MS: u64 = 2_400;
 
-/// Time between the end of a planned stop and the kill, in milliseconds.
+/// Margin between the end of a graceful shutdown and the time at which the process is killed, in
+/// milliseconds.
 const END_BEFORE_KILL_MS: u64 = 500;
 
-/// Time that a kept connection of a caller may rest, in milliseconds.
+/// Time for which an idle keep-alive connection of a caller stays open, in milliseconds.
 ///
-/// Longer than any limit that callers are told, so that none meets our close.
+/// It is longer than any limit that callers are told, so that no caller's request coincides with
+/// the close of its connection.
 const CALLER_REST_MS: u64 = 90_000;
 
-/// Largest head of a request that is read, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const HEADER_MAX_BYTES: usize = 64 * 1024;
 
-/// Time between two looks at a stop, in milliseconds.
+/// Interval at which a graceful shutdown checks whether all requests have ended, in milliseconds.
 const LOOK_EVERY_MS: u64 = 50;
 
-/// Why an instance could not start.
+/// Error that prevents an instance from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// An address could not be listened on.
     #[error("can't listen on {address} ({key}): {source}")]
     Listen {
-        /// Key in settings.
+        /// Key of the address in the settings.
         key: &'static str,
         /// Address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The adapter isn't known.
+    /// There is no adapter of the given name.
     #[error("platform.adapter: {0:?} isn't known")]
     Adapter(String),
 }
@@ -80,11 +82,11 @@
 /// Addresses that an instance listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// Question whether it is ready.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// Metrics.
+    /// Metrics and other requests of operators.
     pub metrics: SocketAddr,
 }
 
@@ -130,7 +132,7 @@
             move |request| operators::answer(&asked, &request),
         ));
         let socket = Arc::new(digests);
-        // Nothing has been sent before.
+        // The cell is still empty: no task that uses it has been started.
         let _first = node.peer_socket.set(Arc::clone(&socket));
         tasks.spawn(gossip::receive(Arc::clone(&node), socket));
         tasks.spawn(list_news::send(Arc::clone(&node)));
@@ -163,7 +165,7 @@
         })
     }
 
-    /// Returns what all parts share.
+    /// Returns the state that all tasks of the instance share.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
@@ -173,7 +175,7 @@
         self.addresses
     }
 
-    /// Stops as planned: unready first, then finishes what is in flight.
+    /// Shuts down gracefully: reports not ready first, then finishes the requests in flight.
     pub async fn drain(mut self) {
         let node = Arc::clone(&self.node);
         let begun_ms = node.now_ms();
@@ -190,14 +192,14 @@
         self.tasks.shutdown().await;
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once, as a crash would.
     pub async fn kill(mut self) {
         self.serving.abort();
         self.tasks.shutdown().await;
     }
 }
 
-/// Listens on an address.
+/// Binds a TCP listener to an address.
 async fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|source| StartError::Listen {
--- a/crates/cranereach-gateway/src/settings.rs
+++ b/crates/cranereach-gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of an instance that serves declared routes.
 //!
-//! Every default stands here. A platform may fill the file from a template;
-//! unknown keys are refused.
+//! All defaults are defined here. A platform may generate the settings file from a template.
+//! Unknown keys are rejected.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where this instance is.
+    /// Identity and location of this instance.
     pub instance: InstanceSettings,
     /// Addresses to listen on.
     pub listen: ListenSettings,
@@ -30,31 +30,31 @@
     pub platform: PlatformSettings,
     /// Other instances.
     pub peers: PeerSettings,
-    /// Bounds that the deployment promises.
+    /// Bounds that the deployment guarantees.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Who and where this instance is.
+/// Identity and location of this instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// Name of the machine.
+    /// Identifier of the machine that this instance runs on.
     pub id: String,
-    /// Failure domain.
+    /// Failure domain of this instance.
     pub failure_domain: String,
-    /// Region of the failure domain.
+    /// Region of this instance's failure domain.
     #[serde(default = "default_region")]
     pub region: String,
-    /// All failure domains with the region of each; the own need not be among them.
+    /// All failure domains with the region of each. This instance's own may be omitted.
     #[serde(default)]
     pub failure_domains: BTreeMap<String, String>,
 }
 
-/// Name of the only region of a deployment that names none.
+/// Returns the name of the only region of a deployment that names no regions.
 fn default_region() -> String {
     "default".to_owned()
 }
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// Question whether this instance is ready.
+    /// Readiness checks of the platform.
     pub ready: SocketAddr,
-    /// Peers, UDP and TCP on the same port.
+    /// Messages of peers, over UDP and TCP on the same port.
     pub peers: SocketAddr,
-    /// Metrics.
+    /// Metrics and other requests of operators.
     pub metrics: SocketAddr,
 }
 
@@ -94,64 +94,65 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Addresses of some; only the IP counts, all use the same port.
+    /// Addresses of some other instances. Only the IP address is used, since all instances use
+    /// the same port.
     pub seeds: Vec<String>,
-    /// Time between two digests, in milliseconds.
+    /// Interval between two gossip digests, in milliseconds.
     #[serde(default = "default_digest_every_ms")]
     pub digest_every_ms: u64,
-    /// Secret that fingerprints of requests are keyed with, the same on all instances:
-    /// without it nobody can check guesses of a content against the fingerprints in logs.
+    /// Secret key for the fingerprints of requests, the same on all instances. Without knowing
+    /// it, nobody can check guessed contents against the fingerprints in logs.
     #[serde(default)]
     pub fingerprint_secret: String,
 }
 
-/// Four digests a second.
+/// Returns the default interval: four digests per second.
 fn default_digest_every_ms() -> u64 {
     250
 }
 
-/// Bounds that the deployment promises.
+/// Bounds that the deployment guarantees.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BoundSettings {
-    /// Time from the first stop signal to the kill, in seconds.
+    /// Time from the first stop signal until the process is killed, in seconds.
     pub grace_s: f64,
-    /// Time within which a leaving worker must get no more work, in milliseconds.
+    /// Time after which a leaving worker must get no more work, in milliseconds.
     pub drain_ms: u64,
-    /// Time within which a change of the configuration must be in force, in
-    /// milliseconds.
+    /// Time within which a change of the configuration must be in force, in milliseconds.
     pub configuration_ms: u64,
-    /// Time between the orders of two holders, in milliseconds.
+    /// Minimum time between the orders of two successive lease holders, in milliseconds.
     pub lease_ms: u64,
-    /// Repeats per request.
+    /// Retry budget as a ratio of retries to requests.
     pub retry_ratio: f64,
-    /// Repeats beside the ratio, of all instances together.
+    /// Retries that are allowed in addition to the ratio, over all instances together.
     pub retry_allowance_count: f64,
-    /// Window of the two, in seconds.
+    /// Window over which both parts of the retry budget are counted, in seconds.
     pub retry_window_s: f64,
-    /// Whether a key that was taken away must open nothing after `revocation_ms`, also
-    /// on an instance that can't know of it. Otherwise only changes of the
-    /// configuration as such are bounded.
+    /// Whether a revoked API key must be rejected after `revocation_ms` even by an instance that
+    /// cannot know of the revocation. Otherwise only the time until a change of the configuration
+    /// is in force is bounded.
     pub is_revocation_strict: bool,
-    /// Time after which a key that was taken away must open nothing, in milliseconds.
+    /// Time after which a revoked API key must be rejected, in milliseconds.
     pub revocation_ms: u64,
-    /// Window that use of an account's limit is counted in, in seconds.
+    /// Window over which the use of a client account's limit is counted, in seconds.
     pub limit_window_s: f64,
-    /// Use that is tolerated beyond a limit, as a share of what it allows in a window.
+    /// Use that is tolerated beyond a limit, as a share of what the limit allows per window.
     pub limit_excess_share: f64,
-    /// Use that is tolerated besides, in the units of the limit.
+    /// Further use that is tolerated in addition to that share, in the units of the limit.
     pub limit_allowance: f64,
-    /// Time after which a failure domain that is to be evacuated must get no more work,
-    /// in milliseconds.
+    /// Time after which a failure domain under evacuation must get no more work, in milliseconds.
     pub evacuation_ms: u64,
-    /// How many times the rate that a cold worker bears is tolerated in one second.
+    /// Requests that are tolerated at a cold worker in one second, as a multiple of the rate that
+    /// it can handle.
     pub cold_excess_ratio: f64,
-    /// Requests that are tolerated besides in one second.
+    /// Requests that are tolerated in one second in addition to that multiple.
     pub cold_allowance_count: f64,
 }
 
 impl BoundSettings {
-    /// Checks that bounds make sense; otherwise returns the key of one that doesn't.
+    /// Checks that the bounds are in range. Otherwise returns the key of the first one that is
+    /// not.
     fn check(&self) -> Result<(), &'static str> {
         let positive = [
             ("revocation_ms", self.revocation_ms as f64),
@@ -170,7 +171,7 @@
         bad.map_or(Ok(()), |(key, _)| Err(key))
     }
 
-    /// Returns what is tolerated beyond accounts' limits.
+    /// Returns the use that is tolerated beyond the limits of client accounts.
     pub fn tolerance(&self) -> Tolerance {
         Tolerance {
             window_s: self.limit_window_s,
@@ -202,50 +203,50 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Whether to write none.
+    /// Whether to write no logs.
     pub is_silent: bool,
 }
 
-/// Why settings can't be used.
+/// Error in the settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read or understood.
+    /// The file cannot be read or parsed.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A bound makes no sense.
+    /// A bound is out of range.
     #[error("{file}: bounds.{key}: must be more than zero")]
     Bound {
         /// The file.
         file: String,
-        /// The bound.
+        /// Key of the bound.
         key: &'static str,
     },
-    /// The failure domains make no sense.
+    /// The failure domains are inconsistent.
     #[error("{file}: instance.failure_domains: {source}")]
     Topology {
         /// The file.
         file: String,
-        /// What is wrong.
+        /// Description of the inconsistency.
         source: TopologyError,
     },
-    /// No such adapter.
+    /// There is no adapter of the given name.
     #[error("{file}: platform.adapter: {given:?} is not one of {valid}")]
     Adapter {
         /// The file.
         file: String,
-        /// What was given.
+        /// Name that was given.
         given: String,
-        /// What would be valid.
+        /// Names of the adapters that exist.
         valid: String,
     },
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let settings: Self = jsonc::read_file(path)?;
         if adapter::find(&settings.platform.adapter).is_none() {
