--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -26,26 +26,26 @@
 
 /// Number of instances that watch the store on behalf of all. There are two, so that the failure
 /// of one does not interrupt the watch.
-const WATCHING_COUNT: u64 = 2;
+const WATCHER_COUNT: u64 = 2;
 
 /// Time for which the store is asked to wait for changes, as a share of the bound within which
 /// changes must be in force. An answer without changes is useful too: it proves that the known
 /// configuration is still the newest.
-const WAIT_SHARE: f64 = 0.4;
+const WATCH_WAIT_SHARE: f64 = 0.4;
 
 /// Purpose for which instances are ranked. The text is hashed into the rank, so all instances
 /// must use the same one.
-const PURPOSE: &str = "configuration";
+const RANK_PURPOSE: &str = "configuration";
 
 /// Time until a configuration that cannot be parsed is read again, in milliseconds.
-const UNREADABLE_PAUSE_MS: u64 = 500;
+const INVALID_RETRY_DELAY_MS: u64 = 500;
 
 /// Time in which proofs of the first reads spread among the peers, in milliseconds: five rounds
 /// of questions.
-const TOLD_WITHIN_MS: u64 = 1_000;
+const PROOF_SPREAD_MS: u64 = 1_000;
 
 /// Interval at which an instance checks whether a read is due, in milliseconds.
-const LOOK_EVERY_MS: u64 = 100;
+const POLL_INTERVAL_MS: u64 = 100;
 
 /// Follows the configuration until the process ends.
 pub async fn run(node: Arc<Node>) {
@@ -53,11 +53,11 @@
     let mut after: Option<StorePosition> = None;
     let mut is_settled = true;
     // Whether the table has to be read whole. Stays set until that has succeeded.
-    let mut reads_anew = false;
+    let mut needs_full_read = false;
     let mut failure_count = 0_u32;
     loop {
-        reads_anew |= begin_anew(&node, &mut after, &mut is_settled);
-        let wait_ms = until_due(&node, after.is_some(), reads_anew).await;
+        needs_full_read |= reset_position(&node, &mut after, &mut is_settled);
+        let wait_ms = wait_until_due(&node, after.is_some(), needs_full_read).await;
         let begun_ms = node.now_ms();
         let read = match after {
             None => node.store.read(table).await,
@@ -76,7 +76,7 @@
                 store_era::enter(&node);
                 let is_whole = after.is_none();
                 let position = rows.position;
-                reads_anew = false;
+                needs_full_read = false;
                 after = Some(position.max(after.unwrap_or_default()));
                 is_settled &= !lock(&node.proof).is_settling(begun_ms);
                 if failure_count > 0 {
@@ -87,19 +87,19 @@
                 // as of that time. With a change it answers at once, and further changes may have
                 // followed since the call began.
                 let waited_ms = if rows.rows.is_empty() { wait_ms } else { 0 };
-                if take(&node, key, rows, is_whole) {
+                if apply_rows(&node, key, rows, is_whole) {
                     lock(&node.proof).read(position.era, begun_ms + waited_ms);
                 } else {
                     // A watch from this position would not return that version again, so the
                     // table is read whole.
                     after = None;
-                    pause(UNREADABLE_PAUSE_MS).await;
+                    pause(INVALID_RETRY_DELAY_MS).await;
                 }
             }
             Err(error) => {
                 if error == StoreError::HistoryGone {
                     after = None;
-                    reads_anew = true;
+                    needs_full_read = true;
                     continue;
                 }
                 if error == StoreError::OtherEra {
@@ -119,7 +119,7 @@
 /// Resets the position if the table has to be read whole: in a new era of the store, and once
 /// more when other writers have rewritten what the restored store had lost. Returns whether it
 /// has to be read whole.
-fn begin_anew(node: &Node, after: &mut Option<StorePosition>, is_settled: &mut bool) -> bool {
+fn reset_position(node: &Node, after: &mut Option<StorePosition>, is_settled: &mut bool) -> bool {
     let is_earlier = after.is_some_and(|position| position.era < node.store.eras().newest());
     let settles_now = !*is_settled && !lock(&node.proof).is_settling(node.now_ms());
     *is_settled |= settles_now;
@@ -134,26 +134,26 @@
 ///
 /// A few instances watch the store on behalf of all. The others call it only if no peer has
 /// recently proven to them that their configuration is the newest.
-async fn until_due(node: &Node, has_read: bool, reads_anew: bool) -> u64 {
-    if reads_anew && is_watching(node) {
+async fn wait_until_due(node: &Node, has_read: bool, needs_full_read: bool) -> u64 {
+    if needs_full_read && is_watching(node) {
         return 0;
     }
     loop {
         if has_read && is_watching(node) {
-            return (node.settings.bounds.configuration_ms as f64 * WAIT_SHARE) as u64;
+            return (node.settings.bounds.configuration_ms as f64 * WATCH_WAIT_SHARE) as u64;
         }
-        if may_read(node, has_read) {
+        if should_read(node, has_read) {
             return 0;
         }
-        pause(LOOK_EVERY_MS).await;
+        pause(POLL_INTERVAL_MS).await;
     }
 }
 
 /// Returns whether this instance is to read the store now.
-fn may_read(node: &Node, has_read: bool) -> bool {
+fn should_read(node: &Node, has_read: bool) -> bool {
     let now_ms = node.now_ms();
-    let has_some = has_read || node.configuration_version() > 0;
-    if has_some && lock(&node.proof).is_settling(now_ms.saturating_sub(TOLD_WITHIN_MS)) {
+    let has_configuration = has_read || node.configuration_version() > 0;
+    if has_configuration && lock(&node.proof).is_settling(now_ms.saturating_sub(PROOF_SPREAD_MS)) {
         // While a restored store settles, a read shows no more than the watching instances learn,
         // and they then prove it to the others.
         return false;
@@ -171,15 +171,15 @@
         )
     };
     // The instance that is to read first may be just the one that the store rejects.
-    let is_own_turn = is_proven || is_left_to_others || reads_first(node, now_ms);
+    let is_own_turn = is_proven || is_left_to_others || should_read_first(node, now_ms);
     let is_due = now_ms >= due_ms && is_own_turn;
-    is_due && (!is_left_to_others || store_pace::tries_now(node, LOOK_EVERY_MS))
+    is_due && (!is_left_to_others || store_pace::tries_now(node, POLL_INTERVAL_MS))
 }
 
 /// Returns whether an instance that has no proof yet is to read the store itself, instead of
 /// taking the configuration from peers.
-fn reads_first(node: &Node, now_ms: u64) -> bool {
-    let newcomer = node.peers().newcomer(now_ms, PURPOSE);
+fn should_read_first(node: &Node, now_ms: u64) -> bool {
+    let newcomer = node.peers().newcomer(now_ms, RANK_PURPOSE);
     // The configuration is small, and without it every call is refused, so no instance that is
     // listed as a seed waits for another.
     let newcomer = Newcomer {
@@ -191,18 +191,18 @@
 
 /// Returns whether this instance is one of those that watch the store on behalf of all.
 fn is_watching(node: &Node) -> bool {
-    rank(node) < WATCHING_COUNT
+    rank(node) < WATCHER_COUNT
 }
 
 /// Returns the number of instances that come before this one in rank.
 fn rank(node: &Node) -> u64 {
-    node.peers().rank(node.now_ms(), PURPOSE)
+    node.peers().rank(node.now_ms(), RANK_PURPOSE)
 }
 
 /// Applies the evacuation rows and puts the newest configuration row in force. Returns false if a
 /// row could not be parsed, as nothing is known about the newest state then.
-fn take(node: &Node, key: &str, rows: Rows, is_whole: bool) -> bool {
-    let mut is_understood = evacuations::take_rows(node, &rows, is_whole);
+fn apply_rows(node: &Node, key: &str, rows: Rows, is_whole: bool) -> bool {
+    let mut is_valid = evacuations::take_rows(node, &rows, is_whole);
     for row in rows
         .rows
         .into_iter()
@@ -220,9 +220,9 @@
                     .with_label_values(&["configuration"])
                     .inc();
                 warn!(node.log, "configuration not understood"; "error" => error.to_string());
-                is_understood = false;
+                is_valid = false;
             }
         }
     }
-    is_understood
+    is_valid
 }
--- a/crates/cranereach-gateway/src/metrics.rs
+++ b/crates/cranereach-gateway/src/metrics.rs
@@ -110,14 +110,17 @@
     /// Panics if two metrics have the same name, which any test that creates them detects.
     pub fn new() -> Self {
         let registry = Registry::new();
-        let make = Maker(&registry);
-        let counters = |name: &str, help: &str, labels: &[&str]| make.counters(name, help, labels);
-        let gauge = |name: &str, help: &str| make.gauge(name, help);
-        let first_byte_seconds = make.seconds("first_byte_seconds", &["route"]);
-        let of_accounts = ["account", "route"];
-        let account_first_byte_seconds = make.seconds("account_first_byte_seconds", &of_accounts);
+        let registrar = Registrar(&registry);
+        let counters =
+            |name: &str, help: &str, labels: &[&str]| registrar.counters(name, help, labels);
+        let gauge = |name: &str, help: &str| registrar.gauge(name, help);
+        let first_byte_seconds = registrar.first_byte_histogram("first_byte_seconds", &["route"]);
+        let account_labels = ["account", "route"];
+        let account_first_byte_seconds =
+            registrar.first_byte_histogram("account_first_byte_seconds", &account_labels);
         let units_help = "units charged to limits";
-        let account_units_total = make.sums("account_units_total", units_help, &["account"]);
+        let account_units_total =
+            registrar.float_counters("account_units_total", units_help, &["account"]);
         Self {
             requests_total: counters("requests_total", "requests by result", &["route", "result"]),
             repeats_total: counters("repeats_total", "sends to a further worker", &["cause"]),
@@ -158,8 +161,16 @@
             leases_held: gauge("leases_held", "leases held here"),
             open_requests: gauge("open_requests", "requests that are open"),
             peers_heard: gauge("peers_heard", "peers heard lately"),
-            open_in_domain: make.gauges("open_in_domain", "requests open at workers", &["domain"]),
-            models_missing: make.gauges("models_missing", "models no worker serves", &["service"]),
+            open_in_domain: registrar.gauges(
+                "open_in_domain",
+                "requests open at workers",
+                &["domain"],
+            ),
+            models_missing: registrar.gauges(
+                "models_missing",
+                "models no worker serves",
+                &["service"],
+            ),
             quarantined_requests: gauge("quarantined_requests", "requests sent to no worker"),
             suspected_requests: gauge("suspected_requests", "requests workers ended under"),
             limited_workers: gauge("limited_workers", "workers that name a limit"),
@@ -193,9 +204,10 @@
                 "sends within limits",
                 &["purpose"],
             ),
-            connections_total: make.counter("connections_total", "connections made to workers"),
-            prompts_held_total: make.counter("prompts_held_total", "prompts held back"),
-            streams_paused_total: make.counter("streams_paused_total", "streams that paused"),
+            connections_total: registrar
+                .counter("connections_total", "connections made to workers"),
+            prompts_held_total: registrar.counter("prompts_held_total", "prompts held back"),
+            streams_paused_total: registrar.counter("streams_paused_total", "streams that paused"),
             first_byte_seconds,
             registry,
         }
@@ -211,19 +223,19 @@
 }
 
 /// Creates metrics and registers them.
-struct Maker<'a>(&'a Registry);
+struct Registrar<'a>(&'a Registry);
 
-impl Maker<'_> {
+impl Registrar<'_> {
     /// Registers a metric.
     ///
     /// # Panics
     ///
     /// Panics if two metrics have the same name, which any test that creates them detects.
-    fn register<T: Collector + Clone + 'static>(&self, made: prometheus::Result<T>) -> T {
-        let made = made.expect("names are constants");
-        let registered = self.0.register(Box::new(made.clone()));
+    fn register<T: Collector + Clone + 'static>(&self, metric: prometheus::Result<T>) -> T {
+        let metric = metric.expect("names are constants");
+        let registered = self.0.register(Box::new(metric.clone()));
         registered.expect("names differ");
-        made
+        metric
     }
 
     /// Creates integer counters with labels.
@@ -232,7 +244,7 @@
     }
 
     /// Creates floating-point counters with labels.
-    fn sums(&self, name: &str, help: &str, labels: &[&str]) -> CounterVec {
+    fn float_counters(&self, name: &str, help: &str, labels: &[&str]) -> CounterVec {
         self.register(CounterVec::new(opts!(name, help), labels))
     }
 
@@ -252,7 +264,7 @@
     }
 
     /// Creates a histogram of times to the first byte, with labels.
-    fn seconds(&self, name: &str, labels: &[&str]) -> HistogramVec {
+    fn first_byte_histogram(&self, name: &str, labels: &[&str]) -> HistogramVec {
         let help = "time from receipt to the first byte of the answer";
         let options = histogram_opts!(name, help, LATENCY_BOUNDS_S.to_vec());
         self.register(HistogramVec::new(options, labels))
--- a/crates/cranereach-gateway/src/operators.rs
+++ b/crates/cranereach-gateway/src/operators.rs
@@ -40,8 +40,8 @@
     node: &Node,
     request: &Request<Incoming>,
 ) -> Ready<Result<Response<Full<Bytes>>, Closed>> {
-    let is_asked = request.uri().path() == node.adapter.ready_path;
-    let status = match is_asked {
+    let is_ready_path = request.uri().path() == node.adapter.ready_path;
+    let status = match is_ready_path {
         true if node.is_ready() => StatusCode::OK,
         true => StatusCode::SERVICE_UNAVAILABLE,
         false => StatusCode::NOT_FOUND,
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -32,7 +32,7 @@
 use cranereach_fleet::worker::Worker;
 
 /// Maximum number of prompt parts in a question to an owner.
-const PART_MAX_COUNT: usize = 16;
+const PROMPT_PART_MAX_COUNT: usize = 16;
 
 /// A request that was reported to the owner of its worker.
 #[derive(Clone, Copy, Debug)]
@@ -52,9 +52,9 @@
     token_ms: f64,
     may_repeat: bool,
 ) {
-    let parts = &parts[..parts.len().min(PART_MAX_COUNT)];
+    let parts = &parts[..parts.len().min(PROMPT_PART_MAX_COUNT)];
     let part_ms = |part: &PromptPart| (f64::from(part.tokens) * token_ms) as u32;
-    let wanted = OwnerAsk {
+    let question_template = OwnerAsk {
         chains: parts.iter().map(|part| part.chain).collect(),
         reading_ms: (f64::from(prompt_tokens) * token_ms) as u32,
         part_reading_ms: parts.iter().map(part_ms).collect(),
@@ -62,44 +62,44 @@
         limit: None,
     };
     let now_ms = node.now_ms();
-    let mut asked: HashMap<u64, Asked<'_>> = HashMap::new();
+    let mut pending: HashMap<u64, PendingQuestion<'_>> = HashMap::new();
     let mut question = node.questions.open();
     for worker in workers {
         let key = worker_key(worker);
         let owner = owner_of(node, key);
         if owner == node.own_ip() {
-            let standing = own_standing(node, key, &wanted);
-            note(node, worker, standing);
+            let standing = own_standing(node, key, &question_template);
+            record_standing(node, worker, standing);
         } else {
             let distance = node.distance_to(owner).unwrap_or(Distance::OtherRegion);
-            let of = Asked {
+            let unanswered = PendingQuestion {
                 owner,
                 distance,
                 worker,
             };
-            asked.insert(key, of);
+            pending.insert(key, unanswered);
             let limit = node
                 .roster()
                 .get(worker)
-                .and_then(|of| of.limit_word(now_ms));
+                .and_then(|entry| entry.limit_word(now_ms));
             let event = OwnerEvent::Ask(OwnerAsk {
                 limit,
-                ..wanted.clone()
+                ..question_template.clone()
             });
-            tell(node, owner, key, question.ticket, event);
+            send_event(node, owner, key, question.ticket, event);
         }
     }
-    wait(node, &mut question, &mut asked).await;
+    collect_quotes(node, &mut question, &mut pending).await;
     drop(question);
     let now_ms = node.now_ms();
-    for asked in asked.values() {
-        node.peers().members_mut().missed(now_ms, asked.owner);
-        lock(&node.ways).missed(asked.distance);
+    for pending in pending.values() {
+        node.peers().members_mut().missed(now_ms, pending.owner);
+        lock(&node.ways).missed(pending.distance);
     }
 }
 
 /// A worker whose owner has not answered yet.
-struct Asked<'a> {
+struct PendingQuestion<'a> {
     owner: Ipv4Addr,
     distance: Distance,
     worker: &'a Arc<str>,
@@ -107,26 +107,27 @@
 
 /// Waits until all owners have answered or the time limit of the farthest one has passed. Removes
 /// the workers whose owners have answered.
-async fn wait(
+async fn collect_quotes(
     node: &Node,
     question: &mut Question<'_, Quote>,
-    asked: &mut HashMap<u64, Asked<'_>>,
+    pending: &mut HashMap<u64, PendingQuestion<'_>>,
 ) {
-    let begun = Instant::now();
-    let waits = asked
+    let started = Instant::now();
+    let waits = pending
         .values()
-        .map(|asked| lock(&node.ways).wait_ms(asked.distance));
+        .map(|pending| lock(&node.ways).wait_ms(pending.distance));
     let Some(wait_ms) = waits.max() else { return };
-    let due = node.instant(node.now_ms() + wait_ms);
-    while !asked.is_empty() {
-        let Ok(Some(quote)) = tokio::time::timeout_at(due, question.answers.recv()).await else {
+    let deadline = node.instant(node.now_ms() + wait_ms);
+    while !pending.is_empty() {
+        let Ok(Some(quote)) = tokio::time::timeout_at(deadline, question.answers.recv()).await
+        else {
             return;
         };
-        if let Some(of) = asked.remove(&quote.worker) {
-            let took_ms = begun.elapsed().as_secs_f64() * 1_000.0;
-            lock(&node.ways).answered(of.distance, took_ms);
-            node.peers().members_mut().answered(of.owner);
-            note(node, of.worker, standing_of(&quote));
+        if let Some(answered) = pending.remove(&quote.worker) {
+            let took_ms = started.elapsed().as_secs_f64() * 1_000.0;
+            lock(&node.ways).answered(answered.distance, took_ms);
+            node.peers().members_mut().answered(answered.owner);
+            record_standing(node, answered.worker, decode_standing(&quote));
             if let Some(limit) = &quote.limit {
                 named_limits::note_told(node, quote.worker, limit);
             }
@@ -138,21 +139,21 @@
 /// Reports to the owner of a worker that a request is being sent to the worker.
 pub fn begun(node: &Node, worker: &str, opening: Opening, parts: &[PromptPart]) -> Told {
     let key = worker_key(worker);
-    let told = Told {
+    let request = Told {
         owner: owner_of(node, key),
         worker: key,
         ticket: rand::random(),
     };
-    let parts = &parts[..parts.len().min(PART_MAX_COUNT)];
-    if told.owner == node.own_ip() {
-        let ticket = (u32::from(told.owner), told.ticket);
+    let parts = &parts[..parts.len().min(PROMPT_PART_MAX_COUNT)];
+    if request.owner == node.own_ip() {
+        let ticket = (u32::from(request.owner), request.ticket);
         lock(&node.owned).begun(node.now_ms(), key, ticket, opening, parts);
     } else {
         let chains = parts.iter().map(|part| part.chain).collect();
         let event = OwnerEvent::Begun(opening, chains);
-        tell(node, told.owner, key, told.ticket, event);
+        send_event(node, request.owner, key, request.ticket, event);
     }
-    told
+    request
 }
 
 /// Reports the limit that a worker states to the owner of the worker and to the owner of its send
@@ -160,27 +161,27 @@
 pub fn tell_limit(node: &Node, worker: &str, word: LimitWord) {
     let key = worker_key(worker);
     let owner = owner_of(node, key);
-    let of_grants = send_grants::other_owner(node.peers().members(), node.now_ms(), key);
-    let of_grants = of_grants.filter(|of_grants| *of_grants != owner);
-    let told = [Some(owner), of_grants].into_iter().flatten();
-    for instance in told.filter(|instance| *instance != node.own_ip()) {
-        tell(node, instance, key, 0, OwnerEvent::Limit(word));
+    let grant_owner = send_grants::other_owner(node.peers().members(), node.now_ms(), key);
+    let grant_owner = grant_owner.filter(|grant_owner| *grant_owner != owner);
+    let recipients = [Some(owner), grant_owner].into_iter().flatten();
+    for instance in recipients.filter(|instance| *instance != node.own_ip()) {
+        send_event(node, instance, key, 0, OwnerEvent::Limit(word));
     }
 }
 
 impl Told {
     /// Reports to the owner that the worker has read the prompt, and how long that took.
     pub fn read(&self, node: &Node, took_ms: f64) {
-        self.follow(node, OwnerEvent::Read(took_ms as u32));
+        self.report_event(node, OwnerEvent::Read(took_ms as u32));
     }
 
     /// Reports to the owner how the request ended.
     pub fn ended(&self, node: &Node, outcome: Outcome) {
-        self.follow(node, OwnerEvent::Ended(outcome));
+        self.report_event(node, OwnerEvent::Ended(outcome));
     }
 
     /// Reports an event of the request to the owner.
-    fn follow(&self, node: &Node, event: OwnerEvent) {
+    fn report_event(&self, node: &Node, event: OwnerEvent) {
         if self.owner == node.own_ip() {
             let message = OwnerMessage {
                 worker: self.worker,
@@ -190,7 +191,7 @@
             // Only questions get an answer, and this event is none.
             let _answer = take(node, self.owner, message);
         } else {
-            tell(node, self.owner, self.worker, self.ticket, event);
+            send_event(node, self.owner, self.worker, self.ticket, event);
         }
     }
 }
@@ -204,7 +205,7 @@
         ticket,
         event,
     } = message;
-    let of = (u32::from(sender), ticket);
+    let request = (u32::from(sender), ticket);
     let mut owned = lock(&node.owned);
     match event {
         OwnerEvent::Ask(ask) => {
@@ -216,23 +217,23 @@
             let roster = node.roster();
             let known = roster.by_key(worker);
             return Some(Quote {
-                limit: known.and_then(|of| of.limit_word(now_ms)),
+                limit: known.and_then(|entry| entry.limit_word(now_ms)),
                 leaving_start: known.and_then(Worker::leaving_start),
-                ..quote(worker, ticket, &standing)
+                ..encode_standing(worker, ticket, &standing)
             });
         }
         OwnerEvent::Begun(opening, chains) => {
-            let chains = chains.iter().take(PART_MAX_COUNT);
+            let chains = chains.iter().take(PROMPT_PART_MAX_COUNT);
             let parts: Vec<PromptPart> = chains
                 .map(|chain| PromptPart {
                     chain: *chain,
                     tokens: 0,
                 })
                 .collect();
-            owned.begun(now_ms, worker, of, opening, &parts);
+            owned.begun(now_ms, worker, request, opening, &parts);
         }
-        OwnerEvent::Read(took_ms) => owned.read(now_ms, worker, of, f64::from(took_ms)),
-        OwnerEvent::Ended(outcome) => owned.ended(now_ms, worker, of, outcome),
+        OwnerEvent::Read(took_ms) => owned.read(now_ms, worker, request, f64::from(took_ms)),
+        OwnerEvent::Ended(outcome) => owned.ended(now_ms, worker, request, outcome),
         OwnerEvent::Limit(word) => {
             drop(owned);
             named_limits::note_told(node, worker, &word);
@@ -244,7 +245,7 @@
 /// Returns the standing of a worker that this instance owns.
 fn own_standing(node: &Node, worker: u64, ask: &OwnerAsk) -> Standing {
     let now_ms = node.now_ms();
-    let chains = &ask.chains[..ask.chains.len().min(PART_MAX_COUNT)];
+    let chains = &ask.chains[..ask.chains.len().min(PROMPT_PART_MAX_COUNT)];
     let mut owned = lock(&node.owned);
     let kept_count = owned.kept_part_count(worker, chains);
     let kept_ms: u32 = ask.part_reading_ms.iter().take(kept_count).sum();
@@ -278,7 +279,7 @@
 }
 
 /// Records the standing of a worker in the roster.
-fn note(node: &Node, worker: &Arc<str>, standing: Standing) {
+fn record_standing(node: &Node, worker: &Arc<str>, standing: Standing) {
     let now_ms = node.now_ms();
     if let Some(worker) = node.roster().get_mut(worker) {
         worker.stands(now_ms, standing);
@@ -286,7 +287,7 @@
 }
 
 /// Sends an event to an owner.
-fn tell(node: &Node, owner: Ipv4Addr, worker: u64, ticket: u64, event: OwnerEvent) {
+fn send_event(node: &Node, owner: Ipv4Addr, worker: u64, ticket: u64, event: OwnerEvent) {
     let message = OwnerMessage {
         worker,
         ticket,
@@ -299,11 +300,11 @@
 }
 
 /// Encodes the standing of a worker for the wire.
-fn quote(worker: u64, ticket: u64, standing: &Standing) -> Quote {
+fn encode_standing(worker: u64, ticket: u64, standing: &Standing) -> Quote {
     Quote {
         ticket,
         worker,
-        load: load_part(&standing.load),
+        load: encode_load(&standing.load),
         kept_part_count: standing.kept_part_count as u32,
         pace_percent: (standing.pace_ratio * 100.0) as u32,
         failed_percent: (standing.failed_share * 100.0) as u32,
@@ -317,9 +318,9 @@
 }
 
 /// Decodes the standing of a worker from the wire.
-fn standing_of(quote: &Quote) -> Standing {
+fn decode_standing(quote: &Quote) -> Standing {
     Standing {
-        load: load_of(&quote.load),
+        load: decode_load(&quote.load),
         kept_part_count: quote.kept_part_count as usize,
         pace_ratio: f64::from(quote.pace_percent.max(100)) / 100.0,
         failed_share: f64::from(quote.failed_percent.min(100)) / 100.0,
@@ -331,7 +332,7 @@
 }
 
 /// Encodes a load for the wire.
-fn load_part(load: &Load) -> LoadPart {
+fn encode_load(load: &Load) -> LoadPart {
     LoadPart {
         open_count: load.open_count,
         waiting_count: load.waiting_count,
@@ -342,7 +343,7 @@
 }
 
 /// Decodes a load from the wire.
-fn load_of(part: &LoadPart) -> Load {
+fn decode_load(part: &LoadPart) -> Load {
     Load {
         open_count: part.open_count,
         waiting_count: part.waiting_count,
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -33,23 +33,23 @@
 /// Time for which a stopping instance still accepts requests, in milliseconds.
 ///
 /// The platform checks readiness every second and removes an instance after two failed checks.
-const ACCEPT_FOR_MS: u64 = 2_400;
+const ACCEPT_WHILE_STOPPING_MS: u64 = 2_400;
 
 /// Margin between the end of a graceful shutdown and the time at which the process is killed, in
 /// milliseconds.
-const END_BEFORE_KILL_MS: u64 = 500;
+const KILL_MARGIN_MS: u64 = 500;
 
 /// Time for which an idle keep-alive connection of a caller stays open, in milliseconds.
 ///
 /// It is longer than any limit that callers are told, so that no caller's request coincides with
 /// the close of its connection.
-const CALLER_REST_MS: u64 = 90_000;
+const CALLER_KEEP_ALIVE_MS: u64 = 90_000;
 
 /// Maximum size of the head of a request, in bytes.
 const HEADER_MAX_BYTES: usize = 64 * 1024;
 
 /// Interval at which a graceful shutdown checks whether all requests have ended, in milliseconds.
-const LOOK_EVERY_MS: u64 = 50;
+const DRAIN_POLL_INTERVAL_MS: u64 = 50;
 
 /// Error that prevents an instance from starting.
 #[derive(Debug, Error)]
@@ -115,21 +115,21 @@
         let node = Arc::new(node);
         let (stopping, stop) = watch::channel(false);
         let mut tasks = JoinSet::new();
-        let asked = Arc::clone(&node);
+        let operator_node = Arc::clone(&node);
         let options = ServeOptions::default();
         tasks.spawn(server::serve(
             ready,
             options,
             stop.clone(),
-            move |request| operators::answer_ready(&asked, &request),
+            move |request| operators::answer_ready(&operator_node, &request),
         ));
-        let asked = Arc::clone(&node);
+        let operator_node = Arc::clone(&node);
         let options = ServeOptions::default();
         tasks.spawn(server::serve(
             metrics,
             options,
             stop.clone(),
-            move |request| operators::answer(&asked, &request),
+            move |request| operators::answer(&operator_node, &request),
         ));
         let socket = Arc::new(digests);
         // The cell is still empty: no task that uses it has been started.
@@ -145,13 +145,13 @@
         tasks.spawn(store_era::run(Arc::clone(&node)));
         tasks.spawn(controller::run(Arc::clone(&node)));
         tasks.spawn(traffic::run(Arc::clone(&node)));
-        let called = Arc::clone(&node);
+        let caller_node = Arc::clone(&node);
         let options = ServeOptions {
-            header_within_ms: CALLER_REST_MS,
+            header_within_ms: CALLER_KEEP_ALIVE_MS,
             header_max_bytes: HEADER_MAX_BYTES,
         };
         let serving = server::serve(callers, options, stop, move |request| {
-            forward::answer(Arc::clone(&called), request)
+            forward::answer(Arc::clone(&caller_node), request)
         });
         info!(node.log, "started"; "callers" => addresses.callers.to_string(),
             "failure_domain" => node.settings.instance.failure_domain.clone(),
@@ -180,13 +180,13 @@
         let node = Arc::clone(&self.node);
         let begun_ms = node.now_ms();
         let grace_ms = (node.settings.bounds.grace_s * 1_000.0) as u64;
-        let end_by_ms = begun_ms + grace_ms.saturating_sub(END_BEFORE_KILL_MS);
+        let end_by_ms = begun_ms + grace_ms.saturating_sub(KILL_MARGIN_MS);
         node.ask_stop();
         info!(node.log, "stopping"; "open" => node.metrics.open_requests.get());
-        pause(ACCEPT_FOR_MS.min(grace_ms / 3)).await;
+        pause(ACCEPT_WHILE_STOPPING_MS.min(grace_ms / 3)).await;
         self.stopping.send_replace(true);
         while !self.serving.is_finished() && node.now_ms() < end_by_ms {
-            pause(LOOK_EVERY_MS).await;
+            pause(DRAIN_POLL_INTERVAL_MS).await;
         }
         info!(node.log, "stopped"; "open" => node.metrics.open_requests.get());
         self.tasks.shutdown().await;
