--- a/crates/cranereach-gateway/src/metrics.rs
+++ b/crates/cranereach-gateway/src/metrics.rs
@@ -232,9 +232,9 @@
     ///
     /// Panics if two metrics have the same name, which any test that creates them detects.
     fn register<T: Collector + Clone + 'static>(&self, metric: prometheus::Result<T>) -> T {
-        let metric = metric.expect("names are constants");
+        let metric = metric.expect("metric names and labels should be valid");
         let registered = self.0.register(Box::new(metric.clone()));
-        registered.expect("names differ");
+        registered.expect("metric names should be unique");
         metric
     }
 
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// An address could not be listened on.
-    #[error("can't listen on {address} ({key}): {source}")]
+    #[error("cannot listen on {address} ({key}): {source}")]
     Listen {
         /// Key of the address in the settings.
         key: &'static str,
@@ -65,7 +65,7 @@
         source: io::Error,
     },
     /// There is no adapter of the given name.
-    #[error("platform.adapter: {0:?} isn't known")]
+    #[error("platform.adapter: unknown adapter {0:?}")]
     Adapter(String),
 }
 
