--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Returns the load time of the order's model, in milliseconds.
+    /// Returns an upper bound of the load time of the order's model, in milliseconds: the time of a
+    /// load from the weight store.
     fn load_ms(&self, node: &Node, completion: &Completion) -> u64 {
         let service = node.service(&self.service);
         let engine = service.as_ref().and_then(|service| service.engine.as_ref());
--- a/crates/cranereach-gateway/src/metrics.rs
+++ b/crates/cranereach-gateway/src/metrics.rs
@@ -110,17 +110,16 @@
     /// Panics if two metrics have the same name, which any test that creates them detects.
     pub fn new() -> Self {
         let registry = Registry::new();
-        let registrar = Registrar(&registry);
-        let counters =
-            |name: &str, help: &str, labels: &[&str]| registrar.counters(name, help, labels);
-        let gauge = |name: &str, help: &str| registrar.gauge(name, help);
-        let first_byte_seconds = registrar.first_byte_histogram("first_byte_seconds", &["route"]);
+        let make = Registrar(&registry);
+        let counters = |name: &str, help: &str, labels: &[&str]| make.counters(name, help, labels);
+        let gauge = |name: &str, help: &str| make.gauge(name, help);
+        let first_byte_seconds = make.first_byte_histogram("first_byte_seconds", &["route"]);
         let account_labels = ["account", "route"];
         let account_first_byte_seconds =
-            registrar.first_byte_histogram("account_first_byte_seconds", &account_labels);
+            make.first_byte_histogram("account_first_byte_seconds", &account_labels);
         let units_help = "units charged to limits";
         let account_units_total =
-            registrar.float_counters("account_units_total", units_help, &["account"]);
+            make.float_counters("account_units_total", units_help, &["account"]);
         Self {
             requests_total: counters("requests_total", "requests by result", &["route", "result"]),
             repeats_total: counters("repeats_total", "sends to a further worker", &["cause"]),
@@ -161,16 +160,8 @@
             leases_held: gauge("leases_held", "leases held here"),
             open_requests: gauge("open_requests", "requests that are open"),
             peers_heard: gauge("peers_heard", "peers heard lately"),
-            open_in_domain: registrar.gauges(
-                "open_in_domain",
-                "requests open at workers",
-                &["domain"],
-            ),
-            models_missing: registrar.gauges(
-                "models_missing",
-                "models no worker serves",
-                &["service"],
-            ),
+            open_in_domain: make.gauges("open_in_domain", "requests open at workers", &["domain"]),
+            models_missing: make.gauges("models_missing", "models no worker serves", &["service"]),
             quarantined_requests: gauge("quarantined_requests", "requests sent to no worker"),
             suspected_requests: gauge("suspected_requests", "requests workers ended under"),
             limited_workers: gauge("limited_workers", "workers that name a limit"),
@@ -204,10 +195,9 @@
                 "sends within limits",
                 &["purpose"],
             ),
-            connections_total: registrar
-                .counter("connections_total", "connections made to workers"),
-            prompts_held_total: registrar.counter("prompts_held_total", "prompts held back"),
-            streams_paused_total: registrar.counter("streams_paused_total", "streams that paused"),
+            connections_total: make.counter("connections_total", "connections made to workers"),
+            prompts_held_total: make.counter("prompts_held_total", "prompts held back"),
+            streams_paused_total: make.counter("streams_paused_total", "streams that paused"),
             first_byte_seconds,
             registry,
         }
@@ -216,7 +206,7 @@
     /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
-        // On an error the text ends at the metric that could not be encoded.
+        // Encoding errors are ignored; what could not be encoded is left out.
         let _written = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8(text).unwrap_or_default()
     }
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -123,11 +123,11 @@
         else {
             return;
         };
-        if let Some(answered) = pending.remove(&quote.worker) {
+        if let Some(matched) = pending.remove(&quote.worker) {
             let took_ms = started.elapsed().as_secs_f64() * 1_000.0;
-            lock(&node.ways).answered(answered.distance, took_ms);
-            node.peers().members_mut().answered(answered.owner);
-            record_standing(node, answered.worker, decode_standing(&quote));
+            lock(&node.ways).answered(matched.distance, took_ms);
+            node.peers().members_mut().answered(matched.owner);
+            record_standing(node, matched.worker, decode_standing(&quote));
             if let Some(limit) = &quote.limit {
                 named_limits::note_told(node, quote.worker, limit);
             }
--- a/crates/cranereach-gateway/src/store/eras.rs
+++ b/crates/cranereach-gateway/src/store/eras.rs
@@ -122,7 +122,7 @@
     fn count_invalid_era(&self, kind: &'static str) {
         let counter = self.bad_input_total.with_label_values(&[kind]);
         if counter.get() == 0 {
-            warn!(self.log, "invalid store era ignored"; "kind" => kind, "newest" => self.newest());
+            warn!(self.log, "store answer with an invalid era"; "kind" => kind, "newest" => self.newest());
         }
         counter.inc();
     }
