--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the row of one lease in the store.
+//! Acquires, renews and releases one lease through its row in the store.
 
 use std::sync::Arc;
 
@@ -16,57 +16,62 @@
 use cranereach_fleet::tenure::Step;
 use cranereach_fleet::tenure::Tenure;
 
-/// Table of the leases.
+/// Table of the lease rows.
 const TABLE: &str = "cranereach_leases";
 
-/// Time between two candidates' turns, in milliseconds.
-const TURN_MS: u64 = 250;
+/// Time between the attempts of two consecutive candidates, in milliseconds.
+const CANDIDATE_STAGGER_MS: u64 = 250;
 
-/// Candidates that take their turns so soon; there are as many again each
-/// [`FURTHER_TURN_MS`], so that calls to the store don't grow with the fleet.
-const EARLY_CANDIDATE_COUNT: u64 = 4;
+/// Number of candidates in each group. The groups follow each other every [`GROUP_STAGGER_MS`],
+/// so that the number of calls to the store does not grow with the fleet.
+const CANDIDATE_GROUP_SIZE: u64 = 4;
 
-/// Time after which as many further candidates try, in milliseconds: longer than a
-/// successor of a silent holder has to wait.
-const FURTHER_TURN_MS: u64 = 6_000;
+/// Time between the first attempts of two groups of candidates, in milliseconds. It is longer
+/// than a successor of a holder that has fallen silent has to wait for the lease.
+const GROUP_STAGGER_MS: u64 = 6_000;
 
-/// Pause after a failed call, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 450;
+/// Pause after a failed call to the store, in milliseconds.
+const RETRY_DELAY_MS: u64 = 450;
 
-/// When this instance may take its turn.
+/// State of this instance's attempts to acquire or keep one lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidacy {
-    due_since_ms: Option<u64>,
-    call_after_ms: u64,
+    candidate_since_ms: Option<u64>,
+    next_call_at_ms: u64,
     has_released: bool,
 }
 
-/// Does what the lease needs now: nothing, one read or one write.
-pub async fn keep(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &Arc<str>) {
+/// Performs the next step for the lease: nothing, one read or one write of its row.
+pub async fn advance(
+    node: &Node,
+    tenure: &mut Tenure,
+    candidacy: &mut Candidacy,
+    service: &Arc<str>,
+) {
     let now_ms = node.now_ms();
     if node.is_stopping() {
         release(node, tenure, candidacy, service).await;
         return;
     }
     let key = worker_key(service);
-    let is_heard = node.peers().hears_holder(now_ms, key);
-    if is_heard {
-        candidacy.due_since_ms = None;
+    let is_holder_heard = node.peers().hears_holder(now_ms, key);
+    if is_holder_heard {
+        candidacy.candidate_since_ms = None;
     }
     tenure.enter_era(node.store.eras().newest());
-    tell_ended(node, tenure, now_ms, key);
+    announce_ended_term(node, tenure, now_ms, key);
     for ended in node.peers().ended_terms(now_ms, key) {
         tenure.heard_ended(ended);
     }
-    if now_ms < candidacy.call_after_ms {
+    if now_ms < candidacy.next_call_at_ms {
         return;
     }
-    let step = tenure.step(now_ms, is_heard);
+    let step = tenure.step(now_ms, is_holder_heard);
     if !tenure.is_holder() && step != Step::Wait {
-        // Whoever comes first reads first, and so may write first.
-        let since_ms = *candidacy.due_since_ms.get_or_insert(now_ms);
+        // The first candidate in rank reads first, and so may also write first.
+        let since_ms = *candidacy.candidate_since_ms.get_or_insert(now_ms);
         let rank = node.peers().members().rank(now_ms, key);
-        if now_ms < since_ms + turn_ms(rank) {
+        if now_ms < since_ms + stagger_ms(rank) {
             return;
         }
     }
@@ -79,21 +84,21 @@
     }
 }
 
-/// Returns how long a candidate waits for those before it, in milliseconds.
-fn turn_ms(rank: u64) -> u64 {
-    let further = rank / EARLY_CANDIDATE_COUNT * FURTHER_TURN_MS;
-    further + rank % EARLY_CANDIDATE_COUNT * TURN_MS
+/// Returns how long a candidate waits for those that come before it in rank, in milliseconds.
+fn stagger_ms(rank: u64) -> u64 {
+    let group_delay_ms = rank / CANDIDATE_GROUP_SIZE * GROUP_STAGGER_MS;
+    group_delay_ms + rank % CANDIDATE_GROUP_SIZE * CANDIDATE_STAGGER_MS
 }
 
-/// Tells peers whether this instance's term is over.
-fn tell_ended(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
+/// Announces to peers whether a term of this instance has expired.
+fn announce_ended_term(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
     let mut ended = lock(&node.ended_leases);
-    let before = match tenure.ended(now_ms) {
+    let is_unchanged = match tenure.ended(now_ms) {
         Some(term) => ended.insert(service, term) == Some(term),
         None => ended.remove(&service).is_none(),
     };
     drop(ended);
-    if !before {
+    if !is_unchanged {
         node.digest_wanted.notify_one();
     }
 }
@@ -106,7 +111,7 @@
     }
 }
 
-/// Reads the row.
+/// Reads the lease row.
 async fn read(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
     let rows = node.store.read(TABLE).await;
     store_pace::note_call(node, "lease", &rows);
@@ -118,11 +123,11 @@
             let content = row.and_then(|row| serde_json::from_slice(&row.value).ok());
             tenure.read(now_ms, position, content);
         }
-        Err(_failed) => candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS,
+        Err(_failed) => candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS,
     }
 }
 
-/// Writes the row to take or renew the lease.
+/// Writes the lease row to acquire or renew the lease.
 async fn write(
     node: &Node,
     tenure: &mut Tenure,
@@ -141,15 +146,15 @@
     match written {
         Ok(WriteAnswer::Done(position)) => {
             tenure.written(sent_at_ms, position);
-            candidacy.due_since_ms = None;
+            candidacy.candidate_since_ms = None;
         }
         Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => tenure.conflicted(),
         Err(StoreError::NotDone(_) | StoreError::HistoryGone) => {
-            candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS;
+            candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
         Err(StoreError::Unknown(_) | StoreError::OtherEra) => {
             tenure.unanswered(now_ms);
-            candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS;
+            candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
     }
     if outcome != "done" {
@@ -158,7 +163,7 @@
     }
 }
 
-/// Gives the lease up, once.
+/// Releases the lease on the first call; later calls do nothing.
 async fn release(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
     if candidacy.has_released {
         return;
@@ -166,7 +171,7 @@
     candidacy.has_released = true;
     if let Some(position) = tenure.release() {
         let content = content(node, position.era, true);
-        // Without an answer the successor waits for the end of the term.
+        // If the write fails, the successor waits for the end of the term.
         let _written = node
             .store
             .write(&row_name(service), position, &content)
@@ -174,7 +179,7 @@
     }
 }
 
-/// Returns the content of the row, written in an era of the store.
+/// Returns the content of the lease row for an era of the store.
 fn content(node: &Node, era: u64, is_released: bool) -> Vec<u8> {
     let row = LeaseRow {
         holder: node.settings.instance.id.clone(),
