--- a/crates/cranereach-core/src/dispatch/mod.rs
+++ b/crates/cranereach-core/src/dispatch/mod.rs
@@ -32,10 +32,10 @@
 use crate::route::RoutePolicy;
 
 /// Time that a load is expected to take until one was seen, in milliseconds.
-const FIRST_LOAD_MS: u64 = 3_000;
+const INITIAL_LOAD_MS: u64 = 3_000;
 
 /// Time for which a refused caller still counts as waiting for a load, in ms.
-const WANTED_FOR_MS: u64 = 10_000;
+const UNSERVED_DEMAND_TTL_MS: u64 = 10_000;
 
 /// What varies between deployments.
 #[derive(Clone, Debug)]
@@ -86,7 +86,7 @@
 
 /// A target that callers were sent away from because it isn't resident.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct UnservedDemand {
     first_at_ms: u64,
     last_at_ms: u64,
 }
@@ -100,7 +100,7 @@
     running: HashMap<RequestId, Running>,
     demand: DemandMeter,
     used_at_ms: HashMap<TargetName, u64>,
-    wanted: HashMap<TargetName, Wanted>,
+    unserved: HashMap<TargetName, UnservedDemand>,
     served_tokens: HashMap<AccountName, f64>,
     load_ms: f64,
     random: SmallRng,
@@ -115,9 +115,9 @@
             running: HashMap::new(),
             demand: DemandMeter::default(),
             used_at_ms: HashMap::new(),
-            wanted: HashMap::new(),
+            unserved: HashMap::new(),
             served_tokens: HashMap::new(),
-            load_ms: FIRST_LOAD_MS as f64,
+            load_ms: INITIAL_LOAD_MS as f64,
             random: SmallRng::seed_from_u64(options.seed),
             options,
         }
@@ -148,20 +148,20 @@
         let target = waiting.target.clone();
         self.demand.arrived(now_ms, &target);
         self.used_at_ms.insert(target.clone(), now_ms);
-        self.note_wanted(now_ms, &target);
+        self.record_unserved(now_ms, &target);
         if let Some(refusal) = self.refusal(now_ms, &waiting) {
             actions.push(refusal);
             return;
         }
         self.queues.push(waiting);
-        self.pump_target(now_ms, &target, actions);
+        self.send_waiting_for(now_ms, &target, actions);
     }
 
     /// Takes a request again whose attempt did not run; it waits anew.
     pub fn arrive_again(&mut self, now_ms: u64, waiting: Waiting, actions: &mut Vec<Action>) {
         let target = waiting.target.clone();
         self.queues.push(waiting);
-        self.pump_target(now_ms, &target, actions);
+        self.send_waiting_for(now_ms, &target, actions);
     }
 
     /// Takes the end of an attempt at an upstream and what it really cost.
@@ -172,7 +172,7 @@
         now_ms: u64,
         request: RequestId,
         cost_tokens: f64,
-        whole: bool,
+        complete: bool,
         actions: &mut Vec<Action>,
     ) {
         let Some(running) = self.running.remove(&request) else {
@@ -183,11 +183,11 @@
         self.queues
             .charge(&running.account, correction, running.share);
         *self.served_tokens.entry(running.account).or_default() += cost_tokens;
-        if whole {
+        if complete {
             let service_ms = now_ms.saturating_sub(running.sent_at_ms) as f64;
             self.demand.served(now_ms, &running.target, service_ms);
         }
-        self.pump_worker(now_ms, &running.worker, actions);
+        self.fill_worker(now_ms, &running.worker, actions);
     }
 
     /// Takes away a waiting request whose caller left; true if it waited.
@@ -199,9 +199,9 @@
     pub fn reported(&mut self, now_ms: u64, report: &WorkerReport, actions: &mut Vec<Action>) {
         self.workers.reported(now_ms, report);
         for target in &report.resident {
-            self.wanted.remove(target);
+            self.unserved.remove(target);
         }
-        self.pump_worker(now_ms, &report.worker, actions);
+        self.fill_worker(now_ms, &report.worker, actions);
     }
 
     /// Takes the cost that a peer served to an account since its last word.
@@ -230,7 +230,7 @@
             });
         }
         for target in self.queues.waiting_targets() {
-            self.pump_target(now_ms, &target, actions);
+            self.send_waiting_for(now_ms, &target, actions);
         }
     }
 
@@ -269,17 +269,19 @@
 
     /// Returns the demand for one target; callers sent away still count.
     fn demand_of(&self, now_ms: u64, target: &TargetName) -> TargetDemand {
-        let (waiting_count, arrived_ms) = self.queues.waiting_of(target);
-        let is_fresh = |wanted: &&Wanted| now_ms.saturating_sub(wanted.last_at_ms) < WANTED_FOR_MS;
-        let wanted = self.wanted.get(target).filter(is_fresh);
+        let (waiting_count, arrived_ms) = self.queues.waiting_for(target);
+        let is_fresh = |unserved: &&UnservedDemand| {
+            now_ms.saturating_sub(unserved.last_at_ms) < UNSERVED_DEMAND_TTL_MS
+        };
+        let unserved = self.unserved.get(target).filter(is_fresh);
         let oldest_ms = arrived_ms
             .into_iter()
-            .chain(wanted.map(|wanted| wanted.first_at_ms))
+            .chain(unserved.map(|unserved| unserved.first_at_ms))
             .min();
         TargetDemand {
             target: target.clone(),
             concurrent_count: self.demand.concurrent_count(now_ms, target) as f32,
-            waiting_count: waiting_count + u32::from(wanted.is_some()),
+            waiting_count: waiting_count + u32::from(unserved.is_some()),
             oldest_wait_ms: oldest_ms.map_or(0, |at_ms| now_ms.saturating_sub(at_ms) as u32),
         }
     }
@@ -288,25 +290,25 @@
     ///
     /// It counts on after the caller was sent away, so that a target that needs
     /// longer to load than callers wait is loaded all the same.
-    fn note_wanted(&mut self, now_ms: u64, target: &TargetName) {
+    fn record_unserved(&mut self, now_ms: u64, target: &TargetName) {
         if self.workers.holders(target).next().is_some() {
             return;
         }
-        let fresh = Wanted {
+        let fresh = UnservedDemand {
             first_at_ms: now_ms,
             last_at_ms: now_ms,
         };
-        let wanted = self.wanted.entry(target.clone()).or_insert(fresh);
-        if now_ms.saturating_sub(wanted.last_at_ms) >= WANTED_FOR_MS {
-            wanted.first_at_ms = now_ms;
+        let unserved = self.unserved.entry(target.clone()).or_insert(fresh);
+        if now_ms.saturating_sub(unserved.last_at_ms) >= UNSERVED_DEMAND_TTL_MS {
+            unserved.first_at_ms = now_ms;
         }
-        wanted.last_at_ms = now_ms;
+        unserved.last_at_ms = now_ms;
     }
 
     /// Sends what waits for a target while workers that hold it have room.
-    fn pump_target(&mut self, now_ms: u64, target: &TargetName, actions: &mut Vec<Action>) {
+    fn send_waiting_for(&mut self, now_ms: u64, target: &TargetName, actions: &mut Vec<Action>) {
         while let Some(prefix_hash) = self.queues.head_prefix(target) {
-            let Some(worker) = self.choose(now_ms, target, prefix_hash) else {
+            let Some(worker) = self.choose_worker(now_ms, target, prefix_hash) else {
                 return;
             };
             if !self.send_next(now_ms, &worker, actions) {
@@ -316,7 +318,7 @@
     }
 
     /// Sends what waits for anything that a worker holds while it has room.
-    fn pump_worker(&mut self, now_ms: u64, worker: &WorkerId, actions: &mut Vec<Action>) {
+    fn fill_worker(&mut self, now_ms: u64, worker: &WorkerId, actions: &mut Vec<Action>) {
         while self.workers.has_room(now_ms, worker) {
             if !self.send_next(now_ms, worker, actions) {
                 return;
@@ -325,13 +327,18 @@
     }
 
     /// Chooses a worker with room for a target.
-    fn choose(&mut self, now_ms: u64, target: &TargetName, prefix_hash: u64) -> Option<WorkerId> {
-        let open = self
+    fn choose_worker(
+        &mut self,
+        now_ms: u64,
+        target: &TargetName,
+        prefix_hash: u64,
+    ) -> Option<WorkerId> {
+        let available = self
             .workers
             .candidates(now_ms, target, prefix_hash, &self.options.domain);
-        let candidates: Vec<_> = open.iter().map(|(_, candidate)| *candidate).collect();
+        let candidates: Vec<_> = available.iter().map(|(_, candidate)| *candidate).collect();
         let index = (self.options.route.choose)(&candidates, &mut self.random)?;
-        Some(open[index].0.clone())
+        Some(available[index].0.clone())
     }
 
     /// Sends the request that is next among all that a worker can serve.
--- a/crates/cranereach-core/src/dispatch/queues.rs
+++ b/crates/cranereach-core/src/dispatch/queues.rs
@@ -38,7 +38,7 @@
 
 /// What stands before a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ahead {
+pub struct QueueAhead {
     /// All that wait for the target in the same or a more urgent class.
     pub total_count: u32,
     /// Those of the same account.
@@ -48,21 +48,21 @@
 }
 
 /// Place of a request in its account's queue: deadline, then arrival.
-type Place = (u64, u64);
+type QueueKey = (u64, u64);
 
 /// One account's requests for one target and class.
-type AccountQueue = std::collections::BTreeMap<Place, RequestId>;
+type AccountQueue = std::collections::BTreeMap<QueueKey, RequestId>;
 
 /// What waits for one target.
 #[derive(Debug, Default)]
 struct TargetQueue {
     classes: [HashMap<AccountName, AccountQueue>; Class::ALL.len()],
-    arrived: BTreeSet<(u64, RequestId)>,
+    by_arrival: BTreeSet<(u64, RequestId)>,
 }
 
 /// What is kept per account.
 #[derive(Clone, Copy, Debug, Default)]
-struct AccountRank {
+struct AccountState {
     rank: f64,
     share: f64,
     waiting_count: u32,
@@ -70,7 +70,7 @@
 
 /// A request with its place in the order of arrival.
 #[derive(Debug)]
-struct Entry {
+struct QueuedRequest {
     waiting: Waiting,
     arrival_number: u64,
 }
@@ -80,9 +80,9 @@
 pub struct Queues {
     policy: &'static OrderPolicy,
     targets: HashMap<TargetName, TargetQueue>,
-    entries: HashMap<RequestId, Entry>,
+    requests: HashMap<RequestId, QueuedRequest>,
     deadlines: BTreeSet<(u64, RequestId)>,
-    accounts: HashMap<AccountName, AccountRank>,
+    accounts: HashMap<AccountName, AccountState>,
     arrivals_count: u64,
 }
 
@@ -92,7 +92,7 @@
         Self {
             policy,
             targets: HashMap::new(),
-            entries: HashMap::new(),
+            requests: HashMap::new(),
             deadlines: BTreeSet::new(),
             accounts: HashMap::new(),
             arrivals_count: 0,
@@ -101,14 +101,14 @@
 
     /// Returns how many requests wait.
     pub fn waiting_count(&self) -> usize {
-        self.entries.len()
+        self.requests.len()
     }
 
     /// Returns how many requests of an account wait, for all targets.
     pub fn account_count(&self, account: &AccountName) -> u32 {
         self.accounts
             .get(account)
-            .map_or(0, |rank| rank.waiting_count)
+            .map_or(0, |state| state.waiting_count)
     }
 
     /// Returns how many requests of an account wait for a target.
@@ -120,21 +120,21 @@
             .flat_map(|queue| &queue.classes);
         classes
             .filter_map(|accounts| accounts.get(account))
-            .map(|own| own.len() as u32)
+            .map(|account_queue| account_queue.len() as u32)
             .sum()
     }
 
     /// Returns the share under which an account was last charged.
     pub fn share_of(&self, account: &AccountName) -> Option<f64> {
-        self.accounts.get(account).map(|rank| rank.share)
+        self.accounts.get(account).map(|state| state.share)
     }
 
     /// Returns how many wait for a target and when the oldest arrived.
-    pub fn waiting_of(&self, target: &TargetName) -> (u32, Option<u64>) {
+    pub fn waiting_for(&self, target: &TargetName) -> (u32, Option<u64>) {
         self.targets.get(target).map_or((0, None), |queue| {
             (
-                queue.arrived.len() as u32,
-                queue.arrived.first().map(|(at_ms, _)| *at_ms),
+                queue.by_arrival.len() as u32,
+                queue.by_arrival.first().map(|(at_ms, _)| *at_ms),
             )
         })
     }
@@ -146,49 +146,49 @@
 
     /// Adds a request; its account joins at the lowest rank that is active.
     pub fn push(&mut self, waiting: Waiting) {
-        self.join(&waiting.account);
+        self.register_waiting(&waiting.account);
         self.arrivals_count += 1;
-        let place = (waiting.start_by_ms, self.arrivals_count);
+        let queue_key = (waiting.start_by_ms, self.arrivals_count);
         let queue = self.targets.entry(waiting.target.clone()).or_default();
         queue
-            .arrived
+            .by_arrival
             .insert((waiting.arrived_at_ms, waiting.request));
         let accounts = &mut queue.classes[waiting.class.index()];
         accounts
             .entry(waiting.account.clone())
             .or_default()
-            .insert(place, waiting.request);
+            .insert(queue_key, waiting.request);
         self.deadlines
             .insert((waiting.start_by_ms, waiting.request));
-        let entry = Entry {
+        let queued = QueuedRequest {
             waiting,
             arrival_number: self.arrivals_count,
         };
-        self.entries.insert(entry.waiting.request, entry);
+        self.requests.insert(queued.waiting.request, queued);
     }
 
     /// Removes a request wherever it stands.
     pub fn remove(&mut self, request: RequestId) -> Option<Waiting> {
-        let Entry {
+        let QueuedRequest {
             waiting,
             arrival_number,
-        } = self.entries.remove(&request)?;
+        } = self.requests.remove(&request)?;
         self.deadlines.remove(&(waiting.start_by_ms, request));
-        if let Some(rank) = self.accounts.get_mut(&waiting.account) {
-            rank.waiting_count -= 1;
+        if let Some(state) = self.accounts.get_mut(&waiting.account) {
+            state.waiting_count -= 1;
         }
         let Some(queue) = self.targets.get_mut(&waiting.target) else {
             return Some(waiting);
         };
-        queue.arrived.remove(&(waiting.arrived_at_ms, request));
+        queue.by_arrival.remove(&(waiting.arrived_at_ms, request));
         let accounts = &mut queue.classes[waiting.class.index()];
-        if let Some(own) = accounts.get_mut(&waiting.account) {
-            own.remove(&(waiting.start_by_ms, arrival_number));
-            if own.is_empty() {
+        if let Some(account_queue) = accounts.get_mut(&waiting.account) {
+            account_queue.remove(&(waiting.start_by_ms, arrival_number));
+            if account_queue.is_empty() {
                 accounts.remove(&waiting.account);
             }
         }
-        if queue.arrived.is_empty() {
+        if queue.by_arrival.is_empty() {
             self.targets.remove(&waiting.target);
         }
         Some(waiting)
@@ -212,23 +212,23 @@
     pub fn pop(&mut self, targets: &HashSet<TargetName>) -> Option<Waiting> {
         let next = Class::ALL
             .iter()
-            .find_map(|class| self.next_of(targets, *class))?;
+            .find_map(|class| self.next_in_class(targets, *class))?;
         self.remove(next)
     }
 
     /// Adds a cost to an account's rank.
     pub fn charge(&mut self, account: &AccountName, cost_tokens: f64, share: f64) {
         let charged = (self.policy.charge)(cost_tokens, share);
-        if let Some(rank) = self.accounts.get_mut(account) {
-            rank.rank += charged;
-            rank.share = share;
+        if let Some(state) = self.accounts.get_mut(account) {
+            state.rank += charged;
+            state.share = share;
         } else {
-            let rank = AccountRank {
+            let state = AccountState {
                 rank: charged,
                 share,
                 waiting_count: 0,
             };
-            self.accounts.insert(account.clone(), rank);
+            self.accounts.insert(account.clone(), state);
         }
     }
 
@@ -237,15 +237,15 @@
         let queue = self.targets.get(target)?;
         let (_, request) = Class::ALL
             .iter()
-            .find_map(|class| self.best_of(&queue.classes[class.index()]))?;
-        self.entries
+            .find_map(|class| self.first_by_policy(&queue.classes[class.index()]))?;
+        self.requests
             .get(&request)
-            .map(|entry| entry.waiting.prefix_hash)
+            .map(|queued| queued.waiting.prefix_hash)
     }
 
     /// Returns what stands before a request.
-    pub fn ahead(&self, waiting: &Waiting) -> Ahead {
-        let mut ahead = Ahead {
+    pub fn ahead(&self, waiting: &Waiting) -> QueueAhead {
+        let mut ahead = QueueAhead {
             total_count: 0,
             own_count: 0,
             share_sum: waiting.share,
@@ -254,14 +254,17 @@
             return ahead;
         };
         for accounts in &queue.classes[..=waiting.class.index()] {
-            for (account, own) in accounts {
-                let count = own.len() as u32;
+            for (account, account_queue) in accounts {
+                let count = account_queue.len() as u32;
                 ahead.total_count += count;
                 if account == &waiting.account {
                     ahead.own_count += count;
                 } else {
-                    let first = own.values().next().and_then(|id| self.entries.get(id));
-                    ahead.share_sum += first.map_or(0.0, |entry| entry.waiting.share);
+                    let first = account_queue
+                        .values()
+                        .next()
+                        .and_then(|id| self.requests.get(id));
+                    ahead.share_sum += first.map_or(0.0, |queued| queued.waiting.share);
                 }
             }
         }
@@ -269,21 +272,24 @@
     }
 
     /// Counts a waiting request of an account and lifts an idle one's rank.
-    fn join(&mut self, account: &AccountName) {
+    fn register_waiting(&mut self, account: &AccountName) {
         let is_idle = self.account_count(account) == 0;
         if is_idle {
-            let active = self.accounts.values().filter(|rank| rank.waiting_count > 0);
-            let lowest = active.map(|rank| rank.rank).min_by(f64::total_cmp);
-            let rank = self.accounts.entry(account.clone()).or_default();
-            rank.rank = lowest.map_or(rank.rank, |lowest| rank.rank.max(lowest));
+            let active = self
+                .accounts
+                .values()
+                .filter(|state| state.waiting_count > 0);
+            let lowest = active.map(|state| state.rank).min_by(f64::total_cmp);
+            let state = self.accounts.entry(account.clone()).or_default();
+            state.rank = lowest.map_or(state.rank, |lowest| state.rank.max(lowest));
         }
-        if let Some(rank) = self.accounts.get_mut(account) {
-            rank.waiting_count += 1;
+        if let Some(state) = self.accounts.get_mut(account) {
+            state.waiting_count += 1;
         }
     }
 
     /// Returns the next request of one class over targets.
-    fn next_of(&self, targets: &HashSet<TargetName>, class: Class) -> Option<RequestId> {
+    fn next_in_class(&self, targets: &HashSet<TargetName>, class: Class) -> Option<RequestId> {
         // Walk the smaller side: often little waits, or the worker holds little.
         let waiting: Vec<&TargetQueue> = if targets.len() < self.targets.len() {
             targets
@@ -299,13 +305,13 @@
         };
         waiting
             .into_iter()
-            .filter_map(|queue| self.best_of(&queue.classes[class.index()]))
-            .min_by(|a, b| compare(a.0, b.0))
+            .filter_map(|queue| self.first_by_policy(&queue.classes[class.index()]))
+            .min_by(|a, b| compare_keys(a.0, b.0))
             .map(|(_, request)| request)
     }
 
     /// Returns the best account's first request and its key.
-    fn best_of(
+    fn first_by_policy(
         &self,
         accounts: &HashMap<AccountName, AccountQueue>,
     ) -> Option<((f64, u64), RequestId)> {
@@ -313,7 +319,7 @@
             .iter()
             .filter_map(|(account, queue)| {
                 let (&(start_by_ms, arrival_number), &request) = queue.first_key_value()?;
-                let rank = self.accounts.get(account).map_or(0.0, |rank| rank.rank);
+                let rank = self.accounts.get(account).map_or(0.0, |state| state.rank);
                 let head = Head {
                     account,
                     rank,
@@ -322,11 +328,11 @@
                 };
                 Some(((self.policy.key)(&head), request))
             })
-            .min_by(|a, b| compare(a.0, b.0))
+            .min_by(|a, b| compare_keys(a.0, b.0))
     }
 }
 
 /// Orders two keys.
-fn compare(a: (f64, u64), b: (f64, u64)) -> std::cmp::Ordering {
+fn compare_keys(a: (f64, u64), b: (f64, u64)) -> std::cmp::Ordering {
     a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
 }
--- a/crates/cranereach-core/src/dispatch/waits.rs
+++ b/crates/cranereach-core/src/dispatch/waits.rs
@@ -26,8 +26,8 @@
         }
         let late_ms = (now_ms + wait_ms).saturating_sub(waiting.start_by_ms);
         if self.options.refuses_early && late_ms > 0 {
-            let resident = self.workers.holders(&waiting.target).next().is_some();
-            let code = if resident {
+            let is_held = self.workers.holders(&waiting.target).next().is_some();
+            let code = if is_held {
                 ResultCode::DeadlineUnreachable
             } else {
                 ResultCode::NotResident
--- a/crates/cranereach-core/src/dispatch/workers.rs
+++ b/crates/cranereach-core/src/dispatch/workers.rs
@@ -18,16 +18,16 @@
 use crate::route::Candidate;
 
 /// Age at which a peer's word on its own sends no longer counts, in ms.
-const PEER_FRESH_MS: u64 = 3_000;
+const PEER_LOAD_TTL_MS: u64 = 3_000;
 
 /// Time for which a worker is left alone after it could not be reached, in ms.
-const AVOID_MS: u64 = 1_000;
+const UNREACHABLE_PAUSE_MS: u64 = 1_000;
 
 /// Odd constant of the golden ratio, which spreads bits well.
-const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
+const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Requests beyond its slots that a worker may be given, to stay busy.
-const DEPTH_COUNT: f64 = 1.0;
+const OVERCOMMIT_COUNT: f64 = 1.0;
 
 /// What a worker says of itself, as spread by whoever polled it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -67,11 +67,11 @@
 
 /// What is known of one worker.
 #[derive(Debug)]
-struct Known {
+struct TrackedWorker {
     listed: ListedWorker,
     resident: HashSet<TargetName>,
-    own: HashSet<RequestId>,
-    peers: HashMap<InstanceId, PeerLoad>,
+    own_requests: HashSet<RequestId>,
+    peer_loads: HashMap<InstanceId, PeerLoad>,
     reported_count: u32,
     boot_id: u64,
     report_number: u64,
@@ -85,13 +85,13 @@
 #[derive(Clone, Copy, Debug)]
 struct PeerLoad {
     outstanding_count: u32,
-    heard_at_ms: u64,
+    received_at_ms: u64,
 }
 
 /// All workers that this instance routes to.
 #[derive(Debug, Default)]
 pub struct Workers {
-    known: HashMap<WorkerId, Known>,
+    tracked: HashMap<WorkerId, TrackedWorker>,
     holders: HashMap<TargetName, Vec<WorkerId>>,
 }
 
@@ -99,72 +99,72 @@
     /// Takes the platform's list; what left it gets no new work.
     pub fn list(&mut self, listed: Vec<ListedWorker>) {
         let ids: HashSet<WorkerId> = listed.iter().map(|worker| worker.worker.clone()).collect();
-        self.known
-            .retain(|id, known| ids.contains(id) || !known.own.is_empty());
-        for known in self
-            .known
+        self.tracked
+            .retain(|id, tracked| ids.contains(id) || !tracked.own_requests.is_empty());
+        for tracked in self
+            .tracked
             .values_mut()
-            .filter(|known| !ids.contains(&known.listed.worker))
+            .filter(|tracked| !ids.contains(&tracked.listed.worker))
         {
-            known.listed.is_leaving = true;
+            tracked.listed.is_leaving = true;
         }
         for worker in listed {
-            self.take_listed(worker);
+            self.upsert_listed(worker);
         }
-        self.index();
+        self.rebuild_holders();
     }
 
     /// Takes a worker's report unless a later one is known.
     pub fn reported(&mut self, _now_ms: u64, report: &WorkerReport) {
-        let Some(known) = self.known.get_mut(&report.worker) else {
+        let Some(tracked) = self.tracked.get_mut(&report.worker) else {
             return;
         };
-        if report.boot_id == known.boot_id && report.report_number < known.report_number {
+        if report.boot_id == tracked.boot_id && report.report_number < tracked.report_number {
             return;
         }
-        known.boot_id = report.boot_id;
-        known.report_number = report.report_number;
-        known.reported_count = report.outstanding_count;
-        known.slot_count = report.slot_count;
-        known.reports_leaving = report.is_leaving;
+        tracked.boot_id = report.boot_id;
+        tracked.report_number = report.report_number;
+        tracked.reported_count = report.outstanding_count;
+        tracked.slot_count = report.slot_count;
+        tracked.reports_leaving = report.is_leaving;
         let resident: HashSet<TargetName> = report
             .resident
             .iter()
             .cloned()
-            .chain(known.listed.serves.clone())
+            .chain(tracked.listed.serves.clone())
             .collect();
-        if resident != known.resident {
-            known.resident = resident;
-            self.index();
+        if resident != tracked.resident {
+            tracked.resident = resident;
+            self.rebuild_holders();
         }
     }
 
     /// Takes a target away from a worker that refused it as not resident.
     pub fn not_resident(&mut self, worker: &WorkerId, target: &TargetName) {
-        if let Some(known) = self.known.get_mut(worker) {
-            known.resident.remove(target);
-            self.index();
+        if let Some(tracked) = self.tracked.get_mut(worker) {
+            tracked.resident.remove(target);
+            self.rebuild_holders();
         }
     }
 
     /// Leaves a worker alone for a while after it could not be reached.
     pub fn avoid(&mut self, now_ms: u64, worker: &WorkerId) {
-        if let Some(known) = self.known.get_mut(worker) {
-            known.avoid_until_ms = now_ms + AVOID_MS;
+        if let Some(tracked) = self.tracked.get_mut(worker) {
+            tracked.avoid_until_ms = now_ms + UNREACHABLE_PAUSE_MS;
         }
     }
 
     /// Records a request sent from here.
     pub fn sent(&mut self, worker: &WorkerId, request: RequestId) {
-        if let Some(known) = self.known.get_mut(worker) {
-            known.own.insert(request);
+        if let Some(tracked) = self.tracked.get_mut(worker) {
+            tracked.own_requests.insert(request);
         }
     }
 
     /// Records the end of a request sent from here.
     pub fn ended(&mut self, worker: &WorkerId, request: RequestId) {
-        if let Some(known) = self.known.get_mut(worker) {
-            known.own.remove(&request);
+        if let Some(tracked) = self.tracked.get_mut(worker) {
+            tracked.own_requests.remove(&request);
         }
     }
 
@@ -176,39 +176,42 @@
         worker: &WorkerId,
         outstanding_count: u32,
     ) {
-        let Some(known) = self.known.get_mut(worker) else {
+        let Some(tracked) = self.tracked.get_mut(worker) else {
             return;
         };
-        known
-            .peers
-            .retain(|_, load| now_ms.saturating_sub(load.heard_at_ms) < PEER_FRESH_MS);
-        known.peers.insert(
+        tracked
+            .peer_loads
+            .retain(|_, load| now_ms.saturating_sub(load.received_at_ms) < PEER_LOAD_TTL_MS);
+        tracked.peer_loads.insert(
             peer.clone(),
             PeerLoad {
                 outstanding_count,
-                heard_at_ms: now_ms,
+                received_at_ms: now_ms,
             },
         );
     }
 
     /// Returns how much this instance has at each worker.
     pub fn own_outstanding(&self) -> Vec<(WorkerId, u32)> {
-        self.known
+        self.tracked
             .iter()
-            .map(|(id, known)| (id.clone(), known.own.len() as u32))
+            .map(|(id, tracked)| (id.clone(), tracked.own_requests.len() as u32))
             .collect()
     }
 
     /// Returns the workers that can serve a target and aren't leaving.
     pub fn holders(&self, target: &TargetName) -> impl Iterator<Item = &WorkerId> {
         let ids = self.holders.get(target).map_or(&[][..], Vec::as_slice);
-        ids.iter()
-            .filter(|id| self.known.get(*id).is_some_and(Known::takes_work))
+        ids.iter().filter(|id| {
+            self.tracked
+                .get(*id)
+                .is_some_and(TrackedWorker::accepts_work)
+        })
     }
 
     /// Returns what a worker can serve.
     pub fn serves(&self, worker: &WorkerId) -> Option<&HashSet<TargetName>> {
-        self.known.get(worker).map(|known| &known.resident)
+        self.tracked.get(worker).map(|tracked| &tracked.resident)
     }
 
     /// Returns how many targets some worker serves.
@@ -218,19 +221,19 @@
 
     /// Whether a worker may be given one more request.
     pub fn has_room(&self, now_ms: u64, worker: &WorkerId) -> bool {
-        self.known
+        self.tracked
             .get(worker)
-            .is_some_and(|known| known.has_room(now_ms))
+            .is_some_and(|tracked| tracked.has_room(now_ms))
     }
 
     /// Returns open and total slots over the workers that hold a target.
     pub fn room(&self, now_ms: u64, target: &TargetName) -> (u32, u32) {
         let mut open_count = 0.0;
         let mut slot_count = 0;
-        for known in self.holders(target).filter_map(|id| self.known.get(id)) {
-            slot_count += known.slot_count;
-            open_count += (f64::from(known.slot_count) + DEPTH_COUNT
-                - known.outstanding_count(now_ms))
+        for tracked in self.holders(target).filter_map(|id| self.tracked.get(id)) {
+            slot_count += tracked.slot_count;
+            open_count += (f64::from(tracked.slot_count) + OVERCOMMIT_COUNT
+                - tracked.outstanding_count(now_ms))
             .max(0.0);
         }
         (open_count as u32, slot_count)
@@ -245,15 +248,15 @@
         domain: &FailureDomain,
     ) -> Vec<(&WorkerId, Candidate)> {
         self.holders(target)
-            .filter_map(|id| self.known.get_key_value(id))
-            .filter(|(_, known)| known.has_room(now_ms))
-            .map(|(id, known)| {
+            .filter_map(|id| self.tracked.get_key_value(id))
+            .filter(|(_, tracked)| tracked.has_room(now_ms))
+            .map(|(id, tracked)| {
                 let candidate = Candidate {
-                    outstanding_count: known.outstanding_count(now_ms),
-                    reported_count: f64::from(known.reported_count),
-                    slot_count: known.slot_count,
-                    same_domain: &known.listed.domain == domain,
-                    prefix_rank: prefix_rank(prefix_hash, known.identity_hash),
+                    outstanding_count: tracked.outstanding_count(now_ms),
+                    reported_count: f64::from(tracked.reported_count),
+                    slot_count: tracked.slot_count,
+                    same_domain: &tracked.listed.domain == domain,
+                    prefix_rank: prefix_rank(prefix_hash, tracked.identity_hash),
                 };
                 (id, candidate)
             })
@@ -261,17 +264,17 @@
     }
 
     /// Adds or refreshes one listed worker.
-    fn take_listed(&mut self, listed: ListedWorker) {
+    fn upsert_listed(&mut self, listed: ListedWorker) {
         let resident: HashSet<TargetName> = listed.serves.iter().cloned().collect();
         let slot_count = listed.slot_count;
-        let known = self
-            .known
+        let tracked = self
+            .tracked
             .entry(listed.worker.clone())
-            .or_insert_with(|| Known {
+            .or_insert_with(|| TrackedWorker {
                 listed: listed.clone(),
                 resident,
-                own: HashSet::new(),
-                peers: HashMap::new(),
+                own_requests: HashSet::new(),
+                peer_loads: HashMap::new(),
                 reported_count: 0,
                 boot_id: 0,
                 report_number: 0,
@@ -280,14 +283,14 @@
                 avoid_until_ms: 0,
                 identity_hash: rendezvous_weight(listed.worker.as_str(), "prefix"),
             });
-        known.listed = listed;
+        tracked.listed = listed;
     }
 
     /// Rebuilds which workers hold a target.
-    fn index(&mut self) {
+    fn rebuild_holders(&mut self) {
         self.holders.clear();
-        for (id, known) in &self.known {
-            for target in &known.resident {
+        for (id, tracked) in &self.tracked {
+            for target in &tracked.resident {
                 self.holders
                     .entry(target.clone())
                     .or_default()
@@ -297,29 +300,29 @@
     }
 }
 
-impl Known {
+impl TrackedWorker {
     /// Whether it may get new work at all.
-    fn takes_work(&self) -> bool {
+    fn accepts_work(&self) -> bool {
         !self.listed.is_leaving && !self.reports_leaving
     }
 
     /// Requests that it is thought to hold.
     fn outstanding_count(&self, now_ms: u64) -> f64 {
-        let peers: u32 = self
-            .peers
+        let peer_outstanding_count: u32 = self
+            .peer_loads
             .values()
-            .filter(|load| now_ms.saturating_sub(load.heard_at_ms) < PEER_FRESH_MS)
+            .filter(|load| now_ms.saturating_sub(load.received_at_ms) < PEER_LOAD_TTL_MS)
             .map(|load| load.outstanding_count)
             .sum();
-        self.own.len() as f64 + f64::from(peers)
+        self.own_requests.len() as f64 + f64::from(peer_outstanding_count)
     }
 
     /// Whether it may be given one more request.
     fn has_room(&self, now_ms: u64) -> bool {
-        let reachable = now_ms >= self.avoid_until_ms;
-        self.takes_work()
-            && reachable
-            && self.outstanding_count(now_ms) < f64::from(self.slot_count) + DEPTH_COUNT
+        let is_reachable = now_ms >= self.avoid_until_ms;
+        self.accepts_work()
+            && is_reachable
+            && self.outstanding_count(now_ms) < f64::from(self.slot_count) + OVERCOMMIT_COUNT
     }
 }
 
@@ -331,7 +334,7 @@
     if prefix_hash == 0 {
         return 0;
     }
-    let mixed = (prefix_hash ^ identity_hash).wrapping_mul(MIX);
-    let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(MIX);
+    let mixed = (prefix_hash ^ identity_hash).wrapping_mul(FIBONACCI_MULTIPLIER);
+    let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(FIBONACCI_MULTIPLIER);
     (mixed ^ (mixed >> 29)).max(1)
 }
