--- a/crates/cranereach-core/src/dispatch/mod.rs
+++ b/crates/cranereach-core/src/dispatch/mod.rs
@@ -1,9 +1,9 @@
-//! Admission, order and route of requests on one entry instance.
+//! Admission control, scheduling and routing of requests on one entry instance.
 //!
-//! [`Dispatcher`] takes arrivals, ends, reports and ticks, and returns what to
-//! do: send a request to a worker, or refuse it with a code and the time after
-//! which a repeat is worth it. Requests wait in [`queues`]; what is known of the
-//! workers stands in [`workers`].
+//! [`Dispatcher`] handles arriving requests, ended attempts, worker reports and
+//! timer ticks, and returns [`Action`]s: send a request to a worker, or refuse it
+//! with a result code and a Retry-After time. Waiting requests are kept in
+//! [`queues`], the state of the workers in [`workers`].
 
 pub mod queues;
 mod waits;
@@ -31,49 +31,49 @@
 use crate::order::OrderPolicy;
 use crate::route::RoutePolicy;
 
-/// Time that a load is expected to take until one was seen, in milliseconds.
+/// Load time assumed until a load has been measured, in milliseconds.
 const INITIAL_LOAD_MS: u64 = 3_000;
 
-/// Time for which a refused caller still counts as waiting for a load, in ms.
+/// Time after its last request for which a target that no worker holds counts as demand, in ms.
 const UNSERVED_DEMAND_TTL_MS: u64 = 10_000;
 
-/// What varies between deployments.
+/// Dispatcher options, which differ between deployments.
 #[derive(Clone, Debug)]
 pub struct DispatchOptions {
-    /// Order within a class.
+    /// Policy that orders the requests within a class.
     pub order: &'static OrderPolicy,
-    /// Choice of a worker.
+    /// Policy that chooses the worker for a request.
     pub route: &'static RoutePolicy,
-    /// Whether to refuse at once what can't start in time.
+    /// Whether to refuse at once requests that can't start before their deadline.
     pub refuses_early: bool,
     /// Failure domain of this instance.
     pub domain: FailureDomain,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What to do about a request.
+/// Decision about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send it to this worker.
+    /// Send the request to this worker.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// Worker that gets the request.
         worker: WorkerId,
     },
-    /// Answer it now with this code.
+    /// Refuse the request now with this code.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason for the refusal.
         code: ResultCode,
-        /// When a repeat is worth it, in milliseconds from now.
+        /// Time after which a retry may succeed, in milliseconds from now.
         retry_after_ms: u64,
     },
 }
 
-/// A request at an upstream.
+/// A request that an upstream is processing.
 #[derive(Clone, Debug)]
 struct Running {
     account: AccountName,
@@ -84,14 +84,14 @@
     sent_at_ms: u64,
 }
 
-/// A target that callers were sent away from because it isn't resident.
+/// Recent requests for a target that no worker holds.
 #[derive(Clone, Copy, Debug)]
 struct UnservedDemand {
     first_at_ms: u64,
     last_at_ms: u64,
 }
 
-/// Admission, order and route of one entry instance.
+/// Admission control, scheduling and routing of one entry instance.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: DispatchOptions,
@@ -107,7 +107,7 @@
 }
 
 impl Dispatcher {
-    /// Starts empty.
+    /// Creates a dispatcher without workers and waiting requests.
     pub fn new(options: DispatchOptions) -> Self {
         Self {
             queues: Queues::new(options.order),
@@ -123,27 +123,27 @@
         }
     }
 
-    /// Returns what is known of the workers.
+    /// Returns the state of the workers.
     pub fn workers(&self) -> &Workers {
         &self.workers
     }
 
-    /// Returns what is known of the workers, for changes.
+    /// Returns the state of the workers, for updates.
     pub fn workers_mut(&mut self) -> &mut Workers {
         &mut self.workers
     }
 
-    /// Returns the queues.
+    /// Returns the queues of waiting requests.
     pub fn queues(&self) -> &Queues {
         &self.queues
     }
 
-    /// Returns how many requests are at upstreams.
+    /// Returns how many requests upstreams are processing.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Takes a request and appends what to do now.
+    /// Handles a new request and appends the resulting actions.
     pub fn arrive(&mut self, now_ms: u64, waiting: Waiting, actions: &mut Vec<Action>) {
         let target = waiting.target.clone();
         self.demand.arrived(now_ms, &target);
@@ -157,16 +157,17 @@
         self.send_waiting_for(now_ms, &target, actions);
     }
 
-    /// Takes a request again whose attempt did not run; it waits anew.
+    /// Puts a request back into its queue after an attempt that the upstream did not run.
     pub fn arrive_again(&mut self, now_ms: u64, waiting: Waiting, actions: &mut Vec<Action>) {
         let target = waiting.target.clone();
         self.queues.push(waiting);
         self.send_waiting_for(now_ms, &target, actions);
     }
 
-    /// Takes the end of an attempt at an upstream and what it really cost.
+    /// Handles the end of an attempt at an upstream and charges its actual cost.
     ///
-    /// `whole` says whether the answer came whole, so that its time counts.
+    /// `complete` says whether the whole answer arrived; only then does its duration
+    /// count towards the mean service time.
     pub fn ended(
         &mut self,
         now_ms: u64,
@@ -190,12 +191,12 @@
         self.fill_worker(now_ms, &running.worker, actions);
     }
 
-    /// Takes away a waiting request whose caller left; true if it waited.
+    /// Removes a waiting request whose caller has disconnected; returns whether it was waiting.
     pub fn left(&mut self, request: RequestId) -> bool {
         self.queues.remove(request).is_some()
     }
 
-    /// Takes a worker's report.
+    /// Handles a worker's report.
     pub fn reported(&mut self, now_ms: u64, report: &WorkerReport, actions: &mut Vec<Action>) {
         self.workers.reported(now_ms, report);
         for target in &report.resident {
@@ -204,17 +205,17 @@
         self.fill_worker(now_ms, &report.worker, actions);
     }
 
-    /// Takes the cost that a peer served to an account since its last word.
+    /// Charges an account the cost that a peer has served to it since the peer's previous message.
     pub fn peer_served(&mut self, account: &AccountName, cost_tokens: f64, share: f64) {
         self.queues.charge(account, cost_tokens, share);
     }
 
-    /// Takes how long a load really took, in milliseconds.
+    /// Updates the moving average of load times with a measured one, in milliseconds.
     pub fn load_took(&mut self, load_ms: u64) {
         self.load_ms += 0.3 * (load_ms as f64 - self.load_ms);
     }
 
-    /// Refuses what has waited too long and sends what has found room.
+    /// Refuses requests whose start deadline has passed and sends those that workers can now take.
     pub fn tick(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         for waiting in self.queues.take_overdue(now_ms) {
             let code = if self.workers.holders(&waiting.target).next().is_some() {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Returns this instance's demand per target, for its digest.
+    /// Returns this instance's demand per target, for its digest to the peers.
     pub fn demand(&self, now_ms: u64) -> Vec<TargetDemand> {
         self.demand
             .targets()
@@ -243,19 +244,19 @@
             .collect()
     }
 
-    /// Returns when each target was last asked for here.
+    /// Returns the time of the last request for each target on this instance.
     pub fn used(&self) -> impl Iterator<Item = (TargetName, u64)> {
         self.used_at_ms
             .iter()
             .map(|(target, at_ms)| (target.clone(), *at_ms))
     }
 
-    /// Returns the total cost served to each account here, in tokens.
+    /// Returns the total cost that this instance has served to each account, in tokens.
     pub fn served_tokens(&self) -> &HashMap<AccountName, f64> {
         &self.served_tokens
     }
 
-    /// Returns what a peer holds against a worker as known here.
+    /// Records how many outstanding requests a peer has at a worker.
     pub fn note_peer(
         &mut self,
         now_ms: u64,
@@ -267,7 +268,10 @@
             .note_peer(now_ms, peer, worker, outstanding_count);
     }
 
-    /// Returns the demand for one target; callers sent away still count.
+    /// Returns the demand for one target.
+    ///
+    /// Callers that were recently refused because no worker holds the target count
+    /// together as one waiting request.
     fn demand_of(&self, now_ms: u64, target: &TargetName) -> TargetDemand {
         let (waiting_count, arrived_ms) = self.queues.waiting_for(target);
         let is_fresh = |unserved: &&UnservedDemand| {
@@ -286,10 +290,10 @@
         }
     }
 
-    /// Remembers that a caller asked for a target that is nowhere.
+    /// Records a request for a target that no worker holds.
     ///
-    /// It counts on after the caller was sent away, so that a target that needs
-    /// longer to load than callers wait is loaded all the same.
+    /// The demand outlasts the refusal of the caller, so that a target that takes
+    /// longer to load than callers wait is still loaded.
     fn record_unserved(&mut self, now_ms: u64, target: &TargetName) {
         if self.workers.holders(target).next().is_some() {
             return;
@@ -305,7 +309,9 @@
         unserved.last_at_ms = now_ms;
     }
 
-    /// Sends what waits for a target while workers that hold it have room.
+    /// Sends waiting requests while workers that hold a target have capacity.
+    ///
+    /// Each chosen worker gets the next request for any target that it serves.
     fn send_waiting_for(&mut self, now_ms: u64, target: &TargetName, actions: &mut Vec<Action>) {
         while let Some(prefix_hash) = self.queues.head_prefix(target) {
             let Some(worker) = self.choose_worker(now_ms, target, prefix_hash) else {
@@ -317,7 +323,7 @@
         }
     }
 
-    /// Sends what waits for anything that a worker holds while it has room.
+    /// Sends waiting requests to a worker while it has capacity.
     fn fill_worker(&mut self, now_ms: u64, worker: &WorkerId, actions: &mut Vec<Action>) {
         while self.workers.has_room(now_ms, worker) {
             if !self.send_next(now_ms, worker, actions) {
@@ -326,7 +332,7 @@
         }
     }
 
-    /// Chooses a worker with room for a target.
+    /// Chooses a worker that holds a target and has capacity.
     fn choose_worker(
         &mut self,
         now_ms: u64,
@@ -341,7 +347,7 @@
         Some(available[index].0.clone())
     }
 
-    /// Sends the request that is next among all that a worker can serve.
+    /// Sends a worker the next request that it can serve; returns whether there was one.
     fn send_next(&mut self, now_ms: u64, worker: &WorkerId, actions: &mut Vec<Action>) -> bool {
         let Some(targets) = self.workers.serves(worker) else {
             return false;
--- a/crates/cranereach-core/src/dispatch/queues.rs
+++ b/crates/cranereach-core/src/dispatch/queues.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: by target, class and account, in order of deadline.
+//! Waiting requests, queued by target, class and account in order of deadline.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -16,51 +16,51 @@
 pub struct Waiting {
     /// The request.
     pub request: RequestId,
-    /// Whose it is.
+    /// Account that sent it.
     pub account: AccountName,
-    /// Share of the account.
+    /// Fair share of the account, as a weight.
     pub share: f64,
-    /// Longest queue of the account for one target, in requests.
+    /// Limit on the account's waiting requests for one target.
     pub queue_count: u32,
-    /// What it asks for.
+    /// Target that it asks for.
     pub target: TargetName,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_at_ms: u64,
-    /// When it must have been sent.
+    /// Deadline for sending it to a worker.
     pub start_by_ms: u64,
     /// Expected cost, in tokens.
     pub cost_tokens: f64,
-    /// Hash of the start of its prompt; zero for none.
+    /// Hash of the prompt's prefix; zero if it has none.
     pub prefix_hash: u64,
 }
 
-/// What stands before a request.
+/// Waiting requests ahead of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueAhead {
-    /// All that wait for the target in the same or a more urgent class.
+    /// Requests for the target in the same or a more urgent class.
     pub total_count: u32,
-    /// Those of the same account.
+    /// Those of them from the same account.
     pub own_count: u32,
-    /// Sum of shares of the accounts that wait, this one's included.
+    /// Sum of the shares of the accounts that have requests waiting, this one's included.
     pub share_sum: f64,
 }
 
-/// Place of a request in its account's queue: deadline, then arrival.
+/// Position of a request in its account's queue: start deadline, then arrival number.
 type QueueKey = (u64, u64);
 
 /// One account's requests for one target and class.
 type AccountQueue = std::collections::BTreeMap<QueueKey, RequestId>;
 
-/// What waits for one target.
+/// Waiting requests for one target.
 #[derive(Debug, Default)]
 struct TargetQueue {
     classes: [HashMap<AccountName, AccountQueue>; Class::ALL.len()],
     by_arrival: BTreeSet<(u64, RequestId)>,
 }
 
-/// What is kept per account.
+/// Scheduling state of one account.
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountState {
     rank: f64,
@@ -68,14 +68,14 @@
     waiting_count: u32,
 }
 
-/// A request with its place in the order of arrival.
+/// A waiting request and its number in the order of arrival.
 #[derive(Debug)]
 struct QueuedRequest {
     waiting: Waiting,
     arrival_number: u64,
 }
 
-/// All that waits on one entry instance.
+/// All waiting requests of one entry instance.
 #[derive(Debug)]
 pub struct Queues {
     policy: &'static OrderPolicy,
@@ -87,7 +87,7 @@
 }
 
 impl Queues {
-    /// Starts empty.
+    /// Creates empty queues that are ordered by a policy.
     pub fn new(policy: &'static OrderPolicy) -> Self {
         Self {
             policy,
@@ -99,19 +99,19 @@
         }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns how many requests of an account wait, for all targets.
+    /// Returns the number of an account's waiting requests for all targets.
     pub fn account_count(&self, account: &AccountName) -> u32 {
         self.accounts
             .get(account)
             .map_or(0, |state| state.waiting_count)
     }
 
-    /// Returns how many requests of an account wait for a target.
+    /// Returns the number of an account's waiting requests for one target.
     pub fn queue_count(&self, account: &AccountName, target: &TargetName) -> u32 {
         let classes = self
             .targets
@@ -124,12 +124,12 @@
             .sum()
     }
 
-    /// Returns the share under which an account was last charged.
+    /// Returns the share with which an account was last charged.
     pub fn share_of(&self, account: &AccountName) -> Option<f64> {
         self.accounts.get(account).map(|state| state.share)
     }
 
-    /// Returns how many wait for a target and when the oldest arrived.
+    /// Returns the number of waiting requests for a target and the arrival time of the oldest.
     pub fn waiting_for(&self, target: &TargetName) -> (u32, Option<u64>) {
         self.targets.get(target).map_or((0, None), |queue| {
             (
@@ -139,12 +139,12 @@
         })
     }
 
-    /// Returns the targets for which something waits.
+    /// Returns the targets that have waiting requests.
     pub fn waiting_targets(&self) -> Vec<TargetName> {
         self.targets.keys().cloned().collect()
     }
 
-    /// Adds a request; its account joins at the lowest rank that is active.
+    /// Adds a request; an idle account's rank is raised to the lowest active one.
     pub fn push(&mut self, waiting: Waiting) {
         self.register_waiting(&waiting.account);
         self.arrivals_count += 1;
@@ -167,7 +167,7 @@
         self.requests.insert(queued.waiting.request, queued);
     }
 
-    /// Removes a request wherever it stands.
+    /// Removes a request from its queue and returns it.
     pub fn remove(&mut self, request: RequestId) -> Option<Waiting> {
         let QueuedRequest {
             waiting,
@@ -194,7 +194,7 @@
         Some(waiting)
     }
 
-    /// Removes all whose time to start has passed.
+    /// Removes and returns the requests whose start deadline has passed.
     pub fn take_overdue(&mut self, now_ms: u64) -> Vec<Waiting> {
         let overdue: Vec<RequestId> = self
             .deadlines
@@ -208,7 +208,7 @@
             .collect()
     }
 
-    /// Removes and returns the request that is next for these targets.
+    /// Removes and returns the next request for any of these targets.
     pub fn pop(&mut self, targets: &HashSet<TargetName>) -> Option<Waiting> {
         let next = Class::ALL
             .iter()
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Returns the prefix hash of the request that is next for a target.
+    /// Returns the prefix hash of the next request for a target.
     pub fn head_prefix(&self, target: &TargetName) -> Option<u64> {
         let queue = self.targets.get(target)?;
         let (_, request) = Class::ALL
@@ -243,7 +243,7 @@
             .map(|queued| queued.waiting.prefix_hash)
     }
 
-    /// Returns what stands before a request.
+    /// Returns what is ahead of a request in the queues.
     pub fn ahead(&self, waiting: &Waiting) -> QueueAhead {
         let mut ahead = QueueAhead {
             total_count: 0,
@@ -271,7 +271,7 @@
         ahead
     }
 
-    /// Counts a waiting request of an account and lifts an idle one's rank.
+    /// Counts a waiting request of an account, and raises its rank if the account was idle.
     fn register_waiting(&mut self, account: &AccountName) {
         let is_idle = self.account_count(account) == 0;
         if is_idle {
@@ -288,9 +288,10 @@
         }
     }
 
-    /// Returns the next request of one class over targets.
+    /// Returns the next request of one class for any of these targets.
     fn next_in_class(&self, targets: &HashSet<TargetName>, class: Class) -> Option<RequestId> {
-        // Walk the smaller side: often little waits, or the worker holds little.
+        // Iterates over the smaller set: often few targets have requests waiting, or the worker
+        // holds few.
         let waiting: Vec<&TargetQueue> = if targets.len() < self.targets.len() {
             targets
                 .iter()
@@ -310,7 +311,7 @@
             .map(|(_, request)| request)
     }
 
-    /// Returns the best account's first request and its key.
+    /// Returns the request that the policy puts first, and its key.
     fn first_by_policy(
         &self,
         accounts: &HashMap<AccountName, AccountQueue>,
@@ -332,7 +333,7 @@
     }
 }
 
-/// Orders two keys.
+/// Compares two policy keys.
 fn compare_keys(a: (f64, u64), b: (f64, u64)) -> std::cmp::Ordering {
     a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
 }
--- a/crates/cranereach-core/src/dispatch/waits.rs
+++ b/crates/cranereach-core/src/dispatch/waits.rs
@@ -1,4 +1,4 @@
-//! How long a request would wait, and whether to refuse it at once for that.
+//! Expected waiting time of a request, and early refusal of requests that would wait too long.
 
 use super::Action;
 use super::Dispatcher;
@@ -12,7 +12,7 @@
 const RETRY_AFTER_MIN_MS: u64 = 250;
 
 impl Dispatcher {
-    /// Returns the refusal that a new request gets at once, if any.
+    /// Returns the refusal of a new request, or `None` if it is admitted.
     pub(super) fn refusal(&self, now_ms: u64, waiting: &Waiting) -> Option<Action> {
         let refuse = |code, retry_after_ms| Action::Refuse {
             request: waiting.request,
@@ -39,9 +39,9 @@
 
     /// Returns how long a request would wait if it arrived now, in ms.
     ///
-    /// An account waits for its own queue at the rate of its share, or for the
-    /// whole queue at the full rate, whichever is shorter: a flood by one
-    /// account makes only its own wait long.
+    /// This is the shorter of two estimates: the account's own queue served at the
+    /// rate of its share, and the queue of all accounts served at the full rate. A
+    /// flood of requests from one account thus lengthens only that account's wait.
     pub(super) fn expected_wait_ms(&self, now_ms: u64, waiting: &Waiting) -> u64 {
         let (open_count, slot_count) = self.workers.room(now_ms, &waiting.target);
         if slot_count == 0 {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Keeps a Retry-After within its bounds.
+/// Limits a Retry-After time to its allowed range.
 pub(super) fn clamp_retry(retry_after_ms: u64) -> u64 {
     retry_after_ms.clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS)
 }
--- a/crates/cranereach-core/src/dispatch/workers.rs
+++ b/crates/cranereach-core/src/dispatch/workers.rs
@@ -1,7 +1,8 @@
-//! What one entry instance knows of the workers.
+//! State of the workers as one entry instance knows it.
 //!
-//! Load is own sends plus what peers said of theirs, which is fresher than the
-//! worker's own lagging report; the report adds what neither explains.
+//! The load of a worker is the number of requests that this instance and its peers
+//! have outstanding there, because the worker's own report lags behind. The reported
+//! count is kept too, for route policies that use it.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,40 +18,40 @@
 use crate::names::WorkerId;
 use crate::route::Candidate;
 
-/// Age at which a peer's word on its own sends no longer counts, in ms.
+/// Age at which a peer's message about its outstanding requests no longer counts, in ms.
 const PEER_LOAD_TTL_MS: u64 = 3_000;
 
-/// Time for which a worker is left alone after it could not be reached, in ms.
+/// Time for which a worker gets no requests after it could not be reached, in ms.
 const UNREACHABLE_PAUSE_MS: u64 = 1_000;
 
-/// Odd constant of the golden ratio, which spreads bits well.
+/// Odd multiplier derived from the golden ratio (Fibonacci hashing), which spreads bits well.
 const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Requests beyond its slots that a worker may be given, to stay busy.
+/// Requests that a worker may be given beyond its slots, so that it stays busy.
 const OVERCOMMIT_COUNT: f64 = 1.0;
 
-/// What a worker says of itself, as spread by whoever polled it.
+/// State that a worker reports about itself, distributed by the instance that polled it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerReport {
     /// The worker.
     pub worker: WorkerId,
-    /// Random number of the worker's present boot.
+    /// Random number that identifies the worker's current boot.
     pub boot_id: u64,
-    /// Grows with each report of a boot, so that an older one is dropped.
+    /// Increases with each report of a boot, so that an outdated report is dropped.
     pub report_number: u64,
-    /// Requests that it runs or queues.
+    /// Requests that it is running or has queued.
     pub outstanding_count: u32,
-    /// Requests that it can batch.
+    /// Requests that it can run in one batch.
     pub slot_count: u32,
-    /// Whether it says that it is leaving.
+    /// Whether the worker announces that it is leaving, and takes no new requests.
     pub is_leaving: bool,
-    /// Memory that nothing takes, in bytes.
+    /// Unused memory, in bytes.
     pub free_bytes: u64,
     /// Targets that it can serve now.
     pub resident: Vec<TargetName>,
 }
 
-/// A worker as the platform's list has it.
+/// A worker on the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
     /// The worker.
@@ -59,13 +60,13 @@
     pub domain: FailureDomain,
     /// Whether the list says that it is leaving.
     pub is_leaving: bool,
-    /// What it always serves: its pool, for a plain service.
+    /// Target that it always serves: its pool, for a plain service.
     pub serves: Option<TargetName>,
-    /// Requests at once, if the worker doesn't report.
+    /// Requests that it can run at once, used until the worker reports its own figure.
     pub slot_count: u32,
 }
 
-/// What is known of one worker.
+/// State of one worker.
 #[derive(Debug)]
 struct TrackedWorker {
     listed: ListedWorker,
@@ -81,14 +82,14 @@
     identity_hash: u64,
 }
 
-/// A peer's word on what it has at a worker.
+/// Outstanding requests of a peer at a worker, as the peer reported them.
 #[derive(Clone, Copy, Debug)]
 struct PeerLoad {
     outstanding_count: u32,
     received_at_ms: u64,
 }
 
-/// All workers that this instance routes to.
+/// Workers that this instance routes to.
 #[derive(Debug, Default)]
 pub struct Workers {
     tracked: HashMap<WorkerId, TrackedWorker>,
@@ -96,7 +97,10 @@
 }
 
 impl Workers {
-    /// Takes the platform's list; what left it gets no new work.
+    /// Applies the platform's list.
+    ///
+    /// Workers that are no longer on it get no new requests, and are kept only while
+    /// requests of this instance are outstanding there.
     pub fn list(&mut self, listed: Vec<ListedWorker>) {
         let ids: HashSet<WorkerId> = listed.iter().map(|worker| worker.worker.clone()).collect();
         self.tracked
@@ -114,7 +118,7 @@
         self.rebuild_holders();
     }
 
-    /// Takes a worker's report unless a later one is known.
+    /// Applies a worker's report unless a later one of the same boot has been applied.
     pub fn reported(&mut self, _now_ms: u64, report: &WorkerReport) {
         let Some(tracked) = self.tracked.get_mut(&report.worker) else {
             return;
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Takes a target away from a worker that refused it as not resident.
+    /// Removes a target from a worker that refused a request because the target isn't resident.
     pub fn not_resident(&mut self, worker: &WorkerId, target: &TargetName) {
         if let Some(tracked) = self.tracked.get_mut(worker) {
             tracked.resident.remove(target);
@@ -147,28 +151,28 @@
         }
     }
 
-    /// Leaves a worker alone for a while after it could not be reached.
+    /// Sends a worker no requests for a while after it could not be reached.
     pub fn avoid(&mut self, now_ms: u64, worker: &WorkerId) {
         if let Some(tracked) = self.tracked.get_mut(worker) {
             tracked.avoid_until_ms = now_ms + UNREACHABLE_PAUSE_MS;
         }
     }
 
-    /// Records a request sent from here.
+    /// Records a request that this instance sent to a worker.
     pub fn sent(&mut self, worker: &WorkerId, request: RequestId) {
         if let Some(tracked) = self.tracked.get_mut(worker) {
             tracked.own_requests.insert(request);
         }
     }
 
-    /// Records the end of a request sent from here.
+    /// Records the end of a request that this instance sent to a worker.
     pub fn ended(&mut self, worker: &WorkerId, request: RequestId) {
         if let Some(tracked) = self.tracked.get_mut(worker) {
             tracked.own_requests.remove(&request);
         }
     }
 
-    /// Records how much a peer has at a worker.
+    /// Records how many outstanding requests a peer has at a worker.
     pub fn note_peer(
         &mut self,
         now_ms: u64,
@@ -191,7 +195,7 @@
         );
     }
 
-    /// Returns how much this instance has at each worker.
+    /// Returns how many outstanding requests this instance has at each worker.
     pub fn own_outstanding(&self) -> Vec<(WorkerId, u32)> {
         self.tracked
             .iter()
@@ -209,24 +213,25 @@
         })
     }
 
-    /// Returns what a worker can serve.
+    /// Returns the targets that a worker can serve.
     pub fn serves(&self, worker: &WorkerId) -> Option<&HashSet<TargetName>> {
         self.tracked.get(worker).map(|tracked| &tracked.resident)
     }
 
-    /// Returns how many targets some worker serves.
+    /// Returns the number of targets that at least one worker can serve.
     pub fn target_count(&self) -> usize {
         self.holders.len()
     }
 
-    /// Whether a worker may be given one more request.
+    /// Returns whether a worker may be given another request.
     pub fn has_room(&self, now_ms: u64, worker: &WorkerId) -> bool {
         self.tracked
             .get(worker)
             .is_some_and(|tracked| tracked.has_room(now_ms))
     }
 
-    /// Returns open and total slots over the workers that hold a target.
+    /// Returns how many more requests the workers that hold a target may be given, and the
+    /// number of their slots.
     pub fn room(&self, now_ms: u64, target: &TargetName) -> (u32, u32) {
         let mut open_count = 0.0;
         let mut slot_count = 0;
@@ -239,7 +244,7 @@
         (open_count as u32, slot_count)
     }
 
-    /// Returns the workers that hold a target and have room.
+    /// Returns the workers that hold a target and have capacity.
     pub fn candidates(
         &self,
         now_ms: u64,
@@ -263,7 +268,7 @@
             .collect()
     }
 
-    /// Adds or refreshes one listed worker.
+    /// Adds or updates a worker from the platform's list.
     fn upsert_listed(&mut self, listed: ListedWorker) {
         let resident: HashSet<TargetName> = listed.serves.iter().cloned().collect();
         let slot_count = listed.slot_count;
@@ -286,7 +291,7 @@
         tracked.listed = listed;
     }
 
-    /// Rebuilds which workers hold a target.
+    /// Rebuilds the index of the workers that hold each target.
     fn rebuild_holders(&mut self) {
         self.holders.clear();
         for (id, tracked) in &self.tracked {
@@ -301,12 +306,12 @@
 }
 
 impl TrackedWorker {
-    /// Whether it may get new work at all.
+    /// Returns whether it accepts new requests.
     fn accepts_work(&self) -> bool {
         !self.listed.is_leaving && !self.reports_leaving
     }
 
-    /// Requests that it is thought to hold.
+    /// Returns how many requests this instance and its peers have outstanding at it.
     fn outstanding_count(&self, now_ms: u64) -> f64 {
         let peer_outstanding_count: u32 = self
             .peer_loads
@@ -317,7 +322,7 @@
         self.own_requests.len() as f64 + f64::from(peer_outstanding_count)
     }
 
-    /// Whether it may be given one more request.
+    /// Returns whether it may be given another request.
     fn has_room(&self, now_ms: u64) -> bool {
         let is_reachable = now_ms >= self.avoid_until_ms;
         self.accepts_work()
@@ -326,10 +331,10 @@
     }
 }
 
-/// Returns a worker's rank for a prefix; zero if there is no prefix.
+/// Returns a worker's rank for a prefix, as in rendezvous hashing; zero if there is no prefix.
 ///
-/// The hashes are mixed by a multiplication and shifts: a hash of text for each
-/// candidate would be most of the cost of a route.
+/// The two hashes are mixed by multiplications and shifts, because hashing text for
+/// each candidate would be most of the cost of a routing decision.
 fn prefix_rank(prefix_hash: u64, identity_hash: u64) -> u64 {
     if prefix_hash == 0 {
         return 0;
