--- a/crates/cranereach-core/src/attempt.rs
+++ b/crates/cranereach-core/src/attempt.rs
@@ -16,9 +16,9 @@
     /// Bytes may have left.
     Sent,
     /// The head of the answer has come.
-    Answering,
+    HeadReceived,
     /// Bytes of the answer have been passed to the caller.
-    Passing,
+    Relaying,
 }
 
 /// What happened to the present attempt.
@@ -62,7 +62,7 @@
     stage: Stage,
     deadline_at_ms: u64,
     ended: Option<ResultCode>,
-    ran_before: bool,
+    may_have_run_before: bool,
 }
 
 impl Attempt {
@@ -86,7 +86,7 @@
             stage: Stage::Connecting,
             deadline_at_ms,
             ended: None,
-            ran_before: false,
+            may_have_run_before: false,
         }
     }
 
@@ -95,11 +95,11 @@
         if let Some(code) = self.ended {
             return Verdict::End(code);
         }
-        let verdict = self.judge(now_ms, event, budget);
+        let verdict = self.decide(now_ms, event, budget);
         match verdict {
             Verdict::End(code) => self.ended = Some(code),
             Verdict::TryElsewhere => {
-                self.ran_before |= self.may_have_run(event);
+                self.may_have_run_before |= self.may_have_run(event);
                 self.stage = Stage::Connecting;
             }
             Verdict::Continue => {}
@@ -109,27 +109,27 @@
 
     /// Returns the code of a refusal at the queue, true to earlier attempts.
     pub fn refused(&mut self, code: ResultCode) -> ResultCode {
-        let code = self.honest(code);
+        let code = self.unknown_if_run_before(code);
         *self.ended.get_or_insert(code)
     }
 
     /// Judges one event at the present stage.
-    fn judge(&mut self, now_ms: u64, event: Event, budget: &mut RetryBudget) -> Verdict {
+    fn decide(&mut self, now_ms: u64, event: Event, budget: &mut RetryBudget) -> Verdict {
         match event {
             Event::Handed => self.advance(Stage::Sent),
-            Event::Head => self.advance(Stage::Answering),
-            Event::FirstBytes => self.advance(Stage::Passing),
+            Event::Head => self.advance(Stage::HeadReceived),
+            Event::FirstBytes => self.advance(Stage::Relaying),
             Event::Whole => Verdict::End(ResultCode::Served),
             Event::NotConnected if self.stage == Stage::Connecting => {
                 self.retry_not_run(now_ms, budget, ResultCode::NoUpstream)
             }
-            Event::RefusedByUpstream if self.stage <= Stage::Answering => {
+            Event::RefusedByUpstream if self.stage <= Stage::HeadReceived => {
                 self.retry_not_run(now_ms, budget, ResultCode::NoUpstream)
             }
             Event::NotConnected | Event::RefusedByUpstream | Event::Broken => {
-                self.after_break(now_ms, budget, ResultCode::OutcomeUnknown)
+                self.after_failure(now_ms, budget, ResultCode::OutcomeUnknown)
             }
-            Event::Garbled => self.after_break(now_ms, budget, ResultCode::GarbledAnswer),
+            Event::Garbled => self.after_failure(now_ms, budget, ResultCode::GarbledAnswer),
             Event::DeadlinePassed => Verdict::End(self.past_deadline()),
         }
     }
@@ -153,12 +153,12 @@
         } else {
             end
         };
-        Verdict::End(self.honest(code))
+        Verdict::End(self.unknown_if_run_before(code))
     }
 
     /// This attempt may have run: only a safe call that passed nothing goes on.
-    fn after_break(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
-        if self.stage == Stage::Passing {
+    fn after_failure(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
+        if self.stage == Stage::Relaying {
             return Verdict::End(ResultCode::BrokenMidway);
         }
         if self.stage == Stage::Connecting {
@@ -187,12 +187,12 @@
 
     /// Code of a deadline that passed before this attempt was sent.
     fn past_deadline_unsent(&self) -> ResultCode {
-        self.honest(ResultCode::DeadlinePassed)
+        self.unknown_if_run_before(ResultCode::DeadlinePassed)
     }
 
     /// Keeps a "not run" code only when no earlier attempt may have run.
-    fn honest(&self, code: ResultCode) -> ResultCode {
-        if self.ran_before {
+    fn unknown_if_run_before(&self, code: ResultCode) -> ResultCode {
+        if self.may_have_run_before {
             ResultCode::OutcomeUnknown
         } else {
             code
--- a/crates/cranereach-core/src/config.rs
+++ b/crates/cranereach-core/src/config.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct ConfigState {
     held: Head,
-    wanted: Head,
+    newest: Head,
     table_read_at_ms: Option<u64>,
     started_at_ms: u64,
 }
@@ -33,7 +33,7 @@
     pub fn new(now_ms: u64) -> Self {
         Self {
             held: Head::default(),
-            wanted: Head::default(),
+            newest: Head::default(),
             table_read_at_ms: None,
             started_at_ms: now_ms,
         }
@@ -52,14 +52,14 @@
 
     /// Takes a head from a peer's digest.
     pub fn heard_head(&mut self, head: &Head) {
-        if head.version > self.wanted.version {
-            self.wanted = head.clone();
+        if head.version > self.newest.version {
+            self.newest = head.clone();
         }
     }
 
     /// Returns the head whose body is to be fetched, if any.
     pub fn missing(&self) -> Option<&Head> {
-        (self.wanted.version > self.held.version).then_some(&self.wanted)
+        (self.newest.version > self.held.version).then_some(&self.newest)
     }
 
     /// Adopts a fetched body's head; says whether it is now in force.
@@ -92,11 +92,11 @@
         if self.held.version == 0 {
             return false;
         }
-        let since_ms = self.table_read_at_ms.unwrap_or(self.started_at_ms);
-        let table_fresh = now_ms.saturating_sub(since_ms) < CONFIRM_WITHIN_MS;
-        let peers_enough = heard_count * 2 >= listed_count;
+        let confirmed_at_ms = self.table_read_at_ms.unwrap_or(self.started_at_ms);
+        let table_fresh = now_ms.saturating_sub(confirmed_at_ms) < CONFIRM_WITHIN_MS;
+        let enough_peers = heard_count * 2 >= listed_count;
         let behind =
-            self.missing().is_some() && now_ms.saturating_sub(since_ms) >= CONFIRM_WITHIN_MS;
-        (table_fresh || peers_enough) && !behind
+            self.missing().is_some() && now_ms.saturating_sub(confirmed_at_ms) >= CONFIRM_WITHIN_MS;
+        (table_fresh || enough_peers) && !behind
     }
 }
--- a/crates/cranereach-core/src/demand.rs
+++ b/crates/cranereach-core/src/demand.rs
@@ -11,10 +11,10 @@
 pub const HALF_LIFE_MS: f64 = 5_000.0;
 
 /// Service time assumed of a target that was never served, in milliseconds.
-const FIRST_SERVICE_MS: f64 = 500.0;
+const INITIAL_SERVICE_MS: f64 = 500.0;
 
 /// Weight of a new sample in the mean service time.
-const SERVICE_GAIN: f64 = 0.1;
+const SERVICE_SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Demand for one target as one instance sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -31,8 +31,8 @@
 
 /// Decayed arrivals of one target.
 #[derive(Clone, Copy, Debug)]
-struct Arrivals {
-    weight_count: f64,
+struct TargetEstimate {
+    arrival_weight: f64,
     decayed_at_ms: u64,
     service_ms: f64,
 }
@@ -40,28 +40,28 @@
 /// Demand estimates of one entry instance.
 #[derive(Clone, Debug, Default)]
 pub struct DemandMeter {
-    targets: HashMap<TargetName, Arrivals>,
+    targets: HashMap<TargetName, TargetEstimate>,
 }
 
 impl DemandMeter {
     /// Records an arrival.
     pub fn arrived(&mut self, now_ms: u64, target: &TargetName) {
-        let arrivals = self.entry(now_ms, target);
-        arrivals.decay(now_ms);
-        arrivals.weight_count += 1.0;
+        let estimate = self.estimate_mut(now_ms, target);
+        estimate.decay(now_ms);
+        estimate.arrival_weight += 1.0;
     }
 
     /// Records how long a request took at an upstream.
     pub fn served(&mut self, now_ms: u64, target: &TargetName, service_ms: f64) {
-        let arrivals = self.entry(now_ms, target);
-        arrivals.service_ms += SERVICE_GAIN * (service_ms - arrivals.service_ms);
+        let estimate = self.estimate_mut(now_ms, target);
+        estimate.service_ms += SERVICE_SAMPLE_WEIGHT * (service_ms - estimate.service_ms);
     }
 
     /// Returns the mean service time of a target, in milliseconds.
     pub fn service_ms(&self, target: &TargetName) -> f64 {
         self.targets
             .get(target)
-            .map_or(FIRST_SERVICE_MS, |arrivals| arrivals.service_ms)
+            .map_or(INITIAL_SERVICE_MS, |estimate| estimate.service_ms)
     }
 
     /// Returns how many requests of a target would run at once.
@@ -74,14 +74,14 @@
     /// assert!(meter.concurrent_count(0, &"m".into()) > 0.0);
     /// ```
     pub fn concurrent_count(&self, now_ms: u64, target: &TargetName) -> f64 {
-        let Some(arrivals) = self.targets.get(target) else {
+        let Some(estimate) = self.targets.get(target) else {
             return 0.0;
         };
-        let mut arrivals = *arrivals;
-        arrivals.decay(now_ms);
+        let mut estimate = *estimate;
+        estimate.decay(now_ms);
         // A constant rate r settles at a weight of r × half-life / ln 2.
-        let rate_per_ms = arrivals.weight_count * std::f64::consts::LN_2 / HALF_LIFE_MS;
-        rate_per_ms * arrivals.service_ms
+        let rate_per_ms = estimate.arrival_weight * std::f64::consts::LN_2 / HALF_LIFE_MS;
+        rate_per_ms * estimate.service_ms
     }
 
     /// Lists the targets that have been asked for.
@@ -90,12 +90,12 @@
     }
 
     /// Returns a target's record, made if missing.
-    fn entry(&mut self, now_ms: u64, target: &TargetName) -> &mut Arrivals {
+    fn estimate_mut(&mut self, now_ms: u64, target: &TargetName) -> &mut TargetEstimate {
         if !self.targets.contains_key(target) {
-            let fresh = Arrivals {
-                weight_count: 0.0,
+            let fresh = TargetEstimate {
+                arrival_weight: 0.0,
                 decayed_at_ms: now_ms,
-                service_ms: FIRST_SERVICE_MS,
+                service_ms: INITIAL_SERVICE_MS,
             };
             self.targets.insert(target.clone(), fresh);
         }
@@ -103,11 +103,11 @@
     }
 }
 
-impl Arrivals {
+impl TargetEstimate {
     /// Lets past arrivals fade to the present.
     fn decay(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.decayed_at_ms) as f64;
-        self.weight_count *= (-passed_ms / HALF_LIFE_MS).exp2();
+        self.arrival_weight *= (-passed_ms / HALF_LIFE_MS).exp2();
         self.decayed_at_ms = self.decayed_at_ms.max(now_ms);
     }
 }
--- a/crates/cranereach-core/src/drain.rs
+++ b/crates/cranereach-core/src/drain.rs
@@ -1,7 +1,7 @@
 //! Planned stop: unready first, then finish, then go.
 
 /// Time that the balancer is given to move callers away, in milliseconds.
-pub const BALANCER_MS: u64 = 2_000;
+pub const BALANCER_GRACE_MS: u64 = 2_000;
 
 /// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,13 +19,13 @@
 /// Follows one planned stop.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Drain {
-    asked_at_ms: Option<u64>,
+    requested_at_ms: Option<u64>,
 }
 
 impl Drain {
     /// Takes a request to stop; a second one changes nothing.
     pub fn ask(&mut self, now_ms: u64) {
-        self.asked_at_ms.get_or_insert(now_ms);
+        self.requested_at_ms.get_or_insert(now_ms);
     }
 
     /// Returns the phase.
@@ -40,11 +40,11 @@
     /// assert_eq!(drain.phase(5_000, 0, None), Phase::Done);
     /// ```
     pub fn phase(&self, now_ms: u64, in_flight_count: usize, limit_ms: Option<u64>) -> Phase {
-        let Some(asked_at_ms) = self.asked_at_ms else {
+        let Some(requested_at_ms) = self.requested_at_ms else {
             return Phase::Serving;
         };
-        let passed_ms = now_ms.saturating_sub(asked_at_ms);
-        if passed_ms < BALANCER_MS {
+        let passed_ms = now_ms.saturating_sub(requested_at_ms);
+        if passed_ms < BALANCER_GRACE_MS {
             return Phase::Announced;
         }
         let out_of_time = limit_ms.is_some_and(|limit_ms| passed_ms >= limit_ms);
--- a/crates/cranereach-core/src/retry_budget.rs
+++ b/crates/cranereach-core/src/retry_budget.rs
@@ -7,21 +7,21 @@
 const RETRY_FRACTION: f64 = 0.1;
 
 /// Retries allowed when there is hardly any traffic.
-const FLOOR_COUNT: f64 = 3.0;
+const INITIAL_COUNT: f64 = 3.0;
 
 /// Most retries that quiet times can save up.
-const CEILING_COUNT: f64 = 50.0;
+const MAX_COUNT: f64 = 50.0;
 
 /// Budget of one upstream pool on one entry instance.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    saved_count: f64,
+    available_count: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved_count: FLOOR_COUNT,
+            available_count: INITIAL_COUNT,
         }
     }
 }
@@ -29,7 +29,7 @@
 impl RetryBudget {
     /// Records a first try, which earns a fraction of a retry.
     pub fn first_try(&mut self) {
-        self.saved_count = (self.saved_count + RETRY_FRACTION).min(CEILING_COUNT);
+        self.available_count = (self.available_count + RETRY_FRACTION).min(MAX_COUNT);
     }
 
     /// Spends one retry if the budget has it.
@@ -42,9 +42,9 @@
     /// assert_eq!(allowed, 3);
     /// ```
     pub fn spend(&mut self) -> bool {
-        let allowed = self.saved_count >= 1.0;
+        let allowed = self.available_count >= 1.0;
         if allowed {
-            self.saved_count -= 1.0;
+            self.available_count -= 1.0;
         }
         allowed
     }
--- a/crates/cranereach-core/src/route.rs
+++ b/crates/cranereach-core/src/route.rs
@@ -41,7 +41,7 @@
 const AFFINITY_LOAD_MARGIN: f64 = 0.25;
 
 /// Load that crossing a failure domain must save.
-const CROSSING_LOAD: f64 = 0.15;
+const CROSS_DOMAIN_PENALTY: f64 = 0.15;
 
 /// Home of the prefix while it isn't crowded, else the better of two samples.
 pub static SAMPLED: RoutePolicy = RoutePolicy {
@@ -84,13 +84,13 @@
 }
 
 /// Load with the price of crossing a failure domain.
-fn priced_load(candidate: &Candidate) -> f64 {
-    let crossing = if candidate.same_domain {
+fn penalized_load(candidate: &Candidate) -> f64 {
+    let penalty = if candidate.same_domain {
         0.0
     } else {
-        CROSSING_LOAD
+        CROSS_DOMAIN_PENALTY
     };
-    candidate.load() + crossing
+    candidate.load() + penalty
 }
 
 /// Returns the prefix's home if it isn't crowded, else the better of two.
@@ -100,28 +100,30 @@
         return (count == 1).then_some(0);
     }
     let mean = candidates.iter().map(Candidate::load).sum::<f64>() / count as f64;
-    let home = (0..count).max_by_key(|&index| candidates[index].prefix_rank)?;
-    if candidates[home].prefix_rank > 0 && candidates[home].load() <= mean + AFFINITY_LOAD_MARGIN {
-        return Some(home);
+    let preferred = (0..count).max_by_key(|&index| candidates[index].prefix_rank)?;
+    if candidates[preferred].prefix_rank > 0
+        && candidates[preferred].load() <= mean + AFFINITY_LOAD_MARGIN
+    {
+        return Some(preferred);
     }
     let first = random.random_range(0..count);
     let second = (first + 1 + random.random_range(0..count - 1)) % count;
-    let first_wins = priced_load(&candidates[first]) <= priced_load(&candidates[second]);
+    let first_wins = penalized_load(&candidates[first]) <= penalized_load(&candidates[second]);
     Some(if first_wins { first } else { second })
 }
 
 /// Returns the least loaded candidate; ties fall at random.
 fn choose_least_outstanding(candidates: &[Candidate], random: &mut SmallRng) -> Option<usize> {
-    least(candidates, random, priced_load)
+    least_by(candidates, random, penalized_load)
 }
 
 /// Returns the candidate whose last report is lowest.
 fn choose_least_reported(candidates: &[Candidate], random: &mut SmallRng) -> Option<usize> {
-    least(candidates, random, |candidate| candidate.reported_count)
+    least_by(candidates, random, |candidate| candidate.reported_count)
 }
 
 /// Returns the candidate of least key, from a random start so that ties spread.
-fn least(
+fn least_by(
     candidates: &[Candidate],
     random: &mut impl Rng,
     key: impl Fn(&Candidate) -> f64,
--- a/crates/cranereach-core/src/token_bucket.rs
+++ b/crates/cranereach-core/src/token_bucket.rs
@@ -6,7 +6,7 @@
     rate_per_s: f64,
     burst_count: f64,
     level_count: f64,
-    filled_at_ms: u64,
+    refilled_at_ms: u64,
 }
 
 impl TokenBucket {
@@ -25,7 +25,7 @@
             rate_per_s,
             burst_count,
             level_count: burst_count,
-            filled_at_ms: now_ms,
+            refilled_at_ms: now_ms,
         }
     }
 
@@ -47,7 +47,7 @@
 
     /// Returns how many tokens it holds; fewer than none if more were spent.
     pub fn level(&mut self, now_ms: u64) -> f64 {
-        self.fill(now_ms);
+        self.refill(now_ms);
         self.level_count
     }
 
@@ -74,13 +74,13 @@
 
     /// Spends tokens, also more than there are.
     pub fn spend(&mut self, now_ms: u64, count: f64) {
-        self.fill(now_ms);
+        self.refill(now_ms);
         self.level_count -= count;
     }
 
     /// Changes rate and burst from now on.
     pub fn change(&mut self, now_ms: u64, rate_per_s: f64, burst_count: f64) {
-        self.fill(now_ms);
+        self.refill(now_ms);
         self.rate_per_s = rate_per_s;
         self.burst_count = burst_count;
         self.level_count = self.level_count.min(burst_count);
@@ -93,15 +93,15 @@
 
     /// Empties the bucket, as if all of it had just been taken.
     pub fn drain(&mut self, now_ms: u64) {
-        self.fill(now_ms);
+        self.refill(now_ms);
         self.level_count = 0.0;
     }
 
     /// Adds what has accrued since the last look.
-    fn fill(&mut self, now_ms: u64) {
-        let passed_ms = now_ms.saturating_sub(self.filled_at_ms);
+    fn refill(&mut self, now_ms: u64) {
+        let passed_ms = now_ms.saturating_sub(self.refilled_at_ms);
         let accrued = passed_ms as f64 * self.rate_per_s / 1_000.0;
         self.level_count = (self.level_count + accrued).min(self.burst_count);
-        self.filled_at_ms = self.filled_at_ms.max(now_ms);
+        self.refilled_at_ms = self.refilled_at_ms.max(now_ms);
     }
 }
