--- a/crates/cranereach-core/src/attempt.rs
+++ b/crates/cranereach-core/src/attempt.rs
@@ -1,61 +1,61 @@
-//! What a failure means for one request: try elsewhere, or tell the caller.
+//! Retry decisions for one request: try another upstream, or end with a result code.
 //!
-//! The machine follows how far an attempt has got. A code that says "not run"
-//! is reachable only before the first byte of the request could have left, or
-//! on the upstream's explicit word that it did not run it.
+//! [`Attempt`] is a state machine that follows the progress of an attempt. It
+//! returns a code that says "not run" only if no byte of the request can have been
+//! sent, or if the upstream said explicitly that it did not run the request.
 
 use crate::codes::ResultCode;
 use crate::declarations::Repeatable;
 use crate::retry_budget::RetryBudget;
 
-/// How far the present attempt has got.
+/// Progress of the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// No byte of the request has been handed to a connection.
     Connecting,
-    /// Bytes may have left.
+    /// Bytes of the request may have been sent.
     Sent,
-    /// The head of the answer has come.
+    /// The head of the answer has arrived.
     HeadReceived,
-    /// Bytes of the answer have been passed to the caller.
+    /// Bytes of the answer have been sent to the caller.
     Relaying,
 }
 
-/// What happened to the present attempt.
+/// Event in the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The connection could not be made, or closed with the request unsent.
+    /// The connection could not be made, or was closed before the request was sent.
     NotConnected,
     /// The request was handed to a connection.
     Handed,
     /// The upstream said that it did not run the request.
     RefusedByUpstream,
-    /// The head of an answer came.
+    /// The head of the answer arrived.
     Head,
-    /// The first bytes of the answer went to the caller.
+    /// The first bytes of the answer were sent to the caller.
     FirstBytes,
-    /// The answer ended whole.
+    /// The answer is complete.
     Whole,
     /// The connection broke.
     Broken,
-    /// The answer makes no sense.
+    /// The answer could not be parsed.
     Garbled,
     /// The deadline passed.
     DeadlinePassed,
 }
 
-/// What to do now.
+/// Decision after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Go on with the present attempt.
+    /// Continue the current attempt.
     Continue,
-    /// Start another attempt at another upstream.
+    /// Start another attempt at a different upstream.
     TryElsewhere,
     /// The request has ended with this code.
     End(ResultCode),
 }
 
-/// Follows one request over its attempts.
+/// State of one request over all of its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     repeat: Repeatable,
@@ -66,7 +66,7 @@
 }
 
 impl Attempt {
-    /// Starts to follow a request.
+    /// Creates the state of a request that has not been sent.
     ///
     /// ```
     /// use cranereach_core::attempt::{Attempt, Event, Verdict};
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Takes an event and says what to do; after the end nothing changes.
+    /// Applies an event and returns the decision; once the request has ended, its code no longer
+    /// changes.
     pub fn on(&mut self, now_ms: u64, event: Event, budget: &mut RetryBudget) -> Verdict {
         if let Some(code) = self.ended {
             return Verdict::End(code);
@@ -107,13 +108,15 @@
         verdict
     }
 
-    /// Returns the code of a refusal at the queue, true to earlier attempts.
+    /// Ends the request after a refusal by the queue and returns its code.
+    ///
+    /// The code is [`ResultCode::OutcomeUnknown`] if an earlier attempt may have run.
     pub fn refused(&mut self, code: ResultCode) -> ResultCode {
         let code = self.unknown_if_run_before(code);
         *self.ended.get_or_insert(code)
     }
 
-    /// Judges one event at the present stage.
+    /// Decides about an event at the current stage.
     fn decide(&mut self, now_ms: u64, event: Event, budget: &mut RetryBudget) -> Verdict {
         match event {
             Event::Handed => self.advance(Stage::Sent),
@@ -134,13 +137,13 @@
         }
     }
 
-    /// Moves to a later stage.
+    /// Moves to a stage unless a later one has been reached.
     fn advance(&mut self, stage: Stage) -> Verdict {
         self.stage = self.stage.max(stage);
         Verdict::Continue
     }
 
-    /// This attempt did not run: another may follow, within deadline and budget.
+    /// Decides after an attempt that did not run: retries within the deadline and retry budget.
     fn retry_not_run(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
         if now_ms >= self.deadline_at_ms {
             return Verdict::End(self.past_deadline_unsent());
@@ -156,7 +159,8 @@
         Verdict::End(self.unknown_if_run_before(code))
     }
 
-    /// This attempt may have run: only a safe call that passed nothing goes on.
+    /// Decides after a failure: an attempt that may have run is retried only if the call is safe
+    /// to repeat and no bytes of the answer have been sent to the caller.
     fn after_failure(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
         if self.stage == Stage::Relaying {
             return Verdict::End(ResultCode::BrokenMidway);
@@ -171,12 +175,12 @@
         Verdict::End(end)
     }
 
-    /// Whether the attempt that this event ends may have run.
+    /// Returns whether the attempt that this event ends may have run.
     fn may_have_run(&self, event: Event) -> bool {
         self.stage > Stage::Connecting && event != Event::RefusedByUpstream
     }
 
-    /// Code of a deadline that passed at the present stage.
+    /// Returns the code for a deadline that passes at the current stage.
     fn past_deadline(&self) -> ResultCode {
         if self.stage > Stage::Connecting {
             ResultCode::DeadlinePassedRunning
@@ -185,12 +189,12 @@
         }
     }
 
-    /// Code of a deadline that passed before this attempt was sent.
+    /// Returns the code for a deadline that passes before this attempt is sent.
     fn past_deadline_unsent(&self) -> ResultCode {
         self.unknown_if_run_before(ResultCode::DeadlinePassed)
     }
 
-    /// Keeps a "not run" code only when no earlier attempt may have run.
+    /// Returns a "not run" code unchanged unless an earlier attempt may have run.
     fn unknown_if_run_before(&self, code: ResultCode) -> ResultCode {
         if self.may_have_run_before {
             ResultCode::OutcomeUnknown
--- a/crates/cranereach-core/src/claim.rs
+++ b/crates/cranereach-core/src/claim.rs
@@ -1,7 +1,8 @@
-//! Idempotency claims: a caller's repeat joins the first attempt.
+//! Idempotency claims, which map a caller's repeated call to its first attempt.
 //!
-//! A claim is a row in the table, written before an unsafe call with a key is
-//! sent. Whoever finds the row never sends the call again.
+//! A claim is a row in the table, written before a call that is unsafe to repeat
+//! and has an idempotency key is sent. While the row exists, the call is not sent
+//! again unless the row says that it did not run.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,21 +12,21 @@
 /// Largest answer kept in a claim, in bytes.
 pub const ANSWER_MAX_BYTES: usize = 16 * 1024;
 
-/// What became of the claimed call.
+/// Outcome of the claimed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It has begun; nothing else is known.
+    /// The call has begun and its outcome is not known.
     Open,
-    /// It provably did not run, and may be tried again.
+    /// The call provably did not run and may be sent again.
     NotRun,
-    /// It ended with this answer.
+    /// The call ended with this answer.
     Answered(KeptAnswer),
-    /// It ended with an answer too large to keep.
+    /// The call ended with an answer too large to keep.
     AnsweredUnkept,
 }
 
-/// An answer kept for repeats.
+/// An answer that is kept to be replayed to repeated calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status.
@@ -36,31 +37,31 @@
     pub body: Vec<u8>,
 }
 
-/// The row of one idempotency key of one account.
+/// The table's row for one idempotency key of one account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Random identity of the attempt that wrote the row.
+    /// Random ID of the attempt that wrote the row.
     pub attempt_id: String,
-    /// Hash of method, path and body, to tell a reused key.
+    /// Hash of method, path and body, to detect a key that is reused for a different call.
     pub fingerprint: String,
-    /// What became of it.
+    /// Outcome of the call.
     pub outcome: Outcome,
 }
 
-/// What to do about a call whose key has this row.
+/// Decision about a call, based on the row of its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Joining {
-    /// Claim the key (again) and send the call.
+    /// Claim the key, again if it has a row, and send the call.
     Send,
-    /// The row is this very attempt's: its write was applied.
+    /// The row was written by this attempt, so its write was applied.
     Own,
-    /// Give the kept answer.
+    /// Return the kept answer to the caller.
     Replay(KeptAnswer),
-    /// Tell the caller this code.
+    /// Refuse the call with this code.
     Tell(ResultCode),
 }
 
-/// Decides about a call from the row found under its key.
+/// Decides about a call from the row found for its idempotency key.
 ///
 /// ```
 /// use cranereach_core::claim::{join, Joining};
--- a/crates/cranereach-core/src/codes.rs
+++ b/crates/cranereach-core/src/codes.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes and their table.
+//! Numbered result codes and the table that describes them.
 //!
 //! `docs/CODES.md` is checked against [`TABLE`] by a test.
 //!
@@ -8,27 +8,27 @@
 //! assert_eq!(ResultCode::OutcomeUnknown.row().ran, Ran::Unknown);
 //! ```
 
-/// Whether anything of a request was acted on.
+/// Whether an upstream ran the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ran {
     /// The whole request ran.
     Whole,
-    /// Provably nothing ran.
+    /// Provably no part of the request ran.
     No,
-    /// Bytes may have been acted on.
+    /// Parts of the request may have run.
     Unknown,
-    /// Not about a caller's request.
+    /// The code is not about a caller's request.
     NotApplicable,
 }
 
-/// Whether the caller should send the same again.
+/// Whether the caller should repeat the same request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Repeat {
-    /// Nothing to repeat.
+    /// There is nothing to repeat.
     None,
-    /// Only after a change by the caller.
+    /// Only after the caller has changed the request.
     AfterChange,
-    /// Yes, after the time in Retry-After.
+    /// Yes, after the time given in Retry-After.
     Later,
     /// Only if the call is safe to repeat.
     OnlyIfSafe,
@@ -41,22 +41,22 @@
     pub code: ResultCode,
     /// Stable number, as callers and logs see it.
     pub number: u16,
-    /// Stable name, snake case.
+    /// Stable name, in snake case.
     pub name: &'static str,
-    /// HTTP status that carries the code.
+    /// HTTP status with which the code is sent.
     pub http_status: u16,
-    /// Whether anything ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// Whether to repeat.
+    /// Whether the caller should repeat the request.
     pub repeat: Repeat,
-    /// What it means, one sentence.
+    /// Meaning, in one sentence.
     pub meaning: &'static str,
 }
 
-/// Declares the enum and its table together, so that neither lacks a row.
+/// Declares the enum and its table from one list, so that every code has exactly one row.
 macro_rules! codes {
     ($($code:ident = $number:literal, $name:literal, $status:literal, $ran:ident, $repeat:ident, $meaning:literal;)*) => {
-        /// Every result that a caller or an operator can be told.
+        /// Result that is reported to a caller or an operator.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum ResultCode {
             $(#[doc = $meaning] $code,)*
@@ -133,7 +133,7 @@
     ///
     /// # Panics
     ///
-    /// Never: the enum and the table come from one list.
+    /// Never panics: the enum and the table are declared from one list.
     pub fn row(self) -> &'static CodeRow {
         TABLE
             .iter()
--- a/crates/cranereach-core/src/config.rs
+++ b/crates/cranereach-core/src/config.rs
@@ -1,25 +1,25 @@
-//! Configuration version on one instance: it only grows.
+//! Configuration version in force on one instance, which never decreases.
 //!
-//! The instance adopts a head only if its version is higher than the one held.
-//! It also judges whether it can know that it isn't behind: it must have heard
-//! from the table, or from enough listed peers, before a deadline.
+//! The instance adopts a configuration only if its version is higher than the one
+//! in force. It serves only while it can tell that its version is current: it must
+//! have read the table, or heard from enough of the listed peers, recently.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Time without confirmation after which an instance leaves rotation, in ms.
+/// Time without confirmation of its version after which an instance stops serving, in ms.
 pub const CONFIRM_WITHIN_MS: u64 = 6_000;
 
 /// Version and content hash of an accepted configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Grows by one with each accepted change.
+    /// Version, which increases by one with each accepted change.
     pub version: u64,
-    /// BLAKE3 of the body, in hex.
+    /// BLAKE3 hash of the body, in hex.
     pub hash: String,
 }
 
-/// What an instance knows about the configuration.
+/// Configuration version in force on an instance, and the newest that it has heard of.
 #[derive(Clone, Debug)]
 pub struct ConfigState {
     held: Head,
@@ -29,7 +29,7 @@
 }
 
 impl ConfigState {
-    /// Starts with nothing held.
+    /// Creates the state of an instance that has no configuration yet.
     pub fn new(now_ms: u64) -> Self {
         Self {
             held: Head::default(),
@@ -39,30 +39,30 @@
         }
     }
 
-    /// Returns the head in force on this instance.
+    /// Returns the head of the configuration in force on this instance.
     pub fn held(&self) -> &Head {
         &self.held
     }
 
-    /// Takes a head from the table.
+    /// Records a head that was read from the table.
     pub fn read_table(&mut self, now_ms: u64, head: &Head) {
         self.table_read_at_ms = Some(now_ms);
         self.heard_head(head);
     }
 
-    /// Takes a head from a peer's digest.
+    /// Records a head that a peer's digest mentions.
     pub fn heard_head(&mut self, head: &Head) {
         if head.version > self.newest.version {
             self.newest = head.clone();
         }
     }
 
-    /// Returns the head whose body is to be fetched, if any.
+    /// Returns the head of a newer configuration whose body must be fetched, if any.
     pub fn missing(&self) -> Option<&Head> {
         (self.newest.version > self.held.version).then_some(&self.newest)
     }
 
-    /// Adopts a fetched body's head; says whether it is now in force.
+    /// Puts a fetched configuration in force if it is newer; returns whether it did.
     ///
     /// ```
     /// use cranereach_core::config::{ConfigState, Head};
@@ -81,13 +81,14 @@
         newer
     }
 
-    /// Whether this instance may serve: it holds a version and isn't behind.
+    /// Returns whether this instance may serve: it has a configuration that it can tell is current.
     ///
-    /// `listed_count` are the other instances on the platform's list and
-    /// `heard_count` those heard within [`CONFIRM_WITHIN_MS`]. Half of them
-    /// confirm as well as the table does, so an outage of the table alone takes
-    /// nobody out; an instance that hears neither is cut off and goes. One that
-    /// knows of no other instance stays: there is nobody to be behind of.
+    /// `listed_count` is the number of other instances on the platform's list, and
+    /// `heard_count` the number of those heard from within [`CONFIRM_WITHIN_MS`]. Half
+    /// of them confirm the version as well as the table does, so an outage of the table
+    /// alone stops no instance. An instance that reaches neither is isolated and stops
+    /// serving. One with no other instance on the list keeps serving, because no other
+    /// instance can have a newer version.
     pub fn may_serve(&self, now_ms: u64, listed_count: usize, heard_count: usize) -> bool {
         if self.held.version == 0 {
             return false;
--- a/crates/cranereach-core/src/declarations.rs
+++ b/crates/cranereach-core/src/declarations.rs
@@ -1,7 +1,7 @@
-//! What operators declare: pools, models, templates and client accounts.
+//! Declarations by operators: pools, models, templates and client accounts.
 //!
-//! The types mirror the files word for word; unknown keys are refused. The
-//! meaning is worked out by [`crate::snapshot`].
+//! The types mirror the format of the declaration files; unknown keys are refused.
+//! [`crate::snapshot`] resolves the references between them.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::names::PoolName;
 use crate::names::TargetName;
 
-/// Everything that is declared, from all files of the folder.
+/// All declarations, from all files of the folder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Declarations {
@@ -22,7 +22,7 @@
     /// Models, adapters and versions.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Templates of entitlement.
+    /// Templates, which describe what accounts are entitled to.
     #[serde(default)]
     pub templates: Vec<Template>,
     /// Client accounts, each made from a template.
@@ -48,7 +48,7 @@
     pub name: PoolName,
     /// Kind of its upstreams.
     pub kind: PoolKind,
-    /// Whether its workers check fences; unknown means they don't.
+    /// Whether its workers check fencing tokens; false if not declared.
     #[serde(default)]
     pub checks_fences: bool,
     /// Accelerator memory of one worker, in bytes; zero for plain services.
@@ -57,7 +57,7 @@
     /// Path prefix of a plain service, such as `/ledger`.
     #[serde(default)]
     pub path_prefix: Option<String>,
-    /// Which calls of a plain service may be repeated; the first match counts.
+    /// Rules for which calls of a plain service may be repeated; the first match applies.
     #[serde(default)]
     pub repeat_rules: Vec<RepeatRule>,
 }
@@ -66,22 +66,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeatable {
-    /// Running it again does no harm.
+    /// Running the call again does no harm.
     Safe,
-    /// It runs at most once.
+    /// The call must run at most once.
     Unsafe,
 }
 
-/// Rule for the calls of a plain service.
+/// Rule that says whether matching calls of a plain service may be repeated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RepeatRule {
-    /// Method in capitals, or `*`.
+    /// HTTP method in capitals, or `*` for any.
     pub method: String,
-    /// Start of the path after the pool's prefix.
+    /// Prefix of the path, after the pool's own prefix.
     #[serde(default)]
     pub path_start: String,
-    /// Whether calls that match may be repeated.
+    /// Whether matching calls may be repeated.
     pub repeat: Repeatable,
 }
 
@@ -100,18 +100,18 @@
     pub base: Option<TargetName>,
 }
 
-/// How urgent the requests of an account are.
+/// Priority class of an account's requests.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Default,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Goes first.
+    /// Served first.
     Urgent,
-    /// Goes after urgent.
+    /// Served after urgent requests.
     #[default]
     Standard,
-    /// Can wait.
+    /// Served last.
     Deferrable,
 }
 
@@ -119,7 +119,7 @@
     /// All classes, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Standard, Self::Deferrable];
 
-    /// Returns the class's place in [`Class::ALL`].
+    /// Returns the class's index in [`Class::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
@@ -140,16 +140,16 @@
 pub struct Template {
     /// Name of the template.
     pub name: String,
-    /// Models; `$slot` stands for a model that the account's parameters give.
+    /// Models; `$slot` stands for the model that the account's parameters give for `slot`.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Plain pools.
+    /// Pools of plain services.
     #[serde(default)]
     pub services: Vec<PoolName>,
-    /// Class of its requests.
+    /// Priority class of the requests.
     #[serde(default)]
     pub class: Class,
-    /// Share of served cost against other accounts.
+    /// Fair share of the served cost, as a weight against other accounts.
     #[serde(default = "default_share")]
     pub share: f64,
     /// Whether model calls may be repeated.
@@ -158,40 +158,40 @@
     /// Promised time to the first token or byte, in milliseconds.
     #[serde(default = "default_first_token_ms")]
     pub first_token_ms: u64,
-    /// Promised time to the whole answer, in milliseconds.
+    /// Promised time to the complete answer, in milliseconds.
     #[serde(default = "default_whole_answer_ms")]
     pub whole_answer_ms: u64,
-    /// Longest queue for one model or service on one entry instance, in requests.
+    /// Limit on waiting requests for one model or service on one entry instance.
     #[serde(default = "default_queue_count")]
     pub queue_count: u32,
 }
 
-/// Share of an account whose template names none.
+/// Default share of a template.
 fn default_share() -> f64 {
     1.0
 }
 
-/// Model calls are safe to repeat unless the template says otherwise.
+/// Default for repeating model calls: they are safe to repeat.
 fn default_repeat() -> Repeatable {
     Repeatable::Safe
 }
 
-/// First token within 2 s unless the template says otherwise.
+/// Default promised time to the first token or byte: 2 s.
 fn default_first_token_ms() -> u64 {
     2_000
 }
 
-/// Whole answer within 60 s unless the template says otherwise.
+/// Default promised time to the complete answer: 60 s.
 fn default_whole_answer_ms() -> u64 {
     60_000
 }
 
-/// 256 waiting requests: about 1 s of one busy account on one instance.
+/// Default queue limit: 256 requests, about 1 s of one busy account's traffic on one instance.
 fn default_queue_count() -> u32 {
     256
 }
 
-/// A client account: a template and its parameters.
+/// A client account, made from a template and parameters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
@@ -199,7 +199,7 @@
     pub name: AccountName,
     /// Template that it is made from.
     pub template: String,
-    /// What fills the template's places.
+    /// Values for the parameters of the template.
     #[serde(default)]
     pub parameters: Parameters,
     /// BLAKE3 hashes of its bearer keys, in hex.
@@ -207,17 +207,17 @@
     pub key_hashes: Vec<String>,
 }
 
-/// What one account puts into its template.
+/// One account's values for the parameters of its template.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameters {
     /// Models by slot name, without the `$`.
     #[serde(default)]
     pub models: BTreeMap<String, TargetName>,
-    /// Share in place of the template's.
+    /// Share that overrides the template's.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Class in place of the template's.
+    /// Class that overrides the template's.
     #[serde(default)]
     pub class: Option<Class>,
 }
--- a/crates/cranereach-core/src/demand.rs
+++ b/crates/cranereach-core/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand per target: decayed arrivals and what is waiting now.
+//! Demand per target, estimated from exponentially decayed arrivals and service times.
 
 use std::collections::HashMap;
 
@@ -7,29 +7,29 @@
 
 use crate::names::TargetName;
 
-/// Time in which a past arrival loses half of its weight, in milliseconds.
+/// Half-life of the weight of an arrival, in milliseconds.
 pub const HALF_LIFE_MS: f64 = 5_000.0;
 
-/// Service time assumed of a target that was never served, in milliseconds.
+/// Service time assumed for a target that has not been served yet, in milliseconds.
 const INITIAL_SERVICE_MS: f64 = 500.0;
 
-/// Weight of a new sample in the mean service time.
+/// Weight of a new sample in the moving average of service times.
 const SERVICE_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Demand for one target as one instance sees it.
+/// Demand for one target on one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetDemand {
     /// The target.
     pub target: TargetName,
-    /// Requests that would run at once if none had to wait.
+    /// Requests that would run concurrently if none had to wait.
     pub concurrent_count: f32,
-    /// Requests that wait now.
+    /// Requests that are waiting.
     pub waiting_count: u32,
-    /// How long the oldest has waited, in milliseconds.
+    /// Time for which the oldest of them has waited, in milliseconds.
     pub oldest_wait_ms: u32,
 }
 
-/// Decayed arrivals of one target.
+/// Decayed arrivals and mean service time of one target.
 #[derive(Clone, Copy, Debug)]
 struct TargetEstimate {
     arrival_weight: f64,
@@ -51,7 +51,7 @@
         estimate.arrival_weight += 1.0;
     }
 
-    /// Records how long a request took at an upstream.
+    /// Records the time that an upstream took for a request.
     pub fn served(&mut self, now_ms: u64, target: &TargetName, service_ms: f64) {
         let estimate = self.estimate_mut(now_ms, target);
         estimate.service_ms += SERVICE_SAMPLE_WEIGHT * (service_ms - estimate.service_ms);
@@ -64,7 +64,7 @@
             .map_or(INITIAL_SERVICE_MS, |estimate| estimate.service_ms)
     }
 
-    /// Returns how many requests of a target would run at once.
+    /// Estimates how many requests for a target would run concurrently if none had to wait.
     ///
     /// ```
     /// use cranereach_core::demand::DemandMeter;
@@ -79,17 +79,17 @@
         };
         let mut estimate = *estimate;
         estimate.decay(now_ms);
-        // A constant rate r settles at a weight of r × half-life / ln 2.
+        // At a constant arrival rate r, the weight converges to r × half-life / ln 2.
         let rate_per_ms = estimate.arrival_weight * std::f64::consts::LN_2 / HALF_LIFE_MS;
         rate_per_ms * estimate.service_ms
     }
 
-    /// Lists the targets that have been asked for.
+    /// Returns the targets that have been requested.
     pub fn targets(&self) -> impl Iterator<Item = &TargetName> {
         self.targets.keys()
     }
 
-    /// Returns a target's record, made if missing.
+    /// Returns a target's estimate, created if missing.
     fn estimate_mut(&mut self, now_ms: u64, target: &TargetName) -> &mut TargetEstimate {
         if !self.targets.contains_key(target) {
             let fresh = TargetEstimate {
@@ -104,7 +104,7 @@
 }
 
 impl TargetEstimate {
-    /// Lets past arrivals fade to the present.
+    /// Decays the weight of past arrivals up to the given time.
     fn decay(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.decayed_at_ms) as f64;
         self.arrival_weight *= (-passed_ms / HALF_LIFE_MS).exp2();
--- a/crates/cranereach-core/src/drain.rs
+++ b/crates/cranereach-core/src/drain.rs
@@ -1,34 +1,35 @@
-//! Planned stop: unready first, then finish, then go.
+//! Graceful shutdown: an instance reports unready, finishes its requests and then exits.
 
-/// Time that the balancer is given to move callers away, in milliseconds.
+/// Time given to the load balancer to direct callers elsewhere, in milliseconds.
 pub const BALANCER_GRACE_MS: u64 = 2_000;
 
-/// Phase of a planned stop.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No stop was asked for.
+    /// No shutdown has been requested.
     Serving,
-    /// Unready, but still accepting while the balancer moves callers away.
+    /// The instance reports unready, but still accepts requests while the load balancer directs
+    /// callers elsewhere.
     Announced,
-    /// Accepting nothing new; finishing what is in flight.
+    /// The instance refuses new requests and finishes those in flight.
     Finishing,
-    /// Nothing is in flight: the process may exit.
+    /// No request is in flight, or the time limit has passed; the process may exit.
     Done,
 }
 
-/// Follows one planned stop.
+/// State of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Drain {
     requested_at_ms: Option<u64>,
 }
 
 impl Drain {
-    /// Takes a request to stop; a second one changes nothing.
+    /// Requests a shutdown; a second request has no effect.
     pub fn ask(&mut self, now_ms: u64) {
         self.requested_at_ms.get_or_insert(now_ms);
     }
 
-    /// Returns the phase.
+    /// Returns the current phase; `limit_ms` limits the time since the shutdown was requested.
     ///
     /// ```
     /// use cranereach_core::drain::{Drain, Phase};
--- a/crates/cranereach-core/src/lib.rs
+++ b/crates/cranereach-core/src/lib.rs
@@ -1,16 +1,17 @@
-//! Decision kernel: everything that is hard to get right, without I/O or a clock.
+//! Decision logic of the project, without I/O or a clock.
 //!
-//! The kernel takes `(now_ms, event)` and returns actions. Time and random
-//! numbers come in as arguments, so a fault table or a seed reproduces any run.
-//! The parts meet like this:
+//! The state machines in this crate take the current time and an event, and return
+//! actions. The time and the random numbers come from the caller, so any run can be
+//! reproduced from a table of faults or a seed. The main modules are:
 //!
-//! - [`snapshot`] resolves [`declarations`] into what the data path reads;
-//! - [`dispatch`] admits, orders and routes requests with the plug-ins of
+//! - [`snapshot`] resolves [`declarations`] into the form that the data path reads;
+//! - [`dispatch`] admits, orders and routes requests, with the policies of
 //!   [`order`] and [`route`];
-//! - [`attempt`] decides what a failure means for one request;
-//! - [`control`] with [`lease`], [`fence`] and [`ledger`] keeps control of upstream memory safe,
-//!   and [`residency`] plans what is loaded where;
-//! - [`config`] and [`membership`] say what this instance may believe.
+//! - [`attempt`] decides whether a failed request is retried;
+//! - [`control`] with [`lease`], [`fence`] and [`ledger`] ensures safe control of the workers'
+//!   memory, and [`residency`] plans which models are loaded where;
+//! - [`config`] and [`membership`] track which configuration is in force and which instances
+//!   are live.
 //!
 //! ```
 //! use cranereach_core::codes::ResultCode;
--- a/crates/cranereach-core/src/names.rs
+++ b/crates/cranereach-core/src/names.rs
@@ -1,6 +1,7 @@
-//! Typed names of the things that declarations and messages mention.
+//! Typed names that are used in declarations and messages.
 //!
-//! Each is a cheap shared string; two kinds can't be mixed up.
+//! Each name is a shared string that is cheap to clone. The types keep names of
+//! different kinds from being mixed up.
 
 use std::fmt;
 use std::sync::Arc;
@@ -17,7 +18,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Borrows the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -54,15 +55,15 @@
     AccountName
 }
 name_type! {
-    /// What a request asks for: a model, adapter or version, or a plain pool.
+    /// Name of what a request asks for: a model, adapter or version, or a pool of plain services.
     TargetName
 }
 name_type! {
-    /// Identity of an upstream worker.
+    /// ID of an upstream worker.
     WorkerId
 }
 name_type! {
-    /// Identity of one boot of an entry instance.
+    /// ID of an entry instance; each boot has its own.
     InstanceId
 }
 name_type! {
@@ -74,6 +75,6 @@
     FailureDomain
 }
 
-/// Identity of a request within one entry instance.
+/// ID of a request, unique within one entry instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
--- a/crates/cranereach-core/src/retry_budget.rs
+++ b/crates/cranereach-core/src/retry_budget.rs
@@ -1,18 +1,18 @@
-//! Retry budget: retries as a bounded fraction of first tries.
+//! Retry budget, which limits retries to a fraction of first attempts.
 //!
-//! Keeps a fault from turning into a storm: whatever fails, the extra load on
-//! upstreams stays below the fraction plus a small floor.
+//! It keeps a fault from causing a retry storm: whatever fails, the extra load on
+//! upstreams is bounded by that fraction plus a small reserve.
 
-/// Retries allowed per first try.
+/// Retries allowed per first attempt.
 const RETRY_FRACTION: f64 = 0.1;
 
-/// Retries allowed when there is hardly any traffic.
+/// Retries available at the start, so that a few are possible with hardly any traffic.
 const INITIAL_COUNT: f64 = 3.0;
 
-/// Most retries that quiet times can save up.
+/// Maximum number of unused retries that accumulate.
 const MAX_COUNT: f64 = 50.0;
 
-/// Budget of one upstream pool on one entry instance.
+/// Retry budget of one entry instance.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     available_count: f64,
@@ -27,12 +27,12 @@
 }
 
 impl RetryBudget {
-    /// Records a first try, which earns a fraction of a retry.
+    /// Records a first attempt, which adds a fraction of a retry to the budget.
     pub fn first_try(&mut self) {
         self.available_count = (self.available_count + RETRY_FRACTION).min(MAX_COUNT);
     }
 
-    /// Spends one retry if the budget has it.
+    /// Takes one retry from the budget; returns whether one was available.
     ///
     /// ```
     /// use cranereach_core::retry_budget::RetryBudget;
--- a/crates/cranereach-core/src/route.rs
+++ b/crates/cranereach-core/src/route.rs
@@ -1,26 +1,26 @@
-//! Route plug-ins: which of the workers that hold a target gets a request.
+//! Route policies, which choose one of the workers that hold a request's target.
 
 use rand::Rng;
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// One worker that could take the request.
+/// A worker that could take the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests that it is thought to hold: own, peers' and others'.
+    /// Requests that this instance and its peers have outstanding there.
     pub outstanding_count: f64,
-    /// Requests in its last report alone.
+    /// Outstanding requests according to its last report.
     pub reported_count: f64,
-    /// Requests that it can batch.
+    /// Requests that it can run in one batch.
     pub slot_count: u32,
     /// Whether it is in this instance's failure domain.
     pub same_domain: bool,
-    /// Rank of the worker for the request's prefix; the highest is its home.
+    /// Rank of the worker for the request's prefix; the highest-ranked worker is preferred.
     pub prefix_rank: u64,
 }
 
 impl Candidate {
-    /// Returns the part of its slots that is taken.
+    /// Returns the outstanding requests per slot.
     pub fn load(&self) -> f64 {
         self.outstanding_count / f64::from(self.slot_count.max(1))
     }
@@ -31,31 +31,31 @@
 pub struct RoutePolicy {
     /// Name in settings.
     pub name: &'static str,
-    /// Chooses one of the candidates by index; none of none.
+    /// Returns the index of the chosen candidate, or `None` if there are no candidates.
     pub choose: fn(&[Candidate], &mut SmallRng) -> Option<usize>,
 }
 
 inventory::collect!(&'static RoutePolicy);
 
-/// Load above the mean up to which the home of a prefix is preferred.
+/// Excess over the mean load up to which a prefix's preferred worker is chosen.
 const AFFINITY_LOAD_MARGIN: f64 = 0.25;
 
-/// Load that crossing a failure domain must save.
+/// Load by which a worker in another failure domain must be better to be chosen.
 const CROSS_DOMAIN_PENALTY: f64 = 0.15;
 
-/// Home of the prefix while it isn't crowded, else the better of two samples.
+/// The prefix's preferred worker unless it is overloaded, else the better of two random workers.
 pub static SAMPLED: RoutePolicy = RoutePolicy {
     name: "sampled",
     choose: choose_sampled,
 };
 
-/// Least load of all, by own and peers' sends.
+/// The least loaded worker, by requests of this instance and its peers.
 pub static LEAST_OUTSTANDING: RoutePolicy = RoutePolicy {
     name: "least-outstanding",
     choose: choose_least_outstanding,
 };
 
-/// Least connections on the last report: the baseline.
+/// The worker with the fewest requests in its last report; the baseline for comparisons.
 pub static LEAST_REPORTED: RoutePolicy = RoutePolicy {
     name: "least-reported",
     choose: choose_least_reported,
@@ -76,14 +76,14 @@
         .find(|policy| policy.name == name)
 }
 
-/// Lists the names of all policies, for messages.
+/// Returns the names of all policies, for error messages.
 pub fn names() -> Vec<&'static str> {
     inventory::iter::<&'static RoutePolicy>()
         .map(|policy| policy.name)
         .collect()
 }
 
-/// Load with the price of crossing a failure domain.
+/// Returns a candidate's load, plus a penalty if it is in another failure domain.
 fn penalized_load(candidate: &Candidate) -> f64 {
     let penalty = if candidate.same_domain {
         0.0
@@ -93,7 +93,8 @@
     candidate.load() + penalty
 }
 
-/// Returns the prefix's home if it isn't crowded, else the better of two.
+/// Returns the prefix's preferred worker unless it is overloaded, else the better of two random
+/// candidates.
 fn choose_sampled(candidates: &[Candidate], random: &mut SmallRng) -> Option<usize> {
     let count = candidates.len();
     if count < 2 {
@@ -112,17 +113,18 @@
     Some(if first_wins { first } else { second })
 }
 
-/// Returns the least loaded candidate; ties fall at random.
+/// Returns the least loaded candidate, with ties broken at random.
 fn choose_least_outstanding(candidates: &[Candidate], random: &mut SmallRng) -> Option<usize> {
     least_by(candidates, random, penalized_load)
 }
 
-/// Returns the candidate whose last report is lowest.
+/// Returns the candidate with the fewest requests in its last report, with ties broken at random.
 fn choose_least_reported(candidates: &[Candidate], random: &mut SmallRng) -> Option<usize> {
     least_by(candidates, random, |candidate| candidate.reported_count)
 }
 
-/// Returns the candidate of least key, from a random start so that ties spread.
+/// Returns the candidate with the lowest key; a random start of the scan varies which of several
+/// equal ones is found.
 fn least_by(
     candidates: &[Candidate],
     random: &mut impl Rng,
--- a/crates/cranereach-core/src/token_bucket.rs
+++ b/crates/cranereach-core/src/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket over a clock that the caller gives.
+//! A token bucket whose callers pass in the current time.
 
-/// Allows a steady rate with a bounded burst.
+/// Rate limiter that allows a steady rate and bounded bursts.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -10,7 +10,7 @@
 }
 
 impl TokenBucket {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     ///
     /// ```
     /// use cranereach_core::token_bucket::TokenBucket;
@@ -29,14 +29,14 @@
         }
     }
 
-    /// Sets how many tokens it holds now.
+    /// Sets the number of tokens in the bucket.
     #[must_use]
     pub fn with_level(mut self, level_count: f64) -> Self {
         self.level_count = level_count;
         self
     }
 
-    /// Takes one token if there is one.
+    /// Takes one token if there is one; returns whether it did.
     pub fn take(&mut self, now_ms: u64) -> bool {
         let allowed = self.wait_ms(now_ms, 1.0) == 0;
         if allowed {
@@ -45,13 +45,13 @@
         allowed
     }
 
-    /// Returns how many tokens it holds; fewer than none if more were spent.
+    /// Returns the number of tokens in the bucket; negative if it is overdrawn.
     pub fn level(&mut self, now_ms: u64) -> f64 {
         self.refill(now_ms);
         self.level_count
     }
 
-    /// Returns how long it takes until it holds so many tokens, in milliseconds.
+    /// Returns the time until the bucket holds `count` tokens, in milliseconds.
     ///
     /// ```
     /// use cranereach_core::token_bucket::TokenBucket;
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Spends tokens, also more than there are.
+    /// Takes tokens, even more than the bucket holds.
     pub fn spend(&mut self, now_ms: u64, count: f64) {
         self.refill(now_ms);
         self.level_count -= count;
     }
 
-    /// Changes rate and burst from now on.
+    /// Changes the rate and the burst from now on.
     pub fn change(&mut self, now_ms: u64, rate_per_s: f64, burst_count: f64) {
         self.refill(now_ms);
         self.rate_per_s = rate_per_s;
@@ -86,18 +86,18 @@
         self.level_count = self.level_count.min(burst_count);
     }
 
-    /// Whether a token could be taken.
+    /// Returns whether a token could be taken.
     pub fn is_filled(&mut self, now_ms: u64) -> bool {
         self.level(now_ms) >= 1.0
     }
 
-    /// Empties the bucket, as if all of it had just been taken.
+    /// Empties the bucket.
     pub fn drain(&mut self, now_ms: u64) {
         self.refill(now_ms);
         self.level_count = 0.0;
     }
 
-    /// Adds what has accrued since the last look.
+    /// Adds the tokens that have accrued since the last refill.
     fn refill(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.refilled_at_ms);
         let accrued = passed_ms as f64 * self.rate_per_s / 1_000.0;
