--- a/crates/cranereach-core/src/declarations.rs
+++ b/crates/cranereach-core/src/declarations.rs
@@ -111,7 +111,7 @@
     /// Served after urgent requests.
     #[default]
     Standard,
-    /// Served last.
+    /// Served after all others, because it can wait.
     Deferrable,
 }
 
--- a/crates/cranereach-core/src/dispatch/workers.rs
+++ b/crates/cranereach-core/src/dispatch/workers.rs
@@ -43,7 +43,7 @@
     pub outstanding_count: u32,
     /// Requests that it can run in one batch.
     pub slot_count: u32,
-    /// Whether the worker announces that it is leaving, and takes no new requests.
+    /// Whether the worker announces that it is leaving; it is then sent no new requests.
     pub is_leaving: bool,
     /// Unused memory, in bytes.
     pub free_bytes: u64,
