--- a/crates/cranereach-core/src/dispatch/mod.rs
+++ b/crates/cranereach-core/src/dispatch/mod.rs
@@ -157,7 +157,7 @@
         self.send_waiting_for(now_ms, &target, actions);
     }
 
-    /// Puts a request back into its queue after an attempt that the upstream did not run.
+    /// Puts a request back into its queue for another attempt, without the admission check.
     pub fn arrive_again(&mut self, now_ms: u64, waiting: Waiting, actions: &mut Vec<Action>) {
         let target = waiting.target.clone();
         self.queues.push(waiting);
