--- a/crates/cranereach-core/src/drain.rs
+++ b/crates/cranereach-core/src/drain.rs
@@ -1,34 +1,35 @@
-//! Planned stop: unready first, then finish, then go.
+//! Graceful shutdown: an instance reports unready, finishes its requests and then exits.
 
-/// Time that the balancer is given to move callers away, in milliseconds.
-pub const BALANCER_MS: u64 = 2_000;
+/// Time given to the load balancer to direct callers elsewhere, in milliseconds.
+pub const BALANCER_GRACE_MS: u64 = 2_000;
 
-/// Phase of a planned stop.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No stop was asked for.
+    /// No shutdown has been requested.
     Serving,
-    /// Unready, but still accepting while the balancer moves callers away.
+    /// The instance reports unready, but still accepts requests while the load balancer directs
+    /// callers elsewhere.
     Announced,
-    /// Accepting nothing new; finishing what is in flight.
+    /// The instance refuses new requests and finishes those in flight.
     Finishing,
-    /// Nothing is in flight: the process may exit.
+    /// No request is in flight, or the time limit has passed; the process may exit.
     Done,
 }
 
-/// Follows one planned stop.
+/// State of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Drain {
-    asked_at_ms: Option<u64>,
+    requested_at_ms: Option<u64>,
 }
 
 impl Drain {
-    /// Takes a request to stop; a second one changes nothing.
+    /// Requests a shutdown; a second request has no effect.
     pub fn ask(&mut self, now_ms: u64) {
-        self.asked_at_ms.get_or_insert(now_ms);
+        self.requested_at_ms.get_or_insert(now_ms);
     }
 
-    /// Returns the phase.
+    /// Returns the current phase; `limit_ms` limits the time since the shutdown was requested.
     ///
     /// ```
     /// use cranereach_core::drain::{Drain, Phase};
@@ -40,11 +41,11 @@
     /// assert_eq!(drain.phase(5_000, 0, None), Phase::Done);
     /// ```
     pub fn phase(&self, now_ms: u64, in_flight_count: usize, limit_ms: Option<u64>) -> Phase {
-        let Some(asked_at_ms) = self.asked_at_ms else {
+        let Some(requested_at_ms) = self.requested_at_ms else {
             return Phase::Serving;
         };
-        let passed_ms = now_ms.saturating_sub(asked_at_ms);
-        if passed_ms < BALANCER_MS {
+        let passed_ms = now_ms.saturating_sub(requested_at_ms);
+        if passed_ms < BALANCER_GRACE_MS {
             return Phase::Announced;
         }
         let out_of_time = limit_ms.is_some_and(|limit_ms| passed_ms >= limit_ms);
