--- a/crates/cranereach-core/src/cell.rs
+++ b/crates/cranereach-core/src/cell.rs
@@ -69,22 +69,22 @@
 /// The order is the same on every instance. Neighbours differ in failure
 /// domain wherever the cells allow it.
 pub fn hosts_of<'a>(target: &TargetName, cells: &'a [CellId]) -> Vec<&'a CellId> {
-    let mut left: Vec<&CellId> = cells.iter().collect();
-    left.sort_by_key(|cell| rendezvous_weight(&cell.to_string(), target.as_str()));
-    let mut hosts: Vec<&CellId> = Vec::with_capacity(left.len());
-    while let Some(next) = next_host(&left, &hosts) {
-        hosts.push(left.remove(next));
+    let mut remaining: Vec<&CellId> = cells.iter().collect();
+    remaining.sort_by_key(|cell| rendezvous_weight(&cell.to_string(), target.as_str()));
+    let mut hosts: Vec<&CellId> = Vec::with_capacity(remaining.len());
+    while let Some(next) = next_host(&remaining, &hosts) {
+        hosts.push(remaining.remove(next));
     }
     hosts
 }
 
 /// Returns the next cell to host, in a domain used least so far.
-fn next_host(left: &[&CellId], hosts: &[&CellId]) -> Option<usize> {
-    let used = |cell: &CellId| {
+fn next_host(remaining: &[&CellId], hosts: &[&CellId]) -> Option<usize> {
+    let domain_use_count = |cell: &CellId| {
         hosts
             .iter()
             .filter(|host| host.domain == cell.domain)
             .count()
     };
-    (0..left.len()).min_by_key(|&index| used(left[index]))
+    (0..remaining.len()).min_by_key(|&index| domain_use_count(remaining[index]))
 }
--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -35,15 +35,15 @@
 const SETTLE_AFTER_MS: u64 = 1_000;
 
 /// Part of the loads that targets waited for too long may force.
-const FORCED_PART: f64 = 0.25;
+const FORCED_LOAD_FRACTION: f64 = 0.25;
 
 /// What is known of the intents row of a cell without fences.
 #[derive(Clone, Debug, Default)]
 struct Intents {
     is_read: bool,
-    is_asked: bool,
-    held_back: Vec<Order>,
-    writing: bool,
+    is_read_requested: bool,
+    deferred_orders: Vec<Order>,
+    is_write_pending: bool,
 }
 
 /// Control of one cell on one instance.
@@ -52,12 +52,12 @@
     checks_fences: bool,
     options: ControlOptions,
     lease: Lease,
-    acting: Option<Epoch>,
+    acting_epoch: Option<Epoch>,
     sequence: u64,
     workers: HashMap<WorkerId, WorkerControl>,
     intents: Intents,
-    bucket: TokenBucket,
-    forced: TokenBucket,
+    load_bucket: TokenBucket,
+    forced_bucket: TokenBucket,
     moves_count: u64,
 }
 
@@ -69,12 +69,16 @@
             checks_fences,
             options,
             lease: Lease::new(own, now_ms),
-            acting: None,
+            acting_epoch: None,
             sequence: 0,
             workers: HashMap::new(),
             intents: Intents::default(),
-            bucket: TokenBucket::new(options.loads_per_s, burst, now_ms),
-            forced: TokenBucket::new(options.loads_per_s * FORCED_PART, 1.0, now_ms),
+            load_bucket: TokenBucket::new(options.loads_per_s, burst, now_ms),
+            forced_bucket: TokenBucket::new(
+                options.loads_per_s * FORCED_LOAD_FRACTION,
+                1.0,
+                now_ms,
+            ),
             moves_count: 0,
         }
     }
@@ -96,7 +100,7 @@
 
     /// Returns the epoch under which this instance orders, if it does.
     pub fn acting(&self) -> Option<Epoch> {
-        self.acting
+        self.acting_epoch
     }
 
     /// Returns how many loads and unloads were ordered from here.
@@ -124,15 +128,15 @@
         actions: &mut Vec<ControlAction>,
     ) {
         if let Some(control) = self.workers.get_mut(worker) {
-            let took = control.reported(now_ms, report, slot_count);
-            actions.extend(took.into_iter().map(ControlAction::LoadTook));
+            let load_durations_ms = control.apply_report(now_ms, report, slot_count);
+            actions.extend(load_durations_ms.into_iter().map(ControlAction::LoadTook));
         }
     }
 
     /// Takes whether a worker says that it is leaving; nothing is planned for it.
     pub fn leaving(&mut self, worker: &WorkerId, is_leaving: bool) {
         if let Some(control) = self.workers.get_mut(worker) {
-            control.leaving(is_leaving);
+            control.set_leaving(is_leaving);
         }
     }
 
@@ -146,7 +150,7 @@
         };
         // A refused order had no effect, and its fence keeps it from having one.
         if matches!(end, OrderEnd::NeverSent | OrderEnd::Refused(_)) {
-            control.never_sent(fence);
+            control.discard_order(fence);
         }
     }
 
@@ -155,27 +159,27 @@
         self.intents.is_read = true;
         for order in &row.orders {
             if let Some(control) = self.workers.get_mut(&order.worker) {
-                control.ordered(now_ms, order);
+                control.record_order(now_ms, order);
             }
         }
     }
 
     /// Takes that the reading of the intents row failed.
     pub fn intents_unread(&mut self) {
-        self.intents.is_asked = false;
+        self.intents.is_read_requested = false;
     }
 
     /// Takes that the intents are recorded; the orders may go, if still allowed.
     pub fn intents_recorded(&mut self, now_ms: u64, was_recorded: bool) -> Vec<Order> {
-        self.intents.writing = false;
-        let orders = std::mem::take(&mut self.intents.held_back);
+        self.intents.is_write_pending = false;
+        let orders = std::mem::take(&mut self.intents.deferred_orders);
         let allowed = was_recorded && self.lease.may_order(now_ms, self.checks_fences).is_some();
         if allowed {
             return orders;
         }
         for order in &orders {
             if let Some(control) = self.workers.get_mut(&order.worker) {
-                control.never_sent(order.fence);
+                control.discard_order(order.fence);
             }
         }
         Vec::new()
@@ -196,35 +200,35 @@
     ) {
         actions.extend(self.lease.tick(now_ms, view).map(ControlAction::WriteLease));
         self.lease.take_over_without_table(now_ms, view);
-        self.follow_epoch(now_ms, actions);
-        if self.acting.is_none() || view.leaving {
+        self.update_term(now_ms, actions);
+        if self.acting_epoch.is_none() || view.leaving {
             return;
         }
-        self.seal(now_ms, actions);
-        if self.checks_fences || (self.intents.is_read && !self.intents.writing) {
+        self.seal_workers(now_ms, actions);
+        if self.checks_fences || (self.intents.is_read && !self.intents.is_write_pending) {
             self.plan(now_ms, targets, actions);
         }
     }
 
     /// Starts or ends a term of acting as the holder.
-    fn follow_epoch(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
+    fn update_term(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let epoch = self.lease.may_order(now_ms, self.checks_fences);
-        if epoch != self.acting {
-            self.acting = epoch;
+        if epoch != self.acting_epoch {
+            self.acting_epoch = epoch;
             self.sequence = 0;
             self.intents = Intents::default();
             for control in self.workers.values_mut() {
-                control.start_over(self.checks_fences);
+                control.reset(self.checks_fences);
             }
         }
-        if epoch.is_some() && !self.checks_fences && !self.intents.is_asked {
-            self.intents.is_asked = true;
+        if epoch.is_some() && !self.checks_fences && !self.intents.is_read_requested {
+            self.intents.is_read_requested = true;
             actions.push(ControlAction::ReadIntents);
         }
     }
 
     /// Seals workers that need it, and settles orders that stay open.
-    fn seal(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
+    fn seal_workers(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let due: Vec<WorkerId> = self
             .workers
             .iter()
@@ -232,8 +236,8 @@
             .map(|(id, _)| id.clone())
             .collect();
         for worker in due {
-            let order = self.order(worker, OrderKind::Seal, TargetName::from(""), 0);
-            self.record(now_ms, &order);
+            let order = self.next_order(worker, OrderKind::Seal, TargetName::from(""), 0);
+            self.record_in_ledger(now_ms, &order);
             actions.push(ControlAction::Send(order));
         }
     }
@@ -251,26 +255,31 @@
             weights: self.options.weights,
             targets,
             workers: &workers,
-            forces_allowed_count: usize::from(self.forced.is_filled(now_ms)),
+            forces_allowed_count: usize::from(self.forced_bucket.is_filled(now_ms)),
         };
         let moves = (self.options.policy.plan)(&input);
         if moves
             .iter()
             .any(|planned| planned.is_urgent && !planned.is_load)
         {
-            self.forced.take(now_ms);
+            self.forced_bucket.take(now_ms);
         }
-        let orders = self.orders_of(now_ms, &moves, targets);
+        let orders = self.orders_for_moves(now_ms, &moves, targets);
         self.moves_count += orders.len() as u64;
         if self.checks_fences {
             actions.extend(orders.into_iter().map(ControlAction::Send));
         } else if !orders.is_empty() {
-            self.hold_back(orders, actions);
+            self.defer_until_recorded(orders, actions);
         }
     }
 
     /// Turns moves into orders, within the weight store's limits.
-    fn orders_of(&mut self, now_ms: u64, moves: &[Move], targets: &[PlanTarget]) -> Vec<Order> {
+    fn orders_for_moves(
+        &mut self,
+        now_ms: u64,
+        moves: &[Move],
+        targets: &[PlanTarget],
+    ) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut loading_count: usize = self
             .workers
@@ -288,38 +297,38 @@
                 .find(|target| target.target == planned.target);
             let memory_bytes = declared.map_or(0, |target| target.memory_bytes);
             if planned.is_load {
-                let allowed =
-                    loading_count < self.options.loads_at_once_count && self.bucket.take(now_ms);
+                let allowed = loading_count < self.options.loads_at_once_count
+                    && self.load_bucket.take(now_ms);
                 if !allowed {
                     continue;
                 }
                 loading_count += 1;
             }
-            let order = self.order(
+            let order = self.next_order(
                 planned.worker.clone(),
                 kind,
                 planned.target.clone(),
                 memory_bytes,
             );
-            self.record(now_ms, &order);
+            self.record_in_ledger(now_ms, &order);
             orders.push(order);
         }
         orders
     }
 
     /// Holds orders back until their intents are recorded.
-    fn hold_back(&mut self, orders: Vec<Order>, actions: &mut Vec<ControlAction>) {
+    fn defer_until_recorded(&mut self, orders: Vec<Order>, actions: &mut Vec<ControlAction>) {
         let open = self.workers.values().flat_map(WorkerControl::open_orders);
         let row = IntentRow {
             orders: open.collect(),
         };
-        self.intents.held_back = orders;
-        self.intents.writing = true;
+        self.intents.deferred_orders = orders;
+        self.intents.is_write_pending = true;
         actions.push(ControlAction::RecordIntents(row));
     }
 
     /// Makes the next order of the term.
-    fn order(
+    fn next_order(
         &mut self,
         worker: WorkerId,
         kind: OrderKind,
@@ -327,7 +336,7 @@
         memory_bytes: u64,
     ) -> Order {
         self.sequence += 1;
-        let epoch = self.acting.unwrap_or_default();
+        let epoch = self.acting_epoch.unwrap_or_default();
         let boot_id = self.workers.get(&worker).and_then(WorkerControl::boot_id);
         Order {
             worker,
@@ -343,9 +352,9 @@
     }
 
     /// Counts an order in its worker's ledger before it is sent.
-    fn record(&mut self, now_ms: u64, order: &Order) {
+    fn record_in_ledger(&mut self, now_ms: u64, order: &Order) {
         if let Some(control) = self.workers.get_mut(&order.worker) {
-            control.ordered(now_ms, order);
+            control.record_order(now_ms, order);
         }
     }
 
--- a/crates/cranereach-core/src/control/worker.rs
+++ b/crates/cranereach-core/src/control/worker.rs
@@ -44,40 +44,40 @@
     }
 
     /// Forgets what an earlier term believed.
-    pub(super) fn start_over(&mut self, checks_fences: bool) {
+    pub(super) fn reset(&mut self, checks_fences: bool) {
         *self = Self::new(self.capacity_bytes, checks_fences);
     }
 
     /// Takes a report; returns how long loads that it shows done took, in ms.
-    pub(super) fn reported(
+    pub(super) fn apply_report(
         &mut self,
         now_ms: u64,
         report: &MemoryReport,
         slot_count: u32,
     ) -> Vec<u64> {
         self.slot_count = slot_count;
-        self.ledger.reported(now_ms, report);
+        self.ledger.apply_report(now_ms, report);
         let occupants = self.ledger.occupants();
         self.seen_at_ms
             .retain(|target, _| occupants.iter().any(|occupant| &occupant.target == target));
-        let mut took = Vec::new();
+        let mut load_durations_ms = Vec::new();
         for occupant in occupants {
             self.seen_at_ms
                 .entry(occupant.target.clone())
                 .or_insert(now_ms);
             if occupant.residence == Residence::Resident {
-                let ordered = self.load_ordered_at_ms.remove(&occupant.target);
-                took.extend(ordered.map(|at_ms| now_ms.saturating_sub(at_ms)));
+                let load_ordered = self.load_ordered_at_ms.remove(&occupant.target);
+                load_durations_ms.extend(load_ordered.map(|at_ms| now_ms.saturating_sub(at_ms)));
             }
         }
         self.open
             .retain(|order| self.ledger.is_open(order.kind, &order.target));
-        took
+        load_durations_ms
     }
 
     /// Counts an order before it is sent.
-    pub(super) fn ordered(&mut self, now_ms: u64, order: &Order) {
-        self.ledger.ordered(
+    pub(super) fn record_order(&mut self, now_ms: u64, order: &Order) {
+        self.ledger.record_order(
             now_ms,
             order.kind,
             &order.target,
@@ -96,18 +96,19 @@
     }
 
     /// Takes back an order that can have no effect.
-    pub(super) fn never_sent(&mut self, fence: crate::fence::Fence) {
-        self.ledger.never_sent(fence);
+    pub(super) fn discard_order(&mut self, fence: crate::fence::Fence) {
+        self.ledger.discard_order(fence);
         self.open.retain(|order| order.fence != fence);
     }
 
     /// Whether a seal is due: none in force, or orders open for too long.
     pub(super) fn needs_seal(&self, now_ms: u64, settle_after_ms: u64) -> bool {
-        let waited =
+        let is_settle_due =
             now_ms.saturating_sub(self.sealed_at_ms.max(self.ordered_at_ms)) >= settle_after_ms;
         let unsettled = !self.ledger.is_sealed() || self.ledger.has_unsettled();
         let is_known = self.ledger.boot_id().is_some();
-        self.ledger.needs_seal() || (self.ledger.checks_fences() && is_known && unsettled && waited)
+        self.ledger.needs_seal()
+            || (self.ledger.checks_fences() && is_known && unsettled && is_settle_due)
     }
 
     /// Returns the boot that orders are meant for.
@@ -116,7 +117,7 @@
     }
 
     /// Takes whether the worker says that it is leaving.
-    pub(super) fn leaving(&mut self, is_leaving: bool) {
+    pub(super) fn set_leaving(&mut self, is_leaving: bool) {
         self.is_leaving = is_leaving;
     }
 
@@ -127,13 +128,13 @@
 
     /// Returns how many loads are open or under way.
     pub(super) fn loading_count(&self) -> usize {
-        let reported = self
+        let reported_count = self
             .ledger
             .occupants()
             .iter()
             .filter(|occupant| occupant.residence == Residence::Loading)
             .count();
-        reported + self.unseen_loads().count()
+        reported_count + self.unreported_loads().count()
     }
 
     /// Returns the orders whose effect isn't settled.
@@ -169,7 +170,7 @@
                     .unwrap_or_default(),
             })
             .collect();
-        occupants.extend(self.unseen_loads().map(|order| PlanOccupant {
+        occupants.extend(self.unreported_loads().map(|order| PlanOccupant {
             target_index: index_of(&order.target),
             target: order.target.clone(),
             memory_bytes: order.memory_bytes,
@@ -186,8 +187,8 @@
     }
 
     /// Returns the open loads that no report has shown yet.
-    fn unseen_loads(&self) -> impl Iterator<Item = &Order> {
-        let is_there = |target| {
+    fn unreported_loads(&self) -> impl Iterator<Item = &Order> {
+        let is_reported = |target| {
             self.ledger
                 .occupants()
                 .iter()
@@ -195,7 +196,9 @@
         };
         let is_awaited = |target| self.load_ordered_at_ms.contains_key(target);
         self.open.iter().filter(move |order| {
-            order.kind == OrderKind::Load && is_awaited(&order.target) && !is_there(&order.target)
+            order.kind == OrderKind::Load
+                && is_awaited(&order.target)
+                && !is_reported(&order.target)
         })
     }
 }
--- a/crates/cranereach-core/src/lease.rs
+++ b/crates/cranereach-core/src/lease.rs
@@ -27,7 +27,7 @@
 pub const RENEW_EVERY_MS: u64 = 2_500;
 
 /// Time for which a contender that isn't the owner waits longer, in ms.
-const NOT_OWNER_EXTRA_MS: u64 = 4_000;
+const NON_OWNER_DELAY_MS: u64 = 4_000;
 
 /// Time after which a holder hands over to the rendezvous owner, in ms.
 const HAND_OVER_AFTER_MS: u64 = 10_000;
@@ -73,7 +73,7 @@
 
 /// A term that this instance holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct HeldTerm {
     epoch: Epoch,
     expires_at_ms: u64,
     renew_at_ms: u64,
@@ -95,11 +95,11 @@
     read_at_ms: Option<u64>,
     changed_at_ms: u64,
     started_at_ms: u64,
-    held: Option<Held>,
+    held: Option<HeldTerm>,
     pending: Option<Pending>,
     highest_epoch: Epoch,
     not_owner_since_ms: Option<u64>,
-    surpassed_at_ms: Option<u64>,
+    superseded_at_ms: Option<u64>,
 }
 
 impl Lease {
@@ -116,7 +116,7 @@
             pending: None,
             highest_epoch: Epoch::default(),
             not_owner_since_ms: None,
-            surpassed_at_ms: None,
+            superseded_at_ms: None,
         }
     }
 
@@ -135,8 +135,8 @@
     pub fn may_order(&self, now_ms: u64, checks_fences: bool) -> Option<Epoch> {
         let held = self.held.as_ref()?;
         let unexpired = now_ms < held.expires_at_ms;
-        let unsurpassed = held.epoch >= self.highest_epoch;
-        (unsurpassed && (checks_fences || unexpired)).then_some(held.epoch)
+        let not_superseded = held.epoch >= self.highest_epoch;
+        (not_superseded && (checks_fences || unexpired)).then_some(held.epoch)
     }
 
     /// Returns when this instance's term ends on its own clock.
@@ -155,7 +155,7 @@
         self.row = row.clone();
         self.settle_pending(version, row);
         if row.holder.as_ref() != Some(&self.own) && row.epoch_major > 0 {
-            self.drop_if_surpassed(row.epoch_major);
+            self.drop_if_superseded(row.epoch_major);
         }
     }
 
@@ -166,8 +166,8 @@
 
     /// Takes the answer that a write had no effect.
     pub fn refused(&mut self, row: &LeaseRow) {
-        let is_it = |pending: &Pending| pending.write.row.write_nonce == row.write_nonce;
-        if self.pending.as_ref().is_some_and(is_it) {
+        let is_same_write = |pending: &Pending| pending.write.row.write_nonce == row.write_nonce;
+        if self.pending.as_ref().is_some_and(is_same_write) {
             self.pending = None;
         }
     }
@@ -177,13 +177,13 @@
         self.highest_epoch = self.highest_epoch.max(epoch);
         if self.held.is_some_and(|held| held.epoch < epoch) {
             self.held = None;
-            self.surpassed_at_ms = Some(now_ms);
+            self.superseded_at_ms = Some(now_ms);
         }
     }
 
     /// Says which write is due, if any, and remembers that it is being sent.
     pub fn tick(&mut self, now_ms: u64, view: &LeaseView) -> Option<LeaseWrite> {
-        self.note_owner(now_ms, view.is_owner);
+        self.track_ownership(now_ms, view.is_owner);
         let row = self.due_row(now_ms, view)?;
         if row.holder.is_none() {
             // A successor may start as soon as this write takes effect.
@@ -205,17 +205,17 @@
     /// Two instances may do so at once: their epochs differ, the workers obey
     /// the higher one, and the other learns of it from its next refused order.
     pub fn take_over_without_table(&mut self, now_ms: u64, view: &LeaseView) -> Option<Epoch> {
-        let silent_ms = now_ms.saturating_sub(self.read_at_ms.unwrap_or(self.started_at_ms));
-        let table_lost = silent_ms >= TERM_MS;
-        let just_surpassed = self
-            .surpassed_at_ms
+        let since_read_ms = now_ms.saturating_sub(self.read_at_ms.unwrap_or(self.started_at_ms));
+        let table_lost = since_read_ms >= TERM_MS;
+        let recently_superseded = self
+            .superseded_at_ms
             .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < TERM_MS);
         if !table_lost
             || !view.checks_fences
             || !view.is_owner
             || view.holder_heard
             || view.leaving
-            || just_surpassed
+            || recently_superseded
             || self.held.is_some()
         {
             return None;
@@ -229,7 +229,7 @@
             holder: self.tie_breaker(),
             ..base
         };
-        self.hold(epoch, now_ms);
+        self.set_term(epoch, now_ms);
         Some(epoch)
     }
 
@@ -238,7 +238,7 @@
         let fresh_read = self
             .read_at_ms
             .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < TERM_MS);
-        if !fresh_read || self.pending_is_young(now_ms) {
+        if !fresh_read || self.has_write_in_flight(now_ms) {
             return None;
         }
         if self.row.holder.as_ref() == Some(&self.own) && self.held.is_some() {
@@ -249,10 +249,10 @@
 
     /// Returns the holder's renewal or hand-over, if due.
     fn holder_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
-        let yields = self
+        let hands_over = self
             .not_owner_since_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= HAND_OVER_AFTER_MS);
-        if view.leaving || yields {
+        if view.leaving || hands_over {
             return Some(LeaseRow {
                 holder: None,
                 epoch_major: self.row.epoch_major,
@@ -272,13 +272,13 @@
             return None;
         }
         let unchanged_ms = now_ms.saturating_sub(self.changed_at_ms);
-        let extra_ms = if view.is_owner { 0 } else { NOT_OWNER_EXTRA_MS };
-        let needed_ms = if self.row.holder.is_none() {
-            extra_ms
+        let delay_ms = if view.is_owner { 0 } else { NON_OWNER_DELAY_MS };
+        let required_ms = if self.row.holder.is_none() {
+            delay_ms
         } else {
-            TERM_MS + extra_ms
+            TERM_MS + delay_ms
         };
-        (unchanged_ms >= needed_ms).then(|| LeaseRow {
+        (unchanged_ms >= required_ms).then(|| LeaseRow {
             holder: Some(self.own.clone()),
             epoch_major: self.row.epoch_major + 1,
             write_nonce: view.nonce,
@@ -286,7 +286,7 @@
     }
 
     /// Whether a write may still be under way.
-    fn pending_is_young(&self, now_ms: u64) -> bool {
+    fn has_write_in_flight(&self, now_ms: u64) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|pending| now_ms.saturating_sub(pending.sent_at_ms) < MARGIN_MS)
@@ -311,16 +311,16 @@
                 holder: self.tie_breaker(),
             };
             let epoch = self.held.map_or(epoch, |held| held.epoch.max(epoch));
-            self.hold(epoch, pending.sent_at_ms);
+            self.set_term(epoch, pending.sent_at_ms);
         } else {
             self.held = None;
         }
     }
 
     /// Holds a term that counts from before the write was sent.
-    fn hold(&mut self, epoch: Epoch, sent_at_ms: u64) {
+    fn set_term(&mut self, epoch: Epoch, sent_at_ms: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
-        self.held = Some(Held {
+        self.held = Some(HeldTerm {
             epoch,
             expires_at_ms: sent_at_ms + TERM_MS - MARGIN_MS,
             renew_at_ms: sent_at_ms + RENEW_EVERY_MS,
@@ -328,7 +328,7 @@
     }
 
     /// Drops the term if the row shows another's later one.
-    fn drop_if_surpassed(&mut self, epoch_major: u64) {
+    fn drop_if_superseded(&mut self, epoch_major: u64) {
         if self
             .held
             .is_some_and(|held| held.epoch.major <= epoch_major)
@@ -338,7 +338,7 @@
     }
 
     /// Records since when another instance is the owner.
-    fn note_owner(&mut self, now_ms: u64, is_owner: bool) {
+    fn track_ownership(&mut self, now_ms: u64, is_owner: bool) {
         if is_owner {
             self.not_owner_since_ms = None;
         } else {
--- a/crates/cranereach-core/src/ledger.rs
+++ b/crates/cranereach-core/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Memory of one worker, with every unsettled order counted at its worst.
+//! Worst-case memory accounting for one worker, including every unsettled order.
 //!
 //! A load is sent only when capacity minus the worst case covers it. Memory
 //! that an unload frees counts only once the worker reports it, at or after
@@ -73,7 +73,7 @@
 
 /// An order whose effect isn't settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Unsettled {
+struct UnsettledOrder {
     kind: OrderKind,
     target: TargetName,
     memory_bytes: u64,
@@ -87,7 +87,7 @@
     capacity_bytes: u64,
     checks_fences: bool,
     report: Option<MemoryReport>,
-    unsettled: Vec<Unsettled>,
+    unsettled: Vec<UnsettledOrder>,
     sealed_by: Option<Fence>,
     retired_boots: Vec<u64>,
 }
@@ -116,7 +116,7 @@
     }
 
     /// Takes a report; an older one of the same boot is dropped.
-    pub fn reported(&mut self, now_ms: u64, report: &MemoryReport) {
+    pub fn apply_report(&mut self, now_ms: u64, report: &MemoryReport) {
         if self.retired_boots.contains(&report.boot_id) {
             return;
         }
@@ -125,7 +125,7 @@
                 return;
             }
             if last.boot_id != report.boot_id {
-                self.restart(last.boot_id);
+                self.reset_for_new_boot(last.boot_id);
             }
         }
         self.report = Some(report.clone());
@@ -137,8 +137,8 @@
         self.report.as_ref().map(|report| report.boot_id)
     }
 
-    /// Starts anew after a restart: what was meant for the old boot is void.
-    fn restart(&mut self, old_boot_id: u64) {
+    /// Resets the term's state after a worker restart, because orders for the old boot are void.
+    fn reset_for_new_boot(&mut self, old_boot_id: u64) {
         self.sealed_by = None;
         if self.checks_fences {
             self.unsettled.clear();
@@ -150,7 +150,7 @@
     }
 
     /// Records an order before it is sent.
-    pub fn ordered(
+    pub fn record_order(
         &mut self,
         now_ms: u64,
         kind: OrderKind,
@@ -162,7 +162,7 @@
             self.sealed_by = Some(fence);
             return;
         }
-        self.unsettled.push(Unsettled {
+        self.unsettled.push(UnsettledOrder {
             kind,
             target: target.clone(),
             memory_bytes,
@@ -172,7 +172,7 @@
     }
 
     /// Records that an order provably never reached the worker.
-    pub fn never_sent(&mut self, fence: Fence) {
+    pub fn discard_order(&mut self, fence: Fence) {
         self.unsettled.retain(|order| order.fence != fence);
     }
 
@@ -211,23 +211,23 @@
     /// use cranereach_core::ledger::{Ledger, OrderKind};
     ///
     /// let mut ledger = Ledger::new(100, true);
-    /// ledger.ordered(0, OrderKind::Load, &"m".into(), 60, Fence::default());
+    /// ledger.record_order(0, OrderKind::Load, &"m".into(), 60, Fence::default());
     /// assert_eq!(ledger.committed_bytes(), 60);
     /// ```
     pub fn committed_bytes(&self) -> u64 {
-        let mut worst: HashMap<&TargetName, u64> = HashMap::new();
+        let mut worst_case_bytes: HashMap<&TargetName, u64> = HashMap::new();
         for occupant in self.occupants() {
-            worst.insert(&occupant.target, occupant.memory_bytes);
+            worst_case_bytes.insert(&occupant.target, occupant.memory_bytes);
         }
         for order in self
             .unsettled
             .iter()
             .filter(|order| order.kind == OrderKind::Load)
         {
-            let bytes = worst.entry(&order.target).or_default();
+            let bytes = worst_case_bytes.entry(&order.target).or_default();
             *bytes = (*bytes).max(order.memory_bytes);
         }
-        worst.values().sum()
+        worst_case_bytes.values().sum()
     }
 
     /// Returns the memory that a load may take now, in bytes.
@@ -259,14 +259,16 @@
                 // All up to the applied fence have taken effect or never will.
                 return order.fence > report.applied;
             }
-            let present = report
+            let is_present = report
                 .occupants
                 .iter()
                 .any(|occupant| occupant.target == order.target);
             match order.kind {
                 // It may arrive once more until its lifetime is over.
                 OrderKind::Load => now_ms < order.last_arrival_at_ms,
-                OrderKind::Unload | OrderKind::Seal => present && now_ms < order.last_arrival_at_ms,
+                OrderKind::Unload | OrderKind::Seal => {
+                    is_present && now_ms < order.last_arrival_at_ms
+                }
             }
         });
     }
--- a/crates/cranereach-core/src/residency/mod.rs
+++ b/crates/cranereach-core/src/residency/mod.rs
@@ -11,17 +11,17 @@
 use crate::names::TargetName;
 use crate::names::WorkerId;
 
-mod draft;
+mod plan_builder;
 pub mod split;
-mod worth;
+mod value;
 
-use self::draft::Draft;
-use self::draft::Eviction;
-pub use self::worth::LOADED_AFTER_MS;
-use self::worth::marginal_worth;
-use self::worth::recency_worth;
-use self::worth::urgent_targets;
-use self::worth::wanted_targets;
+use self::plan_builder::Eviction;
+use self::plan_builder::PlanBuilder;
+pub use self::value::FORCED_LOAD_AFTER_MS;
+use self::value::marginal_value;
+use self::value::recency_value;
+use self::value::replica_candidates;
+use self::value::urgent_candidates;
 
 /// Demand for one target, and where it stands.
 #[derive(Clone, Debug)]
@@ -171,32 +171,32 @@
 
 /// Plans by marginal attainment.
 fn plan_marginal(input: &PlanInput<'_>) -> Vec<Move> {
-    let mut draft = Draft::new(input);
-    for wanted in wanted_targets(input) {
-        let spares_young = wanted.gain.is_finite();
-        draft.place(
-            wanted,
+    let mut builder = PlanBuilder::new(input);
+    for candidate in replica_candidates(input) {
+        let respects_min_residency = candidate.gain.is_finite();
+        builder.place(
+            candidate,
             Eviction {
-                worth: marginal_worth,
-                spares_young,
+                value: marginal_value,
+                respects_min_residency,
             },
         );
     }
-    draft.moves
+    builder.moves
 }
 
 /// Plans by least recent use, on demand only.
 fn plan_least_recently_used(input: &PlanInput<'_>) -> Vec<Move> {
-    let mut draft = Draft::new(input);
-    draft.forces_left_count = usize::MAX;
-    for wanted in urgent_targets(input) {
-        draft.place(
-            wanted,
+    let mut builder = PlanBuilder::new(input);
+    builder.forced_loads_left_count = usize::MAX;
+    for candidate in urgent_candidates(input) {
+        builder.place(
+            candidate,
             Eviction {
-                worth: recency_worth,
-                spares_young: false,
+                value: recency_value,
+                respects_min_residency: false,
             },
         );
     }
-    draft.moves
+    builder.moves
 }
--- a/crates/cranereach-core/src/residency/split.rs
+++ b/crates/cranereach-core/src/residency/split.rs
@@ -60,15 +60,11 @@
 ) -> CellPlace {
     let hosts = hosts_of(ordered_by, cells);
     let replicas = |host: &CellId| standing.replicas.get(host).copied().unwrap_or_default();
-    let own_place = hosts
+    let own_rank = hosts
         .iter()
         .position(|host| *host == cell)
         .unwrap_or(hosts.len());
-    let replicas_before = hosts
-        .iter()
-        .take(own_place)
-        .map(|host| replicas(host))
-        .sum();
+    let replicas_before = hosts.iter().take(own_rank).map(|host| replicas(host)).sum();
     let total: usize = hosts.iter().map(|host| replicas(host)).sum();
     let has_base =
         |host: &&&CellId| standing.base_cells.is_empty() || standing.base_cells.contains(*host);
@@ -84,12 +80,12 @@
         .filter(has_base)
         .min_by_key(|host| (!fits(host), replicas(host)));
     let is_next = next.is_some_and(|next| *next == cell);
-    let is_aged = total == 0
-        && own_place as u64 <= standing.oldest_wait_ms / NEXT_CELL_AFTER_MS
+    let has_waited = total == 0
+        && own_rank as u64 <= standing.oldest_wait_ms / NEXT_CELL_AFTER_MS
         && standing.oldest_wait_ms >= NEXT_CELL_AFTER_MS;
     CellPlace {
         replicas_before,
         replicas_elsewhere: total - replicas(cell),
-        may_grow: is_next || is_aged,
+        may_grow: is_next || has_waited,
     }
 }
--- a/crates/cranereach-core/src/snapshot/fault.rs
+++ b/crates/cranereach-core/src/snapshot/fault.rs
@@ -47,7 +47,7 @@
 }
 
 /// Makes the fault of a name that stands twice.
-pub(super) fn duplicate(section: &'static str, entry: &str) -> Fault {
+pub(super) fn duplicate_name(section: &'static str, entry: &str) -> Fault {
     fault(
         ResultCode::DuplicateName,
         section,
@@ -58,7 +58,7 @@
 }
 
 /// Lists names in order, for messages.
-pub(super) fn list(names: impl Iterator<Item = impl ToString>) -> String {
+pub(super) fn join_sorted(names: impl Iterator<Item = impl ToString>) -> String {
     let mut names: Vec<String> = names.map(|name| name.to_string()).collect();
     names.sort();
     if names.is_empty() {
--- a/crates/cranereach-core/src/snapshot/mod.rs
+++ b/crates/cranereach-core/src/snapshot/mod.rs
@@ -21,9 +21,9 @@
 
 pub use self::fault::Fault;
 pub use self::fault::Place;
-use self::fault::duplicate;
+use self::fault::duplicate_name;
 use self::fault::fault;
-use self::fault::list;
+use self::fault::join_sorted;
 pub use self::grant::Grant;
 pub use self::grant::KeyHash;
 
@@ -56,10 +56,10 @@
             version,
             ..Self::default()
         };
-        snapshot.take_pools(declared, &mut faults);
-        snapshot.take_models(declared, &mut faults);
-        let templates = take_templates(&snapshot, declared, &mut faults);
-        snapshot.take_accounts(declared, &templates, &mut faults);
+        snapshot.add_pools(declared, &mut faults);
+        snapshot.add_models(declared, &mut faults);
+        let templates = index_templates(&snapshot, declared, &mut faults);
+        snapshot.add_accounts(declared, &templates, &mut faults);
         if faults.is_empty() {
             Ok(snapshot)
         } else {
@@ -87,7 +87,7 @@
             .filter(|pool| {
                 pool.path_prefix
                     .as_deref()
-                    .is_some_and(|prefix| below(path, prefix))
+                    .is_some_and(|prefix| is_under_prefix(path, prefix))
             })
             .max_by_key(|pool| pool.path_prefix.as_ref().map_or(0, String::len))
     }
@@ -102,10 +102,10 @@
     }
 
     /// Takes over the pools.
-    fn take_pools(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
+    fn add_pools(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
         for pool in &declared.pools {
             if self.pools.insert(pool.name.clone(), pool.clone()).is_some() {
-                faults.push(duplicate("pools", pool.name.as_str()));
+                faults.push(duplicate_name("pools", pool.name.as_str()));
             }
             let prefix = pool.path_prefix.as_deref();
             if pool.kind == PoolKind::Plain
@@ -124,14 +124,14 @@
     }
 
     /// Takes over the models and checks that each can be resident at all.
-    fn take_models(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
+    fn add_models(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
         for model in &declared.models {
             if self
                 .models
                 .insert(model.name.clone(), model.clone())
                 .is_some()
             {
-                faults.push(duplicate("models", model.name.as_str()));
+                faults.push(duplicate_name("models", model.name.as_str()));
             }
         }
         for model in &declared.models {
@@ -147,7 +147,10 @@
             .as_ref()
             .filter(|base| !self.models.contains_key(*base))
         {
-            let detail = format!("no model {base}; declared: {}", list(self.models.keys()));
+            let detail = format!(
+                "no model {base}; declared: {}",
+                join_sorted(self.models.keys())
+            );
             faults.push(fault(
                 ResultCode::UnknownModel,
                 "models",
@@ -160,7 +163,7 @@
             let detail = format!(
                 "no pool {}; declared: {}",
                 model.pool,
-                list(self.pools.keys())
+                join_sorted(self.pools.keys())
             );
             faults.push(fault(
                 ResultCode::UnknownPool,
@@ -171,10 +174,10 @@
             ));
             return;
         };
-        let needed = self.memory_with_base_bytes(&model.name);
-        if needed > pool.worker_memory_bytes {
+        let needed_bytes = self.memory_with_base_bytes(&model.name);
+        if needed_bytes > pool.worker_memory_bytes {
             let detail = format!(
-                "needs {needed} bytes with its base, a worker of pool {} has {}",
+                "needs {needed_bytes} bytes with its base, a worker of pool {} has {}",
                 pool.name, pool.worker_memory_bytes
             );
             faults.push(fault(
@@ -188,7 +191,7 @@
     }
 
     /// Takes over the accounts with their templates filled in.
-    fn take_accounts(
+    fn add_accounts(
         &mut self,
         declared: &Declarations,
         templates: &HashMap<&str, &Template>,
@@ -197,13 +200,13 @@
         let mut seen = BTreeSet::new();
         for account in &declared.accounts {
             if !seen.insert(&account.name) {
-                faults.push(duplicate("accounts", account.name.as_str()));
+                faults.push(duplicate_name("accounts", account.name.as_str()));
             }
             let Some(template) = templates.get(account.template.as_str()) else {
                 let detail = format!(
                     "no template {}; declared: {}",
                     account.template,
-                    list(templates.keys())
+                    join_sorted(templates.keys())
                 );
                 faults.push(fault(
                     ResultCode::UnknownTemplate,
@@ -214,13 +217,18 @@
                 ));
                 continue;
             };
-            let grant = Arc::new(self.fill(account, template, faults));
-            self.take_keys(account, &grant, faults);
+            let grant = Arc::new(self.resolve_grant(account, template, faults));
+            self.bind_keys(account, &grant, faults);
         }
     }
 
     /// Fills a template with one account's parameters.
-    fn fill(&self, account: &ClientAccount, template: &Template, faults: &mut Vec<Fault>) -> Grant {
+    fn resolve_grant(
+        &self,
+        account: &ClientAccount,
+        template: &Template,
+        faults: &mut Vec<Fault>,
+    ) -> Grant {
         let name = account.name.as_str();
         let mut targets = BTreeSet::new();
         for entry in &template.models {
@@ -229,8 +237,10 @@
                     targets.insert(model);
                 }
                 Some(model) => {
-                    let detail =
-                        format!("no model {model}; declared: {}", list(self.models.keys()));
+                    let detail = format!(
+                        "no model {model}; declared: {}",
+                        join_sorted(self.models.keys())
+                    );
                     faults.push(fault(
                         ResultCode::UnknownModel,
                         "accounts",
@@ -285,9 +295,9 @@
     }
 
     /// Binds an account's keys to its grant.
-    fn take_keys(&mut self, account: &ClientAccount, grant: &Arc<Grant>, faults: &mut Vec<Fault>) {
-        for text in &account.key_hashes {
-            let Some(hash) = KeyHash::from_hex(text) else {
+    fn bind_keys(&mut self, account: &ClientAccount, grant: &Arc<Grant>, faults: &mut Vec<Fault>) {
+        for hex in &account.key_hashes {
+            let Some(hash) = KeyHash::from_hex(hex) else {
                 let detail =
                     "a key hash is 64 hex digits; `cranereach check --hash-key` prints one"
                         .to_owned();
@@ -315,7 +325,7 @@
 }
 
 /// Checks the templates and indexes them by name.
-fn take_templates<'a>(
+fn index_templates<'a>(
     snapshot: &Snapshot,
     declared: &'a Declarations,
     faults: &mut Vec<Fault>,
@@ -323,7 +333,7 @@
     let mut templates = HashMap::new();
     for template in &declared.templates {
         if templates.insert(template.name.as_str(), template).is_some() {
-            faults.push(duplicate("templates", &template.name));
+            faults.push(duplicate_name("templates", &template.name));
         }
         for entry in template
             .models
@@ -336,7 +346,7 @@
             {
                 let detail = format!(
                     "no model {entry}; declared: {}",
-                    list(snapshot.models.keys())
+                    join_sorted(snapshot.models.keys())
                 );
                 faults.push(fault(
                     ResultCode::UnknownModel,
@@ -355,7 +365,7 @@
             {
                 let detail = format!(
                     "no plain pool {pool}; declared: {}",
-                    list(snapshot.pools.keys())
+                    join_sorted(snapshot.pools.keys())
                 );
                 faults.push(fault(
                     ResultCode::UnknownPool,
@@ -373,13 +383,13 @@
 /// Returns the model that a template's entry means for an account.
 fn model_name(entry: &str, account: &ClientAccount) -> Option<TargetName> {
     match entry.strip_prefix('$') {
-        Some(slot) => account.parameters.models.get(slot).cloned(),
+        Some(parameter) => account.parameters.models.get(parameter).cloned(),
         None => Some(TargetName::from(entry)),
     }
 }
 
-/// Whether a path lies below a prefix, at a segment's edge.
-fn below(path: &str, prefix: &str) -> bool {
+/// Returns whether `path` equals `prefix` or continues it at a segment boundary.
+fn is_under_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
