--- a/crates/cranereach-core/src/cell.rs
+++ b/crates/cranereach-core/src/cell.rs
@@ -1,8 +1,8 @@
-//! Cells: the unit of control, so that no state grows with the whole fleet.
+//! Cells: the units of control, which keep state from growing with the whole fleet.
 //!
 //! Workers are split by pool and failure domain, and further into parts of at
 //! most [`WORKERS_MAX`]. Entry instances are split into groups of at most
-//! [`INSTANCES_MAX`] that exchange digests among themselves alone.
+//! [`INSTANCES_MAX`] that exchange digests only among themselves.
 
 use std::fmt;
 
@@ -15,10 +15,10 @@
 use crate::names::TargetName;
 use crate::names::WorkerId;
 
-/// Most workers in a cell.
+/// Maximum number of workers in a cell.
 pub const WORKERS_MAX: usize = 48;
 
-/// Most entry instances in a group.
+/// Maximum number of entry instances in a group.
 pub const INSTANCES_MAX: usize = 16;
 
 /// Identity of a cell.
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns the cell of a worker, given how many workers share pool and domain.
+/// Returns the cell of a worker, given how many workers share its pool and domain.
 ///
 /// ```
 /// use cranereach_core::cell::cell_of;
@@ -66,8 +66,8 @@
 
 /// Returns cells in the order in which they host a target's replicas.
 ///
-/// The order is the same on every instance. Neighbours differ in failure
-/// domain wherever the cells allow it.
+/// The order is the same on every instance. Adjacent cells differ in failure
+/// domain where possible.
 pub fn hosts_of<'a>(target: &TargetName, cells: &'a [CellId]) -> Vec<&'a CellId> {
     let mut remaining: Vec<&CellId> = cells.iter().collect();
     remaining.sort_by_key(|cell| rendezvous_weight(&cell.to_string(), target.as_str()));
@@ -78,7 +78,7 @@
     hosts
 }
 
-/// Returns the next cell to host, in a domain used least so far.
+/// Returns the index of the next host, a cell in a failure domain used least so far.
 fn next_host(remaining: &[&CellId], hosts: &[&CellId]) -> Option<usize> {
     let domain_use_count = |cell: &CellId| {
         hosts
--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -1,10 +1,11 @@
-//! Control of one cell: from lease and reports to fenced orders.
+//! Controller of one cell: turns lease state and worker reports into fenced orders.
 //!
-//! A new holder first seals each worker that checks fences: a no-op order of
-//! its higher epoch, after which no older order can take effect. It plans for a
-//! worker only once a report shows the seal. For workers that don't check, the
-//! intent of each order is recorded in the table before it is sent, and a
-//! successor holds memory for every recorded order until it can't arrive.
+//! A new lease holder first sends a seal to each worker that checks fences. A
+//! seal is a no-op order with the holder's higher epoch; once it is accepted, no
+//! older order can take effect. The holder plans for a worker only after a
+//! report confirms the seal. For workers that don't check fences, each order is
+//! recorded in the table as an intent before it is sent, and a successor
+//! reserves memory for every recorded order until it can no longer arrive.
 
 mod orders;
 mod worker;
@@ -31,13 +32,13 @@
 use crate::residency::PlanTarget;
 use crate::token_bucket::TokenBucket;
 
-/// Time after which an open order is settled by a further seal, in ms.
+/// Time since the last order or seal after which another seal settles open orders, in ms.
 const SETTLE_AFTER_MS: u64 = 1_000;
 
-/// Part of the loads that targets waited for too long may force.
+/// Fraction of the load rate at which overdue targets may force evictions.
 const FORCED_LOAD_FRACTION: f64 = 0.25;
 
-/// What is known of the intents row of a cell without fences.
+/// State of the intents row of a cell whose workers don't check fences.
 #[derive(Clone, Debug, Default)]
 struct Intents {
     is_read: bool,
@@ -46,7 +47,7 @@
     is_write_pending: bool,
 }
 
-/// Control of one cell on one instance.
+/// Controller of one cell on one instance.
 #[derive(Debug)]
 pub struct CellControl {
     checks_fences: bool,
@@ -62,7 +63,7 @@
 }
 
 impl CellControl {
-    /// Starts without the lease.
+    /// Creates a controller that does not hold the lease.
     pub fn new(own: InstanceId, checks_fences: bool, options: ControlOptions, now_ms: u64) -> Self {
         let burst = (options.loads_at_once_count as f64).max(1.0);
         Self {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Whether the cell's workers check fences.
+    /// Returns whether the cell's workers check fences.
     pub fn checks_fences(&self) -> bool {
         self.checks_fences
     }
@@ -93,22 +94,22 @@
         &self.lease
     }
 
-    /// Returns the lease, for what was read or heard.
+    /// Returns the lease for updates with rows read and epochs received.
     pub fn lease_mut(&mut self) -> &mut Lease {
         &mut self.lease
     }
 
-    /// Returns the epoch under which this instance orders, if it does.
+    /// Returns the epoch under which this instance sends orders, or none if it doesn't act.
     pub fn acting(&self) -> Option<Epoch> {
         self.acting_epoch
     }
 
-    /// Returns how many loads and unloads were ordered from here.
+    /// Returns the number of loads and unloads that this instance has ordered.
     pub fn moves_count(&self) -> u64 {
         self.moves_count
     }
 
-    /// Takes the cell's workers with their memory, in bytes.
+    /// Replaces the list of the cell's workers, each with `capacity_bytes` of memory.
     pub fn list(&mut self, listed: &[WorkerId], capacity_bytes: u64) {
         self.workers.retain(|id, _| listed.contains(id));
         for id in listed {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Takes a worker's report of its memory.
+    /// Processes a worker's memory report.
     pub fn reported(
         &mut self,
         now_ms: u64,
@@ -133,14 +134,14 @@
         }
     }
 
-    /// Takes whether a worker says that it is leaving; nothing is planned for it.
+    /// Sets whether a worker is leaving; leaving workers are excluded from planning.
     pub fn leaving(&mut self, worker: &WorkerId, is_leaving: bool) {
         if let Some(control) = self.workers.get_mut(worker) {
             control.set_leaving(is_leaving);
         }
     }
 
-    /// Takes the end of an order.
+    /// Processes the outcome of an order.
     pub fn order_ended(&mut self, now_ms: u64, worker: &WorkerId, fence: Fence, end: OrderEnd) {
         if let OrderEnd::Refused(highest) = end {
             self.lease.heard_epoch(now_ms, highest.epoch);
@@ -148,13 +149,13 @@
         let Some(control) = self.workers.get_mut(worker) else {
             return;
         };
-        // A refused order had no effect, and its fence keeps it from having one.
+        // A refused order had no effect, and its fence keeps it from taking effect later.
         if matches!(end, OrderEnd::NeverSent | OrderEnd::Refused(_)) {
             control.discard_order(fence);
         }
     }
 
-    /// Takes the intents row, as read at the start of a term.
+    /// Processes the intents row read at the start of a term.
     pub fn intents_read(&mut self, now_ms: u64, row: &IntentRow) {
         self.intents.is_read = true;
         for order in &row.orders {
@@ -164,12 +165,15 @@
         }
     }
 
-    /// Takes that the reading of the intents row failed.
+    /// Notes that reading the intents row failed, so that the next tick asks for it again.
     pub fn intents_unread(&mut self) {
         self.intents.is_read_requested = false;
     }
 
-    /// Takes that the intents are recorded; the orders may go, if still allowed.
+    /// Processes the result of writing the intents row and returns the orders to send.
+    ///
+    /// If the write failed or the lease no longer allows the orders, discards them
+    /// and returns none.
     pub fn intents_recorded(&mut self, now_ms: u64, was_recorded: bool) -> Vec<Order> {
         self.intents.is_write_pending = false;
         let orders = std::mem::take(&mut self.intents.deferred_orders);
@@ -185,12 +189,12 @@
         Vec::new()
     }
 
-    /// Takes that the intents row no longer is as last read or written.
+    /// Forgets the intents row after it has changed since it was last read or written.
     pub fn intents_lost(&mut self) {
         self.intents = Intents::default();
     }
 
-    /// Looks at the lease and, if this instance holds it, plans.
+    /// Updates the lease and, if this instance may act, sends seals and plans.
     pub fn tick(
         &mut self,
         now_ms: u64,
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Starts or ends a term of acting as the holder.
+    /// Starts or ends the term in which this instance acts as the holder.
     fn update_term(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let epoch = self.lease.may_order(now_ms, self.checks_fences);
         if epoch != self.acting_epoch {
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Seals workers that need it, and settles orders that stay open.
+    /// Sends a seal to workers that lack one or have orders open for too long.
     fn seal_workers(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let due: Vec<WorkerId> = self
             .workers
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Plans and turns the moves into orders.
+    /// Plans the next moves and sends them as orders.
     fn plan(&mut self, now_ms: u64, targets: &[PlanTarget], actions: &mut Vec<ControlAction>) {
         let workers: Vec<_> = self
             .workers
@@ -273,7 +277,7 @@
         }
     }
 
-    /// Turns moves into orders, within the weight store's limits.
+    /// Converts moves into orders within the weight store's limits on loads.
     fn orders_for_moves(
         &mut self,
         now_ms: u64,
@@ -316,7 +320,7 @@
         orders
     }
 
-    /// Holds orders back until their intents are recorded.
+    /// Defers orders until their intents are recorded.
     fn defer_until_recorded(&mut self, orders: Vec<Order>, actions: &mut Vec<ControlAction>) {
         let open = self.workers.values().flat_map(WorkerControl::open_orders);
         let row = IntentRow {
@@ -327,7 +331,7 @@
         actions.push(ControlAction::RecordIntents(row));
     }
 
-    /// Makes the next order of the term.
+    /// Creates the next order of the term.
     fn next_order(
         &mut self,
         worker: WorkerId,
@@ -351,14 +355,14 @@
         }
     }
 
-    /// Counts an order in its worker's ledger before it is sent.
+    /// Records an order in its worker's ledger before it is sent.
     fn record_in_ledger(&mut self, now_ms: u64, order: &Order) {
         if let Some(control) = self.workers.get_mut(&order.worker) {
             control.record_order(now_ms, order);
         }
     }
 
-    /// Returns the ledger's worst case of a worker, in bytes.
+    /// Returns the worst-case memory use of a worker by its ledger, in bytes.
     pub fn committed_bytes(&self, worker: &WorkerId) -> Option<u64> {
         self.workers.get(worker).map(WorkerControl::committed_bytes)
     }
--- a/crates/cranereach-core/src/control/orders.rs
+++ b/crates/cranereach-core/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and what the runtime is told to do about them.
+//! Orders to workers, and the actions that control requests from the runtime.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,29 +11,29 @@
 use crate::residency::PlanWeights;
 use crate::residency::ResidencyPolicy;
 
-/// What varies between deployments.
+/// Deployment-specific options of control.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlOptions {
     /// Residency policy.
     pub policy: &'static ResidencyPolicy,
     /// Weights of attainment and moves.
     pub weights: PlanWeights,
-    /// Loads that this cell may begin per second.
+    /// Loads that this cell may start per second.
     pub loads_per_s: f64,
-    /// Loads of this cell at once.
+    /// Concurrent loads allowed in this cell.
     pub loads_at_once_count: usize,
 }
 
-/// An order to be sent to a worker.
+/// Order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Worker to order.
+    /// Recipient.
     pub worker: WorkerId,
-    /// Boot of the worker that the order is meant for.
+    /// Boot (process incarnation) of the worker that the order is for.
     pub boot_id: u64,
-    /// Place among all orders.
+    /// Position among all orders to the worker.
     pub fence: Fence,
-    /// What to do.
+    /// Kind of the order.
     pub kind: OrderKind,
     /// Target; empty for a seal.
     pub target: TargetName,
@@ -41,27 +41,27 @@
     pub memory_bytes: u64,
 }
 
-/// Orders recorded in the table before they are sent.
+/// Intents row: orders recorded in the table before they are sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentRow {
-    /// Every order that isn't known to be settled.
+    /// Every order whose effect is not settled.
     pub orders: Vec<Order>,
 }
 
-/// How an order ended.
+/// Outcome of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
     /// The worker accepted it.
     Accepted,
-    /// The worker has seen this higher fence.
+    /// The worker refused it because it has seen this higher fence.
     Refused(Fence),
-    /// It provably never left.
+    /// It was certainly never sent.
     NeverSent,
-    /// It may take effect, now or later.
+    /// It is unknown whether it has taken effect or still will.
     Unknown,
 }
 
-/// What the runtime is to do.
+/// Action for the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlAction {
     /// Write the lease row.
@@ -72,6 +72,6 @@
     ReadIntents,
     /// Write the intents row, then call [`super::CellControl::intents_recorded`].
     RecordIntents(IntentRow),
-    /// A load took this long, in milliseconds.
+    /// Report that a load completed after this time, in milliseconds.
     LoadTook(u64),
 }
--- a/crates/cranereach-core/src/control/worker.rs
+++ b/crates/cranereach-core/src/control/worker.rs
@@ -1,4 +1,4 @@
-//! One worker under the control of its cell's holder.
+//! State that the holder of a cell's lease keeps for one worker.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
 use crate::residency::PlanTarget;
 use crate::residency::PlanWorker;
 
-/// Ledger of a worker, and what the holder saw of it in this term.
+/// Ledger of a worker, with the holder's observations in the current term.
 #[derive(Debug)]
 pub(super) struct WorkerControl {
     ledger: Ledger,
@@ -28,7 +28,7 @@
 }
 
 impl WorkerControl {
-    /// Starts with nothing known.
+    /// Creates the state of a worker that has not reported yet.
     pub(super) fn new(capacity_bytes: u64, checks_fences: bool) -> Self {
         Self {
             ledger: Ledger::new(capacity_bytes, checks_fences),
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Forgets what an earlier term believed.
+    /// Discards the state of an earlier term.
     pub(super) fn reset(&mut self, checks_fences: bool) {
         *self = Self::new(self.capacity_bytes, checks_fences);
     }
 
-    /// Takes a report; returns how long loads that it shows done took, in ms.
+    /// Applies a report and returns the durations of loads that it shows completed, in ms.
     pub(super) fn apply_report(
         &mut self,
         now_ms: u64,
@@ -75,7 +75,7 @@
         load_durations_ms
     }
 
-    /// Counts an order before it is sent.
+    /// Records an order before it is sent.
     pub(super) fn record_order(&mut self, now_ms: u64, order: &Order) {
         self.ledger.record_order(
             now_ms,
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Takes back an order that can have no effect.
+    /// Discards an order that can't take effect.
     pub(super) fn discard_order(&mut self, fence: crate::fence::Fence) {
         self.ledger.discard_order(fence);
         self.open.retain(|order| order.fence != fence);
     }
 
-    /// Whether a seal is due: none in force, or orders open for too long.
+    /// Returns whether a seal is due: none is in force, or orders have been open for too long.
     pub(super) fn needs_seal(&self, now_ms: u64, settle_after_ms: u64) -> bool {
         let is_settle_due =
             now_ms.saturating_sub(self.sealed_at_ms.max(self.ordered_at_ms)) >= settle_after_ms;
@@ -111,22 +111,22 @@
             || (self.ledger.checks_fences() && is_known && unsettled && is_settle_due)
     }
 
-    /// Returns the boot that orders are meant for.
+    /// Returns the boot (process incarnation) that orders are for, once it is known.
     pub(super) fn boot_id(&self) -> Option<u64> {
         self.ledger.boot_id()
     }
 
-    /// Takes whether the worker says that it is leaving.
+    /// Sets whether the worker is leaving.
     pub(super) fn set_leaving(&mut self, is_leaving: bool) {
         self.is_leaving = is_leaving;
     }
 
-    /// Whether the worker may be planned for.
+    /// Returns whether the planner may use the worker.
     pub(super) fn is_ready(&self) -> bool {
         !self.is_leaving && self.ledger.is_sealed()
     }
 
-    /// Returns how many loads are open or under way.
+    /// Returns the number of loads that are ordered or in progress.
     pub(super) fn loading_count(&self) -> usize {
         let reported_count = self
             .ledger
@@ -137,17 +137,17 @@
         reported_count + self.unreported_loads().count()
     }
 
-    /// Returns the orders whose effect isn't settled.
+    /// Returns the orders whose effect is not settled.
     pub(super) fn open_orders(&self) -> impl Iterator<Item = Order> {
         self.open.iter().cloned()
     }
 
-    /// Returns the worst case, in bytes.
+    /// Returns the worst-case memory use, in bytes.
     pub(super) fn committed_bytes(&self) -> u64 {
         self.ledger.committed_bytes()
     }
 
-    /// Returns the worker as a plan sees it.
+    /// Returns the worker as input for the planner.
     pub(super) fn plan_worker(&self, worker: &WorkerId, targets: &[PlanTarget]) -> PlanWorker {
         let index_of = |name: &TargetName| targets.iter().position(|target| &target.target == name);
         let mut occupants: Vec<PlanOccupant> = self
--- a/crates/cranereach-core/src/fence.rs
+++ b/crates/cranereach-core/src/fence.rs
@@ -1,7 +1,7 @@
-//! Fences: the total order in which an upstream accepts orders.
+//! Fencing tokens: the total order in which an upstream accepts orders.
 //!
 //! A fence is `(epoch, sequence)`. An upstream that checks fences refuses any
-//! order whose epoch is below the highest it has seen, so a holder that was
+//! order whose fence isn't above the highest it has accepted, so a holder that was
 //! paused can't act on a worker that a successor has sealed.
 //!
 //! ```
@@ -15,42 +15,42 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Term of one holder of a cell's lease.
+/// Identifies the term of one holder of a cell's lease.
 ///
-/// `major` grows with every change of the lease row. `minor` grows when a
-/// successor takes over while the table is out of reach. `holder` breaks ties
-/// between two successors that took the same minor number.
+/// `major` grows whenever the lease row gets a new holder. `minor` grows when a
+/// successor takes over while the table is unreachable. `holder` breaks ties
+/// between two successors that chose the same minor number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// Grows with the lease row in the table.
+    /// Number from the lease row in the table.
     pub major: u64,
-    /// Grows with each takeover without the table.
+    /// Number of takeovers without the table.
     pub minor: u32,
     /// Hash of the holder's identity.
     pub holder: u32,
 }
 
-/// Place of one order among all orders to a worker.
+/// Position of one order among all orders to a worker.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// Term of the sender.
+    /// Epoch of the sender.
     pub epoch: Epoch,
     /// Number of the order within the term, from 1.
     pub sequence: u64,
 }
 
-/// What an upstream that checks fences keeps.
+/// Fence check of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FenceGate {
     highest: Fence,
 }
 
 impl FenceGate {
-    /// Accepts a fence that is above all that came before.
+    /// Accepts a fence that is above all previously accepted ones.
     ///
     /// ```
     /// use cranereach_core::fence::{Epoch, Fence, FenceGate};
--- a/crates/cranereach-core/src/lease.rs
+++ b/crates/cranereach-core/src/lease.rs
@@ -1,14 +1,14 @@
-//! Lease over a cell: who may order its workers.
+//! Lease over a cell, which decides which instance may send orders to its workers.
 //!
-//! The lease is a row in the platform's table. The holder counts its term from
-//! before it sent the write, on its own clock, less a margin. A contender waits
-//! a whole term from the last change that it saw itself. No clock is compared
-//! across instances.
+//! The lease is a row in the platform's table. The holder measures its term on
+//! its own clock, from before it sent the write, and subtracts a margin. A
+//! contender waits for a whole term after the last change that it observed. No
+//! clocks are compared across instances.
 //!
-//! Workers that check fences stay safe without an unexpired lease, so for them
-//! a holder goes on while the table is out of reach, and a successor may take
-//! over with a higher minor epoch. For all others only an unexpired lease may
-//! order.
+//! Workers that check fences are safe without an unexpired lease. For them a
+//! holder continues while the table is unreachable, and a successor may take
+//! over with a higher minor epoch. For all other workers, orders need an
+//! unexpired lease.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,42 +17,42 @@
 use crate::membership::rendezvous_weight;
 use crate::names::InstanceId;
 
-/// Length of a term, in milliseconds.
+/// Length of a lease term, in milliseconds.
 pub const TERM_MS: u64 = 8_000;
 
-/// Part of the term that the holder doesn't use, in milliseconds.
+/// Safety margin at the end of a term that the holder doesn't use, in milliseconds.
 pub const MARGIN_MS: u64 = 2_000;
 
-/// Time between two renewals, in milliseconds.
+/// Renewal interval, in milliseconds.
 pub const RENEW_EVERY_MS: u64 = 2_500;
 
-/// Time for which a contender that isn't the owner waits longer, in ms.
+/// Additional wait of a contender that isn't the rendezvous owner, in ms.
 const NON_OWNER_DELAY_MS: u64 = 4_000;
 
-/// Time after which a holder hands over to the rendezvous owner, in ms.
+/// Time after which a holder that isn't the rendezvous owner hands over, in ms.
 const HAND_OVER_AFTER_MS: u64 = 10_000;
 
-/// The lease row as it stands in the table.
+/// Lease row in the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Present holder; none after a hand-over.
+    /// Current holder; none after a hand-over.
     pub holder: Option<InstanceId>,
     /// Grows whenever the holder changes.
     pub epoch_major: u64,
-    /// Random number of the write, to settle one whose answer was lost.
+    /// Random number of the write, which identifies it if its response was lost.
     pub write_nonce: u64,
 }
 
-/// A write that the kernel asks for: compare the version, then set the row.
+/// Compare-and-set write of the lease row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseWrite {
-    /// Row version that must still stand; zero for no row.
+    /// Version that the row must still have; zero for no row.
     pub expected_version: u64,
-    /// Row to set.
+    /// New row.
     pub row: LeaseRow,
 }
 
-/// What the surroundings look like at a tick.
+/// External conditions at a tick.
 #[derive(Clone, Copy, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -61,17 +61,17 @@
 pub struct LeaseView {
     /// Whether this instance is the cell's rendezvous owner.
     pub is_owner: bool,
-    /// Whether the row's holder was heard lately.
+    /// Whether the row's holder was heard from recently.
     pub holder_heard: bool,
     /// Whether the cell's workers check fences.
     pub checks_fences: bool,
-    /// Whether this instance is stopping.
+    /// Whether this instance is shutting down.
     pub leaving: bool,
-    /// Random number for a write.
+    /// Random number for the next write.
     pub nonce: u64,
 }
 
-/// A term that this instance holds.
+/// Term held by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HeldTerm {
     epoch: Epoch,
@@ -79,14 +79,14 @@
     renew_at_ms: u64,
 }
 
-/// A write whose answer has not come.
+/// Write without a response so far.
 #[derive(Clone, Debug)]
 struct Pending {
     write: LeaseWrite,
     sent_at_ms: u64,
 }
 
-/// One instance's view of one cell's lease.
+/// Lease of one cell as seen by one instance.
 #[derive(Clone, Debug)]
 pub struct Lease {
     own: InstanceId,
@@ -103,7 +103,7 @@
 }
 
 impl Lease {
-    /// Starts without knowledge of the row.
+    /// Creates a lease without knowledge of the row.
     pub fn new(own: InstanceId, now_ms: u64) -> Self {
         Self {
             own,
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Returns the row's holder, as last read.
+    /// Returns the row's holder as last read.
     pub fn row_holder(&self) -> Option<&InstanceId> {
         self.row.holder.as_ref()
     }
 
-    /// Returns the epoch under which this instance may order now.
+    /// Returns the epoch under which this instance may send orders now, if any.
     ///
     /// ```
     /// use cranereach_core::lease::Lease;
@@ -139,12 +139,12 @@
         (not_superseded && (checks_fences || unexpired)).then_some(held.epoch)
     }
 
-    /// Returns when this instance's term ends on its own clock.
+    /// Returns when this instance's term expires on its own clock.
     pub fn expires_at_ms(&self) -> Option<u64> {
         self.held.map(|held| held.expires_at_ms)
     }
 
-    /// Takes the row as read from the table; version zero means no row.
+    /// Processes the row read from the table; version zero means no row.
     pub fn read(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
         let is_first = self.read_at_ms.is_none();
         self.read_at_ms = Some(now_ms);
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Takes the answer that a write was applied.
+    /// Processes the response that a write was applied.
     pub fn applied(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
         self.read(now_ms, version, row);
     }
 
-    /// Takes the answer that a write had no effect.
+    /// Processes the response that a write had no effect.
     pub fn refused(&mut self, row: &LeaseRow) {
         let is_same_write = |pending: &Pending| pending.write.row.write_nonce == row.write_nonce;
         if self.pending.as_ref().is_some_and(is_same_write) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes an epoch that was heard from a peer or refused by a worker.
+    /// Processes an epoch received from a peer or in a worker's refusal.
     pub fn heard_epoch(&mut self, now_ms: u64, epoch: Epoch) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if self.held.is_some_and(|held| held.epoch < epoch) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Says which write is due, if any, and remembers that it is being sent.
+    /// Returns the write that is due, if any, and records it as pending.
     pub fn tick(&mut self, now_ms: u64, view: &LeaseView) -> Option<LeaseWrite> {
         self.track_ownership(now_ms, view.is_owner);
         let row = self.due_row(now_ms, view)?;
@@ -200,10 +200,11 @@
         Some(write)
     }
 
-    /// Takes over without the table if nobody else can order; fenced cells only.
+    /// Takes over a fenced cell while the table is unreachable and no holder is heard from.
     ///
-    /// Two instances may do so at once: their epochs differ, the workers obey
-    /// the higher one, and the other learns of it from its next refused order.
+    /// Two instances may do so concurrently. Their epochs differ, the workers
+    /// obey the higher one, and the other instance learns of it from its next
+    /// refused order.
     pub fn take_over_without_table(&mut self, now_ms: u64, view: &LeaseView) -> Option<Epoch> {
         let since_read_ms = now_ms.saturating_sub(self.read_at_ms.unwrap_or(self.started_at_ms));
         let table_lost = since_read_ms >= TERM_MS;
@@ -233,7 +234,7 @@
         Some(epoch)
     }
 
-    /// Returns the row to write now, if one is due.
+    /// Returns the row that is due to be written, if any.
     fn due_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
         let fresh_read = self
             .read_at_ms
@@ -247,7 +248,7 @@
         self.contender_row(now_ms, view)
     }
 
-    /// Returns the holder's renewal or hand-over, if due.
+    /// Returns the row for the holder's renewal or hand-over, if due.
     fn holder_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
         let hands_over = self
             .not_owner_since_ms
@@ -266,7 +267,7 @@
         })
     }
 
-    /// Returns the row that takes the lease, if that is allowed.
+    /// Returns the row that acquires the lease, if that is allowed.
     fn contender_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
         if view.leaving {
             return None;
@@ -285,20 +286,20 @@
         })
     }
 
-    /// Whether a write may still be under way.
+    /// Returns whether a write may still be in flight.
     fn has_write_in_flight(&self, now_ms: u64) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|pending| now_ms.saturating_sub(pending.sent_at_ms) < MARGIN_MS)
     }
 
-    /// Learns from the row whether the pending write was applied.
+    /// Determines from the row whether the pending write was applied.
     fn settle_pending(&mut self, version: u64, row: &LeaseRow) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         if row.write_nonce != pending.write.row.write_nonce {
-            // Not applied so far; it may still be, so it stays until the row moves on.
+            // Not applied yet. It may still be, so it stays pending until the row changes.
             if version == pending.write.expected_version {
                 self.pending = Some(pending);
             }
@@ -317,7 +318,7 @@
         }
     }
 
-    /// Holds a term that counts from before the write was sent.
+    /// Sets the held term, which starts when the write was sent.
     fn set_term(&mut self, epoch: Epoch, sent_at_ms: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         self.held = Some(HeldTerm {
@@ -327,7 +328,7 @@
         });
     }
 
-    /// Drops the term if the row shows another's later one.
+    /// Drops the held term if the row shows a later one of another instance.
     fn drop_if_superseded(&mut self, epoch_major: u64) {
         if self
             .held
@@ -337,7 +338,7 @@
         }
     }
 
-    /// Records since when another instance is the owner.
+    /// Records since when this instance has not been the rendezvous owner.
     fn track_ownership(&mut self, now_ms: u64, is_owner: bool) {
         if is_owner {
             self.not_owner_since_ms = None;
@@ -346,7 +347,7 @@
         }
     }
 
-    /// Returns this instance's part of an epoch.
+    /// Returns this instance's `holder` value for an epoch.
     fn tie_breaker(&self) -> u32 {
         rendezvous_weight(self.own.as_str(), "epoch") as u32
     }
--- a/crates/cranereach-core/src/ledger.rs
+++ b/crates/cranereach-core/src/ledger.rs
@@ -1,13 +1,13 @@
 //! Worst-case memory accounting for one worker, including every unsettled order.
 //!
-//! A load is sent only when capacity minus the worst case covers it. Memory
-//! that an unload frees counts only once the worker reports it, at or after
-//! the unload's fence.
+//! A load is sent only if it fits into the capacity minus the worst case. Memory
+//! freed by an unload counts as free only once the worker reports it, at or
+//! after the unload's fence.
 //!
-//! A worker forgets its fence when it restarts. So an order names the boot that
-//! it is meant for, and a worker that checks fences refuses it in any other:
-//! otherwise an old order could be the first that a new boot accepts, unseen by
-//! a holder that still plans for the old one.
+//! A worker loses its fence when it restarts. Each order therefore names the boot
+//! (process incarnation) that it is for, and a worker that checks fences refuses
+//! it in any other. Otherwise a new boot could accept an old order first, without
+//! the knowledge of a holder that still plans for the old boot.
 
 use std::collections::HashMap;
 
@@ -17,49 +17,49 @@
 use crate::fence::Fence;
 use crate::names::TargetName;
 
-/// Time within which an order can still arrive at a worker without fences, ms.
+/// Time within which an order may still reach a worker that doesn't check fences, in ms.
 pub const ORDER_LIFETIME_MS: u64 = 20_000;
 
-/// Boots before the present one whose late reports are known and dropped.
+/// Number of earlier boots whose late reports are recognized and dropped.
 const RETIRED_BOOTS_COUNT: usize = 8;
 
-/// What a worker does with a target that occupies its memory.
+/// State of a target that occupies a worker's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Residence {
-    /// Being read from the weight store.
+    /// Being loaded from the weight store.
     Loading,
-    /// Can serve.
+    /// Ready to serve.
     Resident,
-    /// Finishing what runs; its memory is still taken.
+    /// Finishing running requests; its memory is still occupied.
     Unloading,
 }
 
-/// One target in a worker's report.
+/// Target in a worker's memory report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occupant {
     /// The target.
     pub target: TargetName,
-    /// Memory that it takes, in bytes.
+    /// Memory that it occupies, in bytes.
     pub memory_bytes: u64,
-    /// What the worker does with it.
+    /// State of the target on the worker.
     pub residence: Residence,
 }
 
-/// A worker's own account of its memory.
+/// Memory report of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryReport {
-    /// Random number of the worker's present boot.
+    /// Random number that identifies the worker's current boot.
     pub boot_id: u64,
-    /// Grows with each report of a boot.
+    /// Number that grows with each report of a boot.
     pub report_number: u64,
     /// Highest fence accepted when the report was made.
     pub applied: Fence,
-    /// Everything that takes memory.
+    /// All targets that occupy memory.
     pub occupants: Vec<Occupant>,
 }
 
-/// Kind of an order about memory.
+/// Kind of a memory order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
@@ -67,11 +67,11 @@
     Load,
     /// Unload a target.
     Unload,
-    /// Change nothing, but refuse every older order from now on.
+    /// Change nothing, but refuse every older order from then on.
     Seal,
 }
 
-/// An order whose effect isn't settled.
+/// Order whose effect is not settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct UnsettledOrder {
     kind: OrderKind,
@@ -81,7 +81,7 @@
     last_arrival_at_ms: u64,
 }
 
-/// Ledger of one worker, kept by the holder of its cell's lease.
+/// Memory ledger of one worker, kept by the holder of its cell's lease.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     capacity_bytes: u64,
@@ -93,7 +93,7 @@
 }
 
 impl Ledger {
-    /// Starts with nothing known: no load is allowed before a report.
+    /// Creates an empty ledger, which allows no load before the first report.
     pub fn new(capacity_bytes: u64, checks_fences: bool) -> Self {
         Self {
             capacity_bytes,
@@ -105,17 +105,17 @@
         }
     }
 
-    /// Whether the worker checks fences.
+    /// Returns whether the worker checks fences.
     pub fn checks_fences(&self) -> bool {
         self.checks_fences
     }
 
-    /// Returns what the last report says is there.
+    /// Returns the occupants in the last report.
     pub fn occupants(&self) -> &[Occupant] {
         self.report.as_ref().map_or(&[], |report| &report.occupants)
     }
 
-    /// Takes a report; an older one of the same boot is dropped.
+    /// Applies a report, unless it is older than the last one or from an earlier boot.
     pub fn apply_report(&mut self, now_ms: u64, report: &MemoryReport) {
         if self.retired_boots.contains(&report.boot_id) {
             return;
@@ -132,7 +132,7 @@
         self.settle(now_ms);
     }
 
-    /// Returns the boot that orders are meant for, once a report has named it.
+    /// Returns the boot that orders are for, once a report has named it.
     pub fn boot_id(&self) -> Option<u64> {
         self.report.as_ref().map(|report| report.boot_id)
     }
@@ -171,12 +171,12 @@
         });
     }
 
-    /// Records that an order provably never reached the worker.
+    /// Removes an order that can't take effect.
     pub fn discard_order(&mut self, fence: Fence) {
         self.unsettled.retain(|order| order.fence != fence);
     }
 
-    /// Whether this term's seal is known to be in force in the present boot.
+    /// Returns whether this term's seal is confirmed for the current boot.
     ///
     /// A worker that doesn't check fences can't be sealed; for it this is true
     /// as soon as it has reported.
@@ -187,24 +187,24 @@
         !self.checks_fences || self.sealed_by.is_some_and(|seal| report.applied >= seal)
     }
 
-    /// Whether a seal must be sent.
+    /// Returns whether the first seal of this term and boot must be sent.
     pub fn needs_seal(&self) -> bool {
         self.checks_fences && self.report.is_some() && self.sealed_by.is_none()
     }
 
-    /// Whether orders are open that a further seal would settle.
+    /// Returns whether there are unsettled orders, which another seal would settle.
     pub fn has_unsettled(&self) -> bool {
         !self.unsettled.is_empty()
     }
 
-    /// Whether an order of a kind is open for a target.
+    /// Returns whether an unsettled order of `kind` exists for `target`.
     pub fn is_open(&self, kind: OrderKind, target: &TargetName) -> bool {
         self.unsettled
             .iter()
             .any(|order| order.kind == kind && &order.target == target)
     }
 
-    /// Returns the memory that may be taken at the worst, in bytes.
+    /// Returns the worst-case memory use, in bytes.
     ///
     /// ```
     /// use cranereach_core::fence::Fence;
@@ -230,7 +230,7 @@
         worst_case_bytes.values().sum()
     }
 
-    /// Returns the memory that a load may take now, in bytes.
+    /// Returns the memory available to a load now, in bytes.
     pub fn free_bytes(&self) -> u64 {
         if !self.is_sealed() {
             return 0;
@@ -250,13 +250,13 @@
             .sum()
     }
 
-    /// Drops the orders whose effect the last report settles.
+    /// Removes the orders whose effect is settled by the last report.
     fn settle(&mut self, now_ms: u64) {
         let Some(report) = &self.report else { return };
         let checks_fences = self.checks_fences;
         self.unsettled.retain(|order| {
             if checks_fences {
-                // All up to the applied fence have taken effect or never will.
+                // Orders up to the applied fence have taken effect or never will.
                 return order.fence > report.applied;
             }
             let is_present = report
@@ -264,7 +264,7 @@
                 .iter()
                 .any(|occupant| occupant.target == order.target);
             match order.kind {
-                // It may arrive once more until its lifetime is over.
+                // It may still arrive again until its lifetime is over.
                 OrderKind::Load => now_ms < order.last_arrival_at_ms,
                 OrderKind::Unload | OrderKind::Seal => {
                     is_present && now_ms < order.last_arrival_at_ms
--- a/crates/cranereach-core/src/membership.rs
+++ b/crates/cranereach-core/src/membership.rs
@@ -1,17 +1,17 @@
-//! Who is alive, and which of them owns what.
+//! Membership of a group of instances, and ownership of items among them.
 //!
-//! Membership is the platform's lagging list, corrected by peers heard lately.
-//! Ownership follows rendezvous hashing, so a change of membership moves only
-//! what the departed or new instance owns.
+//! Membership is the platform's list, which may be out of date, filtered by the
+//! peers heard from recently. Ownership uses rendezvous hashing, so a membership
+//! change moves only the items of the departed or new instance.
 
 use std::collections::HashMap;
 
 use crate::names::InstanceId;
 
-/// Silence after which a listed peer counts as gone, in milliseconds.
+/// Time without a message after which a listed peer is considered gone, in milliseconds.
 pub const SILENT_AFTER_MS: u64 = 3_000;
 
-/// What is known of the other instances of a group.
+/// Known instances of a group.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: InstanceId,
@@ -20,7 +20,7 @@
 }
 
 impl Membership {
-    /// Starts with nobody known but this instance.
+    /// Creates a membership that contains only this instance.
     pub fn new(own: InstanceId) -> Self {
         Self {
             own,
@@ -29,30 +29,30 @@
         }
     }
 
-    /// Takes the platform's list of live entry instances.
+    /// Replaces the list of live entry instances with the platform's.
     pub fn list(&mut self, live: Vec<InstanceId>) {
         self.heard_at_ms.retain(|id, _| live.contains(id));
         self.listed = live;
         self.listed.retain(|id| id != &self.own);
     }
 
-    /// Records that a peer was heard.
+    /// Records that a message from a peer arrived.
     pub fn heard(&mut self, now_ms: u64, peer: &InstanceId) {
         self.heard_at_ms.insert(peer.clone(), now_ms);
     }
 
-    /// Records that a peer said that it is leaving.
+    /// Removes a peer that announced that it is leaving.
     pub fn left(&mut self, peer: &InstanceId) {
         self.heard_at_ms.remove(peer);
         self.listed.retain(|id| id != peer);
     }
 
-    /// Returns how many other instances are listed.
+    /// Returns the number of other listed instances.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Returns how many listed peers were heard within a time.
+    /// Returns how many listed peers were heard from within the last `within_ms`.
     pub fn heard_count(&self, now_ms: u64, within_ms: u64) -> usize {
         self.listed
             .iter()
@@ -60,7 +60,7 @@
             .count()
     }
 
-    /// Returns the live instances of the group, this one among them.
+    /// Returns the live instances of the group, including this one.
     ///
     /// ```
     /// use cranereach_core::membership::Membership;
@@ -82,7 +82,7 @@
         live
     }
 
-    /// Whether a peer was heard within a time.
+    /// Returns whether a peer was heard from within the last `within_ms`.
     fn heard_within(&self, now_ms: u64, id: &InstanceId, within_ms: u64) -> bool {
         self.heard_at_ms
             .get(id)
@@ -90,7 +90,7 @@
     }
 }
 
-/// Returns the rendezvous weight of an owner for an item.
+/// Returns the rendezvous hash weight of `owner` for `item`.
 ///
 /// # Panics
 ///
@@ -111,7 +111,7 @@
     u64::from_le_bytes(head.try_into().expect("eight bytes were split off"))
 }
 
-/// Returns the owner of an item among instances.
+/// Returns the rendezvous owner of an item, which has the highest weight.
 pub fn owner<'a>(instances: &'a [InstanceId], item: &str) -> Option<&'a InstanceId> {
     instances
         .iter()
--- a/crates/cranereach-core/src/order.rs
+++ b/crates/cranereach-core/src/order.rs
@@ -1,58 +1,59 @@
-//! Order plug-ins: who goes first within a class.
+//! Queue order policies: which account is served next within a class.
 //!
-//! A policy keeps one number per account, its rank, and the lowest goes next.
-//! An account that becomes active again joins at the lowest active rank, so
-//! that unused share is lent to others and called back, but never hoarded.
+//! Each account has a rank that grows with the policy's charges, and a policy
+//! selects the queue head with the lowest key. An account that becomes active
+//! again joins at the lowest active rank: others may use its share while it is
+//! idle, but it accumulates no credit.
 
 use crate::names::AccountName;
 
-/// What a policy knows about the request at the head of an account's queue.
+/// Request at the head of an account's queue, as input for a policy.
 #[derive(Clone, Copy, Debug)]
 pub struct Head<'a> {
     /// The account.
     pub account: &'a AccountName,
-    /// Rank of the account, from charges so far.
+    /// Rank of the account, which grows with its charges.
     pub rank: f64,
-    /// Place of the request in the order of arrival.
+    /// Position of the request in the order of arrival.
     pub arrival_number: u64,
-    /// Deadline for its start.
+    /// Deadline for starting the request.
     pub start_by_ms: u64,
 }
 
-/// An order policy.
+/// Queue order policy.
 #[derive(Debug)]
 pub struct OrderPolicy {
     /// Name in settings.
     pub name: &'static str,
-    /// What serving a cost of tokens adds to the rank of an account of a share.
+    /// Returns what serving a request of `cost_tokens` adds to the rank of an account with `share`.
     pub charge: fn(cost_tokens: f64, share: f64) -> f64,
-    /// Key by which heads are compared; the lowest goes first.
+    /// Returns the sort key of a queue head; the lowest is served first.
     pub key: fn(&Head<'_>) -> (f64, u64),
 }
 
 inventory::collect!(&'static OrderPolicy);
 
-/// Cost of a request in the stride policy, which counts requests alone.
+/// Cost of a request in the stride policy, which counts only requests.
 const STRIDE_UNIT: f64 = 1_000.0;
 
-/// Tokens that the deficit policy serves to an account in one round.
+/// Tokens per account and round in the deficit policy.
 const DEFICIT_QUANTUM_TOKENS: f64 = 512.0;
 
-/// Served tokens over share: fair by cost, exact.
+/// Ranks by served tokens divided by share, which is exactly fair by cost.
 pub static VIRTUAL_TIME: OrderPolicy = OrderPolicy {
     name: "virtual-time",
     charge: |cost_tokens, share| cost_tokens / share,
     key: |head| (head.rank, head.start_by_ms),
 };
 
-/// Requests over share (the dispatch-plane paper, "Lanes and fair-share").
+/// Ranks by requests divided by share (the dispatch-plane paper, "Lanes and fair-share").
 pub static STRIDE: OrderPolicy = OrderPolicy {
     name: "stride",
     charge: |_, share| STRIDE_UNIT / share,
     key: |head| (head.rank, head.arrival_number),
 };
 
-/// Rounds of a quantum of tokens; arrival order within a round.
+/// Serves in rounds of a quantum of tokens, in order of arrival within a round.
 pub static DEFICIT: OrderPolicy = OrderPolicy {
     name: "deficit",
     charge: |cost_tokens, share| cost_tokens / share,
--- a/crates/cranereach-core/src/residency/mod.rs
+++ b/crates/cranereach-core/src/residency/mod.rs
@@ -1,8 +1,9 @@
-//! Residency plug-ins: which targets a cell loads and unloads now.
+//! Residency policies: which targets a cell loads and unloads next.
 //!
-//! A plan is incremental: it names the next moves, not a whole layout. Loads
-//! are named only where the ledger has room; where room must be made first, the
-//! plan unloads and the load follows once the worker has reported it free.
+//! A plan is incremental: it lists the next moves, not a complete layout. It
+//! contains a load only if the worker's ledger has enough free memory. If memory
+//! must be freed first, the plan contains the unloads, and the load follows once
+//! the worker has reported the memory as free.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -23,68 +24,68 @@
 use self::value::replica_candidates;
 use self::value::urgent_candidates;
 
-/// Demand for one target, and where it stands.
+/// Demand for one target, and its replicas.
 #[derive(Clone, Debug)]
 pub struct PlanTarget {
     /// The target.
     pub target: TargetName,
     /// Its own memory, in bytes.
     pub memory_bytes: u64,
-    /// Base that must be resident beside it.
+    /// Base model that must be resident on the same worker, for an adapter.
     pub base: Option<TargetName>,
-    /// Requests that would run at once, over all cells.
+    /// Requests that would run concurrently, over all cells.
     pub concurrent_count: f64,
-    /// Requests that wait, on all instances.
+    /// Waiting requests on all instances.
     pub waiting_count: u32,
-    /// How long the oldest has waited, in milliseconds.
+    /// Wait of the oldest request, in milliseconds.
     pub oldest_wait_ms: u64,
-    /// When it was last asked for.
+    /// Time of the last request for it.
     pub used_at_ms: u64,
-    /// Replicas in cells before this one in the target's order.
+    /// Replicas in the cells before this one in the target's order of cells.
     pub replicas_before: usize,
     /// Replicas in all other cells.
     pub replicas_elsewhere: usize,
-    /// Whether this cell adds the next replica.
+    /// Whether this cell may add the next replica.
     pub may_grow: bool,
 }
 
-/// One target on a worker.
+/// Target on a worker.
 #[derive(Clone, Debug)]
 pub struct PlanOccupant {
-    /// Index into the plan's targets; none for one that isn't declared any more.
+    /// Index into the plan's targets; none if the target is no longer declared.
     pub target_index: Option<usize>,
     /// The target's name.
     pub target: TargetName,
-    /// Memory that it takes, in bytes.
+    /// Memory that it occupies, in bytes.
     pub memory_bytes: u64,
-    /// What the worker does with it.
+    /// State of the target on the worker.
     pub residence: Residence,
-    /// When this holder first saw it there.
+    /// Time at which this holder first saw it on the worker.
     pub seen_at_ms: u64,
 }
 
-/// One worker of the cell.
+/// Worker of the cell.
 #[derive(Clone, Debug)]
 pub struct PlanWorker {
     /// The worker.
     pub worker: WorkerId,
-    /// Memory that a load may take now, in bytes.
+    /// Memory available to a load now, in bytes.
     pub free_bytes: u64,
-    /// Memory that is being freed, in bytes.
+    /// Memory that open unloads will free, in bytes.
     pub freeing_bytes: u64,
-    /// Requests that it can batch.
+    /// Maximum number of requests in its batch.
     pub slot_count: u32,
-    /// What is there, with open loads as `Loading`.
+    /// Targets on the worker, with ordered loads as `Loading`.
     pub occupants: Vec<PlanOccupant>,
 }
 
-/// Weights of what is measured.
+/// Weights of the planner's objectives.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanWeights {
-    /// Worth of one more request running at once.
+    /// Value of one more request running concurrently.
     pub attainment_weight: f64,
-    /// Price of one load or unload.
+    /// Cost of one load or unload.
     pub move_weight: f64,
 }
 
@@ -97,10 +98,10 @@
     }
 }
 
-/// Everything that a plan is made from.
+/// Input of a residency policy.
 #[derive(Clone, Debug)]
 pub struct PlanInput<'a> {
-    /// Now.
+    /// Current time.
     pub now_ms: u64,
     /// Weights from settings.
     pub weights: PlanWeights,
@@ -108,41 +109,41 @@
     pub targets: &'a [PlanTarget],
     /// Workers of the cell.
     pub workers: &'a [PlanWorker],
-    /// Targets waited for too long that may evict whatever it costs, now.
+    /// Number of overdue targets that may evict regardless of cost in this plan.
     pub forces_allowed_count: usize,
 }
 
-/// One order that the plan wants sent.
+/// Load or unload requested by a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// Worker to order.
+    /// Worker that receives the order.
     pub worker: WorkerId,
     /// Target to load or unload.
     pub target: TargetName,
-    /// Whether to load (else unload).
+    /// Whether to load the target rather than unload it.
     pub is_load: bool,
-    /// Whether a caller waits for it.
+    /// Whether it is for a target with waiting requests and no replica.
     pub is_urgent: bool,
 }
 
-/// A residency policy.
+/// Residency policy.
 #[derive(Debug)]
 pub struct ResidencyPolicy {
     /// Name in settings.
     pub name: &'static str,
-    /// Names the next moves, the most urgent first.
+    /// Returns the next moves, the most urgent first.
     pub plan: fn(&PlanInput<'_>) -> Vec<Move>,
 }
 
 inventory::collect!(&'static ResidencyPolicy);
 
-/// Marginal attainment per memory, minus the price of moves.
+/// Loads by marginal attainment minus the cost of moves, and evicts the lowest value per byte.
 pub static MARGINAL: ResidencyPolicy = ResidencyPolicy {
     name: "marginal",
     plan: plan_marginal,
 };
 
-/// Least recently used, loaded on demand: the baseline.
+/// Loads on demand and evicts the least recently used target: the baseline.
 pub static LEAST_RECENTLY_USED: ResidencyPolicy = ResidencyPolicy {
     name: "least-recently-used",
     plan: plan_least_recently_used,
@@ -185,7 +186,7 @@
     builder.moves
 }
 
-/// Plans by least recent use, on demand only.
+/// Plans loads on demand only and evicts by least recent use.
 fn plan_least_recently_used(input: &PlanInput<'_>) -> Vec<Move> {
     let mut builder = PlanBuilder::new(input);
     builder.forced_loads_left_count = usize::MAX;
--- a/crates/cranereach-core/src/residency/plan_builder.rs
+++ b/crates/cranereach-core/src/residency/plan_builder.rs
@@ -1,4 +1,4 @@
-//! Finds room on a worker and names the moves that make it.
+//! Places replicas on workers and derives the loads and unloads for them.
 
 use super::Move;
 use super::PlanInput;
@@ -10,16 +10,16 @@
 use crate::ledger::Residence;
 use crate::names::TargetName;
 
-/// Time for which a target stays before it can be evicted for growth, in ms.
+/// Minimum residency before a target may be evicted to add another replica, in ms.
 const MIN_RESIDENCY_MS: u64 = 5_000;
 
-/// Gain over cost that growth must show, so that it doesn't swing back.
+/// Factor on eviction costs that a replica's gain must exceed, to prevent oscillation.
 const HYSTERESIS: f64 = 1.3;
 
 /// Smallest factor by which competing demand for a worker's slots reduces a replica's gain.
 const MIN_GAIN_FACTOR: f64 = 0.1;
 
-/// What the planner changes while it names moves.
+/// Plan under construction: the workers' remaining memory and slots, and the moves so far.
 pub(super) struct PlanBuilder<'a> {
     input: &'a PlanInput<'a>,
     free_bytes: Vec<u64>,
@@ -38,14 +38,14 @@
     waits_for_memory: bool,
 }
 
-/// Occupants that go together: a base with its adapters, or one alone.
+/// Occupants that must be evicted together: a base with its adapters, or a single one.
 struct Victim {
     indexes: Vec<usize>,
     memory_bytes: u64,
     value: f64,
 }
 
-/// How victims are chosen.
+/// Rules for choosing victims.
 #[derive(Clone, Copy)]
 pub(super) struct Eviction {
     pub(super) value: fn(&PlanInput<'_>, &PlanOccupant) -> f64,
@@ -53,7 +53,7 @@
 }
 
 impl<'a> PlanBuilder<'a> {
-    /// Starts from the ledgers as they are.
+    /// Creates an empty plan from the current state of the workers.
     pub(super) fn new(input: &'a PlanInput<'a>) -> Self {
         Self {
             input,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Finds a place for a target and names the moves that its gain pays for.
+    /// Places a replica on the best worker if its gain justifies the moves or its load is forced.
     pub(super) fn place(&mut self, candidate: ReplicaCandidate, eviction: Eviction) {
         let best = (0..self.input.workers.len())
             .filter_map(|worker_index| self.placement_on(worker_index, candidate, eviction))
@@ -89,7 +89,7 @@
         let fits_now = candidate.is_urgent && !placement.waits_for_memory;
         let is_forced = candidate.gain.is_infinite() && !fits_now;
         if is_forced && placement.victims.is_empty() {
-            // Its room is being made already.
+            // The memory for it is already being freed.
             self.commit(&placement, candidate);
         } else if is_forced && self.forced_loads_left_count > 0 {
             self.forced_loads_left_count -= 1;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns what a worker would have to give up, or none if it can't.
+    /// Returns the placement of a candidate on a worker, or none if it can't fit.
     fn placement_on(
         &self,
         worker_index: usize,
@@ -151,9 +151,9 @@
         })
     }
 
-    /// Returns what a replica adds on a worker whose slots are partly asked for.
+    /// Returns the gain of a replica, reduced by the demand for the worker's other occupants.
     fn gain_on_worker(&self, worker_index: usize, gain: f64) -> f64 {
-        // Compares the costs alone where the target is loaded at any price.
+        // With an infinite gain, workers are compared by cost and slot demand alone.
         let gain = if gain.is_infinite() { 1.0 } else { gain };
         gain * (1.0 - self.slot_demand[worker_index]).max(MIN_GAIN_FACTOR)
     }
@@ -179,7 +179,7 @@
         target.memory_bytes + base_bytes
     }
 
-    /// Returns what may go, the least worthy per byte first.
+    /// Returns the possible victims on a worker, lowest value per byte first.
     fn victims_in_order(
         &self,
         worker_index: usize,
@@ -240,7 +240,7 @@
             .is_some_and(|index| self.input.targets[index].base.as_ref() == Some(base))
     }
 
-    /// Whether an occupant may be unloaded.
+    /// Returns whether an occupant may be unloaded.
     fn is_evictable(&self, worker_index: usize, index: usize, eviction: Eviction) -> bool {
         let occupant = &self.input.workers[worker_index].occupants[index];
         let is_recent = self.input.now_ms.saturating_sub(occupant.seen_at_ms) < MIN_RESIDENCY_MS;
@@ -282,7 +282,7 @@
         self.push(worker, &target.target, true, candidate.is_urgent);
     }
 
-    /// Adds one move.
+    /// Adds a move to the plan.
     fn push(&mut self, worker: &PlanWorker, target: &TargetName, is_load: bool, is_urgent: bool) {
         self.moves.push(Move {
             worker: worker.worker.clone(),
--- a/crates/cranereach-core/src/residency/split.rs
+++ b/crates/cranereach-core/src/residency/split.rs
@@ -1,8 +1,9 @@
-//! One cell's place among those that may hold a target.
+//! Assignment of a target's replicas to the cells of its pool.
 //!
-//! Every holder computes the same from the reports in the digests: which cells
-//! hold the target already, and which one adds the next replica. So no two cells
-//! load the same cold target, and replicas spread over failure domains.
+//! Every lease holder computes from the reports in the digests which cells hold
+//! the target already and which one adds the next replica. Because all holders
+//! get the same result, no two cells load the same cold target, and replicas are
+//! spread over failure domains.
 
 use std::collections::HashMap;
 
@@ -10,39 +11,39 @@
 use crate::cell::hosts_of;
 use crate::names::TargetName;
 
-/// Wait after which the next cell in order loads a target too, in ms.
+/// Wait for a target without replicas after which one more cell may load it, in ms.
 const NEXT_CELL_AFTER_MS: u64 = 8_000;
 
-/// Where a target stands over all cells of its pool.
+/// Replicas of a target and free memory over all cells of its pool.
 #[derive(Clone, Debug, Default)]
 pub struct Standing<'a> {
     /// Replicas in each cell that has any.
     pub replicas: HashMap<&'a CellId, usize>,
     /// Cells that hold its base, for an adapter; empty for others.
     pub base_cells: Vec<&'a CellId>,
-    /// Most memory that is free on one worker of each cell, in bytes.
+    /// Largest free memory on a single worker of each cell, in bytes.
     pub free_bytes: HashMap<&'a CellId, u64>,
-    /// Memory that the target needs, its base included if that is nowhere.
+    /// Memory that the target needs, in bytes, including its base if that is not resident anywhere.
     pub needed_bytes: u64,
-    /// How long the oldest caller has waited, in milliseconds.
+    /// Wait of the oldest request, in milliseconds.
     pub oldest_wait_ms: u64,
 }
 
-/// One cell's place in a target's order of cells.
+/// Position of a cell in a target's order of cells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellPlace {
     /// Replicas in cells before this one.
     pub replicas_before: usize,
     /// Replicas in all other cells.
     pub replicas_elsewhere: usize,
-    /// Whether this cell adds the next replica.
+    /// Whether this cell may add the next replica.
     pub may_grow: bool,
 }
 
-/// Returns a cell's place in a target's order.
+/// Returns a cell's position in a target's order of cells.
 ///
-/// `ordered_by` is the target's base for an adapter, so that adapters follow
-/// their base, and the target itself for all others.
+/// For an adapter, `ordered_by` is its base, so that adapters follow their base.
+/// For all other targets it is the target itself.
 ///
 /// ```
 /// use cranereach_core::cell::CellId;
@@ -74,7 +75,7 @@
             .get(host)
             .is_some_and(|free| *free >= standing.needed_bytes)
     };
-    // Where there is room first, then where it stands least.
+    // Prefers cells with enough free memory, then those with the fewest replicas.
     let next = hosts
         .iter()
         .filter(has_base)
--- a/crates/cranereach-core/src/residency/value.rs
+++ b/crates/cranereach-core/src/residency/value.rs
@@ -1,36 +1,36 @@
-//! What a replica is worth, and which targets want one.
+//! Value of replicas, and selection of the targets that should get one.
 
 use super::PlanInput;
 use super::PlanOccupant;
 use crate::ledger::Residence;
 
-/// Least gain for which growth is looked at: a fraction of one request.
+/// Minimum gain for which another replica is considered, in concurrent requests.
 const MIN_GAIN: f64 = 0.25;
 
 /// Value of an idle target that was used just now. It decays with [`IDLE_HALF_LIFE_MS`].
 const IDLE_VALUE: f64 = 0.1;
 
-/// Time in which an idle target's worth fades by half, in milliseconds.
+/// Time in which the value of an idle target halves, in milliseconds.
 const IDLE_HALF_LIFE_MS: f64 = 30_000.0;
 
-/// Part of a worker's slots that one replica is expected to use.
+/// Fraction of a worker's slots that one replica is expected to use.
 const EXPECTED_SLOT_UTILIZATION: f64 = 0.75;
 
-/// Wait after which a target is loaded whatever it costs, in milliseconds.
+/// Wait after which an unserved target is loaded regardless of cost, in milliseconds.
 pub const FORCED_LOAD_AFTER_MS: u64 = 6_000;
 
-/// A target that wants one more replica.
+/// Target that may get one more replica.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaCandidate {
     /// Index into the plan's targets.
     pub(super) target_index: usize,
-    /// What the replica would add, in requests at once.
+    /// Gain of the replica, in concurrent requests; infinite for an overdue target.
     pub(super) gain: f64,
-    /// Whether somebody waits and the target is nowhere.
+    /// Whether requests wait and the target has no replica.
     pub(super) is_urgent: bool,
 }
 
-/// Returns the targets somebody waits for that are nowhere, longest wait first.
+/// Returns the targets with waiting requests and no replica, longest wait first.
 pub(super) fn urgent_candidates(input: &PlanInput<'_>) -> Vec<ReplicaCandidate> {
     let mut urgent: Vec<ReplicaCandidate> = (0..input.targets.len())
         .filter(|&index| is_unserved(input, index))
@@ -46,11 +46,12 @@
     urgent
 }
 
-/// Returns the targets worth one more replica, best first.
+/// Returns the targets that may get one more replica, highest gain first.
 ///
-/// A target that is nowhere and has been waited for too long comes before all.
-/// A few of those per time may evict whatever it costs: that bounds the wait for
-/// the coldest, and keeps them from evicting each other in turn.
+/// Overdue targets, which have no replica after a wait of
+/// [`FORCED_LOAD_AFTER_MS`], come first. A limited rate of them may evict
+/// regardless of cost. This bounds the wait for the coldest targets and keeps
+/// them from evicting each other in turn.
 pub(super) fn replica_candidates(input: &PlanInput<'_>) -> Vec<ReplicaCandidate> {
     let mut candidates: Vec<ReplicaCandidate> = (0..input.targets.len())
         .filter(|&index| input.targets[index].may_grow)
@@ -65,7 +66,7 @@
     candidates
 }
 
-/// Whether somebody waits for a target that is nowhere.
+/// Returns whether this cell may load a target that has waiting requests and no replica.
 fn is_unserved(input: &PlanInput<'_>, index: usize) -> bool {
     let target = &input.targets[index];
     target.may_grow
@@ -73,7 +74,7 @@
         && replica_count(input, index) + target.replicas_elsewhere == 0
 }
 
-/// Returns what one more replica of a target adds, in requests at once.
+/// Returns the gain of one more replica of a target, in concurrent requests.
 fn gain(input: &PlanInput<'_>, index: usize) -> f64 {
     let target = &input.targets[index];
     if is_unserved(input, index) && target.oldest_wait_ms >= FORCED_LOAD_AFTER_MS {
@@ -90,14 +91,14 @@
     input.weights.attainment_weight * marginal_requests(demand_count, nth, slots_per_replica(input))
 }
 
-/// Returns what the nth replica adds to the requests that run at once.
+/// Returns how many concurrent requests the nth replica adds.
 fn marginal_requests(concurrent_count: f64, nth: usize, slots: f64) -> f64 {
     let with = concurrent_count.min(slots * nth as f64);
     let without = concurrent_count.min(slots * nth.saturating_sub(1) as f64);
     with - without
 }
 
-/// Returns how many requests one replica is expected to run at once.
+/// Returns how many concurrent requests one replica is expected to run.
 fn slots_per_replica(input: &PlanInput<'_>) -> f64 {
     let max_slot_count = input
         .workers
@@ -108,7 +109,7 @@
     (f64::from(max_slot_count) * EXPECTED_SLOT_UTILIZATION).max(1.0)
 }
 
-/// Returns on how many of the cell's workers a target is resident or coming.
+/// Returns the number of the cell's workers on which a target is resident or loading.
 pub(super) fn replica_count(input: &PlanInput<'_>, target_index: usize) -> usize {
     let is_replica = |occupant: &PlanOccupant| {
         occupant.target_index == Some(target_index) && occupant.residence != Residence::Unloading
@@ -135,10 +136,10 @@
     demand / f64::from(worker.slot_count.max(1))
 }
 
-/// Worth of what an occupant adds, in requests at once.
+/// Returns the value of an occupant by the concurrent requests that it adds.
 ///
-/// Replicas are counted in the target's order of cells, so that of several
-/// cells only the last in that order takes its replica for the dispensable one.
+/// Replicas are counted in the target's order of cells, so that only the last of
+/// several cells in that order treats its replica as the dispensable one.
 pub(super) fn marginal_value(input: &PlanInput<'_>, occupant: &PlanOccupant) -> f64 {
     let Some(index) = occupant.target_index else {
         return 0.0;
@@ -151,7 +152,7 @@
     input.weights.attainment_weight * (added + idle)
 }
 
-/// Worth by least recent use.
+/// Returns the value of an occupant by recency of use.
 pub(super) fn recency_value(input: &PlanInput<'_>, occupant: &PlanOccupant) -> f64 {
     occupant
         .target_index
--- a/crates/cranereach-core/src/snapshot/fault.rs
+++ b/crates/cranereach-core/src/snapshot/fault.rs
@@ -1,10 +1,10 @@
-//! Faults in declarations, each with its code and place.
+//! Faults in declarations, each with its code and location.
 
 use thiserror::Error;
 
 use crate::codes::ResultCode;
 
-/// Place in the declarations that a fault is about.
+/// Location of a fault in the declarations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Section, such as `accounts`.
@@ -15,19 +15,19 @@
     pub key: &'static str,
 }
 
-/// A fault in the declarations.
+/// Fault in the declarations.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{} {}: {}: {detail}", place.section, place.entry, place.key)]
 pub struct Fault {
-    /// Numbered code of the fault.
+    /// Result code of the fault.
     pub code: ResultCode,
-    /// Where it is.
+    /// Location of the fault.
     pub place: Place,
-    /// What is wrong and what would be valid.
+    /// Description of the fault and of the valid values.
     pub detail: String,
 }
 
-/// Makes a fault.
+/// Creates a fault.
 pub(super) fn fault(
     code: ResultCode,
     section: &'static str,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Makes the fault of a name that stands twice.
+/// Creates the fault for a duplicate name in a section.
 pub(super) fn duplicate_name(section: &'static str, entry: &str) -> Fault {
     fault(
         ResultCode::DuplicateName,
@@ -57,7 +57,7 @@
     )
 }
 
-/// Lists names in order, for messages.
+/// Joins names in sorted order for error messages.
 pub(super) fn join_sorted(names: impl Iterator<Item = impl ToString>) -> String {
     let mut names: Vec<String> = names.map(|name| name.to_string()).collect();
     names.sort();
--- a/crates/cranereach-core/src/snapshot/grant.rs
+++ b/crates/cranereach-core/src/snapshot/grant.rs
@@ -1,4 +1,4 @@
-//! What one key opens: a client account with its template filled in.
+//! Grants: the resolved permissions of a client account, found by its keys.
 
 use std::collections::BTreeSet;
 
@@ -7,33 +7,33 @@
 use crate::names::AccountName;
 use crate::names::TargetName;
 
-/// What one client account may do, with its template filled in.
+/// Permissions and limits of a client account, resolved from its template.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
     /// The account.
     pub account: AccountName,
-    /// Models and plain pools it is entitled to.
+    /// Models and plain pools that it may use.
     pub targets: BTreeSet<TargetName>,
-    /// Class of its requests.
+    /// Priority class of its requests.
     pub class: Class,
-    /// Share of served cost.
+    /// Relative share of the served cost.
     pub share: f64,
     /// Whether model calls may be repeated.
     pub repeat: Repeatable,
-    /// Promised time to the first token, in milliseconds.
+    /// Latency objective for the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Promised time to the whole answer, in milliseconds.
+    /// Latency objective for the complete response, in milliseconds.
     pub whole_answer_ms: u64,
-    /// Longest queue on one instance, in requests.
+    /// Maximum queue length on one instance, in requests.
     pub queue_count: u32,
 }
 
-/// Hash of a bearer key: BLAKE3 of its bytes.
+/// BLAKE3 hash of the bytes of a bearer key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyHash(pub [u8; 32]);
 
 impl KeyHash {
-    /// Hashes the key that a caller presents.
+    /// Hashes the key of a request.
     ///
     /// ```
     /// use cranereach_core::snapshot::KeyHash;
@@ -44,7 +44,7 @@
         Self(*blake3::hash(key.as_bytes()).as_bytes())
     }
 
-    /// Reads a hash in hex; none if it isn't one.
+    /// Parses a hash in hex; returns none if it is invalid.
     ///
     /// ```
     /// use cranereach_core::snapshot::KeyHash;
@@ -58,7 +58,7 @@
         Some(Self(*hash.as_bytes()))
     }
 
-    /// Writes the hash in hex.
+    /// Formats the hash in hex.
     pub fn to_hex(self) -> String {
         blake3::Hash::from_bytes(self.0).to_string()
     }
--- a/crates/cranereach-core/src/snapshot/mod.rs
+++ b/crates/cranereach-core/src/snapshot/mod.rs
@@ -1,6 +1,6 @@
-//! Declarations resolved into what the data path reads.
+//! Snapshots: declarations resolved for lookups on the data path.
 //!
-//! A snapshot is built once per configuration version and then only read.
+//! A snapshot is built once per configuration version and is immutable afterwards.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -27,12 +27,12 @@
 pub use self::grant::Grant;
 pub use self::grant::KeyHash;
 
-/// The resolved configuration of one version.
+/// Resolved configuration of one version.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Version in the head row; zero before any was accepted.
+    /// Version in the head row; zero before any version was accepted.
     pub version: u64,
-    /// Grants by key.
+    /// Grants by key hash.
     pub grants: HashMap<KeyHash, Arc<Grant>>,
     /// Models by name.
     pub models: HashMap<TargetName, Model>,
@@ -41,7 +41,7 @@
 }
 
 impl Snapshot {
-    /// Resolves declarations, or lists every fault in them.
+    /// Resolves declarations, or returns every fault in them.
     ///
     /// ```
     /// use cranereach_core::declarations::Declarations;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the grant that a key opens.
+    /// Returns the grant of a key.
     pub fn grant(&self, key: &str) -> Option<&Arc<Grant>> {
         self.grants.get(&KeyHash::of(key))
     }
@@ -80,7 +80,7 @@
         self.pools.get(&PoolName::from(target.as_str()))
     }
 
-    /// Returns the plain pool whose prefix a path starts with.
+    /// Returns the plain pool with the longest path prefix that matches a path.
     pub fn plain_pool(&self, path: &str) -> Option<&Pool> {
         self.pools
             .values()
@@ -92,7 +92,7 @@
             .max_by_key(|pool| pool.path_prefix.as_ref().map_or(0, String::len))
     }
 
-    /// Returns a model's memory together with its base's, in bytes.
+    /// Returns the memory of a model including its base, in bytes.
     pub fn memory_with_base_bytes(&self, target: &TargetName) -> u64 {
         let Some(model) = self.models.get(target) else {
             return 0;
@@ -101,7 +101,7 @@
         model.memory_bytes + base.map_or(0, |base| base.memory_bytes)
     }
 
-    /// Takes over the pools.
+    /// Adds the pools and checks them.
     fn add_pools(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
         for pool in &declared.pools {
             if self.pools.insert(pool.name.clone(), pool.clone()).is_some() {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes over the models and checks that each can be resident at all.
+    /// Adds the models and checks that a worker of the pool can hold each.
     fn add_models(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
         for model in &declared.models {
             if self
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes over the accounts with their templates filled in.
+    /// Adds the accounts with grants resolved from their templates.
     fn add_accounts(
         &mut self,
         declared: &Declarations,
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Fills a template with one account's parameters.
+    /// Resolves a template with the parameters of an account.
     fn resolve_grant(
         &self,
         account: &ClientAccount,
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Binds an account's keys to its grant.
+    /// Maps an account's keys to its grant.
     fn bind_keys(&mut self, account: &ClientAccount, grant: &Arc<Grant>, faults: &mut Vec<Fault>) {
         for hex in &account.key_hashes {
             let Some(hash) = KeyHash::from_hex(hex) else {
@@ -380,7 +380,7 @@
     templates
 }
 
-/// Returns the model that a template's entry means for an account.
+/// Returns the model that a template's entry stands for in an account.
 fn model_name(entry: &str, account: &ClientAccount) -> Option<TargetName> {
     match entry.strip_prefix('$') {
         Some(parameter) => account.parameters.models.get(parameter).cloned(),
