--- a/crates/cranereach-core/src/snapshot/fault.rs
+++ b/crates/cranereach-core/src/snapshot/fault.rs
@@ -53,7 +53,7 @@
         section,
         entry,
         "name",
-        "the name stands twice".to_owned(),
+        "the name is declared more than once".to_owned(),
     )
 }
 
--- a/crates/cranereach-core/src/snapshot/mod.rs
+++ b/crates/cranereach-core/src/snapshot/mod.rs
@@ -177,7 +177,7 @@
         let needed_bytes = self.memory_with_base_bytes(&model.name);
         if needed_bytes > pool.worker_memory_bytes {
             let detail = format!(
-                "needs {needed_bytes} bytes with its base, a worker of pool {} has {}",
+                "needs {needed_bytes} bytes including its base, but a worker of pool {} has {} bytes",
                 pool.name, pool.worker_memory_bytes
             );
             faults.push(fault(
@@ -273,7 +273,7 @@
         );
         let share = account.parameters.share.unwrap_or(template.share);
         if !(share.is_finite() && share > 0.0) {
-            let detail = format!("share {share} must be a number above zero");
+            let detail = format!("share {share} must be a finite number above zero");
             faults.push(fault(
                 ResultCode::NoShare,
                 "accounts",
@@ -299,7 +299,7 @@
         for hex in &account.key_hashes {
             let Some(hash) = KeyHash::from_hex(hex) else {
                 let detail =
-                    "a key hash is 64 hex digits; `cranereach check --hash-key` prints one"
+                    "a key hash must have 64 hex digits; `cranereach check --hash-key` prints one"
                         .to_owned();
                 faults.push(fault(
                     ResultCode::UnknownKey,
@@ -311,7 +311,7 @@
                 continue;
             };
             if let Some(other) = self.grants.insert(hash, Arc::clone(grant)) {
-                let detail = format!("the same key opens account {}", other.account);
+                let detail = format!("the same key hash belongs to account {}", other.account);
                 faults.push(fault(
                     ResultCode::DuplicateKey,
                     "accounts",
