--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Plans the next moves and sends them as orders.
+    /// Plans the next moves and turns them into orders.
     fn plan(&mut self, now_ms: u64, targets: &[PlanTarget], actions: &mut Vec<ControlAction>) {
         let workers: Vec<_> = self
             .workers
--- a/crates/cranereach-core/src/control/orders.rs
+++ b/crates/cranereach-core/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and the actions that control requests from the runtime.
+//! Orders to workers, and the actions that the runtime performs for the controller.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,7 +11,7 @@
 use crate::residency::PlanWeights;
 use crate::residency::ResidencyPolicy;
 
-/// Deployment-specific options of control.
+/// Deployment-specific options of the controller.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlOptions {
     /// Residency policy.
--- a/crates/cranereach-core/src/membership.rs
+++ b/crates/cranereach-core/src/membership.rs
@@ -9,7 +9,7 @@
 use crate::names::InstanceId;
 
 /// Time without a message after which a listed peer is considered gone, in milliseconds.
-pub const SILENT_AFTER_MS: u64 = 3_000;
+pub const PEER_TIMEOUT_MS: u64 = 3_000;
 
 /// Known instances of a group.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
         live.extend(
             self.listed
                 .iter()
-                .filter(|id| self.heard_within(now_ms, id, SILENT_AFTER_MS))
+                .filter(|id| self.heard_within(now_ms, id, PEER_TIMEOUT_MS))
                 .cloned(),
         );
         live
--- a/crates/cranereach-core/src/residency/plan_builder.rs
+++ b/crates/cranereach-core/src/residency/plan_builder.rs
@@ -16,7 +16,7 @@
 /// Factor on eviction costs that a replica's gain must exceed, to prevent oscillation.
 const HYSTERESIS: f64 = 1.3;
 
-/// Smallest factor by which competing demand for a worker's slots reduces a replica's gain.
+/// Lower bound on the factor by which demand for a worker's other occupants scales a gain.
 const MIN_GAIN_FACTOR: f64 = 0.1;
 
 /// Plan under construction: the workers' remaining memory and slots, and the moves so far.
--- a/crates/cranereach-core/src/residency/value.rs
+++ b/crates/cranereach-core/src/residency/value.rs
@@ -49,9 +49,9 @@
 /// Returns the targets that may get one more replica, highest gain first.
 ///
 /// Overdue targets, which have no replica after a wait of
-/// [`FORCED_LOAD_AFTER_MS`], come first. A limited rate of them may evict
-/// regardless of cost. This bounds the wait for the coldest targets and keeps
-/// them from evicting each other in turn.
+/// [`FORCED_LOAD_AFTER_MS`], come first. They may evict regardless of cost, which
+/// bounds the wait for the coldest targets. The planner limits the number of such
+/// evictions, which keeps these targets from evicting each other in turn.
 pub(super) fn replica_candidates(input: &PlanInput<'_>) -> Vec<ReplicaCandidate> {
     let mut candidates: Vec<ReplicaCandidate> = (0..input.targets.len())
         .filter(|&index| input.targets[index].may_grow)
