--- a/crates/cranereach-core/src/ledger.rs
+++ b/crates/cranereach-core/src/ledger.rs
@@ -137,7 +137,9 @@
         self.report.as_ref().map(|report| report.boot_id)
     }
 
-    /// Resets the term's state after a worker restart, because orders for the old boot are void.
+    /// Drops the seal of a worker that restarted and, if it checks fences, its open orders.
+    ///
+    /// Such a worker refuses orders that name the old boot.
     fn reset_for_new_boot(&mut self, old_boot_id: u64) {
         self.sealed_by = None;
         if self.checks_fences {
--- a/crates/cranereach-core/src/order.rs
+++ b/crates/cranereach-core/src/order.rs
@@ -2,8 +2,8 @@
 //!
 //! Each account has a rank that grows with the policy's charges, and a policy
 //! selects the queue head with the lowest key. An account that becomes active
-//! again joins at the lowest active rank: others may use its share while it is
-//! idle, but it accumulates no credit.
+//! again joins with at least the lowest active rank: others may use its share
+//! while it is idle, but it accumulates no credit.
 
 use crate::names::AccountName;
 
