--- a/crates/cranereach-core/src/lease.rs
+++ b/crates/cranereach-core/src/lease.rs
@@ -1,14 +1,14 @@
-//! Lease over a cell: who may order its workers.
+//! Lease over a cell, which decides which instance may send orders to its workers.
 //!
-//! The lease is a row in the platform's table. The holder counts its term from
-//! before it sent the write, on its own clock, less a margin. A contender waits
-//! a whole term from the last change that it saw itself. No clock is compared
-//! across instances.
+//! The lease is a row in the platform's table. The holder measures its term on
+//! its own clock, from before it sent the write, and subtracts a margin. A
+//! contender waits for a whole term after the last change that it observed. No
+//! clocks are compared across instances.
 //!
-//! Workers that check fences stay safe without an unexpired lease, so for them
-//! a holder goes on while the table is out of reach, and a successor may take
-//! over with a higher minor epoch. For all others only an unexpired lease may
-//! order.
+//! Workers that check fences are safe without an unexpired lease. For them a
+//! holder continues while the table is unreachable, and a successor may take
+//! over with a higher minor epoch. For all other workers, orders need an
+//! unexpired lease.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,42 +17,42 @@
 use crate::membership::rendezvous_weight;
 use crate::names::InstanceId;
 
-/// Length of a term, in milliseconds.
+/// Length of a lease term, in milliseconds.
 pub const TERM_MS: u64 = 8_000;
 
-/// Part of the term that the holder doesn't use, in milliseconds.
+/// Safety margin at the end of a term that the holder doesn't use, in milliseconds.
 pub const MARGIN_MS: u64 = 2_000;
 
-/// Time between two renewals, in milliseconds.
+/// Renewal interval, in milliseconds.
 pub const RENEW_EVERY_MS: u64 = 2_500;
 
-/// Time for which a contender that isn't the owner waits longer, in ms.
-const NOT_OWNER_EXTRA_MS: u64 = 4_000;
+/// Additional wait of a contender that isn't the rendezvous owner, in ms.
+const NON_OWNER_DELAY_MS: u64 = 4_000;
 
-/// Time after which a holder hands over to the rendezvous owner, in ms.
+/// Time after which a holder that isn't the rendezvous owner hands over, in ms.
 const HAND_OVER_AFTER_MS: u64 = 10_000;
 
-/// The lease row as it stands in the table.
+/// Lease row in the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Present holder; none after a hand-over.
+    /// Current holder; none after a hand-over.
     pub holder: Option<InstanceId>,
     /// Grows whenever the holder changes.
     pub epoch_major: u64,
-    /// Random number of the write, to settle one whose answer was lost.
+    /// Random number of the write, which identifies it if its response was lost.
     pub write_nonce: u64,
 }
 
-/// A write that the kernel asks for: compare the version, then set the row.
+/// Compare-and-set write of the lease row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseWrite {
-    /// Row version that must still stand; zero for no row.
+    /// Version that the row must still have; zero for no row.
     pub expected_version: u64,
-    /// Row to set.
+    /// New row.
     pub row: LeaseRow,
 }
 
-/// What the surroundings look like at a tick.
+/// External conditions at a tick.
 #[derive(Clone, Copy, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -61,32 +61,32 @@
 pub struct LeaseView {
     /// Whether this instance is the cell's rendezvous owner.
     pub is_owner: bool,
-    /// Whether the row's holder was heard lately.
+    /// Whether the row's holder was heard from recently.
     pub holder_heard: bool,
     /// Whether the cell's workers check fences.
     pub checks_fences: bool,
-    /// Whether this instance is stopping.
+    /// Whether this instance is shutting down.
     pub leaving: bool,
-    /// Random number for a write.
+    /// Random number for the next write.
     pub nonce: u64,
 }
 
-/// A term that this instance holds.
+/// Term held by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct HeldTerm {
     epoch: Epoch,
     expires_at_ms: u64,
     renew_at_ms: u64,
 }
 
-/// A write whose answer has not come.
+/// Write without a response so far.
 #[derive(Clone, Debug)]
 struct Pending {
     write: LeaseWrite,
     sent_at_ms: u64,
 }
 
-/// One instance's view of one cell's lease.
+/// Lease of one cell as seen by one instance.
 #[derive(Clone, Debug)]
 pub struct Lease {
     own: InstanceId,
@@ -95,15 +95,15 @@
     read_at_ms: Option<u64>,
     changed_at_ms: u64,
     started_at_ms: u64,
-    held: Option<Held>,
+    held: Option<HeldTerm>,
     pending: Option<Pending>,
     highest_epoch: Epoch,
     not_owner_since_ms: Option<u64>,
-    surpassed_at_ms: Option<u64>,
+    superseded_at_ms: Option<u64>,
 }
 
 impl Lease {
-    /// Starts without knowledge of the row.
+    /// Creates a lease without knowledge of the row.
     pub fn new(own: InstanceId, now_ms: u64) -> Self {
         Self {
             own,
@@ -116,16 +116,16 @@
             pending: None,
             highest_epoch: Epoch::default(),
             not_owner_since_ms: None,
-            surpassed_at_ms: None,
+            superseded_at_ms: None,
         }
     }
 
-    /// Returns the row's holder, as last read.
+    /// Returns the row's holder as last read.
     pub fn row_holder(&self) -> Option<&InstanceId> {
         self.row.holder.as_ref()
     }
 
-    /// Returns the epoch under which this instance may order now.
+    /// Returns the epoch under which this instance may send orders now, if any.
     ///
     /// ```
     /// use cranereach_core::lease::Lease;
@@ -135,16 +135,16 @@
     pub fn may_order(&self, now_ms: u64, checks_fences: bool) -> Option<Epoch> {
         let held = self.held.as_ref()?;
         let unexpired = now_ms < held.expires_at_ms;
-        let unsurpassed = held.epoch >= self.highest_epoch;
-        (unsurpassed && (checks_fences || unexpired)).then_some(held.epoch)
+        let not_superseded = held.epoch >= self.highest_epoch;
+        (not_superseded && (checks_fences || unexpired)).then_some(held.epoch)
     }
 
-    /// Returns when this instance's term ends on its own clock.
+    /// Returns when this instance's term expires on its own clock.
     pub fn expires_at_ms(&self) -> Option<u64> {
         self.held.map(|held| held.expires_at_ms)
     }
 
-    /// Takes the row as read from the table; version zero means no row.
+    /// Processes the row read from the table; version zero means no row.
     pub fn read(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
         let is_first = self.read_at_ms.is_none();
         self.read_at_ms = Some(now_ms);
@@ -155,35 +155,35 @@
         self.row = row.clone();
         self.settle_pending(version, row);
         if row.holder.as_ref() != Some(&self.own) && row.epoch_major > 0 {
-            self.drop_if_surpassed(row.epoch_major);
+            self.drop_if_superseded(row.epoch_major);
         }
     }
 
-    /// Takes the answer that a write was applied.
+    /// Processes the response that a write was applied.
     pub fn applied(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
         self.read(now_ms, version, row);
     }
 
-    /// Takes the answer that a write had no effect.
+    /// Processes the response that a write had no effect.
     pub fn refused(&mut self, row: &LeaseRow) {
-        let is_it = |pending: &Pending| pending.write.row.write_nonce == row.write_nonce;
-        if self.pending.as_ref().is_some_and(is_it) {
+        let is_same_write = |pending: &Pending| pending.write.row.write_nonce == row.write_nonce;
+        if self.pending.as_ref().is_some_and(is_same_write) {
             self.pending = None;
         }
     }
 
-    /// Takes an epoch that was heard from a peer or refused by a worker.
+    /// Processes an epoch received from a peer or in a worker's refusal.
     pub fn heard_epoch(&mut self, now_ms: u64, epoch: Epoch) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if self.held.is_some_and(|held| held.epoch < epoch) {
             self.held = None;
-            self.surpassed_at_ms = Some(now_ms);
+            self.superseded_at_ms = Some(now_ms);
         }
     }
 
-    /// Says which write is due, if any, and remembers that it is being sent.
+    /// Returns the write that is due, if any, and records it as pending.
     pub fn tick(&mut self, now_ms: u64, view: &LeaseView) -> Option<LeaseWrite> {
-        self.note_owner(now_ms, view.is_owner);
+        self.track_ownership(now_ms, view.is_owner);
         let row = self.due_row(now_ms, view)?;
         if row.holder.is_none() {
             // A successor may start as soon as this write takes effect.
@@ -200,22 +200,23 @@
         Some(write)
     }
 
-    /// Takes over without the table if nobody else can order; fenced cells only.
+    /// Takes over a fenced cell while the table is unreachable and no holder is heard from.
     ///
-    /// Two instances may do so at once: their epochs differ, the workers obey
-    /// the higher one, and the other learns of it from its next refused order.
+    /// Two instances may do so concurrently. Their epochs differ, the workers
+    /// obey the higher one, and the other instance learns of it from its next
+    /// refused order.
     pub fn take_over_without_table(&mut self, now_ms: u64, view: &LeaseView) -> Option<Epoch> {
-        let silent_ms = now_ms.saturating_sub(self.read_at_ms.unwrap_or(self.started_at_ms));
-        let table_lost = silent_ms >= TERM_MS;
-        let just_surpassed = self
-            .surpassed_at_ms
+        let since_read_ms = now_ms.saturating_sub(self.read_at_ms.unwrap_or(self.started_at_ms));
+        let table_lost = since_read_ms >= TERM_MS;
+        let recently_superseded = self
+            .superseded_at_ms
             .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < TERM_MS);
         if !table_lost
             || !view.checks_fences
             || !view.is_owner
             || view.holder_heard
             || view.leaving
-            || just_surpassed
+            || recently_superseded
             || self.held.is_some()
         {
             return None;
@@ -229,16 +230,16 @@
             holder: self.tie_breaker(),
             ..base
         };
-        self.hold(epoch, now_ms);
+        self.set_term(epoch, now_ms);
         Some(epoch)
     }
 
-    /// Returns the row to write now, if one is due.
+    /// Returns the row that is due to be written, if any.
     fn due_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
         let fresh_read = self
             .read_at_ms
             .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < TERM_MS);
-        if !fresh_read || self.pending_is_young(now_ms) {
+        if !fresh_read || self.has_write_in_flight(now_ms) {
             return None;
         }
         if self.row.holder.as_ref() == Some(&self.own) && self.held.is_some() {
@@ -247,12 +248,12 @@
         self.contender_row(now_ms, view)
     }
 
-    /// Returns the holder's renewal or hand-over, if due.
+    /// Returns the row for the holder's renewal or hand-over, if due.
     fn holder_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
-        let yields = self
+        let hands_over = self
             .not_owner_since_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= HAND_OVER_AFTER_MS);
-        if view.leaving || yields {
+        if view.leaving || hands_over {
             return Some(LeaseRow {
                 holder: None,
                 epoch_major: self.row.epoch_major,
@@ -266,39 +267,39 @@
         })
     }
 
-    /// Returns the row that takes the lease, if that is allowed.
+    /// Returns the row that acquires the lease, if that is allowed.
     fn contender_row(&self, now_ms: u64, view: &LeaseView) -> Option<LeaseRow> {
         if view.leaving {
             return None;
         }
         let unchanged_ms = now_ms.saturating_sub(self.changed_at_ms);
-        let extra_ms = if view.is_owner { 0 } else { NOT_OWNER_EXTRA_MS };
-        let needed_ms = if self.row.holder.is_none() {
-            extra_ms
+        let delay_ms = if view.is_owner { 0 } else { NON_OWNER_DELAY_MS };
+        let required_ms = if self.row.holder.is_none() {
+            delay_ms
         } else {
-            TERM_MS + extra_ms
+            TERM_MS + delay_ms
         };
-        (unchanged_ms >= needed_ms).then(|| LeaseRow {
+        (unchanged_ms >= required_ms).then(|| LeaseRow {
             holder: Some(self.own.clone()),
             epoch_major: self.row.epoch_major + 1,
             write_nonce: view.nonce,
         })
     }
 
-    /// Whether a write may still be under way.
-    fn pending_is_young(&self, now_ms: u64) -> bool {
+    /// Returns whether a write may still be in flight.
+    fn has_write_in_flight(&self, now_ms: u64) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|pending| now_ms.saturating_sub(pending.sent_at_ms) < MARGIN_MS)
     }
 
-    /// Learns from the row whether the pending write was applied.
+    /// Determines from the row whether the pending write was applied.
     fn settle_pending(&mut self, version: u64, row: &LeaseRow) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         if row.write_nonce != pending.write.row.write_nonce {
-            // Not applied so far; it may still be, so it stays until the row moves on.
+            // Not applied yet. It may still be, so it stays pending until the row changes.
             if version == pending.write.expected_version {
                 self.pending = Some(pending);
             }
@@ -311,24 +312,24 @@
                 holder: self.tie_breaker(),
             };
             let epoch = self.held.map_or(epoch, |held| held.epoch.max(epoch));
-            self.hold(epoch, pending.sent_at_ms);
+            self.set_term(epoch, pending.sent_at_ms);
         } else {
             self.held = None;
         }
     }
 
-    /// Holds a term that counts from before the write was sent.
-    fn hold(&mut self, epoch: Epoch, sent_at_ms: u64) {
+    /// Sets the held term, which starts when the write was sent.
+    fn set_term(&mut self, epoch: Epoch, sent_at_ms: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
-        self.held = Some(Held {
+        self.held = Some(HeldTerm {
             epoch,
             expires_at_ms: sent_at_ms + TERM_MS - MARGIN_MS,
             renew_at_ms: sent_at_ms + RENEW_EVERY_MS,
         });
     }
 
-    /// Drops the term if the row shows another's later one.
-    fn drop_if_surpassed(&mut self, epoch_major: u64) {
+    /// Drops the held term if the row shows a later one of another instance.
+    fn drop_if_superseded(&mut self, epoch_major: u64) {
         if self
             .held
             .is_some_and(|held| held.epoch.major <= epoch_major)
@@ -337,8 +338,8 @@
         }
     }
 
-    /// Records since when another instance is the owner.
-    fn note_owner(&mut self, now_ms: u64, is_owner: bool) {
+    /// Records since when this instance has not been the rendezvous owner.
+    fn track_ownership(&mut self, now_ms: u64, is_owner: bool) {
         if is_owner {
             self.not_owner_since_ms = None;
         } else {
@@ -346,7 +347,7 @@
         }
     }
 
-    /// Returns this instance's part of an epoch.
+    /// Returns this instance's `holder` value for an epoch.
     fn tie_breaker(&self) -> u32 {
         rendezvous_weight(self.own.as_str(), "epoch") as u32
     }
--- a/crates/cranereach-core/src/snapshot/mod.rs
+++ b/crates/cranereach-core/src/snapshot/mod.rs
@@ -1,6 +1,6 @@
-//! Declarations resolved into what the data path reads.
+//! Snapshots: declarations resolved for lookups on the data path.
 //!
-//! A snapshot is built once per configuration version and then only read.
+//! A snapshot is built once per configuration version and is immutable afterwards.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -21,18 +21,18 @@
 
 pub use self::fault::Fault;
 pub use self::fault::Place;
-use self::fault::duplicate;
+use self::fault::duplicate_name;
 use self::fault::fault;
-use self::fault::list;
+use self::fault::join_sorted;
 pub use self::grant::Grant;
 pub use self::grant::KeyHash;
 
-/// The resolved configuration of one version.
+/// Resolved configuration of one version.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Version in the head row; zero before any was accepted.
+    /// Version in the head row; zero before any version was accepted.
     pub version: u64,
-    /// Grants by key.
+    /// Grants by key hash.
     pub grants: HashMap<KeyHash, Arc<Grant>>,
     /// Models by name.
     pub models: HashMap<TargetName, Model>,
@@ -41,7 +41,7 @@
 }
 
 impl Snapshot {
-    /// Resolves declarations, or lists every fault in them.
+    /// Resolves declarations, or returns every fault in them.
     ///
     /// ```
     /// use cranereach_core::declarations::Declarations;
@@ -56,10 +56,10 @@
             version,
             ..Self::default()
         };
-        snapshot.take_pools(declared, &mut faults);
-        snapshot.take_models(declared, &mut faults);
-        let templates = take_templates(&snapshot, declared, &mut faults);
-        snapshot.take_accounts(declared, &templates, &mut faults);
+        snapshot.add_pools(declared, &mut faults);
+        snapshot.add_models(declared, &mut faults);
+        let templates = index_templates(&snapshot, declared, &mut faults);
+        snapshot.add_accounts(declared, &templates, &mut faults);
         if faults.is_empty() {
             Ok(snapshot)
         } else {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the grant that a key opens.
+    /// Returns the grant of a key.
     pub fn grant(&self, key: &str) -> Option<&Arc<Grant>> {
         self.grants.get(&KeyHash::of(key))
     }
@@ -80,19 +80,19 @@
         self.pools.get(&PoolName::from(target.as_str()))
     }
 
-    /// Returns the plain pool whose prefix a path starts with.
+    /// Returns the plain pool with the longest path prefix that matches a path.
     pub fn plain_pool(&self, path: &str) -> Option<&Pool> {
         self.pools
             .values()
             .filter(|pool| {
                 pool.path_prefix
                     .as_deref()
-                    .is_some_and(|prefix| below(path, prefix))
+                    .is_some_and(|prefix| is_under_prefix(path, prefix))
             })
             .max_by_key(|pool| pool.path_prefix.as_ref().map_or(0, String::len))
     }
 
-    /// Returns a model's memory together with its base's, in bytes.
+    /// Returns the memory of a model including its base, in bytes.
     pub fn memory_with_base_bytes(&self, target: &TargetName) -> u64 {
         let Some(model) = self.models.get(target) else {
             return 0;
@@ -101,11 +101,11 @@
         model.memory_bytes + base.map_or(0, |base| base.memory_bytes)
     }
 
-    /// Takes over the pools.
-    fn take_pools(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
+    /// Adds the pools and checks them.
+    fn add_pools(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
         for pool in &declared.pools {
             if self.pools.insert(pool.name.clone(), pool.clone()).is_some() {
-                faults.push(duplicate("pools", pool.name.as_str()));
+                faults.push(duplicate_name("pools", pool.name.as_str()));
             }
             let prefix = pool.path_prefix.as_deref();
             if pool.kind == PoolKind::Plain
@@ -123,15 +123,15 @@
         }
     }
 
-    /// Takes over the models and checks that each can be resident at all.
-    fn take_models(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
+    /// Adds the models and checks that a worker of the pool can hold each.
+    fn add_models(&mut self, declared: &Declarations, faults: &mut Vec<Fault>) {
         for model in &declared.models {
             if self
                 .models
                 .insert(model.name.clone(), model.clone())
                 .is_some()
             {
-                faults.push(duplicate("models", model.name.as_str()));
+                faults.push(duplicate_name("models", model.name.as_str()));
             }
         }
         for model in &declared.models {
@@ -147,7 +147,10 @@
             .as_ref()
             .filter(|base| !self.models.contains_key(*base))
         {
-            let detail = format!("no model {base}; declared: {}", list(self.models.keys()));
+            let detail = format!(
+                "no model {base}; declared: {}",
+                join_sorted(self.models.keys())
+            );
             faults.push(fault(
                 ResultCode::UnknownModel,
                 "models",
@@ -160,7 +163,7 @@
             let detail = format!(
                 "no pool {}; declared: {}",
                 model.pool,
-                list(self.pools.keys())
+                join_sorted(self.pools.keys())
             );
             faults.push(fault(
                 ResultCode::UnknownPool,
@@ -171,10 +174,10 @@
             ));
             return;
         };
-        let needed = self.memory_with_base_bytes(&model.name);
-        if needed > pool.worker_memory_bytes {
+        let needed_bytes = self.memory_with_base_bytes(&model.name);
+        if needed_bytes > pool.worker_memory_bytes {
             let detail = format!(
-                "needs {needed} bytes with its base, a worker of pool {} has {}",
+                "needs {needed_bytes} bytes including its base, but a worker of pool {} has {} bytes",
                 pool.name, pool.worker_memory_bytes
             );
             faults.push(fault(
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Takes over the accounts with their templates filled in.
-    fn take_accounts(
+    /// Adds the accounts with grants resolved from their templates.
+    fn add_accounts(
         &mut self,
         declared: &Declarations,
         templates: &HashMap<&str, &Template>,
@@ -197,13 +200,13 @@
         let mut seen = BTreeSet::new();
         for account in &declared.accounts {
             if !seen.insert(&account.name) {
-                faults.push(duplicate("accounts", account.name.as_str()));
+                faults.push(duplicate_name("accounts", account.name.as_str()));
             }
             let Some(template) = templates.get(account.template.as_str()) else {
                 let detail = format!(
                     "no template {}; declared: {}",
                     account.template,
-                    list(templates.keys())
+                    join_sorted(templates.keys())
                 );
                 faults.push(fault(
                     ResultCode::UnknownTemplate,
@@ -214,13 +217,18 @@
                 ));
                 continue;
             };
-            let grant = Arc::new(self.fill(account, template, faults));
-            self.take_keys(account, &grant, faults);
+            let grant = Arc::new(self.resolve_grant(account, template, faults));
+            self.bind_keys(account, &grant, faults);
         }
     }
 
-    /// Fills a template with one account's parameters.
-    fn fill(&self, account: &ClientAccount, template: &Template, faults: &mut Vec<Fault>) -> Grant {
+    /// Resolves a template with the parameters of an account.
+    fn resolve_grant(
+        &self,
+        account: &ClientAccount,
+        template: &Template,
+        faults: &mut Vec<Fault>,
+    ) -> Grant {
         let name = account.name.as_str();
         let mut targets = BTreeSet::new();
         for entry in &template.models {
@@ -229,8 +237,10 @@
                     targets.insert(model);
                 }
                 Some(model) => {
-                    let detail =
-                        format!("no model {model}; declared: {}", list(self.models.keys()));
+                    let detail = format!(
+                        "no model {model}; declared: {}",
+                        join_sorted(self.models.keys())
+                    );
                     faults.push(fault(
                         ResultCode::UnknownModel,
                         "accounts",
@@ -263,7 +273,7 @@
         );
         let share = account.parameters.share.unwrap_or(template.share);
         if !(share.is_finite() && share > 0.0) {
-            let detail = format!("share {share} must be a number above zero");
+            let detail = format!("share {share} must be a finite number above zero");
             faults.push(fault(
                 ResultCode::NoShare,
                 "accounts",
@@ -284,12 +294,12 @@
         }
     }
 
-    /// Binds an account's keys to its grant.
-    fn take_keys(&mut self, account: &ClientAccount, grant: &Arc<Grant>, faults: &mut Vec<Fault>) {
-        for text in &account.key_hashes {
-            let Some(hash) = KeyHash::from_hex(text) else {
+    /// Maps an account's keys to its grant.
+    fn bind_keys(&mut self, account: &ClientAccount, grant: &Arc<Grant>, faults: &mut Vec<Fault>) {
+        for hex in &account.key_hashes {
+            let Some(hash) = KeyHash::from_hex(hex) else {
                 let detail =
-                    "a key hash is 64 hex digits; `cranereach check --hash-key` prints one"
+                    "a key hash must have 64 hex digits; `cranereach check --hash-key` prints one"
                         .to_owned();
                 faults.push(fault(
                     ResultCode::UnknownKey,
@@ -301,7 +311,7 @@
                 continue;
             };
             if let Some(other) = self.grants.insert(hash, Arc::clone(grant)) {
-                let detail = format!("the same key opens account {}", other.account);
+                let detail = format!("the same key hash belongs to account {}", other.account);
                 faults.push(fault(
                     ResultCode::DuplicateKey,
                     "accounts",
@@ -315,7 +325,7 @@
 }
 
 /// Checks the templates and indexes them by name.
-fn take_templates<'a>(
+fn index_templates<'a>(
     snapshot: &Snapshot,
     declared: &'a Declarations,
     faults: &mut Vec<Fault>,
@@ -323,7 +333,7 @@
     let mut templates = HashMap::new();
     for template in &declared.templates {
         if templates.insert(template.name.as_str(), template).is_some() {
-            faults.push(duplicate("templates", &template.name));
+            faults.push(duplicate_name("templates", &template.name));
         }
         for entry in template
             .models
@@ -336,7 +346,7 @@
             {
                 let detail = format!(
                     "no model {entry}; declared: {}",
-                    list(snapshot.models.keys())
+                    join_sorted(snapshot.models.keys())
                 );
                 faults.push(fault(
                     ResultCode::UnknownModel,
@@ -355,7 +365,7 @@
             {
                 let detail = format!(
                     "no plain pool {pool}; declared: {}",
-                    list(snapshot.pools.keys())
+                    join_sorted(snapshot.pools.keys())
                 );
                 faults.push(fault(
                     ResultCode::UnknownPool,
@@ -370,16 +380,16 @@
     templates
 }
 
-/// Returns the model that a template's entry means for an account.
+/// Returns the model that a template's entry stands for in an account.
 fn model_name(entry: &str, account: &ClientAccount) -> Option<TargetName> {
     match entry.strip_prefix('$') {
-        Some(slot) => account.parameters.models.get(slot).cloned(),
+        Some(parameter) => account.parameters.models.get(parameter).cloned(),
         None => Some(TargetName::from(entry)),
     }
 }
 
-/// Whether a path lies below a prefix, at a segment's edge.
-fn below(path: &str, prefix: &str) -> bool {
+/// Returns whether `path` equals `prefix` or continues it at a segment boundary.
+fn is_under_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
