--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -11,11 +11,11 @@
 use cranereach_fleet::accounts::Accounts;
 use cranereach_fleet::accounts::Limit;
 use cranereach_fleet::accounts::LimitUnit;
+use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Tolerance;
-use cranereach_fleet::limits::Uses;
 use cranereach_fleet::limits::Wanted;
 use cranereach_fleet::regions::AllowedRegions;
 
@@ -81,7 +81,7 @@
 
 /// Time to decide about a request whose units are held already.
 fn decide_us(count: usize) -> f64 {
-    let mut uses = Uses::default();
+    let mut uses = AccountUsages::default();
     for account in 0..count as u64 {
         uses.decide(0, account, LIMIT, &TOLERANCE, COST);
         uses.granted(0, account, 1e15, COST);
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -17,8 +17,8 @@
 use cranereach_fleet::fingerprint::FingerprintKey;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::membership::TOLD_MAX_COUNT;
-use cranereach_fleet::owned::Opening;
 use cranereach_fleet::owned::OwnedWorkers;
+use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::quarantine::RequestMark;
@@ -31,7 +31,7 @@
 use cranereach_fleet::worker::HeldModel;
 use cranereach_fleet::worker::WorkerRecord;
 use cranereach_gateway::adapter;
-use cranereach_gateway::worker_words::WorkerWords;
+use cranereach_gateway::worker_words::WorkerHeaders;
 
 /// Workers of which one holds the model that is asked for.
 const WORKERS_PER_HOLDER: usize = 20;
@@ -182,7 +182,7 @@
         crossings_ms: [0.0; 3],
         regions: &regions,
         end_count: 0,
-        needs_no_grant: false,
+        must_avoid_grants: false,
         tried: &[],
     };
     let mut rng = rand::rng();
@@ -230,7 +230,7 @@
     }
     time_us(|| {
         let head = (StatusCode::OK, &headers);
-        black_box(WorkerWords::read(names, "w7", head));
+        black_box(WorkerHeaders::read(names, "w7", head));
     })
 }
 
@@ -300,12 +300,12 @@
 fn answer_us(open_count: usize) -> f64 {
     let mut owned = OwnedWorkers::default();
     for number in 0..open_count {
-        let opening = Opening {
+        let opening = SentRequest {
             event_tokens: 3,
             unread_ms: 100.0,
             stay_ms: 500.0,
             ends_within_ms: u32::MAX,
-            ..Opening::default()
+            ..SentRequest::default()
         };
         owned.begun(0, WORKER, (1, number as u64), opening, &[]);
     }
--- a/crates/cranereach-bench/src/slopes/kernel.rs
+++ b/crates/cranereach-bench/src/slopes/kernel.rs
@@ -212,7 +212,7 @@
         used_at_ms: 0,
         replicas_before: 0,
         replicas_elsewhere: 0,
-        may_grow: number.is_multiple_of(3),
+        may_add_replica: number.is_multiple_of(3),
     };
     let targets: Vec<PlanTarget> = (0..model_count).map(target).collect();
     let occupant = |index: usize| PlanOccupant {
@@ -237,7 +237,7 @@
         weights: PlanWeights::default(),
         targets: &targets,
         workers: &workers,
-        forces_allowed_count: 1,
+        forced_loads_allowed_count: 1,
     };
     time_us(|| {
         black_box((residency::MARGINAL.plan)(&input));
--- a/crates/cranereach-core/src/attempt.rs
+++ b/crates/cranereach-core/src/attempt.rs
@@ -27,7 +27,7 @@
     /// The connection could not be made, or was closed before the request was sent.
     NotConnected,
     /// The request was handed to a connection.
-    Handed,
+    HandedToConnection,
     /// The upstream said that it did not run the request.
     RefusedByUpstream,
     /// The head of the answer arrived.
@@ -76,7 +76,7 @@
     ///
     /// let mut attempt = Attempt::new(Repeatable::Unsafe, 1_000);
     /// let mut budget = RetryBudget::default();
-    /// attempt.on(0, Event::Handed, &mut budget);
+    /// attempt.on(0, Event::HandedToConnection, &mut budget);
     /// let verdict = attempt.on(1, Event::Broken, &mut budget);
     /// assert_eq!(verdict, Verdict::End(ResultCode::OutcomeUnknown));
     /// ```
@@ -119,7 +119,7 @@
     /// Decides about an event at the current stage.
     fn decide(&mut self, now_ms: u64, event: Event, budget: &mut RetryBudget) -> Verdict {
         match event {
-            Event::Handed => self.advance(Stage::Sent),
+            Event::HandedToConnection => self.advance(Stage::Sent),
             Event::Head => self.advance(Stage::HeadReceived),
             Event::FirstBytes => self.advance(Stage::Relaying),
             Event::Whole => Verdict::End(ResultCode::Served),
--- a/crates/cranereach-core/src/claim.rs
+++ b/crates/cranereach-core/src/claim.rs
@@ -50,7 +50,7 @@
 
 /// Decision about a call, based on the row of its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Joining {
+pub enum ClaimDecision {
     /// Claim the key, again if it has a row, and send the call.
     Send,
     /// The row was written by this attempt, so its write was applied.
@@ -64,21 +64,21 @@
 /// Decides about a call from the row found for its idempotency key.
 ///
 /// ```
-/// use cranereach_core::claim::{join, Joining};
+/// use cranereach_core::claim::{join, ClaimDecision};
 ///
-/// assert_eq!(join(None, "a1", "f"), Joining::Send);
+/// assert_eq!(join(None, "a1", "f"), ClaimDecision::Send);
 /// ```
-pub fn join(found: Option<&Claim>, attempt_id: &str, fingerprint: &str) -> Joining {
+pub fn join(found: Option<&Claim>, attempt_id: &str, fingerprint: &str) -> ClaimDecision {
     let Some(claim) = found else {
-        return Joining::Send;
+        return ClaimDecision::Send;
     };
     if claim.fingerprint != fingerprint {
-        return Joining::Tell(ResultCode::IdempotencyMismatch);
+        return ClaimDecision::Tell(ResultCode::IdempotencyMismatch);
     }
     match &claim.outcome {
-        Outcome::NotRun => Joining::Send,
-        Outcome::Open if claim.attempt_id == attempt_id => Joining::Own,
-        Outcome::Open | Outcome::AnsweredUnkept => Joining::Tell(ResultCode::ClaimOpen),
-        Outcome::Answered(answer) => Joining::Replay(answer.clone()),
+        Outcome::NotRun => ClaimDecision::Send,
+        Outcome::Open if claim.attempt_id == attempt_id => ClaimDecision::Own,
+        Outcome::Open | Outcome::AnsweredUnkept => ClaimDecision::Tell(ResultCode::ClaimOpen),
+        Outcome::Answered(answer) => ClaimDecision::Replay(answer.clone()),
     }
 }
--- a/crates/cranereach-core/src/config.rs
+++ b/crates/cranereach-core/src/config.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 /// Time without confirmation of its version after which an instance stops serving, in ms.
-pub const CONFIRM_WITHIN_MS: u64 = 6_000;
+pub const CONFIRMATION_TIMEOUT_MS: u64 = 6_000;
 
 /// Version and content hash of an accepted configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,13 +45,13 @@
     }
 
     /// Records a head that was read from the table.
-    pub fn read_table(&mut self, now_ms: u64, head: &Head) {
+    pub fn observe_table_head(&mut self, now_ms: u64, head: &Head) {
         self.table_read_at_ms = Some(now_ms);
-        self.heard_head(head);
+        self.observe_head(head);
     }
 
     /// Records a head that a peer's digest mentions.
-    pub fn heard_head(&mut self, head: &Head) {
+    pub fn observe_head(&mut self, head: &Head) {
         if head.version > self.newest.version {
             self.newest = head.clone();
         }
@@ -76,7 +76,7 @@
         let newer = head.version > self.held.version;
         if newer {
             self.held = head.clone();
-            self.heard_head(head);
+            self.observe_head(head);
         }
         newer
     }
@@ -84,7 +84,7 @@
     /// Returns whether this instance may serve: it has a configuration that it can tell is current.
     ///
     /// `listed_count` is the number of other instances on the platform's list, and
-    /// `heard_count` the number of those heard from within [`CONFIRM_WITHIN_MS`]. Half
+    /// `heard_count` the number of those heard from within [`CONFIRMATION_TIMEOUT_MS`]. Half
     /// of them confirm the version as well as the table does, so an outage of the table
     /// alone stops no instance. An instance that reaches neither is isolated and stops
     /// serving. One with no other instance on the list keeps serving, because no other
@@ -94,10 +94,10 @@
             return false;
         }
         let confirmed_at_ms = self.table_read_at_ms.unwrap_or(self.started_at_ms);
-        let table_fresh = now_ms.saturating_sub(confirmed_at_ms) < CONFIRM_WITHIN_MS;
+        let table_fresh = now_ms.saturating_sub(confirmed_at_ms) < CONFIRMATION_TIMEOUT_MS;
         let enough_peers = heard_count * 2 >= listed_count;
-        let behind =
-            self.missing().is_some() && now_ms.saturating_sub(confirmed_at_ms) >= CONFIRM_WITHIN_MS;
+        let behind = self.missing().is_some()
+            && now_ms.saturating_sub(confirmed_at_ms) >= CONFIRMATION_TIMEOUT_MS;
         (table_fresh || enough_peers) && !behind
     }
 }
--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -130,7 +130,11 @@
     ) {
         if let Some(control) = self.workers.get_mut(worker) {
             let load_durations_ms = control.apply_report(now_ms, report, slot_count);
-            actions.extend(load_durations_ms.into_iter().map(ControlAction::LoadTook));
+            actions.extend(
+                load_durations_ms
+                    .into_iter()
+                    .map(ControlAction::LoadCompleted),
+            );
         }
     }
 
@@ -166,7 +170,7 @@
     }
 
     /// Notes that reading the intents row failed, so that the next tick asks for it again.
-    pub fn intents_unread(&mut self) {
+    pub fn intents_read_failed(&mut self) {
         self.intents.is_read_requested = false;
     }
 
@@ -190,7 +194,7 @@
     }
 
     /// Forgets the intents row after it has changed since it was last read or written.
-    pub fn intents_lost(&mut self) {
+    pub fn invalidate_intents(&mut self) {
         self.intents = Intents::default();
     }
 
@@ -259,7 +263,7 @@
             weights: self.options.weights,
             targets,
             workers: &workers,
-            forces_allowed_count: usize::from(self.forced_bucket.is_filled(now_ms)),
+            forced_loads_allowed_count: usize::from(self.forced_bucket.has_token(now_ms)),
         };
         let moves = (self.options.policy.plan)(&input);
         if moves
--- a/crates/cranereach-core/src/control/orders.rs
+++ b/crates/cranereach-core/src/control/orders.rs
@@ -73,5 +73,5 @@
     /// Write the intents row, then call [`super::CellControl::intents_recorded`].
     RecordIntents(IntentRow),
     /// Report that a load completed after this time, in milliseconds.
-    LoadTook(u64),
+    LoadCompleted(u64),
 }
--- a/crates/cranereach-core/src/dispatch/mod.rs
+++ b/crates/cranereach-core/src/dispatch/mod.rs
@@ -158,7 +158,7 @@
     }
 
     /// Puts a request back into its queue for another attempt, without the admission check.
-    pub fn arrive_again(&mut self, now_ms: u64, waiting: Waiting, actions: &mut Vec<Action>) {
+    pub fn requeue(&mut self, now_ms: u64, waiting: Waiting, actions: &mut Vec<Action>) {
         let target = waiting.target.clone();
         self.queues.push(waiting);
         self.send_waiting_for(now_ms, &target, actions);
@@ -211,7 +211,7 @@
     }
 
     /// Updates the moving average of load times with a measured one, in milliseconds.
-    pub fn load_took(&mut self, load_ms: u64) {
+    pub fn record_load_time(&mut self, load_ms: u64) {
         self.load_ms += 0.3 * (load_ms as f64 - self.load_ms);
     }
 
--- a/crates/cranereach-core/src/residency/mod.rs
+++ b/crates/cranereach-core/src/residency/mod.rs
@@ -46,7 +46,7 @@
     /// Replicas in all other cells.
     pub replicas_elsewhere: usize,
     /// Whether this cell may add the next replica.
-    pub may_grow: bool,
+    pub may_add_replica: bool,
 }
 
 /// Target on a worker.
@@ -110,7 +110,7 @@
     /// Workers of the cell.
     pub workers: &'a [PlanWorker],
     /// Number of overdue targets that may evict regardless of cost in this plan.
-    pub forces_allowed_count: usize,
+    pub forced_loads_allowed_count: usize,
 }
 
 /// Load or unload requested by a plan.
--- a/crates/cranereach-core/src/residency/plan_builder.rs
+++ b/crates/cranereach-core/src/residency/plan_builder.rs
@@ -75,7 +75,7 @@
                 .iter()
                 .map(|worker| vec![false; worker.occupants.len()])
                 .collect(),
-            forced_loads_left_count: input.forces_allowed_count,
+            forced_loads_left_count: input.forced_loads_allowed_count,
             moves: Vec::new(),
         }
     }
--- a/crates/cranereach-core/src/residency/split.rs
+++ b/crates/cranereach-core/src/residency/split.rs
@@ -37,7 +37,7 @@
     /// Replicas in all other cells.
     pub replicas_elsewhere: usize,
     /// Whether this cell may add the next replica.
-    pub may_grow: bool,
+    pub may_add_replica: bool,
 }
 
 /// Returns a cell's position in a target's order of cells.
@@ -51,7 +51,7 @@
 ///
 /// let cell = CellId { pool: "text".into(), domain: "d1".into(), part: 0 };
 /// let place = cell_place(&"m".into(), &Standing::default(), &[cell.clone()], &cell);
-/// assert!(place.may_grow);
+/// assert!(place.may_add_replica);
 /// ```
 pub fn cell_place(
     ordered_by: &TargetName,
@@ -87,6 +87,6 @@
     CellPlace {
         replicas_before,
         replicas_elsewhere: total - replicas(cell),
-        may_grow: is_next || has_waited,
+        may_add_replica: is_next || has_waited,
     }
 }
--- a/crates/cranereach-core/src/residency/value.rs
+++ b/crates/cranereach-core/src/residency/value.rs
@@ -54,7 +54,7 @@
 /// evictions, which keeps these targets from evicting each other in turn.
 pub(super) fn replica_candidates(input: &PlanInput<'_>) -> Vec<ReplicaCandidate> {
     let mut candidates: Vec<ReplicaCandidate> = (0..input.targets.len())
-        .filter(|&index| input.targets[index].may_grow)
+        .filter(|&index| input.targets[index].may_add_replica)
         .map(|target_index| ReplicaCandidate {
             target_index,
             gain: gain(input, target_index),
@@ -69,7 +69,7 @@
 /// Returns whether this cell may load a target that has waiting requests and no replica.
 fn is_unserved(input: &PlanInput<'_>, index: usize) -> bool {
     let target = &input.targets[index];
-    target.may_grow
+    target.may_add_replica
         && target.waiting_count > 0
         && replica_count(input, index) + target.replicas_elsewhere == 0
 }
--- a/crates/cranereach-core/src/retry_budget.rs
+++ b/crates/cranereach-core/src/retry_budget.rs
@@ -28,7 +28,7 @@
 
 impl RetryBudget {
     /// Records a first attempt, which adds a fraction of a retry to the budget.
-    pub fn first_try(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.available_count = (self.available_count + RETRY_FRACTION).min(MAX_COUNT);
     }
 
--- a/crates/cranereach-core/src/token_bucket.rs
+++ b/crates/cranereach-core/src/token_bucket.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether a token could be taken.
-    pub fn is_filled(&mut self, now_ms: u64) -> bool {
+    pub fn has_token(&mut self, now_ms: u64) -> bool {
         self.level(now_ms) >= 1.0
     }
 
--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -28,20 +28,20 @@
     (
         "closed after the request left, unsafe",
         Repeatable::Unsafe,
-        &[(0, Event::Handed), (1, Event::Broken)],
+        &[(0, Event::HandedToConnection), (1, Event::Broken)],
         Verdict::End(ResultCode::OutcomeUnknown),
     ),
     (
         "closed after the request left, safe",
         Repeatable::Safe,
-        &[(0, Event::Handed), (1, Event::Broken)],
+        &[(0, Event::HandedToConnection), (1, Event::Broken)],
         Verdict::TryElsewhere,
     ),
     (
         "refused as not run, unsafe",
         Repeatable::Unsafe,
         &[
-            (0, Event::Handed),
+            (0, Event::HandedToConnection),
             (0, Event::Head),
             (1, Event::RefusedByUpstream),
         ],
@@ -51,7 +51,7 @@
         "broken midway",
         Repeatable::Safe,
         &[
-            (0, Event::Handed),
+            (0, Event::HandedToConnection),
             (0, Event::Head),
             (0, Event::FirstBytes),
             (1, Event::Broken),
@@ -61,7 +61,11 @@
     (
         "garbled, unsafe",
         Repeatable::Unsafe,
-        &[(0, Event::Handed), (0, Event::Head), (1, Event::Garbled)],
+        &[
+            (0, Event::HandedToConnection),
+            (0, Event::Head),
+            (1, Event::Garbled),
+        ],
         Verdict::End(ResultCode::GarbledAnswer),
     ),
     (
@@ -73,7 +77,10 @@
     (
         "late after it was sent",
         Repeatable::Safe,
-        &[(0, Event::Handed), (1_000, Event::DeadlinePassed)],
+        &[
+            (0, Event::HandedToConnection),
+            (1_000, Event::DeadlinePassed),
+        ],
         Verdict::End(ResultCode::DeadlinePassedRunning),
     ),
     (
@@ -86,7 +93,7 @@
         "may have run, then no connection and too late",
         Repeatable::Safe,
         &[
-            (0, Event::Handed),
+            (0, Event::HandedToConnection),
             (1, Event::Broken),
             (1_000, Event::NotConnected),
         ],
@@ -95,13 +102,21 @@
     (
         "whole",
         Repeatable::Unsafe,
-        &[(0, Event::Handed), (0, Event::Head), (0, Event::Whole)],
+        &[
+            (0, Event::HandedToConnection),
+            (0, Event::Head),
+            (0, Event::Whole),
+        ],
         Verdict::End(ResultCode::Served),
     ),
     (
         "doubled end",
         Repeatable::Unsafe,
-        &[(0, Event::Handed), (0, Event::Whole), (1, Event::Broken)],
+        &[
+            (0, Event::HandedToConnection),
+            (0, Event::Whole),
+            (1, Event::Broken),
+        ],
         Verdict::End(ResultCode::Served),
     ),
 ];
@@ -124,7 +139,7 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _call in 0..1_000 {
-        budget.first_try();
+        budget.record_first_attempt();
         retries += u32::from(budget.spend());
     }
     assert!(retries <= 103, "{retries}");
@@ -134,7 +149,7 @@
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         Just(Event::NotConnected),
-        Just(Event::Handed),
+        Just(Event::HandedToConnection),
         Just(Event::RefusedByUpstream),
         Just(Event::Head),
         Just(Event::FirstBytes),
@@ -162,7 +177,7 @@
         let mut in_flight = false;
         let mut ended = None;
         for (now_ms, event) in events {
-            if matches!(event, Event::Handed | Event::Head | Event::FirstBytes) {
+            if matches!(event, Event::HandedToConnection | Event::Head | Event::FirstBytes) {
                 in_flight = true;
             }
             let verdict = attempt.on(now_ms, event, &mut budget);
@@ -197,7 +212,7 @@
 fn a_refusal_at_the_queue_is_true_to_earlier_attempts() {
     let mut attempt = Attempt::new(Repeatable::Safe, DEADLINE_AT_MS);
     let mut budget = RetryBudget::default();
-    attempt.on(0, Event::Handed, &mut budget);
+    attempt.on(0, Event::HandedToConnection, &mut budget);
     assert_matches!(
         attempt.on(1, Event::Broken, &mut budget),
         Verdict::TryElsewhere
--- a/crates/cranereach-core/tests/control_world/carrying.rs
+++ b/crates/cranereach-core/tests/control_world/carrying.rs
@@ -22,7 +22,7 @@
                 ControlAction::Send(order) => self.send(index, &order),
                 ControlAction::ReadIntents => self.read_intents(index),
                 ControlAction::RecordIntents(row) => self.record_intents(index, row),
-                ControlAction::LoadTook(_) => {}
+                ControlAction::LoadCompleted(_) => {}
             }
         }
     }
@@ -56,7 +56,7 @@
         let is_up = self.table_is_up();
         let instance = &mut self.instances[index];
         if !is_up {
-            instance.control.intents_unread();
+            instance.control.intents_read_failed();
             return;
         }
         instance.intents_version = self.intents.0;
@@ -79,7 +79,7 @@
             .control
             .intents_recorded(self.now_ms + instance.offset_ms, told);
         if !told {
-            instance.control.intents_lost();
+            instance.control.invalidate_intents();
         }
         for order in orders {
             self.send(index, &order);
--- a/crates/cranereach-core/tests/control_world/mod.rs
+++ b/crates/cranereach-core/tests/control_world/mod.rs
@@ -370,6 +370,6 @@
         used_at_ms: 0,
         replicas_before: 0,
         replicas_elsewhere: 0,
-        may_grow: true,
+        may_add_replica: true,
     }
 }
--- a/crates/cranereach-core/tests/versions.rs
+++ b/crates/cranereach-core/tests/versions.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use cranereach_core::config::CONFIRM_WITHIN_MS;
+use cranereach_core::config::CONFIRMATION_TIMEOUT_MS;
 use cranereach_core::config::ConfigState;
 use cranereach_core::config::Head;
 
@@ -20,25 +20,37 @@
 /// The fault table, for an instance that holds a version.
 const ROWS: [Row; 8] = [
     ("table read lately, nobody heard", Some(0), 5, 0, true),
-    ("table out, all heard", Some(CONFIRM_WITHIN_MS), 5, 5, true),
-    ("table out, half heard", Some(CONFIRM_WITHIN_MS), 4, 2, true),
+    (
+        "table out, all heard",
+        Some(CONFIRMATION_TIMEOUT_MS),
+        5,
+        5,
+        true,
+    ),
+    (
+        "table out, half heard",
+        Some(CONFIRMATION_TIMEOUT_MS),
+        4,
+        2,
+        true,
+    ),
     (
         "table out, fewer than half heard",
-        Some(CONFIRM_WITHIN_MS),
+        Some(CONFIRMATION_TIMEOUT_MS),
         5,
         2,
         false,
     ),
     (
         "cut off from everybody",
-        Some(CONFIRM_WITHIN_MS),
+        Some(CONFIRMATION_TIMEOUT_MS),
         5,
         0,
         false,
     ),
     (
         "table out, no other instance listed",
-        Some(CONFIRM_WITHIN_MS),
+        Some(CONFIRMATION_TIMEOUT_MS),
         0,
         0,
         true,
@@ -53,9 +65,9 @@
         let mut state = ConfigState::new(0);
         state.adopt(&head(1));
         if read_ago_ms.is_some() {
-            state.read_table(0, &head(1));
+            state.observe_table_head(0, &head(1));
         }
-        let now_ms = read_ago_ms.unwrap_or(CONFIRM_WITHIN_MS);
+        let now_ms = read_ago_ms.unwrap_or(CONFIRMATION_TIMEOUT_MS);
         assert_eq!(state.may_serve(now_ms, listed, heard), serves, "{name}");
     }
 }
@@ -64,17 +76,17 @@
 fn an_instance_that_knows_of_a_newer_version_goes_if_it_cannot_get_it() {
     let mut state = ConfigState::new(0);
     state.adopt(&head(1));
-    state.heard_head(&head(2));
+    state.observe_head(&head(2));
     assert!(state.may_serve(0, 2, 2));
-    assert!(!state.may_serve(CONFIRM_WITHIN_MS, 2, 2));
+    assert!(!state.may_serve(CONFIRMATION_TIMEOUT_MS, 2, 2));
     state.adopt(&head(2));
-    assert!(state.may_serve(CONFIRM_WITHIN_MS, 2, 2));
+    assert!(state.may_serve(CONFIRMATION_TIMEOUT_MS, 2, 2));
 }
 
 #[test]
 fn a_new_instance_serves_nothing_before_it_holds_a_version() {
     let mut state = ConfigState::new(0);
-    state.read_table(0, &head(3));
+    state.observe_table_head(0, &head(3));
     assert!(!state.may_serve(0, 0, 0));
     assert_eq!(state.missing(), Some(&head(3)));
 }
@@ -86,8 +98,8 @@
         let mut held = 0;
         for (kind, version) in events {
             match kind {
-                0 => state.read_table(0, &head(version)),
-                1 => state.heard_head(&head(version)),
+                0 => state.observe_table_head(0, &head(version)),
+                1 => state.observe_head(&head(version)),
                 _ => {
                     state.adopt(&head(version));
                 }
--- a/crates/cranereach-entry/src/callers/claims.rs
+++ b/crates/cranereach-entry/src/callers/claims.rs
@@ -21,7 +21,7 @@
 use crate::shared::Shared;
 use cranereach_core::claim::ANSWER_MAX_BYTES;
 use cranereach_core::claim::Claim;
-use cranereach_core::claim::Joining;
+use cranereach_core::claim::ClaimDecision;
 use cranereach_core::claim::KeptAnswer;
 use cranereach_core::claim::Outcome;
 use cranereach_core::claim::join;
@@ -119,16 +119,16 @@
         let found = shared.table.read::<Option<Claim>>(&row_key).await;
         let found = found.map_err(|_unread| Refusal::of(ResultCode::ClaimsUnavailable))?;
         match join(found.value.as_ref(), &claim.attempt_id, &claim.fingerprint) {
-            Joining::Send => expected_version = found.version,
-            Joining::Own => {
+            ClaimDecision::Send => expected_version = found.version,
+            ClaimDecision::Own => {
                 return Ok(Taken::Held(Held {
                     row_key,
                     version: found.version,
                     claim,
                 }));
             }
-            Joining::Replay(answer) => return Ok(Taken::Replay(answer)),
-            Joining::Tell(code) => return Err(Refusal::of(code)),
+            ClaimDecision::Replay(answer) => return Ok(Taken::Replay(answer)),
+            ClaimDecision::Tell(code) => return Err(Refusal::of(code)),
         }
     }
 }
--- a/crates/cranereach-entry/src/callers/exchange.rs
+++ b/crates/cranereach-entry/src/callers/exchange.rs
@@ -69,7 +69,7 @@
     );
     let ticket = Ticket::new(Arc::clone(&caller.shared), job.waiting(caller, now_ms));
     let attempt = Attempt::new(job.repeat, job.end_by_ms);
-    lock(&caller.shared.retry_budget).first_try();
+    lock(&caller.shared.retry_budget).record_first_attempt();
     Exchange {
         caller,
         job,
@@ -136,7 +136,7 @@
         let sent = match tokio::time::timeout_at(due, connection.send(request)).await {
             Ok(sent) => sent,
             Err(_elapsed) => {
-                self.judge(Event::Handed);
+                self.judge(Event::HandedToConnection);
                 return Err(Event::DeadlinePassed);
             }
         };
@@ -147,11 +147,11 @@
                 return Err(Event::NotConnected);
             }
             Err(SendError::Broken(_)) => {
-                self.judge(Event::Handed);
+                self.judge(Event::HandedToConnection);
                 return Err(Event::Broken);
             }
         };
-        self.judge(Event::Handed);
+        self.judge(Event::HandedToConnection);
         self.judge(Event::Head);
         self.check_head(worker, &answer)?;
         Ok(Head { answer, connection })
--- a/crates/cranereach-entry/src/config_sync.rs
+++ b/crates/cranereach-entry/src/config_sync.rs
@@ -57,7 +57,7 @@
     match shared.table.read::<HeadRow>(HEAD_KEY).await {
         Ok(row) => {
             let head = row.value.head().unwrap_or_default();
-            shared.config().read_table(shared.now_ms(), &head);
+            shared.config().observe_table_head(shared.now_ms(), &head);
         }
         Err(error) => {
             warn!(shared.log, "can't read the configuration's head"; "error" => error.to_string());
--- a/crates/cranereach-entry/src/control_actor/demand.rs
+++ b/crates/cranereach-entry/src/control_actor/demand.rs
@@ -118,7 +118,7 @@
                         .unwrap_or_default(),
                     replicas_before: place.replicas_before,
                     replicas_elsewhere: place.replicas_elsewhere,
-                    may_grow: place.may_grow,
+                    may_add_replica: place.may_add_replica,
                 }
             })
             .collect()
--- a/crates/cranereach-entry/src/control_actor/mod.rs
+++ b/crates/cranereach-entry/src/control_actor/mod.rs
@@ -27,7 +27,7 @@
 pub use self::messages::TakeParts;
 pub use self::messages::Tick;
 use self::residents::Residents;
-use crate::dispatch_actor::LoadTook;
+use crate::dispatch_actor::LoadCompleted;
 use crate::dispatch_actor::Reports;
 use crate::dispatch_actor::TakeDigest;
 use crate::platform::StoreError;
@@ -179,8 +179,8 @@
                 ControlAction::Send(order) => self.send_order(id, order),
                 ControlAction::ReadIntents => self.read_intents(id),
                 ControlAction::RecordIntents(row) => self.write_intents(id, row),
-                ControlAction::LoadTook(load_ms) => {
-                    tell(&self.shared.dispatcher, LoadTook(load_ms));
+                ControlAction::LoadCompleted(load_ms) => {
+                    tell(&self.shared.dispatcher, LoadCompleted(load_ms));
                 }
             }
         }
@@ -259,7 +259,7 @@
                 cell.control.intents_read(now_ms, &row.value);
             }),
             Ended::IntentsRead(id, Err(_)) => {
-                self.with_cell(&id, |cell| cell.control.intents_unread());
+                self.with_cell(&id, |cell| cell.control.intents_read_failed());
             }
             Ended::IntentsWritten(id, written) => self.intents_written(now_ms, &id, &written),
             Ended::Ordered(id, worker, fence, end) => {
@@ -283,7 +283,7 @@
         let orders = cell.control.intents_recorded(now_ms, written.is_ok());
         if written.is_err() {
             // Another wrote the row, or ours may stand: read it before the next.
-            cell.control.intents_lost();
+            cell.control.invalidate_intents();
         }
         for order in orders {
             self.send_order(id, order);
--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -95,7 +95,7 @@
 
 /// A load took this long, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadTook(pub u64);
+pub struct LoadCompleted(pub u64);
 
 /// Time has passed.
 #[derive(Clone, Copy, Debug)]
@@ -211,7 +211,7 @@
         self.replies.insert(message.waiting.request, message.reply);
         if message.is_again {
             self.kernel
-                .arrive_again(now_ms, message.waiting, &mut self.actions);
+                .requeue(now_ms, message.waiting, &mut self.actions);
         } else {
             self.kernel
                 .arrive(now_ms, message.waiting, &mut self.actions);
@@ -302,11 +302,11 @@
     }
 }
 
-impl Handler<LoadTook> for DispatchActor {
+impl Handler<LoadCompleted> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: LoadTook, _ctx: &mut Context<Self>) {
-        self.kernel.load_took(message.0);
+    async fn handle(&mut self, message: LoadCompleted, _ctx: &mut Context<Self>) {
+        self.kernel.record_load_time(message.0);
     }
 }
 
--- a/crates/cranereach-entry/src/peers/digests.rs
+++ b/crates/cranereach-entry/src/peers/digests.rs
@@ -98,7 +98,7 @@
     for part in &digest.parts {
         match part {
             DigestPart::Head(head) => {
-                shared.config().heard_head(head);
+                shared.config().observe_head(head);
                 if shared.config().missing().is_some() {
                     shared.config_wanted.notify_one();
                 }
--- a/crates/cranereach-entry/src/shared.rs
+++ b/crates/cranereach-entry/src/shared.rs
@@ -20,7 +20,7 @@
 use crate::platform::table::Table;
 use crate::settings::Settings;
 use crate::upstream::Upstreams;
-use cranereach_core::config::CONFIRM_WITHIN_MS;
+use cranereach_core::config::CONFIRMATION_TIMEOUT_MS;
 use cranereach_core::config::ConfigState;
 use cranereach_core::drain::Drain;
 use cranereach_core::drain::Phase;
@@ -185,7 +185,7 @@
         let now_ms = self.now_ms();
         let membership = self.membership();
         let listed_count = membership.listed_count();
-        let heard_count = membership.heard_count(now_ms, CONFIRM_WITHIN_MS);
+        let heard_count = membership.heard_count(now_ms, CONFIRMATION_TIMEOUT_MS);
         drop(membership);
         self.config().may_serve(now_ms, listed_count, heard_count)
     }
--- a/crates/cranereach-fleet/src/admission.rs
+++ b/crates/cranereach-fleet/src/admission.rs
@@ -34,7 +34,7 @@
     /// Send it.
     Send,
     /// Check again after a time, in milliseconds.
-    LookAgain(f64),
+    RecheckAfter(f64),
     /// Refuse it.
     Refuse,
 }
@@ -48,7 +48,7 @@
 /// let urgent = Admission { aim_ms: 800.0, urgent_aim_ms: None, is_whole: false };
 /// let patient = Admission { aim_ms: 6_000.0, urgent_aim_ms: Some(800.0), is_whole: false };
 /// assert_eq!(urgent.judge(850.0, 0.0), Verdict::Send);
-/// assert_eq!(patient.judge(850.0, 0.0), Verdict::LookAgain(200.0));
+/// assert_eq!(patient.judge(850.0, 0.0), Verdict::RecheckAfter(200.0));
 /// assert_eq!(patient.judge(850.0, 1_500.0), Verdict::Send);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -78,7 +78,7 @@
         if excess_ms <= 0.0 || waited_ms >= self.aim_ms * MAX_WAIT_SHARE {
             return Verdict::Send;
         }
-        Verdict::LookAgain(excess_ms.clamp(RECHECK_BOUNDS_MS.0, RECHECK_BOUNDS_MS.1))
+        Verdict::RecheckAfter(excess_ms.clamp(RECHECK_BOUNDS_MS.0, RECHECK_BOUNDS_MS.1))
     }
 
     /// Decides on a call that leaves no headroom for others.
--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -56,7 +56,7 @@
 
 /// Source of the report that a worker is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
+pub enum DepartureSource {
     /// The worker, in an answer to this instance.
     Worker,
     /// Another instance.
@@ -67,7 +67,7 @@
     Copy,
 }
 
-impl Teller {
+impl DepartureSource {
     /// Returns the name shown in logs and to operators.
     pub const fn name(self) -> &'static str {
         match self {
@@ -94,14 +94,14 @@
     /// Since when this instance knows it, in milliseconds.
     pub since_ms: u64,
     /// Where the report came from.
-    pub teller: Teller,
+    pub reporter: DepartureSource,
 }
 
 impl Departure {
     /// Whether this report replaces a known one: only a departure inferred from a restore is
     /// replaced, by an actual report.
     pub(crate) fn overrides(self, known: Self) -> bool {
-        known.teller == Teller::Copy && self.teller != Teller::Copy
+        known.reporter == DepartureSource::Copy && self.reporter != DepartureSource::Copy
     }
 }
 
@@ -137,7 +137,7 @@
     /// Forgets the incarnations recorded only to keep restored rows from bringing them back.
     pub(crate) fn forget_restored(&mut self) {
         self.by_incarnation
-            .retain(|_, departure| departure.teller != Teller::Copy);
+            .retain(|_, departure| departure.reporter != DepartureSource::Copy);
     }
 
     /// Counts the recorded incarnations.
--- a/crates/cranereach-fleet/src/first_read.rs
+++ b/crates/cranereach-fleet/src/first_read.rs
@@ -27,7 +27,7 @@
 
 /// Time per known instance over which the reads after that are spread, in milliseconds: about
 /// sixteen start in a second, however many instances there are.
-pub const SPREAD_EACH_MS: u64 = 60;
+pub const SPREAD_PER_INSTANCE_MS: u64 = 60;
 
 /// Time for which the first instance of a failure domain lets those go first that a peer elsewhere
 /// has told directly (the relays), in milliseconds. Some instances still know few others, and
@@ -58,7 +58,7 @@
 
 /// What an instance that still lacks the list or the configuration knows of its surroundings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Newcomer {
+pub struct JoiningInstance {
     /// Time since its start, in milliseconds.
     pub up_for_ms: u64,
     /// Seeds that come before it; none if it isn't a seed itself.
@@ -70,7 +70,7 @@
     /// Nearest peer known to have what it lacks.
     pub holder: Holder,
     /// Whether a peer elsewhere told it directly, so that it is to relay to its own failure domain.
-    pub is_gate: bool,
+    pub is_domain_relay: bool,
     /// Instances of its own failure domain that come before it.
     pub rank_in_domain: u64,
     /// Random number from zero to one, drawn at its start.
@@ -90,21 +90,21 @@
     Wait,
 }
 
-impl Newcomer {
+impl JoiningInstance {
     /// Returns where to look now.
     ///
     /// ```
     /// use cranereach_fleet::first_read::FirstSource;
     /// use cranereach_fleet::first_read::Holder;
-    /// use cranereach_fleet::first_read::Newcomer;
+    /// use cranereach_fleet::first_read::JoiningInstance;
     ///
-    /// let mut newcomer = Newcomer { up_for_ms: 10, ..Newcomer::default() };
-    /// assert_eq!(newcomer.source(), FirstSource::Wait);
-    /// newcomer.up_for_ms = 2_000;
-    /// assert_eq!(newcomer.source(), FirstSource::Store, "it hears nobody");
-    /// newcomer.has_heard = true;
-    /// newcomer.holder = Holder::Near;
-    /// assert_eq!(newcomer.source(), FirstSource::Near);
+    /// let mut joining_instance = JoiningInstance { up_for_ms: 10, ..JoiningInstance::default() };
+    /// assert_eq!(joining_instance.source(), FirstSource::Wait);
+    /// joining_instance.up_for_ms = 2_000;
+    /// assert_eq!(joining_instance.source(), FirstSource::Store, "it hears nobody");
+    /// joining_instance.has_heard = true;
+    /// joining_instance.holder = Holder::Near;
+    /// assert_eq!(joining_instance.source(), FirstSource::Near);
     /// ```
     pub fn source(&self) -> FirstSource {
         if self.holder == Holder::Near {
@@ -126,14 +126,14 @@
         };
         let others_ms = FIRST_IN_DOMAIN_HEAD_START_MS + self.jitter_ms(FAR_SPREAD_PER_INSTANCE_MS);
         let is_first = self.rank_in_domain == 0 && known_for_ms >= RELAY_HEAD_START_MS;
-        self.is_gate || is_first || known_for_ms >= others_ms
+        self.is_domain_relay || is_first || known_for_ms >= others_ms
     }
 
     /// Whether it is this instance's turn to read from the store.
     fn may_read_store(&self) -> bool {
         let due_ms = match self.seed_rank {
             Some(rank) => rank * SEED_STAGGER_MS,
-            None if self.has_heard => SEEDS_HEAD_START_MS + self.jitter_ms(SPREAD_EACH_MS),
+            None if self.has_heard => SEEDS_HEAD_START_MS + self.jitter_ms(SPREAD_PER_INSTANCE_MS),
             None => ALONE_AFTER_MS,
         };
         self.up_for_ms >= due_ms
--- a/crates/cranereach-fleet/src/freshness.rs
+++ b/crates/cranereach-fleet/src/freshness.rs
@@ -22,7 +22,7 @@
 
 /// Time within which rows that lapsed during an outage are back, and within which others have
 /// written again what a restored store had lost, in milliseconds.
-pub const BACK_WITHIN_MS: u64 = 2_300;
+pub const OUTAGE_RECOVERY_MS: u64 = 2_300;
 
 /// Returns the time at which news was true that a peer reported with its age, in milliseconds.
 ///
@@ -52,7 +52,7 @@
     /// Age that the list should not exceed.
     bound_ms: u64,
     /// Last time at which the list is known to have been complete.
-    true_at_ms: Option<u64>,
+    as_of_ms: Option<u64>,
     /// Until when rows that end may have lapsed only because of the last outage.
     lapses_until_ms: u64,
     /// Era of the store that news must belong to.
@@ -66,7 +66,7 @@
     pub fn new(bound_ms: u64) -> Self {
         Self {
             bound_ms,
-            true_at_ms: None,
+            as_of_ms: None,
             lapses_until_ms: 0,
             era: 0,
             restored_at_ms: None,
@@ -92,8 +92,8 @@
         if is_new {
             self.era = era;
             // An instance that has read nothing yet reads as it does after a start.
-            self.restored_at_ms = self.true_at_ms.or(self.restored_at_ms).map(|_| now_ms);
-            self.true_at_ms = None;
+            self.restored_at_ms = self.as_of_ms.or(self.restored_at_ms).map(|_| now_ms);
+            self.as_of_ms = None;
         }
         is_new
     }
@@ -106,18 +106,18 @@
     /// Returns for how long the list may have been out of date, in milliseconds; none if that isn't
     /// known.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
-        self.true_at_ms
-            .map(|true_at_ms| now_ms.saturating_sub(true_at_ms))
+        self.as_of_ms
+            .map(|as_of_ms| now_ms.saturating_sub(as_of_ms))
     }
 
     /// Returns the last time at which the list is known to have been complete, in milliseconds.
     pub fn known_at_ms(&self) -> Option<u64> {
-        self.true_at_ms
+        self.as_of_ms
     }
 
     /// Whether the list isn't yet known to have been complete at a time.
-    pub fn is_older_than(&self, true_at_ms: u64) -> bool {
-        self.true_at_ms.is_none_or(|known_ms| known_ms < true_at_ms)
+    pub fn is_older_than(&self, as_of_ms: u64) -> bool {
+        self.as_of_ms.is_none_or(|known_ms| known_ms < as_of_ms)
     }
 
     /// Returns when this instance reads unless it is told of changes before, in milliseconds.
@@ -129,16 +129,16 @@
         let unknown_due_ms = self
             .restored_at_ms
             .map_or(0, |at_ms| at_ms + after_first_ms);
-        self.true_at_ms.map_or(unknown_due_ms, |true_at_ms| {
-            true_at_ms + (self.bound_ms as f64 * share) as u64
+        self.as_of_ms.map_or(unknown_due_ms, |as_of_ms| {
+            as_of_ms + (self.bound_ms as f64 * share) as u64
         })
     }
 
     /// Whether news that was true at a time ends an outage: the list had been out of date for
     /// longer than the bound, or was of an earlier era.
-    pub fn ends_outage(&self, true_at_ms: u64) -> bool {
-        let is_late = |before_ms| true_at_ms > before_ms + self.bound_ms;
-        self.restored_at_ms.is_some() || self.true_at_ms.is_some_and(is_late)
+    pub fn ends_outage(&self, as_of_ms: u64) -> bool {
+        let is_late = |before_ms| as_of_ms > before_ms + self.bound_ms;
+        self.restored_at_ms.is_some() || self.as_of_ms.is_some_and(is_late)
     }
 
     /// Takes the arrival of news that was true at a time. Returns until when rows that it ends may
@@ -146,21 +146,21 @@
     ///
     /// While the store is unavailable, the rows of live workers may lapse; they come back when it
     /// does.
-    pub fn lapse_until_ms(&mut self, now_ms: u64, true_at_ms: u64) -> Option<u64> {
-        if self.ends_outage(true_at_ms) {
-            self.lapses_until_ms = now_ms + BACK_WITHIN_MS;
+    pub fn lapse_until_ms(&mut self, now_ms: u64, as_of_ms: u64) -> Option<u64> {
+        if self.ends_outage(as_of_ms) {
+            self.lapses_until_ms = now_ms + OUTAGE_RECOVERY_MS;
         }
         (now_ms < self.lapses_until_ms).then_some(self.lapses_until_ms)
     }
 
     /// Notes a time at which the list was complete.
-    pub fn confirm(&mut self, true_at_ms: u64) {
+    pub fn confirm(&mut self, as_of_ms: u64) {
         self.restored_at_ms = None;
-        self.true_at_ms = Some(true_at_ms.max(self.true_at_ms.unwrap_or(0)));
+        self.as_of_ms = Some(as_of_ms.max(self.as_of_ms.unwrap_or(0)));
     }
 
     /// Discards what is known of the list's freshness, as after a pause of the whole process.
-    pub fn distrust(&mut self) {
-        self.true_at_ms = None;
+    pub fn invalidate(&mut self) {
+        self.as_of_ms = None;
     }
 }
--- a/crates/cranereach-fleet/src/health.rs
+++ b/crates/cranereach-fleet/src/health.rs
@@ -92,7 +92,7 @@
 
     /// Whether this instance itself recently failed to reach the worker; reports from peers
     /// don't count, so they aren't passed on.
-    pub fn has_missed(&self, now_ms: u64) -> bool {
+    pub fn has_failed_to_connect(&self, now_ms: u64) -> bool {
         self.last_unreachable_ms
             .is_some_and(|at_ms| now_ms < at_ms + UNREACHABLE_REPORT_MS)
     }
@@ -128,7 +128,7 @@
 
     /// Whether a repeatable call should be sent to an ejected worker as a probe; if so,
     /// schedules the next probe.
-    pub fn may_probe_aside(&mut self, now_ms: u64) -> bool {
+    pub fn may_probe_ejected(&mut self, now_ms: u64) -> bool {
         let may_probe = !self.is_unreachable(now_ms) && now_ms >= self.next_ejection_probe_ms;
         if may_probe {
             self.next_ejection_probe_ms = now_ms + EJECTION_PROBE_INTERVAL_MS;
--- a/crates/cranereach-fleet/src/lib.rs
+++ b/crates/cranereach-fleet/src/lib.rs
@@ -48,9 +48,9 @@
 //! - [`ledger`]: orders that are open
 //!
 //! ```
-//! use cranereach_fleet::tenure::Tenure;
+//! use cranereach_fleet::tenure::LeaseState;
 //!
-//! assert!(!Tenure::new("entry-1", 3_000).may_order(0));
+//! assert!(!LeaseState::new("entry-1", 3_000).may_order(0));
 //! ```
 
 pub mod accounts;
--- a/crates/cranereach-fleet/src/limits.rs
+++ b/crates/cranereach-fleet/src/limits.rs
@@ -169,11 +169,11 @@
 
 /// One instance's usage of all accounts' limits.
 #[derive(Clone, Debug, Default)]
-pub struct Uses {
+pub struct AccountUsages {
     by_account: HashMap<u64, Usage>,
 }
 
-impl Uses {
+impl AccountUsages {
     /// Decides whether a request of the given cost, in units, can be paid for.
     pub fn decide(
         &mut self,
@@ -228,7 +228,7 @@
     /// For a limited time an instance continues at the rate that owners granted it before. Units
     /// used this way are requested once an owner answers again, so that owners that are briefly
     /// late do not increase the total usage.
-    pub fn may_run_alone(&mut self, now_ms: u64, account: u64, cost: f64) -> bool {
+    pub fn may_run_without_owner(&mut self, now_ms: u64, account: u64, cost: f64) -> bool {
         let Some(usage) = self.by_account.get_mut(&account) else {
             return false;
         };
--- a/crates/cranereach-fleet/src/listing.rs
+++ b/crates/cranereach-fleet/src/listing.rs
@@ -308,7 +308,7 @@
     ///
     /// All instances that got their first list from the same reader can then send each other the
     /// changes since any position that one of them stood at.
-    pub fn inherit(&mut self, position: StorePosition, history: History) {
+    pub fn adopt_history(&mut self, position: StorePosition, history: History) {
         if position == self.position {
             self.history = history;
         }
--- a/crates/cranereach-fleet/src/load.rs
+++ b/crates/cranereach-fleet/src/load.rs
@@ -58,7 +58,7 @@
     ///
     /// Prompts are prefilled in chunks between decode steps, so an event of several tokens
     /// is delayed by all prefill in the meantime.
-    pub(crate) fn held_up_ms(&self, reading_ms: f64, gap_aim_ms: Option<f64>) -> f64 {
+    pub(crate) fn prefill_pause_cost_ms(&self, reading_ms: f64, gap_aim_ms: Option<f64>) -> f64 {
         let Some(gap_aim_ms) = gap_aim_ms else {
             return 0.0;
         };
@@ -72,7 +72,7 @@
     /// Returns the cost of occupying one more slot, in milliseconds: the mean time until a
     /// slot becomes free, times an estimate of the probability that another request has to
     /// wait for one.
-    pub(crate) fn crowding_ms(&self, slot_count: u32) -> f64 {
+    pub(crate) fn slot_contention_ms(&self, slot_count: u32) -> f64 {
         if slot_count == 0 {
             return 0.0;
         }
@@ -90,7 +90,7 @@
 
 /// Load that a worker reported in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SaidLoad {
+pub struct ReportedLoad {
     /// Running requests.
     pub running_count: u32,
     /// Waiting requests.
--- a/crates/cranereach-fleet/src/membership.rs
+++ b/crates/cranereach-fleet/src/membership.rs
@@ -59,7 +59,7 @@
 
 /// Gossip entry about one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     /// Address of the member.
     pub address: Ipv4Addr,
     /// Failure domain of the member.
@@ -147,7 +147,7 @@
 
     /// Records a message received from the member itself.
     pub fn saw(&mut self, now_ms: u64, address: Ipv4Addr, domain: DomainTag, is_leaving: bool) {
-        let update = MemberNews {
+        let update = MemberUpdate {
             address,
             domain,
             age_ms: 0,
@@ -158,11 +158,11 @@
 
     /// Merges the entries of a received message; returns how many were ignored because the
     /// message had too many.
-    pub fn told(&mut self, now_ms: u64, updates: &[MemberNews]) -> usize {
+    pub fn told(&mut self, now_ms: u64, updates: &[MemberUpdate]) -> usize {
         for update in updates.iter().take(TOLD_MAX_COUNT) {
             let last_seen_ms =
                 now_ms.saturating_sub(u64::from(update.age_ms) + TRANSIT_ALLOWANCE_MS);
-            if now_ms < last_seen_ms + self.alive_within_ms() {
+            if now_ms < last_seen_ms + self.liveness_timeout_ms() {
                 self.note(now_ms, last_seen_ms, update);
             }
         }
@@ -170,7 +170,7 @@
     }
 
     /// Records when a member was last heard from, unless a later time is known.
-    fn note(&mut self, now_ms: u64, last_seen_ms: u64, update: &MemberNews) {
+    fn note(&mut self, now_ms: u64, last_seen_ms: u64, update: &MemberUpdate) {
         let address = update.address;
         let is_full = self.known.len() >= MEMBER_MAX_COUNT;
         if address == self.own || (is_full && !self.known.contains_key(&address)) {
@@ -192,7 +192,7 @@
 
     /// Returns the liveness timeout: the silence after which a member counts as dead, in
     /// milliseconds.
-    pub fn alive_within_ms(&self) -> u64 {
+    pub fn liveness_timeout_ms(&self) -> u64 {
         LIVENESS_TIMEOUT_BASE_MS + LIVENESS_TIMEOUT_PER_MEMBER_MS * self.known.len() as u64
     }
 
@@ -209,7 +209,7 @@
 
     /// Lists the same members with their full records.
     fn alive_members(&self, now_ms: u64) -> impl Iterator<Item = (Ipv4Addr, &Member)> {
-        let within_ms = self.alive_within_ms();
+        let within_ms = self.liveness_timeout_ms();
         let alive = self.known.iter().filter(move |(_, member)| {
             let at_ms = member.last_seen_ms;
             at_ms.is_some_and(|at_ms| now_ms < at_ms + within_ms) && !member.is_leaving
@@ -236,7 +236,7 @@
     /// Lists the members that exceeded the liveness timeout, including seeds never heard
     /// from, so that they can be contacted again.
     pub fn silent(&self, now_ms: u64) -> impl Iterator<Item = Ipv4Addr> {
-        let within_ms = self.alive_within_ms();
+        let within_ms = self.liveness_timeout_ms();
         let silent = self.known.iter().filter(move |(_, member)| {
             let at_ms = member.last_seen_ms;
             at_ms.is_none_or(|at_ms| now_ms >= at_ms + within_ms)
@@ -247,7 +247,7 @@
     /// Drops members that have been silent for several times the liveness timeout; seeds
     /// are kept.
     pub fn forget(&mut self, now_ms: u64) {
-        let after_ms = self.alive_within_ms() * FORGET_TIMEOUT_FACTOR;
+        let after_ms = self.liveness_timeout_ms() * FORGET_TIMEOUT_FACTOR;
         let seeds = &self.seeds;
         self.known.retain(|address, member| {
             let at_ms = member.last_seen_ms.unwrap_or(member.first_known_ms);
@@ -256,16 +256,16 @@
     }
 
     /// Picks a random sample of member entries for the next message.
-    pub fn sample<R: Rng>(&self, now_ms: u64, rng: &mut R) -> Vec<MemberNews> {
+    pub fn sample<R: Rng>(&self, now_ms: u64, rng: &mut R) -> Vec<MemberUpdate> {
         self.updates(now_ms).sample(rng, TOLD_MAX_COUNT)
     }
 
     /// Lists the entries of all members heard from within the liveness timeout.
-    fn updates(&self, now_ms: u64) -> impl Iterator<Item = MemberNews> {
-        let within_ms = self.alive_within_ms();
+    fn updates(&self, now_ms: u64) -> impl Iterator<Item = MemberUpdate> {
+        let within_ms = self.liveness_timeout_ms();
         self.known.iter().filter_map(move |(address, member)| {
             let age_ms = now_ms.saturating_sub(member.last_seen_ms?);
-            (age_ms < within_ms).then_some(MemberNews {
+            (age_ms < within_ms).then_some(MemberUpdate {
                 address: *address,
                 domain: member.domain,
                 age_ms: age_ms as u32,
@@ -281,8 +281,8 @@
         now_ms: u64,
         domain: DomainTag,
         rng: &mut R,
-    ) -> Vec<MemberNews> {
-        let (near, far): (Vec<MemberNews>, Vec<MemberNews>) = self
+    ) -> Vec<MemberUpdate> {
+        let (near, far): (Vec<MemberUpdate>, Vec<MemberUpdate>) = self
             .updates(now_ms)
             .partition(|update| update.domain == domain);
         let mut chosen = near.into_iter().sample(rng, TOLD_MAX_COUNT);
@@ -336,7 +336,7 @@
     }
 
     /// Returns for how long the set of live members is unchanged, in milliseconds.
-    pub fn same_for_ms(&self, now_ms: u64) -> u64 {
+    pub fn unchanged_for_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.unchanged_since_ms)
     }
 
--- a/crates/cranereach-fleet/src/membership/order.rs
+++ b/crates/cranereach-fleet/src/membership/order.rs
@@ -53,7 +53,7 @@
             return now_ms;
         }
         let own = weight(purpose, self.own);
-        let within_ms = self.alive_within_ms();
+        let within_ms = self.liveness_timeout_ms();
         let gone_at_ms = self.known.iter().filter_map(|(address, member)| {
             let last_seen_ms = member.last_seen_ms?;
             let at_ms = if member.is_leaving {
--- a/crates/cranereach-fleet/src/named_limit.rs
+++ b/crates/cranereach-fleet/src/named_limit.rs
@@ -14,14 +14,14 @@
 use serde::Serialize;
 
 /// Time after which a limit that is no longer named expires, in milliseconds: six requests
-/// at the lowest rate that any worker gets ([`LEAST_RATE_PER_S`]). A worker that receives
+/// at the lowest rate that any worker gets ([`MIN_RATE_PER_S`]). A worker that receives
 /// requests names its limit again long before.
 pub const LAPSES_AFTER_MS: u64 = 60_000;
 
 /// Minimum rate of requests to any worker, in requests per second, whatever limit it names:
 /// without an answer it could not report its recovery. One request in ten seconds is within
 /// what is tolerated of a worker that names no limit at all.
-pub const LEAST_RATE_PER_S: f64 = 0.1;
+pub const MIN_RATE_PER_S: f64 = 0.1;
 
 /// Requests per second from which a limit counts as none: no worker is sent that many.
 const UNLIMITED_RATE_PER_S: f64 = 1_000_000.0;
@@ -76,7 +76,7 @@
 
 /// Report about a worker's limit, as exchanged between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// Key of the worker's start that the report is about.
     pub start: u64,
     /// Requests per second; none if the worker no longer names a limit.
@@ -143,7 +143,7 @@
     }
 
     /// Merges another instance's report; returns whether the rate in force changes.
-    pub fn told(&mut self, now_ms: u64, received: &LimitWord) -> bool {
+    pub fn told(&mut self, now_ms: u64, received: &LimitReport) -> bool {
         let is_rate = |rate: f64| (0.0..UNLIMITED_RATE_PER_S).contains(&rate);
         if !received.rate_per_s.is_none_or(is_rate) {
             return false;
@@ -199,11 +199,11 @@
 
     /// Returns the report for other instances, with the key of the worker's start; none if
     /// no limit, nor its end, was reported within [`LAPSES_AFTER_MS`].
-    pub fn word(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitWord> {
+    pub fn word(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitReport> {
         let newest = self.newest.as_ref();
         let report = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS)?;
         let age_ms = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
-        Some(LimitWord {
+        Some(LimitReport {
             start: start(),
             rate_per_s: report.rate_per_s,
             asked_age_ms: age_ms(report.asked_ms),
--- a/crates/cranereach-fleet/src/outage_pace.rs
+++ b/crates/cranereach-fleet/src/outage_pace.rs
@@ -15,7 +15,7 @@
 
 /// Returns whether an instance that leaves retries to others probes the store now.
 ///
-/// `instance_count` is the number of such instances, `looked_ms` the time since this instance's
+/// `instance_count` is the number of such instances, `since_check_ms` the time since this instance's
 /// last check in milliseconds, and `chance` a random number between zero and one, drawn for this
 /// check.
 ///
@@ -27,8 +27,8 @@
 /// assert!(!tries_now(1_000, 100, 0.002));
 /// assert!(!tries_now(10_000, 100, 0.001));
 /// ```
-pub fn tries_now(instance_count: usize, looked_ms: u64, chance: f64) -> bool {
+pub fn tries_now(instance_count: usize, since_check_ms: u64, chance: f64) -> bool {
     let mean_pause_ms =
         (instance_count as f64 * 1_000.0 / OTHERS_CALLS_PER_S).max(MEAN_PAUSE_MIN_MS);
-    chance < looked_ms as f64 / mean_pause_ms
+    chance < since_check_ms as f64 / mean_pause_ms
 }
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -21,9 +21,9 @@
 use crate::load::RANK_COUNT;
 use crate::pauses::Place;
 use crate::pausing::PauseMonitor;
-use crate::prefixes::KeptPrefixes;
+use crate::prefixes::CachedPrefixes;
 use crate::prefixes::PromptPart;
-use crate::reading_plan::ReadingPlan;
+use crate::reading_plan::PrefillSchedule;
 
 /// Time beyond the multiple of the prediction after which a request no longer counts as waiting, in
 /// milliseconds: the message that its prompt was prefilled must have been lost.
@@ -62,7 +62,7 @@
 
 /// A request that is being sent to a worker, as its owner is notified of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Opening {
+pub struct SentRequest {
     /// Priority rank, zero first.
     pub rank: u8,
     /// Prefill time of the uncached part of its prompt, in milliseconds.
@@ -87,7 +87,7 @@
 /// Maximum accepted for a reported time, in milliseconds.
 const REPORTED_TIME_MAX_MS: f32 = 600_000.0;
 
-impl Opening {
+impl SentRequest {
     /// Returns a copy with its times clamped, since values from the network may be implausible.
     fn bounded(self) -> Self {
         let bounded_ms = |reported_ms: f32| {
@@ -138,7 +138,7 @@
     /// Whether calls should go to other workers for now.
     pub is_aside: bool,
     /// Whether it runs a request that is suspected of crashing workers (see
-    /// [`Opening::runs_alone`]).
+    /// [`SentRequest::runs_alone`]).
     pub has_suspect: bool,
     /// Delay before the prompt is to be sent so that it makes no stream pause for too long, in
     /// milliseconds; usually zero.
@@ -154,7 +154,7 @@
 /// An open request at a worker.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
-    request: Opening,
+    request: SentRequest,
     /// Until when it counts as waiting if no notification arrives, in milliseconds; none once its
     /// prompt has been prefilled.
     waiting_until_ms: Option<u64>,
@@ -177,12 +177,12 @@
 #[derive(Clone, Debug)]
 struct OwnedWorker {
     open: HashMap<Ticket, OpenRequest>,
-    kept: KeptPrefixes,
+    kept: CachedPrefixes,
     health: Health,
     pace_ratio: f64,
     slowdown_updated_at_ms: u64,
     pause_monitor: PauseMonitor,
-    plan: ReadingPlan,
+    plan: PrefillSchedule,
     last_used_ms: u64,
 }
 
@@ -190,12 +190,12 @@
     fn default() -> Self {
         Self {
             open: HashMap::new(),
-            kept: KeptPrefixes::default(),
+            kept: CachedPrefixes::default(),
             health: Health::default(),
             pace_ratio: 1.0,
             slowdown_updated_at_ms: 0,
             pause_monitor: PauseMonitor::default(),
-            plan: ReadingPlan::default(),
+            plan: PrefillSchedule::default(),
             last_used_ms: 0,
         }
     }
@@ -204,11 +204,11 @@
 /// Workers that this instance owns, by key.
 ///
 /// ```
-/// use cranereach_fleet::owned::Opening;
+/// use cranereach_fleet::owned::SentRequest;
 /// use cranereach_fleet::owned::OwnedWorkers;
 ///
 /// let mut owned = OwnedWorkers::default();
-/// let opening = Opening { unread_ms: 100.0, ends_within_ms: 5_000, ..Opening::default() };
+/// let opening = SentRequest { unread_ms: 100.0, ends_within_ms: 5_000, ..SentRequest::default() };
 /// owned.begun(1_000, 7, (1, 1), opening, &[]);
 /// assert_eq!(owned.standing(1_010, 7, &[], 100.0).load.open_count, 1);
 /// ```
@@ -263,7 +263,7 @@
     ) -> Standing {
         let mut standing = self.standing(now_ms, worker, parts, reading_ms);
         if let (true, Some(state)) = (standing.is_aside, self.by_key.get_mut(&worker)) {
-            standing.is_aside = !state.health.may_probe_aside(now_ms);
+            standing.is_aside = !state.health.may_probe_ejected(now_ms);
         }
         standing
     }
@@ -274,7 +274,7 @@
         now_ms: u64,
         worker: u64,
         ticket: Ticket,
-        request: Opening,
+        request: SentRequest,
         parts: &[PromptPart],
     ) {
         let request = request.bounded();
--- a/crates/cranereach-fleet/src/pace.rs
+++ b/crates/cranereach-fleet/src/pace.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns slope and intercept of the fit; the slope is at least `MIN_TOKEN_MS`.
-    fn coefficients(&self) -> Pace {
+    fn coefficients(&self) -> PrefillCost {
         let spread = self.count * self.tokens_squared - self.tokens * self.tokens;
         let slope = self.count * self.tokens_took_ms - self.tokens * self.took_ms;
         let token_ms = if spread > 0.0 { slope / spread } else { 0.0 };
@@ -75,7 +75,7 @@
         let max_token_ms = self.took_ms / self.tokens.max(1.0);
         let token_ms = token_ms.clamp(MIN_TOKEN_MS, max_token_ms.max(MIN_TOKEN_MS));
         let fixed_ms = (self.took_ms - token_ms * self.tokens) / self.count;
-        Pace {
+        PrefillCost {
             token_ms,
             fixed_ms: fixed_ms.max(0.0),
         }
@@ -84,7 +84,7 @@
 
 /// Time that a worker takes to prefill a prompt of a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace {
+pub struct PrefillCost {
     /// Prefill time per token, in milliseconds.
     pub token_ms: f64,
     /// Fixed time per request, in milliseconds: the network round trip and the first decode step.
@@ -93,13 +93,13 @@
 
 /// Prefill times by model.
 #[derive(Clone, Debug, Default)]
-pub struct Paces {
+pub struct PrefillCosts {
     by_model: HashMap<String, LinearFit>,
 }
 
-impl Paces {
+impl PrefillCosts {
     /// Returns the prefill time of a model.
-    pub fn of(&self, model: &str) -> Pace {
+    pub fn of(&self, model: &str) -> PrefillCost {
         let fit = self.by_model.get(model);
         fit.map_or_else(
             || LinearFit::prior().coefficients(),
@@ -111,9 +111,9 @@
     /// number of its prompt tokens that the worker had not cached.
     ///
     /// ```
-    /// use cranereach_fleet::pace::Paces;
+    /// use cranereach_fleet::pace::PrefillCosts;
     ///
-    /// let mut paces = Paces::default();
+    /// let mut paces = PrefillCosts::default();
     /// paces.learn("m1", 1_000, 20.0);
     /// assert!(paces.of("m1").token_ms < paces.of("m2").token_ms);
     /// ```
--- a/crates/cranereach-fleet/src/pauses.rs
+++ b/crates/cranereach-fleet/src/pauses.rs
@@ -7,7 +7,7 @@
 
 /// Timing of a worker's steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stepping {
+pub struct StepTiming {
     /// Steps per event, which is the number of tokens that an event holds.
     pub event_steps: usize,
     /// Duration of a step without prefill, in milliseconds.
@@ -52,7 +52,7 @@
 
 /// Simulates a worker's steps from its first prompt until all are prefilled and the steps of one
 /// more event have passed.
-fn steps(stepping: &Stepping, arrivals: &[Arrival]) -> Vec<Step> {
+fn steps(stepping: &StepTiming, arrivals: &[Arrival]) -> Vec<Step> {
     let mut steps: Vec<Step> = Vec::with_capacity(arrivals.len() * 2 + stepping.event_steps);
     let mut waiting: Vec<Arrival> = Vec::new();
     let mut upcoming = arrivals.iter().copied().peekable();
@@ -101,10 +101,10 @@
 ///
 /// ```
 /// use cranereach_fleet::pauses::Arrival;
-/// use cranereach_fleet::pauses::Stepping;
+/// use cranereach_fleet::pauses::StepTiming;
 /// use cranereach_fleet::pauses::longest_ms;
 ///
-/// let stepping = Stepping { event_steps: 3, step_ms: 10.0, chunk_ms: 200.0 };
+/// let stepping = StepTiming { event_steps: 3, step_ms: 10.0, chunk_ms: 200.0 };
 /// let prompt = |at_ms| Arrival { at_ms, reading_ms: 100.0, read_at_ms: None };
 /// // All at once: three full chunks.
 /// assert_eq!(longest_ms(&stepping, &[prompt(0.0); 8], 0.0), 630.0);
@@ -112,7 +112,7 @@
 /// let spread: Vec<_> = (0..8).map(|number| prompt(f64::from(number) * 150.0)).collect();
 /// assert!(longest_ms(&stepping, &spread, 0.0) < 300.0);
 /// ```
-pub fn longest_ms(stepping: &Stepping, arrivals: &[Arrival], from_ms: f64) -> f64 {
+pub fn longest_ms(stepping: &StepTiming, arrivals: &[Arrival], from_ms: f64) -> f64 {
     let steps = steps(stepping, arrivals);
     let events = steps.windows(stepping.event_steps.max(1));
     let lengths = events.filter_map(|event| {
@@ -128,7 +128,7 @@
 ///
 /// A prompt that exceeds the limit by itself is placed where it doesn't overlap with others.
 pub fn place(
-    stepping: &Stepping,
+    stepping: &StepTiming,
     arrivals: &[Arrival],
     now_ms: f64,
     reading_ms: f64,
--- a/crates/cranereach-fleet/src/prefixes.rs
+++ b/crates/cranereach-fleet/src/prefixes.rs
@@ -41,11 +41,11 @@
 
 /// Prompt parts that are probably in a worker's prefix cache.
 #[derive(Clone, Debug, Default)]
-pub struct KeptPrefixes {
+pub struct CachedPrefixes {
     used_at_ms: HashMap<u64, u64>,
 }
 
-impl KeptPrefixes {
+impl CachedPrefixes {
     /// Returns how many leading tokens of a prompt are probably cached and need no prefill.
     pub fn kept_tokens(&self, parts: &[PromptPart]) -> u32 {
         let kept = parts
--- a/crates/cranereach-fleet/src/proof.rs
+++ b/crates/cranereach-fleet/src/proof.rs
@@ -11,8 +11,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::freshness::BACK_WITHIN_MS;
 use crate::freshness::Freshness;
+use crate::freshness::OUTAGE_RECOVERY_MS;
 use crate::store_position::StorePosition;
 
 /// Share of the bound within which a proof is accepted. The rest covers a delayed store: its change
@@ -21,7 +21,7 @@
 
 /// A query for a peer's proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProofQuestion {
+pub struct ProofQuery {
     /// Number of the sender's process start.
     pub boot: u64,
     /// When it is sent, in milliseconds of the sender's clock.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofAnswer {
     /// The query, unchanged.
-    pub question: ProofQuestion,
+    pub question: ProofQuery,
     /// Version in force at the peer.
     pub version: u64,
     /// Era of the store that the peer knows.
@@ -110,7 +110,7 @@
     pub fn enter_era(&mut self, now_ms: u64, era: u64) {
         if era > self.era {
             self.era = era;
-            self.settles_at_ms = now_ms + BACK_WITHIN_MS;
+            self.settles_at_ms = now_ms + OUTAGE_RECOVERY_MS;
         }
     }
 
@@ -120,15 +120,15 @@
     }
 
     /// Records that the store, in an answer of the given era, had nothing newer at a moment.
-    pub fn read(&mut self, era: u64, true_at_ms: u64) {
-        if era == self.era && true_at_ms >= self.settles_at_ms {
-            self.freshness.confirm(true_at_ms);
+    pub fn read(&mut self, era: u64, as_of_ms: u64) {
+        if era == self.era && as_of_ms >= self.settles_at_ms {
+            self.freshness.confirm(as_of_ms);
         }
     }
 
     /// Creates a query to a peer.
-    pub fn question(&self, now_ms: u64) -> ProofQuestion {
-        ProofQuestion {
+    pub fn question(&self, now_ms: u64) -> ProofQuery {
+        ProofQuery {
             boot: self.boot,
             asked_at_ms: now_ms,
             evacuations_position: self.evacuations_position,
@@ -136,7 +136,7 @@
     }
 
     /// Answers a peer's query.
-    pub fn answer(&self, now_ms: u64, question: ProofQuestion) -> ProofAnswer {
+    pub fn answer(&self, now_ms: u64, question: ProofQuery) -> ProofAnswer {
         ProofAnswer {
             question,
             version: self.version,
@@ -161,10 +161,10 @@
         if !is_own || is_behind || !is_of_era || age_ms > answer.question.asked_at_ms {
             return false;
         }
-        let true_at_ms = answer.question.asked_at_ms - age_ms;
-        let is_later = self.freshness.is_older_than(true_at_ms);
+        let as_of_ms = answer.question.asked_at_ms - age_ms;
+        let is_later = self.freshness.is_older_than(as_of_ms);
         if is_later {
-            self.freshness.confirm(true_at_ms);
+            self.freshness.confirm(as_of_ms);
         }
         is_later
     }
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -28,7 +28,7 @@
 
 pub use self::gossip::Change;
 pub use self::gossip::GossipedEnd;
-pub use self::gossip::SuspectNews;
+pub use self::gossip::SuspectUpdate;
 pub use self::gossip::TOLD_MAX_COUNT;
 pub use self::local::Listed;
 pub use self::local::Seen;
--- a/crates/cranereach-fleet/src/quarantine/gossip.rs
+++ b/crates/cranereach-fleet/src/quarantine/gossip.rs
@@ -38,7 +38,7 @@
 
 /// What is gossiped about one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
     /// Size of the body, in bytes.
@@ -65,7 +65,7 @@
     Suspicion,
 }
 
-impl SuspectNews {
+impl SuspectUpdate {
     /// Returns the mark that identifies the request.
     pub fn mark(&self) -> RequestMark {
         RequestMark {
@@ -95,7 +95,7 @@
 
 impl Suspect {
     /// Merges an update from another instance. Returns whether anything changed.
-    fn merge(&mut self, now_ms: i64, update: &SuspectNews) -> bool {
+    fn merge(&mut self, now_ms: i64, update: &SuspectUpdate) -> bool {
         let at_ms = |age_ms: u32| now_ms - i64::from(age_ms);
         let cleared_at_ms = update.cleared_age_ms.map(at_ms);
         // Each gossip hop makes the time of clearing a little later: it counts as new only if it
@@ -125,7 +125,7 @@
 
 impl Quarantine {
     /// Applies an update from another instance.
-    pub fn take(&mut self, now_ms: i64, update: &SuspectNews) -> Change {
+    pub fn take(&mut self, now_ms: i64, update: &SuspectUpdate) -> Change {
         let mark = update.mark();
         let before = self.suspicion(mark);
         let is_known = self.suspects.contains_key(&mark);
@@ -147,20 +147,25 @@
     }
 
     /// Returns what is known about a request, if anything.
-    pub fn news_of(&self, now_ms: i64, mark: RequestMark) -> Option<SuspectNews> {
+    pub fn update_for(&self, now_ms: i64, mark: RequestMark) -> Option<SuspectUpdate> {
         let suspect = self.suspects.get(&mark)?;
-        Some(SuspectNews::from_suspect(now_ms, mark, suspect))
+        Some(SuspectUpdate::from_suspect(now_ms, mark, suspect))
     }
 
     /// Returns the quarantined requests to store, given those already stored: first the ones known
     /// here, most recently requested first, then stored ones that have not been cleared.
-    pub fn lasting(&self, now_ms: i64, kept: &[SuspectNews], max_count: usize) -> Vec<SuspectNews> {
+    pub fn lasting(
+        &self,
+        now_ms: i64,
+        kept: &[SuspectUpdate],
+        max_count: usize,
+    ) -> Vec<SuspectUpdate> {
         let suspects = self.suspects.iter();
         let quarantined = suspects.filter(|(_, suspect)| suspect.suspicion().is_quarantined);
         let mut quarantined: Vec<_> = quarantined.collect();
         quarantined.sort_unstable_by_key(|(_, suspect)| -suspect.requested_at_ms);
         let own = quarantined.into_iter();
-        let own = own.map(|(mark, suspect)| SuspectNews::from_suspect(now_ms, *mark, suspect));
+        let own = own.map(|(mark, suspect)| SuspectUpdate::from_suspect(now_ms, *mark, suspect));
         let others = kept.iter().filter(|entry| {
             let mark = entry.mark();
             !self.is_cleared(mark) && !self.suspicion(mark).is_quarantined
@@ -170,7 +175,7 @@
 
     /// Chooses the content of the next digest: recent changes first, then persistent entries
     /// and surplus recent ones in random order, then single ends, newest first.
-    pub fn news<R: Rng>(&self, now_ms: i64, rng: &mut R) -> Vec<SuspectNews> {
+    pub fn news<R: Rng>(&self, now_ms: i64, rng: &mut R) -> Vec<SuspectUpdate> {
         let mut recent = Vec::new();
         let mut persistent = Vec::new();
         let mut single = Vec::new();
@@ -192,7 +197,7 @@
         let selected = recent.into_iter().chain(persistent).chain(single);
         let selected = selected.take(TOLD_MAX_COUNT);
         selected
-            .map(|(_, mark, suspect)| SuspectNews::from_suspect(now_ms, *mark, suspect))
+            .map(|(_, mark, suspect)| SuspectUpdate::from_suspect(now_ms, *mark, suspect))
             .collect()
     }
 }
--- a/crates/cranereach-fleet/src/reading_plan.rs
+++ b/crates/cranereach-fleet/src/reading_plan.rs
@@ -8,7 +8,7 @@
 use crate::pauses;
 use crate::pauses::Arrival;
 use crate::pauses::Place;
-use crate::pauses::Stepping;
+use crate::pauses::StepTiming;
 
 /// Time of a decode step without any prefill, in milliseconds: large models take 10 to 13
 /// ms per token.
@@ -36,7 +36,7 @@
 
 /// Prompt schedule of one worker.
 #[derive(Clone, Debug, Default)]
-pub struct ReadingPlan {
+pub struct PrefillSchedule {
     /// Sorted by arrival time.
     planned: Vec<PlannedPrompt>,
     /// Longest allowed pause in a stream, in milliseconds; zero for no limit.
@@ -44,7 +44,7 @@
     event_steps: usize,
 }
 
-impl ReadingPlan {
+impl PrefillSchedule {
     /// Sets what the worker's streams allow: the longest pause in milliseconds (zero for no
     /// limit) and the number of tokens per event.
     pub fn allow(&mut self, gap_aim_ms: f64, event_tokens: u32) {
@@ -144,8 +144,8 @@
     }
 
     /// Returns the parameters of the worker's steps, as far as they are known.
-    fn stepping(&self) -> Stepping {
-        Stepping {
+    fn stepping(&self) -> StepTiming {
+        StepTiming {
             event_steps: self.event_steps.max(1),
             step_ms: DECODE_STEP_MS,
             chunk_ms: f64::INFINITY,
--- a/crates/cranereach-fleet/src/rest.rs
+++ b/crates/cranereach-fleet/src/rest.rs
@@ -2,7 +2,7 @@
 //!
 //! After such an answer the instance sends the worker nothing until the rest ends. Then a
 //! single request is sent, the most urgent first, and another one only every
-//! [`TRIED_EVERY_MS`] until the worker accepts one, so that waiting requests and callers
+//! [`TRIAL_INTERVAL_MS`] until the worker accepts one, so that waiting requests and callers
 //! told to retry don't all reach it at once.
 //!
 //! The latest requested end applies; a later request for a shorter rest never shortens it.
@@ -10,11 +10,11 @@
 /// Maximum rest, in milliseconds; longer values are cut to it. A worker that asks for more
 /// is tried once an hour, so that a typo or a wrong clock doesn't take it out of service
 /// for good.
-pub const BELIEVED_MAX_MS: u64 = 3_600_000;
+pub const REST_MAX_MS: u64 = 3_600_000;
 
 /// Time between two requests to a worker whose rest is over but that hasn't accepted one
 /// yet, in milliseconds; a worker that rejects requests answers within a few milliseconds.
-pub const TRIED_EVERY_MS: u64 = 40;
+pub const TRIAL_INTERVAL_MS: u64 = 40;
 
 /// Additional delay per priority rank at the end of a rest, in milliseconds.
 const RANK_STEP_MS: u64 = 25;
@@ -68,7 +68,7 @@
     let is_time = seconds.is_finite() && seconds >= 0.0;
     // The cast saturates, so numbers beyond the range of `u64` end up at the maximum rest
     // too.
-    is_time.then(|| ((seconds * 1_000.0).ceil() as u64).min(BELIEVED_MAX_MS))
+    is_time.then(|| ((seconds * 1_000.0).ceil() as u64).min(REST_MAX_MS))
 }
 
 /// Rest of one worker, as known to one instance.
@@ -120,12 +120,12 @@
 
     /// Whether a caller's request of a priority rank may be sent.
     pub fn may_send(&self, now_ms: u64, rank: usize) -> bool {
-        now_ms >= self.free_at_ms(rank)
+        now_ms >= self.may_send_from_ms(rank)
     }
 
     /// Returns the time from which a caller's request of a priority rank may be sent, in
     /// milliseconds; zero if nothing prevents it.
-    pub fn free_at_ms(&self, rank: usize) -> u64 {
+    pub fn may_send_from_ms(&self, rank: usize) -> u64 {
         if self.is_on_trial {
             self.next_trial_ms + rank as u64 * RANK_STEP_MS
         } else {
@@ -136,7 +136,7 @@
     /// Records that a caller's request is sent.
     pub fn sent(&mut self, now_ms: u64) {
         if self.is_on_trial {
-            self.next_trial_ms = now_ms + TRIED_EVERY_MS;
+            self.next_trial_ms = now_ms + TRIAL_INTERVAL_MS;
         }
     }
 
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -23,7 +23,7 @@
 use self::scoring::cheapest;
 use self::scoring::score_workers;
 use crate::configuration::Engine;
-use crate::departure::Teller;
+use crate::departure::DepartureSource;
 use crate::departure::UnlistedDepartures;
 use crate::evacuation::Evacuations;
 use crate::key::worker_key;
@@ -150,7 +150,7 @@
                 // life.
                 known.departure = known
                     .departure
-                    .filter(|reported| reported.teller != Teller::Copy);
+                    .filter(|reported| reported.reporter != DepartureSource::Copy);
             }
             known.position = position;
             known.lapsed = None;
@@ -223,7 +223,7 @@
     }
 
     /// Counts the tombstones kept.
-    pub fn remembered_end_count(&self) -> usize {
+    pub fn tombstone_count(&self) -> usize {
         self.tombstones.len()
     }
 
@@ -314,7 +314,7 @@
     pub fn unreachable(&self, now_ms: u64) -> Vec<u64> {
         let known = self.workers.values();
         known
-            .filter(|worker| worker.health.has_missed(now_ms))
+            .filter(|worker| worker.health.has_failed_to_connect(now_ms))
             .map(|worker| worker_key(&worker.record.id))
             .collect()
     }
--- a/crates/cranereach-fleet/src/roster/departures.rs
+++ b/crates/cranereach-fleet/src/roster/departures.rs
@@ -3,7 +3,7 @@
 use super::Roster;
 use crate::departure::Departure;
 use crate::departure::DepartureNews;
-use crate::departure::Teller;
+use crate::departure::DepartureSource;
 use crate::key::start_key;
 use crate::key::worker_key;
 use crate::purpose::Purpose;
@@ -77,10 +77,10 @@
 
     /// Takes the announcement of an incarnation of a worker that it is leaving; false if that is
     /// known.
-    pub fn heard_leaving(&mut self, now_ms: u64, id: &str, started_unix_ms: u64) -> bool {
+    pub fn note_leaving_announced(&mut self, now_ms: u64, id: &str, started_unix_ms: u64) -> bool {
         let departure = Departure {
             since_ms: now_ms,
-            teller: Teller::Worker,
+            reporter: DepartureSource::Worker,
         };
         if let Some(worker) = self.workers.get_mut(id)
             && worker.record.started_unix_ms == started_unix_ms
@@ -93,10 +93,10 @@
 
     /// Takes another instance's report that an incarnation of a worker is leaving; false if that is
     /// known. An incarnation that isn't listed yet will count as leaving once it is.
-    pub fn told_leaving(&mut self, now_ms: u64, news: &DepartureNews) -> bool {
+    pub fn note_leaving_reported(&mut self, now_ms: u64, news: &DepartureNews) -> bool {
         let departure = Departure {
             since_ms: now_ms,
-            teller: Teller::Peer,
+            reporter: DepartureSource::Peer,
         };
         if let Some(worker) = self.by_key_mut(news.worker)
             && worker.record.start_key() == news.start
@@ -115,7 +115,7 @@
     }
 
     /// Counts the incarnations known to be leaving that aren't listed.
-    pub fn remembered_departure_count(&self) -> usize {
+    pub fn unlisted_departure_count(&self) -> usize {
         self.unlisted_departures.count()
     }
 }
--- a/crates/cranereach-fleet/src/roster/eras.rs
+++ b/crates/cranereach-fleet/src/roster/eras.rs
@@ -8,7 +8,7 @@
 use super::Tombstone;
 use crate::departure::Departure;
 use crate::departure::DepartureNews;
-use crate::departure::Teller;
+use crate::departure::DepartureSource;
 
 /// Time after which a row that still stands in a restored store counts as a sign of life, in
 /// milliseconds: the row of a silent worker ends after three heartbeats of 1.2 s, and its end is
@@ -49,7 +49,7 @@
     fn record_superseded(&mut self, now_ms: u64) {
         let departure = Departure {
             since_ms: now_ms,
-            teller: Teller::Row,
+            reporter: DepartureSource::Row,
         };
         for incarnation in &self.superseded {
             self.unlisted_departures.keep(*incarnation, departure);
@@ -60,7 +60,7 @@
     fn record_leaving(&mut self, now_ms: u64) -> Vec<DepartureNews> {
         let departure = Departure {
             since_ms: now_ms,
-            teller: Teller::Row,
+            reporter: DepartureSource::Row,
         };
         let mut leaving = Vec::new();
         for worker in self.workers.values_mut() {
@@ -82,14 +82,14 @@
 
     /// Records an incarnation whose row had ended as leaving.
     pub(super) fn record_ended(&mut self, tombstone: Tombstone, now_ms: u64) {
-        let teller = if tombstone.was_leaving {
-            Teller::Row
+        let reporter = if tombstone.was_leaving {
+            DepartureSource::Row
         } else {
-            Teller::Copy
+            DepartureSource::Copy
         };
         let departure = Departure {
             since_ms: now_ms,
-            teller,
+            reporter,
         };
         if let Some(incarnation) = tombstone.incarnation {
             self.unlisted_departures.keep(incarnation, departure);
@@ -103,14 +103,14 @@
 
     /// Notes that an outage of the store is over. The rows of silent workers end that much later,
     /// so the time after which restored rows are trusted starts again.
-    pub fn distrust_copy(&mut self, now_ms: u64) {
+    pub fn distrust_restored_rows(&mut self, now_ms: u64) {
         if self.restored_trusted_at_ms.is_some() {
             self.restored_trusted_at_ms = Some(now_ms + RESTORED_TRUSTED_AFTER_MS);
         }
     }
 
     /// Trusts the restored rows that have stood for long enough, as a fresh list confirms.
-    pub fn trust_copy(&mut self, now_ms: u64) {
+    pub fn trust_restored_rows(&mut self, now_ms: u64) {
         if self
             .restored_trusted_at_ms
             .is_none_or(|at_ms| now_ms < at_ms)
@@ -121,7 +121,7 @@
         self.unlisted_departures.forget_restored();
         for worker in self.workers.values_mut() {
             let departure = worker.departure;
-            worker.departure = departure.filter(|known| known.teller != Teller::Copy);
+            worker.departure = departure.filter(|known| known.reporter != DepartureSource::Copy);
         }
     }
 }
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether a worker currently limits the requests that it takes in a second.
-    pub fn names_limit(&self, now_ms: u64, id: &str) -> bool {
+    pub fn is_rate_limited(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| worker.limit.rate_per_s(now_ms).is_some())
     }
@@ -74,16 +74,16 @@
             None => self.of_service(wanted.service).filter(is_blocked).collect(),
         };
         let times = all.into_iter().map(|worker| {
-            let rested_at_ms = worker.rest.free_at_ms(wanted.rank);
+            let rested_at_ms = worker.rest.may_send_from_ms(wanted.rank);
             let ask_at_ms = worker.ask_pause.ask_at_ms(wanted.rank).max(rested_at_ms);
             let is_limited = worker.limit.rate_per_s(now_ms).is_some();
             // It is not known when a limit ends, so the time of its next possible grant counts.
-            let free_at_ms = if is_limited {
+            let may_send_from_ms = if is_limited {
                 ask_at_ms
             } else {
                 worker.coldness.warm_at_ms().max(rested_at_ms)
             };
-            (ask_at_ms, free_at_ms)
+            (ask_at_ms, may_send_from_ms)
         });
         times.reduce(|first, other| (first.0.min(other.0), first.1.min(other.1)))
     }
--- a/crates/cranereach-fleet/src/send_grants.rs
+++ b/crates/cranereach-fleet/src/send_grants.rs
@@ -20,7 +20,7 @@
 
 /// Time after the query within which a grant must be used, in milliseconds; an owner's answer takes
 /// some ten milliseconds.
-pub const USE_WITHIN_MS: u64 = 40;
+pub const GRANT_VALID_MS: u64 = 40;
 
 /// Time for which the membership must not have changed before an owner grants its full part, in
 /// milliseconds: until all instances know of it.
--- a/crates/cranereach-fleet/src/send_grants/rule.rs
+++ b/crates/cranereach-fleet/src/send_grants/rule.rs
@@ -1,16 +1,16 @@
 //! Rules for how many requests an owner grants in a window, by the reason why the worker is limited
 //! and by the owner's role.
 
+use super::GRANT_VALID_MS;
 use super::Ownership;
-use super::USE_WITHIN_MS;
-use crate::named_limit::LEAST_RATE_PER_S;
+use crate::named_limit::MIN_RATE_PER_S;
 
 /// Maximum time that a request takes from its sender to the worker, in milliseconds.
 const TRANSIT_MAX_MS: u64 = 60;
 
 /// Window in which an owner counts its grants for a cold worker, in milliseconds: requests that
 /// reach the worker within one second may have been granted this far apart.
-const COLD_WINDOW_MS: u64 = 1_000 + USE_WITHIN_MS + TRANSIT_MAX_MS;
+const COLD_WINDOW_MS: u64 = 1_000 + GRANT_VALID_MS + TRANSIT_MAX_MS;
 
 /// Share of its part that a new owner grants.
 const NEW_OWNER_SHARE: f64 = 0.5;
@@ -67,7 +67,7 @@
     /// assert_eq!(SendRule::of_limit(200.0).count(), 51);
     /// ```
     pub fn of_limit(rate_per_s: f64) -> Self {
-        let rate_per_s = rate_per_s.max(LEAST_RATE_PER_S);
+        let rate_per_s = rate_per_s.max(MIN_RATE_PER_S);
         let count = ((rate_per_s * LIMIT_BURST_S).ceil() + 1.0).min(LIMIT_MAX_COUNT);
         Self {
             count: count as usize,
--- a/crates/cranereach-fleet/src/shortage.rs
+++ b/crates/cranereach-fleet/src/shortage.rs
@@ -37,9 +37,9 @@
 ///
 /// let mut shortages = Shortages::default();
 /// // A random number of 0.5 means no jitter.
-/// assert_eq!(shortages.back_after_ms(1_000, 7, 60, 0.5), 60);
-/// assert_eq!(shortages.back_after_ms(2_000, 7, 60, 0.5), 1_000);
-/// assert_eq!(shortages.back_after_ms(3_500, 7, 60, 0.5), 2_500);
+/// assert_eq!(shortages.retry_delay_ms(1_000, 7, 60, 0.5), 60);
+/// assert_eq!(shortages.retry_delay_ms(2_000, 7, 60, 0.5), 1_000);
+/// assert_eq!(shortages.retry_delay_ms(3_500, 7, 60, 0.5), 2_500);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Shortages {
@@ -51,7 +51,7 @@
     /// at least `room_in_ms`.
     ///
     /// `random` is a random number from 0 to 1, for the jitter.
-    pub fn back_after_ms(&mut self, now_ms: u64, key: u64, room_in_ms: u64, random: f64) -> u64 {
+    pub fn retry_delay_ms(&mut self, now_ms: u64, key: u64, room_in_ms: u64, random: f64) -> u64 {
         if self.by_key.len() >= SHORTAGE_MAX_COUNT {
             self.by_key
                 .retain(|_, shortage| now_ms < shortage.last_ms + ENDED_AFTER_MS);
--- a/crates/cranereach-fleet/src/stay.rs
+++ b/crates/cranereach-fleet/src/stay.rs
@@ -46,21 +46,21 @@
 /// Expected slot times by model.
 ///
 /// ```
-/// use cranereach_fleet::stay::Stays;
+/// use cranereach_fleet::stay::SlotTimes;
 ///
-/// let mut stays = Stays::default();
+/// let mut stays = SlotTimes::default();
 /// for _answer in 0..100 {
 ///     stays.learn("m1", 200, 1_000.0);
 /// }
 /// assert_eq!(stays.expected_ms("m1", 100).round(), 500.0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Stays {
+pub struct SlotTimes {
     by_model: HashMap<String, Samples>,
     all: Samples,
 }
 
-impl Stays {
+impl SlotTimes {
     /// Returns how long an answer is expected to occupy its slot, in milliseconds.
     ///
     /// `answer_tokens` is the number of answer tokens that the caller expects.
--- a/crates/cranereach-fleet/src/tenure.rs
+++ b/crates/cranereach-fleet/src/tenure.rs
@@ -82,7 +82,7 @@
 
 /// One instance's view of one lease.
 #[derive(Clone, Debug)]
-pub struct Tenure {
+pub struct LeaseState {
     machine: String,
     pause_ms: u64,
     era: u64,
@@ -91,7 +91,7 @@
     is_stopping: bool,
 }
 
-impl Tenure {
+impl LeaseState {
     /// Creates the view of a machine; `pause_ms` must lie between the orders of two holders.
     pub fn new(machine: &str, pause_ms: u64) -> Self {
         Self {
@@ -220,7 +220,7 @@
     ///
     /// The time is on this instance's clock and never earlier than the true one, since the
     /// announcement takes time to arrive.
-    pub fn heard_ended(&mut self, ended: EndedTerm) {
+    pub fn record_ended_term(&mut self, ended: EndedTerm) {
         let seen = self.seen.as_mut();
         if let Some(seen) = seen.filter(|seen| seen.position == ended.position) {
             let known_ms = seen.ended_at_ms.unwrap_or(u64::MAX);
--- a/crates/cranereach-fleet/src/wanted.rs
+++ b/crates/cranereach-fleet/src/wanted.rs
@@ -36,7 +36,7 @@
     /// Failure domains and regions, as seen from this instance.
     pub topology: &'a Topology,
     /// Extra delay until the request begins at a worker of each distance, in milliseconds;
-    /// see [`crate::ways::Ways::crossings_ms`].
+    /// see [`crate::ways::RoundTrips::crossings_ms`].
     pub crossings_ms: [f64; 3],
     /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
@@ -44,7 +44,7 @@
     pub end_count: usize,
     /// Whether only workers that need no send grant may be chosen, because none could be
     /// obtained for the others.
-    pub needs_no_grant: bool,
+    pub must_avoid_grants: bool,
     /// Workers that have already been tried.
     pub tried: &'a [Arc<str>],
 }
--- a/crates/cranereach-fleet/src/ways.rs
+++ b/crates/cranereach-fleet/src/ways.rs
@@ -53,9 +53,9 @@
 ///
 /// ```
 /// use cranereach_fleet::topology::Distance;
-/// use cranereach_fleet::ways::Ways;
+/// use cranereach_fleet::ways::RoundTrips;
 ///
-/// let mut ways = Ways::default();
+/// let mut ways = RoundTrips::default();
 /// for _answer in 0..20 {
 ///     ways.answered(Distance::OtherRegion, 17.0);
 /// }
@@ -63,12 +63,12 @@
 /// assert_eq!(ways.wait_ms(Distance::OwnDomain), 20);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Ways {
+pub struct RoundTrips {
     /// Indexed by distance, as in [`Distance::ALL`].
     estimates: [RoundTrip; 3],
 }
 
-impl Default for Ways {
+impl Default for RoundTrips {
     fn default() -> Self {
         let estimates = INITIAL_MEANS_MS.map(|mean_ms| RoundTrip {
             mean_ms,
@@ -80,7 +80,7 @@
     }
 }
 
-impl Ways {
+impl RoundTrips {
     /// Records the time that a reply took, in milliseconds.
     pub fn answered(&mut self, distance: Distance, took_ms: f64) {
         let estimate = &mut self.estimates[distance as usize];
@@ -121,9 +121,9 @@
     ///
     /// ```
     /// use cranereach_fleet::topology::Distance;
-    /// use cranereach_fleet::ways::Ways;
+    /// use cranereach_fleet::ways::RoundTrips;
     ///
-    /// let mut ways = Ways::default();
+    /// let mut ways = RoundTrips::default();
     /// ways.answered(Distance::OwnDomain, 1.0);
     /// ways.answered(Distance::OtherRegion, 17.0);
     /// assert_eq!(ways.crossings_ms()[0], 0.0);
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -20,11 +20,11 @@
 use crate::key::worker_key;
 use crate::load::Load;
 use crate::load::RANK_COUNT;
-use crate::load::SaidLoad;
+use crate::load::ReportedLoad;
 use crate::named_limit::NamedLimit;
 use crate::no_worker::NoWorker;
 use crate::owned::Standing;
-use crate::prefixes::KeptPrefixes;
+use crate::prefixes::CachedPrefixes;
 use crate::rest::Rest;
 use crate::send_grants::AskPause;
 use crate::store_position::StorePosition;
@@ -109,9 +109,9 @@
     /// When each peer last reported the worker as unreachable, in milliseconds.
     unreachable_at_ms: HashMap<u32, u64>,
     /// Load that the worker reported last, and when, in milliseconds.
-    reported_load: Option<(u64, SaidLoad)>,
+    reported_load: Option<(u64, ReportedLoad)>,
     /// Prompt prefixes that this instance sent there, which the worker probably has cached.
-    cached_prefixes: KeptPrefixes,
+    cached_prefixes: CachedPrefixes,
     /// Until when models and adapters that it refused count as missing, in milliseconds.
     missing_until_ms: HashMap<String, u64>,
     /// Until when adapters that peers reported as loaded count as held, in milliseconds.
@@ -158,7 +158,7 @@
             standing: None,
             unreachable_at_ms: HashMap::new(),
             reported_load: None,
-            cached_prefixes: KeptPrefixes::default(),
+            cached_prefixes: CachedPrefixes::default(),
             missing_until_ms: HashMap::new(),
             announced_until_ms: HashMap::new(),
             withheld: HashSet::new(),
@@ -194,7 +194,7 @@
     }
 
     /// Takes the load that the worker reported in an answer.
-    pub fn said(&mut self, now_ms: u64, load: SaidLoad) {
+    pub fn said(&mut self, now_ms: u64, load: ReportedLoad) {
         self.reported_load = Some((now_ms, load));
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Notes a peer's report that an adapter was loaded, before the list says so.
-    pub fn told_adapter(&mut self, now_ms: u64, model: &str, adapter: &str) {
+    pub fn note_adapter_loaded(&mut self, now_ms: u64, model: &str, adapter: &str) {
         let name = full_name(model, Some(adapter));
         self.announced_until_ms
             .insert(name, now_ms + ANNOUNCED_FOR_MS);
@@ -232,7 +232,7 @@
     }
 
     /// Takes a report of the worker's owner.
-    pub fn stands(&mut self, now_ms: u64, standing: Standing) {
+    pub fn set_standing(&mut self, now_ms: u64, standing: Standing) {
         self.standing = Some((now_ms, standing));
     }
 
@@ -351,8 +351,9 @@
             let usable_tokens = engine.kv_tokens as f64 * 0.9;
             let excess_tokens = load.held_tokens + f64::from(wanted.held_tokens) - usable_tokens;
             estimate.cost_ms = estimate.begins_in_ms
-                + load.crowding_ms(engine.slot_count)
-                + load.held_up_ms(f64::from(unread_tokens) * token_ms, wanted.gap_aim_ms)
+                + load.slot_contention_ms(engine.slot_count)
+                + load
+                    .prefill_pause_cost_ms(f64::from(unread_tokens) * token_ms, wanted.gap_aim_ms)
                 + f64::from(open_count) * RUNNING_PENALTY_MS
                 + f64::from(reported.1) * WAITING_PENALTY_MS
                 + excess_tokens.max(0.0) * token_ms;
--- a/crates/cranereach-fleet/src/worker/leaving.rs
+++ b/crates/cranereach-fleet/src/worker/leaving.rs
@@ -2,7 +2,7 @@
 
 use super::Worker;
 use crate::departure::Departure;
-use crate::departure::Teller;
+use crate::departure::DepartureSource;
 
 impl Worker {
     /// Whether the worker takes no new work, by its row or by a report.
@@ -13,7 +13,9 @@
     /// Returns the key of the worker's incarnation if anyone reported it as leaving, whatever its
     /// row says.
     pub fn leaving_start(&self) -> Option<u64> {
-        let reported = self.departure.filter(|known| known.teller != Teller::Copy);
+        let reported = self
+            .departure
+            .filter(|known| known.reporter != DepartureSource::Copy);
         reported.map(|_| self.record.start_key())
     }
 
--- a/crates/cranereach-fleet/tests/admission.rs
+++ b/crates/cranereach-fleet/tests/admission.rs
@@ -66,8 +66,11 @@
         ..ORDINARY
     };
     assert_eq!(patient.judge(640.0, 0.0), Verdict::Send);
-    assert_eq!(patient.judge(650.0, 0.0), Verdict::LookAgain(40.0));
-    assert_eq!(patient.judge(2_000.0, 1_000.0), Verdict::LookAgain(200.0));
+    assert_eq!(patient.judge(650.0, 0.0), Verdict::RecheckAfter(40.0));
+    assert_eq!(
+        patient.judge(2_000.0, 1_000.0),
+        Verdict::RecheckAfter(200.0)
+    );
     assert_eq!(patient.judge(2_000.0, 1_500.0), Verdict::Send);
     assert_eq!(patient.judge(4_500.0, 1_500.0), Verdict::Refuse);
 }
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -81,7 +81,7 @@
     };
     roster.get_mut("b").unwrap().began(0, &wanted, 400.0);
     assert_eq!(chosen(&roster, 900), "a");
-    roster.get_mut("b").unwrap().stands(1_000, busy);
+    roster.get_mut("b").unwrap().set_standing(1_000, busy);
     assert_eq!(chosen(&roster, 1_010), "b");
     // Old words say nothing, and one that is to be left alone is not preferred.
     assert_eq!(chosen(&roster, 2_000), "a");
@@ -89,7 +89,7 @@
         is_aside: true,
         ..busy
     };
-    roster.get_mut("b").unwrap().stands(3_000, aside);
+    roster.get_mut("b").unwrap().set_standing(3_000, aside);
     assert_eq!(chosen(&roster, 3_010), "a");
 }
 
@@ -106,7 +106,7 @@
                 has_suspect,
                 ..Standing::default()
             };
-            roster.get_mut(id).unwrap().stands(1_000, standing);
+            roster.get_mut(id).unwrap().set_standing(1_000, standing);
         }
         let request = Wanted {
             end_count,
@@ -142,7 +142,7 @@
             kept_part_count: usize::from(id == "busy"),
             ..Standing::default()
         };
-        roster.get_mut(id).unwrap().stands(1_000, standing);
+        roster.get_mut(id).unwrap().set_standing(1_000, standing);
     }
     let parts = [PromptPart {
         chain: 1,
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -8,8 +8,8 @@
 use self::workers::record;
 use self::workers::wanted;
 use cranereach_fleet::departure::DepartureNews;
+use cranereach_fleet::departure::DepartureSource;
 use cranereach_fleet::departure::Said;
-use cranereach_fleet::departure::Teller;
 use cranereach_fleet::departure::read;
 use cranereach_fleet::key::start_key;
 use cranereach_fleet::key::worker_key;
@@ -64,8 +64,11 @@
 fn it_holds_for_its_start_whatever_rows_come() {
     let mut roster = Roster::default();
     roster.put(at(5), start("w", 100));
-    assert!(roster.heard_leaving(1_000, "w", 100));
-    assert!(!roster.heard_leaving(1_100, "w", 100), "it is known");
+    assert!(roster.note_leaving_announced(1_000, "w", 100));
+    assert!(
+        !roster.note_leaving_announced(1_100, "w", 100),
+        "it is known"
+    );
     let is_leaving = |roster: &Roster| roster.get("w").unwrap().is_leaving();
     roster.put(at(6), start("w", 100));
     assert!(is_leaving(&roster), "a newer row");
@@ -86,13 +89,13 @@
     let mut roster = Roster::default();
     roster.put(at(5), start("w", 100));
     assert!(
-        roster.heard_leaving(1_000, "w", 200),
+        roster.note_leaving_announced(1_000, "w", 200),
         "its row isn't here yet"
     );
     assert!(!roster.get("w").unwrap().is_leaving());
     roster.put(at(6), start("w", 200));
     assert!(roster.get("w").unwrap().is_leaving());
-    assert_eq!(roster.remembered_departure_count(), 0);
+    assert_eq!(roster.unlisted_departure_count(), 0);
 }
 
 #[test]
@@ -103,18 +106,18 @@
         worker: worker_key(id),
         start: start_key(id, started_unix_ms),
     };
-    assert!(roster.told_leaving(1_000, &news("w", 200)));
+    assert!(roster.note_leaving_reported(1_000, &news("w", 200)));
     assert!(!roster.get("w").unwrap().is_leaving());
-    assert!(roster.told_leaving(1_000, &news("w", 100)));
-    assert!(!roster.told_leaving(1_200, &news("w", 100)));
+    assert!(roster.note_leaving_reported(1_000, &news("w", 100)));
+    assert!(!roster.note_leaving_reported(1_200, &news("w", 100)));
     let departure = roster.get("w").unwrap().departure.unwrap();
     assert_eq!(
-        (departure.since_ms, departure.teller),
-        (1_000, Teller::Peer)
+        (departure.since_ms, departure.reporter),
+        (1_000, DepartureSource::Peer)
     );
     assert_eq!(roster.departure_news("w"), Some(news("w", 100)));
     // A worker that isn't listed here yet.
-    assert!(roster.told_leaving(1_000, &news("late", 1)));
+    assert!(roster.note_leaving_reported(1_000, &news("late", 1)));
     roster.put(at(6), start("late", 1));
     assert!(roster.get("late").unwrap().is_leaving());
 }
@@ -128,7 +131,7 @@
         assert_eq!(roster.barred(900, "other", purpose, 0), Some(Barred::Gone));
     }
     assert_eq!(choose(&roster, Some("m")), Ok("w".to_owned()));
-    roster.heard_leaving(1_000, "w", 100);
+    roster.note_leaving_announced(1_000, "w", 100);
     for purpose in [Purpose::Call, Purpose::Order, Purpose::Report] {
         assert_eq!(roster.barred(1_000, "w", purpose, 0), Some(Barred::Leaving));
     }
@@ -146,11 +149,11 @@
 fn what_is_remembered_of_unlisted_workers_is_bounded() {
     let mut roster = Roster::default();
     for number in 0..10_000_u64 {
-        roster.heard_leaving(number, &format!("w{number}"), 1);
+        roster.note_leaving_announced(number, &format!("w{number}"), 1);
     }
-    assert!(roster.remembered_departure_count() <= 2_048);
+    assert!(roster.unlisted_departure_count() <= 2_048);
     assert!(
-        !roster.heard_leaving(10_000, "w9999", 1),
+        !roster.note_leaving_announced(10_000, "w9999", 1),
         "the newest are kept"
     );
 }
@@ -161,7 +164,7 @@
 fn words_that_come_at_once_are_not_all_forgotten_for_the_last() {
     let mut roster = Roster::default();
     for number in 0..2_100_u64 {
-        roster.heard_leaving(5, &format!("w{number}"), 1);
+        roster.note_leaving_announced(5, &format!("w{number}"), 1);
     }
-    assert_eq!(roster.remembered_departure_count(), 2_048);
+    assert_eq!(roster.unlisted_departure_count(), 2_048);
 }
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -76,7 +76,7 @@
     assert_eq!(roster.enter_era(RESTORED_MS, 2), [], "once");
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
-    roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
     roster.put(after(60), row(200, false));
     assert_eq!(barred(&roster), None);
@@ -90,7 +90,7 @@
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
     assert_eq!(roster.departure_news("w"), None, "nobody said so");
-    roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS - 1);
+    roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS - 1);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
 
     let mut written = roster.clone();
@@ -113,11 +113,11 @@
     assert_eq!(barred(&again), Some(Barred::Leaving), "another copy's");
 
     let mut away = roster.clone();
-    away.distrust_copy(RESTORED_MS + 3_000);
-    away.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    away.distrust_restored_rows(RESTORED_MS + 3_000);
+    away.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&away), Some(Barred::Leaving), "the store was away");
 
-    roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), None, "rows of silent workers end before");
 }
 
@@ -137,9 +137,12 @@
         if is_listed_before {
             roster.put(after(40), row(100, false));
         }
-        assert!(roster.heard_leaving(RESTORED_MS, "w", 100), "it is new");
+        assert!(
+            roster.note_leaving_announced(RESTORED_MS, "w", 100),
+            "it is new"
+        );
         roster.put(after(40), row(100, false));
-        roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+        roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
         roster.put(after(60), row(100, false));
         assert_eq!(barred(&roster), Some(Barred::Leaving));
     }
@@ -170,7 +173,7 @@
     roster.enter_era(RESTORED_MS, 2);
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
-    roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
     roster.put(after(60), row(200, false));
     assert_eq!(barred(&roster), None);
@@ -194,7 +197,7 @@
     roster.remove(before(75), "w");
     roster.enter_era(RESTORED_MS, 2);
     roster.put(after(40), row(100, false));
-    roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
     // Gone, and followed by another start: the one before is over as well.
     let mut followed = gone();
@@ -203,7 +206,7 @@
     followed.put(after(82), row(300, false));
     followed.enter_era(RESTORED_MS, 3);
     followed.put(StorePosition::new(3, 80), row(200, false));
-    followed.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    followed.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&followed), Some(Barred::Leaving));
 }
 
@@ -220,6 +223,6 @@
     }
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
-    roster.trust_copy(RESTORED_MS + TRUSTED_AFTER_MS);
+    roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), None);
 }
--- a/crates/cranereach-fleet/tests/evacuations.rs
+++ b/crates/cranereach-fleet/tests/evacuations.rs
@@ -12,7 +12,7 @@
 use cranereach_fleet::evacuation::Evacuations;
 use cranereach_fleet::proof::Proof;
 use cranereach_fleet::proof::ProofAnswer;
-use cranereach_fleet::proof::ProofQuestion;
+use cranereach_fleet::proof::ProofQuery;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Returns the position of a version of a store that has never come back from a copy.
@@ -41,7 +41,7 @@
 /// What is on its way.
 #[derive(Clone, Debug)]
 enum Parcel {
-    Question(usize, ProofQuestion),
+    Question(usize, ProofQuery),
     Answer(ProofAnswer),
     News(EvacuationList),
     /// The whole table, asked for at a time of the reader's clock, of a start.
--- a/crates/cranereach-fleet/tests/freshness.rs
+++ b/crates/cranereach-fleet/tests/freshness.rs
@@ -41,7 +41,7 @@
     // Older news takes nothing back.
     list.confirm(1_200);
     assert_eq!(list.read_due_at_ms(0), before + 500);
-    list.distrust();
+    list.invalidate();
     assert_eq!(list.read_due_at_ms(0), 0);
 }
 
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -29,7 +29,7 @@
         send_in_ms,
         ..Standing::default()
     };
-    roster.get_mut("a").unwrap().stands(1_000, standing);
+    roster.get_mut("a").unwrap().set_standing(1_000, standing);
     let mut rng = SmallRng::seed_from_u64(1);
     let among = [Arc::from("a")];
     let chosen = roster.choose_among(now_ms, &among, &wanted(None), None, &mut rng);
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -13,10 +13,10 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::tenure::EndedTerm;
 use cranereach_fleet::tenure::LeaseRow;
+use cranereach_fleet::tenure::LeaseState;
 use cranereach_fleet::tenure::MARGIN_MS;
 use cranereach_fleet::tenure::Step;
 use cranereach_fleet::tenure::TERM_MS;
-use cranereach_fleet::tenure::Tenure;
 
 /// Returns the position of a version of a store that has never come back from a copy.
 fn at(version: u64) -> StorePosition {
@@ -122,7 +122,7 @@
 fn attempt(
     world: &mut World,
     rng: &mut SmallRng,
-    tenure: &mut Tenure,
+    tenure: &mut LeaseState,
     (now_ms, machine): (u64, usize),
     expected: StorePosition,
 ) {
@@ -166,8 +166,8 @@
         copies: VecDeque::new(),
         late: Vec::new(),
     };
-    let mut tenures: Vec<Tenure> = (0..MACHINE_COUNT)
-        .map(|machine| Tenure::new(&name(machine), PAUSE_MS))
+    let mut tenures: Vec<LeaseState> = (0..MACHINE_COUNT)
+        .map(|machine| LeaseState::new(&name(machine), PAUSE_MS))
         .collect();
     let mut frozen_until_ms = [0_u64; MACHINE_COUNT];
     let mut hears = [false; MACHINE_COUNT];
@@ -188,13 +188,13 @@
             let tenure = &mut tenures[machine];
             match rng.random_range(0..1_500) {
                 0 => frozen_until_ms[machine] = now_ms + rng.random_range(500..9_000),
-                1 => *tenure = Tenure::new(&name(machine), PAUSE_MS),
+                1 => *tenure = LeaseState::new(&name(machine), PAUSE_MS),
                 2 => {
                     if let Some(position) = tenure.release() {
                         let released = row(machine, position.era, true);
                         world.write(position.version, released);
                     }
-                    *tenure = Tenure::new(&name(machine), PAUSE_MS);
+                    *tenure = LeaseState::new(&name(machine), PAUSE_MS);
                 }
                 _ => {}
             }
@@ -216,7 +216,7 @@
             said_ended.retain(|(heard_at_ms, _)| now_ms < heard_at_ms + 3_000);
             for (heard_at_ms, ended) in &said_ended {
                 if now_ms >= *heard_at_ms {
-                    tenure.heard_ended(*ended);
+                    tenure.record_ended_term(*ended);
                 }
             }
             match tenure.step(now_ms, hears[machine]) {
@@ -272,7 +272,7 @@
 /// Guards against orders that stop for a whole term and pause with each restore.
 #[test]
 fn a_holder_whose_row_was_lost_goes_on_within_its_term() {
-    let mut tenure = Tenure::new("a", PAUSE_MS);
+    let mut tenure = LeaseState::new("a", PAUSE_MS);
     tenure.written(0, StorePosition::new(1, 80));
     let token = tenure.token(400);
     tenure.enter_era(2);
@@ -288,7 +288,7 @@
     tenure.written(420, StorePosition::new(2, 58));
     assert_eq!(tenure.token(900), token);
     // One whose term has run out waits as all do.
-    let mut late = Tenure::new("a", PAUSE_MS);
+    let mut late = LeaseState::new("a", PAUSE_MS);
     late.written(0, StorePosition::new(1, 80));
     late.enter_era(2);
     assert_eq!(late.step(TERM_MS, false), Step::Read);
@@ -311,11 +311,11 @@
         Some(of_copy("b", true)),
         Some(of_copy("b", false)),
     ] {
-        let mut tenure = Tenure::new("a", PAUSE_MS);
+        let mut tenure = LeaseState::new("a", PAUSE_MS);
         tenure.enter_era(2);
         tenure.read(0, StorePosition::new(2, 50), row.clone());
         // A word of the era before, about a row that had the same version.
-        tenure.heard_ended(EndedTerm {
+        tenure.record_ended_term(EndedTerm {
             position: StorePosition::new(1, 50),
             at_ms: 0,
         });
@@ -326,7 +326,7 @@
 
 #[test]
 fn a_term_counts_from_before_the_write() {
-    let mut tenure = Tenure::new("a", PAUSE_MS);
+    let mut tenure = LeaseState::new("a", PAUSE_MS);
     tenure.read(0, at(0), None);
     assert_eq!(tenure.step(1, false), Step::Write { expected: at(0) });
     tenure.written(10, at(7));
@@ -347,7 +347,7 @@
         ("b", true, PAUSE_MS),
     ];
     for (machine, is_released, least_ms) in table {
-        let mut tenure = Tenure::new(machine, PAUSE_MS);
+        let mut tenure = LeaseState::new(machine, PAUSE_MS);
         let seen = LeaseRow {
             is_released,
             ..held_by_a.clone()
@@ -364,7 +364,7 @@
 
 #[test]
 fn the_holders_word_that_its_term_is_over_saves_the_term() {
-    let mut tenure = Tenure::new("b", PAUSE_MS);
+    let mut tenure = LeaseState::new("b", PAUSE_MS);
     let held = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
@@ -374,16 +374,16 @@
         position: at(version),
         at_ms,
     };
-    tenure.heard_ended(ended(4, 10));
+    tenure.record_ended_term(ended(4, 10));
     assert_eq!(
         tenure.step(PAUSE_MS + 500, false),
         Step::Wait,
         "another version"
     );
     // The earliest word counts, also if it is heard last.
-    tenure.heard_ended(ended(5, 900));
-    tenure.heard_ended(ended(5, 20));
-    tenure.heard_ended(ended(5, 400));
+    tenure.record_ended_term(ended(5, 900));
+    tenure.record_ended_term(ended(5, 20));
+    tenure.record_ended_term(ended(5, 400));
     let due_ms = 20 + PAUSE_MS + MARGIN_MS;
     assert_eq!(tenure.step(due_ms - 1, false), Step::Wait);
     let write = Step::Write { expected: at(5) };
@@ -392,7 +392,7 @@
 
 #[test]
 fn who_hears_the_holder_leaves_the_row_alone() {
-    let mut tenure = Tenure::new("b", PAUSE_MS);
+    let mut tenure = LeaseState::new("b", PAUSE_MS);
     assert_eq!(tenure.step(0, true), Step::Wait);
     assert_eq!(tenure.step(0, false), Step::Read);
     // Found in an incident: a row read long ago made every instance write in vain
--- a/crates/cranereach-fleet/tests/limits/fleet.rs
+++ b/crates/cranereach-fleet/tests/limits/fleet.rs
@@ -9,13 +9,13 @@
 use rand::rngs::StdRng;
 
 use cranereach_fleet::accounts::Limit;
+use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::Decision;
 use cranereach_fleet::limits::Grant;
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Tolerance;
-use cranereach_fleet::limits::Uses;
 use cranereach_fleet::limits::Wanted;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::topology::DomainTag;
@@ -50,7 +50,7 @@
 /// One instance.
 pub struct Instance {
     pub members: Membership,
-    pub uses: Uses,
+    pub uses: AccountUsages,
     pub owned: OwnedLimits,
     pub down_until_ms: u64,
     /// Until when it answers nobody, although it lives.
@@ -109,7 +109,7 @@
         let seeds = [address(0), address(1), address(2)];
         Instance {
             members: Membership::new(address(number), DomainTag::default(), &seeds),
-            uses: Uses::default(),
+            uses: AccountUsages::default(),
             owned: OwnedLimits::default(),
             down_until_ms: 0,
             busy_until_ms: 0,
@@ -210,7 +210,7 @@
                 self.counts.refused += 1;
             }
             None => {
-                let may_run = uses.may_run_alone(now_ms, ACCOUNT, cost);
+                let may_run = uses.may_run_without_owner(now_ms, ACCOUNT, cost);
                 self.give_back(number, held);
                 if may_run {
                     self.ran(cost);
@@ -232,7 +232,7 @@
             Ownership::StandIn
         } else if self.instances.iter().all(is_young) {
             Ownership::Restarted
-        } else if of.members.same_for_ms(self.now_ms).min(up_for_ms) >= 8_000 {
+        } else if of.members.unchanged_for_ms(self.now_ms).min(up_for_ms) >= 8_000 {
             Ownership::Settled
         } else {
             Ownership::Fresh
--- a/crates/cranereach-fleet/tests/limits/main.rs
+++ b/crates/cranereach-fleet/tests/limits/main.rs
@@ -3,12 +3,12 @@
 
 mod fleet;
 
+use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::Decision;
 use cranereach_fleet::limits::Grant;
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
-use cranereach_fleet::limits::Uses;
 use cranereach_fleet::limits::Wanted;
 
 use crate::fleet::ACCOUNT;
@@ -207,7 +207,7 @@
 #[test]
 fn units_that_one_request_set_aside_pay_for_no_other() {
     let limit = limit(100_000.0);
-    let mut uses = Uses::default();
+    let mut uses = AccountUsages::default();
     let ask = |decision: Decision| match decision {
         Decision::Ask { wanted, held } => (wanted, held),
         other => panic!("{other:?}"),
@@ -234,7 +234,7 @@
 #[test]
 fn a_request_beyond_the_whole_limit_is_hopeless_and_one_beyond_the_burst_is_not() {
     let limit = limit(1_000.0);
-    let mut uses = Uses::default();
+    let mut uses = AccountUsages::default();
     let hopeless = uses.decide(0, ACCOUNT, limit, &TOLERANCE, 9_001.0);
     assert!(matches!(hopeless, Decision::Beyond(_)), "{hopeless:?}");
     let mut owned = OwnedLimits::default();
--- a/crates/cranereach-fleet/tests/listing.rs
+++ b/crates/cranereach-fleet/tests/listing.rs
@@ -206,9 +206,9 @@
     let mut taker = Listing::default();
     taker.take_whole(at(9), vec![changed("a", 1)]);
     assert_eq!(taker.since(at(6)), None, "it never knew what ended");
-    taker.inherit(at(8), giver.history().clone());
+    taker.adopt_history(at(8), giver.history().clone());
     assert_eq!(taker.since(at(6)), None, "of another version");
-    taker.inherit(at(9), giver.history().clone());
+    taker.adopt_history(at(9), giver.history().clone());
     assert_eq!(taker.since(at(6)), Some(vec![ended("b", 7)]));
 }
 
@@ -443,7 +443,7 @@
                 if position > listings[by].position() {
                     let history = listings[from].history().clone();
                     listings[by].take_whole(position, rows);
-                    listings[by].inherit(position, history);
+                    listings[by].adopt_history(position, history);
                 }
             }
             Event::CatchUp { from, by } => {
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -10,7 +10,7 @@
 use rand::seq::IteratorRandom;
 
 use cranereach_fleet::membership::MEMBER_MAX_COUNT;
-use cranereach_fleet::membership::MemberNews;
+use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::membership::TOLD_MAX_COUNT;
 use cranereach_fleet::topology::DomainTag;
@@ -81,7 +81,7 @@
         }
     }
 
-    fn tell(&mut self, sender: usize, recipient: Ipv4Addr, news: &[MemberNews]) {
+    fn tell(&mut self, sender: usize, recipient: Ipv4Addr, news: &[MemberUpdate]) {
         let recipient = (u32::from(recipient) - u32::from(address(0))) as usize;
         let is_lost = self.rng.random_bool(self.lost_share);
         if is_lost || !self.is_up[recipient] || self.cut.contains(&recipient) {
@@ -129,7 +129,7 @@
     assert!(least >= 296, "{least} of 299 known");
     // One dies: all know it within the time for which silence counts as life.
     fleet.is_up[77] = false;
-    let within_ms = fleet.members[0].alive_within_ms();
+    let within_ms = fleet.members[0].liveness_timeout_ms();
     let round_count = fleet.until(77, false, 80);
     assert!(
         round_count as u64 * ROUND_MS <= within_ms + 2_000,
@@ -204,7 +204,7 @@
     for number in (0..60).filter(|number| number % DOMAINS.len() == 2) {
         fleet.is_up[number] = false;
     }
-    let within_ms = fleet.members[0].alive_within_ms() + 2_000;
+    let within_ms = fleet.members[0].liveness_timeout_ms() + 2_000;
     for _round in 0..within_ms / ROUND_MS {
         fleet.round();
     }
@@ -231,7 +231,7 @@
 fn the_newest_sign_of_life_says_where_a_member_stands() {
     let mut members = Membership::new(address(0), domain(0), &[address(1)]);
     assert_eq!(members.domain_of(address(1)), None, "not heard yet");
-    let news = |domain: DomainTag, age_ms: u32| MemberNews {
+    let news = |domain: DomainTag, age_ms: u32| MemberUpdate {
         address: address(1),
         domain,
         age_ms,
@@ -278,7 +278,7 @@
         let mut youngest = [u64::MAX; 20];
         for (number, age_ms) in told {
             youngest[number] = youngest[number].min(u64::from(age_ms));
-            let news = MemberNews {
+            let news = MemberUpdate {
                 address: address(number),
                 domain: domain(number),
                 age_ms,
@@ -287,7 +287,7 @@
             prop_assert_eq!(members.told(now_ms, &[news]), 0);
         }
         let later_ms = now_ms + 1_000;
-        let within_ms = members.alive_within_ms();
+        let within_ms = members.liveness_timeout_ms();
         for alive in members.alive(later_ms) {
             let number = (u32::from(alive) - u32::from(address(0))) as usize;
             prop_assert!(youngest[number] + 1_000 < within_ms);
@@ -302,9 +302,9 @@
 #[test]
 fn more_members_than_a_message_may_tell_of_are_not_taken() {
     let mut members = Membership::new(address(0), domain(0), &[]);
-    let news = |count: usize| -> Vec<MemberNews> {
+    let news = |count: usize| -> Vec<MemberUpdate> {
         (1..=count)
-            .map(|number| MemberNews {
+            .map(|number| MemberUpdate {
                 address: address(number),
                 domain: domain(number),
                 age_ms: 0,
--- a/crates/cranereach-fleet/tests/named_limits/words.rs
+++ b/crates/cranereach-fleet/tests/named_limits/words.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 use cranereach_fleet::named_limit::LAPSES_AFTER_MS;
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::named_limit::NamedLimit;
 use cranereach_fleet::named_limit::Said;
 
@@ -68,7 +68,7 @@
     let told = old.word(1_000, || START).unwrap();
     let mut limit = named(2.0, 1_000);
     limit.heard(Said::Nothing, true, 1_500, 1_600);
-    let late = LimitWord {
+    let late = LimitReport {
         asked_age_ms: 1_050,
         heard_age_ms: 1_000,
         ..told
@@ -99,7 +99,7 @@
 fn senseless_words_of_others_change_nothing() {
     let mut limit = named(2.0, 1_000);
     for rate in [-1.0, f64::NAN, f64::INFINITY] {
-        let word = LimitWord {
+        let word = LimitReport {
             start: START,
             rate_per_s: Some(rate),
             asked_age_ms: 0,
--- a/crates/cranereach-fleet/tests/own_words/world/messages.rs
+++ b/crates/cranereach-fleet/tests/own_words/world/messages.rs
@@ -133,7 +133,7 @@
                 at_ms: now_ms,
                 for_ms: 0,
             });
-            if roster.heard_leaving(now_ms, &id(call.worker), call.meant)
+            if roster.note_leaving_announced(now_ms, &id(call.worker), call.meant)
                 && mutant != Mutant::PeersNotTold
             {
                 let news = roster.departure_news(&id(call.worker));
@@ -150,7 +150,7 @@
         let now_ms = self.now_ms;
         let of = &mut self.instances[number];
         for news in told {
-            if of.roster.told_leaving(now_ms, news) {
+            if of.roster.note_leaving_reported(now_ms, news) {
                 of.news.push((now_ms, *news));
             }
         }
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -2,16 +2,16 @@
 
 use proptest::prelude::*;
 
-use cranereach_fleet::owned::Opening;
 use cranereach_fleet::owned::Outcome;
 use cranereach_fleet::owned::OwnedWorkers;
+use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::prefixes::PromptPart;
 
 /// Key of the worker.
 const WORKER: u64 = 7;
 
-fn opening(unread_ms: f32) -> Opening {
-    Opening {
+fn opening(unread_ms: f32) -> SentRequest {
+    SentRequest {
         rank: 1,
         unread_ms,
         stay_ms: 500.0,
@@ -171,8 +171,8 @@
 }
 
 /// A prompt of a service whose streams may pause for 500 ms.
-fn streamed(unread_ms: f32) -> Opening {
-    Opening {
+fn streamed(unread_ms: f32) -> SentRequest {
+    SentRequest {
         gap_aim_ms: 500,
         event_tokens: 3,
         ..opening(unread_ms)
@@ -196,7 +196,7 @@
 /// Sends a prompt when it is to be sent, and returns when that was.
 fn send(owned: &mut OwnedWorkers, now_ms: u64, number: u64) -> u64 {
     let standing = owned.standing(now_ms, WORKER, &[], 100.0);
-    let sent = Opening {
+    let sent = SentRequest {
         send_in_ms: standing.send_in_ms as u32,
         ..streamed(100.0)
     };
@@ -287,7 +287,7 @@
     let mut owned = OwnedWorkers::default();
     owned.begun(1_000, WORKER, (1, 1), opening(10.0), &[]);
     assert!(!owned.standing(1_010, WORKER, &[], 0.0).has_suspect);
-    let alone = Opening {
+    let alone = SentRequest {
         runs_alone: true,
         ..opening(10.0)
     };
--- a/crates/cranereach-fleet/tests/paces.rs
+++ b/crates/cranereach-fleet/tests/paces.rs
@@ -1,11 +1,11 @@
 //! How fast prompts are read, and what a request takes besides.
 
-use cranereach_fleet::pace::Pace;
-use cranereach_fleet::pace::Paces;
+use cranereach_fleet::pace::PrefillCost;
+use cranereach_fleet::pace::PrefillCosts;
 
 /// Teaches prompts of several lengths that take a fixed time and one a token.
-fn taught(fixed_ms: f64, token_ms: f64) -> Pace {
-    let mut paces = Paces::default();
+fn taught(fixed_ms: f64, token_ms: f64) -> PrefillCost {
+    let mut paces = PrefillCosts::default();
     for sample in 0..300_u32 {
         let tokens = [300, 700, 1_800, 4_000][sample as usize % 4];
         paces.learn("m", tokens, fixed_ms + f64::from(tokens) * token_ms);
@@ -24,7 +24,7 @@
 
 #[test]
 fn prompts_of_one_length_still_give_the_right_time() {
-    let mut paces = Paces::default();
+    let mut paces = PrefillCosts::default();
     for _sample in 0..300 {
         paces.learn("m", 1_000, 40.0);
     }
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_few_slow_answers_change_little() {
-    let mut paces = Paces::default();
+    let mut paces = PrefillCosts::default();
     for sample in 0..200_u32 {
         let tokens = [300, 1_800][sample as usize % 2];
         let took_ms = if sample % 10 == 0 {
@@ -52,7 +52,7 @@
 
 #[test]
 fn whatever_is_learned_the_pace_stays_a_time() {
-    let mut paces = Paces::default();
+    let mut paces = PrefillCosts::default();
     for (tokens, took_ms) in [
         (4_000, 0.0),
         (1, 900.0),
--- a/crates/cranereach-fleet/tests/pauses.rs
+++ b/crates/cranereach-fleet/tests/pauses.rs
@@ -5,12 +5,12 @@
 use proptest::prelude::*;
 
 use cranereach_fleet::pauses::Arrival;
-use cranereach_fleet::pauses::Stepping;
+use cranereach_fleet::pauses::StepTiming;
 use cranereach_fleet::pauses::longest_ms;
 use cranereach_fleet::pauses::place;
 
 /// A worker that makes an event of three tokens in 30 ms when it reads nothing.
-const STEPPING: Stepping = Stepping {
+const STEPPING: StepTiming = StepTiming {
     event_steps: 3,
     step_ms: 10.0,
     chunk_ms: 200.0,
@@ -76,7 +76,7 @@
         times in prop::collection::vec((0.0_f64..2_000.0, 1.0_f64..600.0), 1..40),
         chunk_ms in 20.0_f64..500.0,
     ) {
-        let stepping = Stepping { chunk_ms, ..STEPPING };
+        let stepping = StepTiming { chunk_ms, ..STEPPING };
         let mut arrivals: Vec<Arrival> =
             times.iter().map(|(at_ms, reading_ms)| prompt(*at_ms, *reading_ms)).collect();
         arrivals.sort_by(|left, right| left.at_ms.total_cmp(&right.at_ms));
--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -10,7 +10,7 @@
 
 use cranereach_fleet::proof::Proof;
 use cranereach_fleet::proof::ProofAnswer;
-use cranereach_fleet::proof::ProofQuestion;
+use cranereach_fleet::proof::ProofQuery;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Time after which a withdrawn key must open nothing, in milliseconds.
@@ -51,7 +51,7 @@
 /// What is on its way.
 #[derive(Clone, Copy, Debug)]
 enum Parcel {
-    Question(usize, ProofQuestion),
+    Question(usize, ProofQuery),
     Answer(ProofAnswer),
     /// The store's answer to a read begun at a time of the reader's clock, of a start:
     /// the newest version then.
@@ -437,7 +437,7 @@
     proof.evacuations_known(StorePosition::new(0, 3));
     let question = proof.question(10_000);
     let answer = |boot: u64, version: u64, age_ms: Option<u64>| ProofAnswer {
-        question: ProofQuestion { boot, ..question },
+        question: ProofQuery { boot, ..question },
         version,
         era: 0,
         evacuations_position: StorePosition::new(0, 3),
--- a/crates/cranereach-fleet/tests/quarantine/fleet.rs
+++ b/crates/cranereach-fleet/tests/quarantine/fleet.rs
@@ -13,7 +13,7 @@
 use cranereach_fleet::quarantine::END_MAX_COUNT;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::quarantine::RequestMark;
-use cranereach_fleet::quarantine::SuspectNews;
+use cranereach_fleet::quarantine::SuspectUpdate;
 
 /// Time of one step, in milliseconds.
 pub const STEP_MS: i64 = 50;
@@ -312,7 +312,7 @@
     /// Tells those who count a request's ends.
     fn report(&mut self, call: Call) {
         let mark = mark(call.number);
-        let Some(news) = self.instances[call.instance].news_of(self.now_ms, mark) else {
+        let Some(news) = self.instances[call.instance].update_for(self.now_ms, mark) else {
             return;
         };
         for place in 0..COUNTED_BY_COUNT {
@@ -324,7 +324,7 @@
         }
     }
 
-    fn pass(&mut self, to: usize, news: &[SuspectNews]) {
+    fn pass(&mut self, to: usize, news: &[SuspectUpdate]) {
         if !self.rng.random_bool(LOST_SHARE) {
             for of in news {
                 self.instances[to].take(self.now_ms, of);
@@ -334,15 +334,15 @@
 
     fn tell(&mut self) {
         let others: Vec<usize> = (0..self.instances.len()).collect();
-        for teller in 0..self.instances.len() {
-            self.instances[teller].forget(self.now_ms);
-            let news = self.instances[teller].news(self.now_ms, &mut self.rng);
+        for reporter in 0..self.instances.len() {
+            self.instances[reporter].forget(self.now_ms);
+            let news = self.instances[reporter].news(self.now_ms, &mut self.rng);
             self.outcome.told_most = self.outcome.told_most.max(news.len());
             let chosen: Vec<usize> = others
                 .sample(&mut self.rng, FAN_OUT_COUNT)
                 .copied()
                 .collect();
-            for to in chosen.into_iter().filter(|to| *to != teller) {
+            for to in chosen.into_iter().filter(|to| *to != reporter) {
                 self.pass(to, &news);
             }
         }
--- a/crates/cranereach-fleet/tests/quarantine/joining.rs
+++ b/crates/cranereach-fleet/tests/quarantine/joining.rs
@@ -12,7 +12,7 @@
 use cranereach_fleet::quarantine::END_MAX_COUNT;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::quarantine::SUSPECT_MAX_COUNT;
-use cranereach_fleet::quarantine::SuspectNews;
+use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::quarantine::Suspicion;
 use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
@@ -31,8 +31,8 @@
     instance
 }
 
-fn news(of: &Quarantine, now_ms: i64) -> SuspectNews {
-    of.news_of(now_ms, mark(1)).unwrap()
+fn news(of: &Quarantine, now_ms: i64) -> SuspectUpdate {
+    of.update_for(now_ms, mark(1)).unwrap()
 }
 
 #[test]
@@ -211,12 +211,12 @@
         };
         // Ends of one worker are the same here: starts of one are told apart by their key.
         let mut worker_seen = std::collections::HashSet::new();
-        let told: Vec<SuspectNews> = told
+        let told: Vec<SuspectUpdate> = told
             .into_iter()
             .filter(|(worker, ..)| worker_seen.insert(*worker))
             .map(of)
             .collect();
-        let told: Vec<SuspectNews> = told.into_iter().take(END_MAX_COUNT).collect();
+        let told: Vec<SuspectUpdate> = told.into_iter().take(END_MAX_COUNT).collect();
         let mut forward = Quarantine::default();
         let mut shuffled = Quarantine::default();
         for news in &told {
--- a/crates/cranereach-fleet/tests/reading_plan.rs
+++ b/crates/cranereach-fleet/tests/reading_plan.rs
@@ -2,17 +2,17 @@
 
 #![expect(clippy::float_cmp, reason = "times are whole milliseconds here")]
 
-use cranereach_fleet::reading_plan::ReadingPlan;
+use cranereach_fleet::reading_plan::PrefillSchedule;
 
 /// A plan of a worker whose streams may pause for 400 ms, three tokens an event.
-fn plan() -> ReadingPlan {
-    let mut plan = ReadingPlan::default();
+fn plan() -> PrefillSchedule {
+    let mut plan = PrefillSchedule::default();
     plan.allow(400.0, 3);
     plan
 }
 
 /// Puts a prompt in its place; returns when that is.
-fn send(plan: &mut ReadingPlan, now_ms: u64, number: u64, reading_ms: f64) -> f64 {
+fn send(plan: &mut PrefillSchedule, now_ms: u64, number: u64, reading_ms: f64) -> f64 {
     let at_ms = plan.place(now_ms, reading_ms).at_ms;
     plan.sent(now_ms, (1, number), at_ms, reading_ms);
     at_ms
@@ -62,7 +62,7 @@
 
 #[test]
 fn streams_that_may_pause_for_any_time_hold_nothing_back() {
-    let mut plan = ReadingPlan::default();
+    let mut plan = PrefillSchedule::default();
     for number in 0..10 {
         assert_eq!(send(&mut plan, 1_000, number, 500.0), 1_000.0);
     }
--- a/crates/cranereach-fleet/tests/restores/instance.rs
+++ b/crates/cranereach-fleet/tests/restores/instance.rs
@@ -30,7 +30,7 @@
     /// Whether the rows are the whole list.
     pub is_whole: bool,
     /// When it was so, in milliseconds.
-    pub true_at_ms: u64,
+    pub as_of_ms: u64,
 }
 
 /// One instance.
@@ -89,7 +89,7 @@
                     }
                 }
             }
-            Mutant::CopyBringsBack => self.roster.trust_copy(u64::MAX),
+            Mutant::CopyBringsBack => self.roster.trust_restored_rows(u64::MAX),
             Mutant::None | Mutant::NoEras => {
                 let told = leaving.into_iter().map(|news| (now_ms, news));
                 self.told.extend(told);
@@ -109,11 +109,11 @@
         };
         let mut lapse_until_ms = None;
         if part.position.era >= self.era {
-            if self.list.ends_outage(part.true_at_ms) {
-                self.roster.distrust_copy(now_ms);
+            if self.list.ends_outage(part.as_of_ms) {
+                self.roster.distrust_restored_rows(now_ms);
             }
-            lapse_until_ms = self.list.lapse_until_ms(now_ms, part.true_at_ms);
-            self.list.confirm(part.true_at_ms);
+            lapse_until_ms = self.list.lapse_until_ms(now_ms, part.as_of_ms);
+            self.list.confirm(part.as_of_ms);
         }
         for row in &changed {
             self.take_row(row, lapse_until_ms);
@@ -167,7 +167,7 @@
     pub fn look(&mut self, now_ms: u64) {
         let age_ms = self.list.age_ms(now_ms);
         if age_ms.is_some_and(|age_ms| age_ms < DRAIN_MS) {
-            self.roster.trust_copy(now_ms);
+            self.roster.trust_restored_rows(now_ms);
         }
         for (position, id) in self.roster.lapsed(now_ms) {
             self.remove(position, &id);
@@ -178,7 +178,7 @@
     /// Hears from another instance which starts leave.
     pub fn hear_departures(&mut self, now_ms: u64, told: &[DepartureNews]) {
         for news in told {
-            if self.roster.told_leaving(now_ms, news) {
+            if self.roster.note_leaving_reported(now_ms, news) {
                 self.told.push((now_ms, *news));
             }
         }
@@ -187,7 +187,7 @@
     /// Returns its newest changes, or all since a position.
     pub fn part(&self, now_ms: u64, since: Option<StorePosition>) -> Option<Part> {
         let age_ms = self.list.age_ms(now_ms)?;
-        let true_at_ms = now_ms - age_ms;
+        let as_of_ms = now_ms - age_ms;
         let position = self.listing.position();
         let Some(since) = since else {
             let part = self.listing.part()?;
@@ -197,7 +197,7 @@
                 span: part.span,
                 rows: part.rows.into_iter().cloned().collect(),
                 is_whole: false,
-                true_at_ms,
+                as_of_ms,
             });
         };
         let missed = self.listing.since(since).filter(|_| !since.is_none());
@@ -217,7 +217,7 @@
             span: self.listing.span_since(since),
             rows: missed.unwrap_or_else(whole),
             is_whole,
-            true_at_ms,
+            as_of_ms,
         })
     }
 }
--- a/crates/cranereach-fleet/tests/restores/world.rs
+++ b/crates/cranereach-fleet/tests/restores/world.rs
@@ -101,7 +101,7 @@
         from: usize,
         era: u64,
         position: StorePosition,
-        true_at_ms: Option<u64>,
+        as_of_ms: Option<u64>,
         departures: Vec<DepartureNews>,
     },
     Fetch(usize, StorePosition),
@@ -377,7 +377,7 @@
             span: Span::Changes,
             is_whole: changes.is_none(),
             rows: changes.unwrap_or_else(|| self.store.whole()),
-            true_at_ms: now_ms,
+            as_of_ms: now_ms,
         };
         let started_at_ms = self.instances[number].started_at_ms;
         let takes_ms = self.rng.random_range(5..ANSWER_MAX_MS);
@@ -422,7 +422,7 @@
             from: number,
             era: instance.era,
             position: instance.listing.position(),
-            true_at_ms: age_ms.map(|age_ms| now_ms - age_ms),
+            as_of_ms: age_ms.map(|age_ms| now_ms - age_ms),
             departures: instance.told.iter().map(|(_, news)| *news).collect(),
         };
         for other in self.others(number, 4) {
@@ -479,18 +479,18 @@
                 from,
                 era,
                 position,
-                true_at_ms,
+                as_of_ms,
                 departures,
             } => {
                 let instance = &mut self.instances[to];
                 instance.hear_era(now_ms, era);
                 instance.hear_departures(now_ms, &departures);
                 let own = instance.listing.position();
-                if let Some(true_at_ms) = true_at_ms
+                if let Some(as_of_ms) = as_of_ms
                     && position == own
                     && position.era >= instance.era
                 {
-                    instance.list.confirm(true_at_ms);
+                    instance.list.confirm(as_of_ms);
                 }
                 if position > own {
                     self.post(to, from, LAG_MS, Parcel::Fetch(to, own));
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -9,10 +9,10 @@
 use self::workers::wanted;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::purpose::Purpose;
-use cranereach_fleet::rest::BELIEVED_MAX_MS;
+use cranereach_fleet::rest::REST_MAX_MS;
 use cranereach_fleet::rest::Rest;
 use cranereach_fleet::rest::Said;
-use cranereach_fleet::rest::TRIED_EVERY_MS;
+use cranereach_fleet::rest::TRIAL_INTERVAL_MS;
 use cranereach_fleet::rest::read;
 use cranereach_fleet::roster::Barred;
 use cranereach_fleet::roster::Roster;
@@ -36,7 +36,7 @@
     assert_eq!(said(&[b"1", b"2"]), Said::For(2_000), "the longest");
     assert_eq!(said(&[b"soon", b"2"]), Said::For(2_000));
     for far in [&b"1e300"[..], b"3601", b"99999999999999999999"] {
-        assert_eq!(said(&[far]), Said::For(BELIEVED_MAX_MS), "{far:?}");
+        assert_eq!(said(&[far]), Said::For(REST_MAX_MS), "{far:?}");
     }
     let unreadable: [&[u8]; 8] = [
         b"",
@@ -75,7 +75,7 @@
     rest.sent(4_000);
     assert!(rest.taken(4_000));
     assert!(!rest.taken(4_000), "it was over");
-    assert_eq!(rest.free_at_ms(2), 0);
+    assert_eq!(rest.may_send_from_ms(2), 0);
 }
 
 #[test]
@@ -87,7 +87,7 @@
     assert!(rest.may_send(4_060, 1) && rest.may_send(4_060, 2));
     rest.sent(4_060);
     assert!(!rest.may_send(4_061, 0));
-    assert!(rest.may_send(4_060 + TRIED_EVERY_MS, 0), "no answer yet");
+    assert!(rest.may_send(4_060 + TRIAL_INTERVAL_MS, 0), "no answer yet");
     // It asks for rest once more.
     rest.asked(4_070, 1_000);
     assert!(!rest.may_send(5_069, 0) && rest.may_send(5_070, 0));
@@ -114,7 +114,7 @@
     let free = roster.free_from_ms(1_000, &wanted);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(3_000 + 25), "by rank");
     // One that leaves is no hope.
-    roster.heard_leaving(1_500, "b", 0);
+    roster.note_leaving_announced(1_500, "b", 0);
     let free = roster.free_from_ms(1_500, &wanted);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(4_000 + 25));
     let barred = |now_ms, purpose| roster.barred(now_ms, "a", purpose, 1);
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -70,7 +70,7 @@
     for version in 1..10_000_u64 {
         roster.remove(at(version), &format!("w{version}"));
     }
-    assert!(roster.remembered_end_count() <= 2_048);
+    assert!(roster.tombstone_count() <= 2_048);
     assert!(
         !roster.put(at(9_990), record("w9999", &[])),
         "the newest are kept"
@@ -137,7 +137,10 @@
         let chosen = choose(&roster, 0, &wanted(model));
         assert_eq!(chosen.as_deref().map_err(|why| *why), expected, "{model:?}");
     }
-    roster.get_mut("b").unwrap().told_adapter(0, "m2", "a2");
+    roster
+        .get_mut("b")
+        .unwrap()
+        .note_adapter_loaded(0, "m2", "a2");
     assert_eq!(
         choose(&roster, 1, &wanted(Some(("m2", Some("a2"))))).as_deref(),
         Ok("b")
@@ -176,15 +179,15 @@
         pace_ratio: 1.0,
         ..Standing::default()
     };
-    roster.get_mut("b").unwrap().stands(0, standing(load));
+    roster.get_mut("b").unwrap().set_standing(0, standing(load));
     assert_eq!(choose(&roster, 1, &request).as_deref(), Ok("a"));
     // An owner's word counts while it is fresh, the newest one alone.
     assert_eq!(choose(&roster, 10_000, &request).as_deref(), Ok("b"));
     let idle = standing(Load::default());
-    roster.get_mut("b").unwrap().stands(2, idle);
+    roster.get_mut("b").unwrap().set_standing(2, idle);
     assert_eq!(choose(&roster, 3, &request).as_deref(), Ok("b"));
     // An owner that is new knows less than this instance itself.
-    roster.get_mut("a").unwrap().stands(2, idle);
+    roster.get_mut("a").unwrap().set_standing(2, idle);
     assert_eq!(roster.get("a").unwrap().load(3).open_count, 1);
     let worker = roster.get_mut("a").unwrap();
     worker.read(1, 50.0);
@@ -380,7 +383,7 @@
     for _ in 0..3 {
         worker.health.failed(0);
     }
-    worker.told_adapter(0, "m1", "a2");
+    worker.note_adapter_loaded(0, "m1", "a2");
     assert!(worker.health.is_aside(10));
     assert!(roster.put(at(2), started(2_000, &[("m1", &["a1"])])));
     let worker = roster.get("a").unwrap();
@@ -388,6 +391,9 @@
     let of_adapter = wanted(Some(("m1", Some("a2"))));
     assert_eq!(choose(&roster, 10, &of_adapter), Err(NoWorker::NoAdapter));
     // A row of the same start changes nothing of that.
-    roster.get_mut("a").unwrap().told_adapter(10, "m1", "a2");
+    roster
+        .get_mut("a")
+        .unwrap()
+        .note_adapter_loaded(10, "m1", "a2");
     assert!(!roster.put(at(3), started(2_000, &[("m1", &["a1"])])));
 }
--- a/crates/cranereach-fleet/tests/sends/fleet.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet.rs
@@ -16,7 +16,7 @@
 use self::parcels::Parcel;
 use cranereach_fleet::load::RANK_COUNT;
 use cranereach_fleet::membership::Membership;
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::named_limit::NamedLimit;
 use cranereach_fleet::named_limit::Said;
 use cranereach_fleet::send_grants::AskPause;
@@ -238,13 +238,13 @@
     }
 
     /// What an instance tells of the worker's limit.
-    fn word(&self, number: usize) -> Option<LimitWord> {
+    fn word(&self, number: usize) -> Option<LimitReport> {
         self.instances[number].limit.word(self.now_ms, || START)
     }
 
     /// The instance that tells all others how the worker stands: one that lives, other
     /// than the owner of its grants.
-    fn teller(&self) -> usize {
+    fn reporter(&self) -> usize {
         let owner = self.owner();
         let others = (0..self.instances.len()).filter(|number| *number != owner);
         others
@@ -350,15 +350,15 @@
 
     /// Whether an instance knows of a limit once it has asked how the worker stands.
     fn knows_limit(&mut self, number: usize) -> bool {
-        let teller = self.teller();
+        let reporter = self.reporter();
         let is_answered = self.is_heard(number)
-            && self.is_heard(teller)
+            && self.is_heard(reporter)
             && !self.rng.random_bool(self.lost_share);
         if is_answered {
             // The question carries what the asker knows.
             let asked = self.word(number);
-            self.told(teller, asked);
-            let word = self.word(teller);
+            self.told(reporter, asked);
+            let word = self.word(reporter);
             self.told(number, word);
         }
         self.instances[number]
--- a/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
@@ -4,11 +4,11 @@
 
 use super::Mutant;
 use super::World;
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::named_limit::Said;
 use cranereach_fleet::send_grants::AskPause;
+use cranereach_fleet::send_grants::GRANT_VALID_MS;
 use cranereach_fleet::send_grants::SendAnswer;
-use cranereach_fleet::send_grants::USE_WITHIN_MS;
 
 /// What is on its way.
 #[derive(Clone, Copy, Debug)]
@@ -17,12 +17,12 @@
         from: usize,
         ticket: u64,
         rank: u8,
-        limit: Option<LimitWord>,
+        limit: Option<LimitReport>,
     },
     Answer {
         ticket: u64,
         answer: SendAnswer,
-        limit: Option<LimitWord>,
+        limit: Option<LimitReport>,
     },
     /// The worker's answer to a request sent at a time, in milliseconds.
     Answered {
@@ -31,7 +31,7 @@
         said: Said,
     },
     /// What an instance tells whoever is asked how the worker stands.
-    Told(LimitWord),
+    Told(LimitReport),
 }
 
 impl World {
@@ -71,7 +71,7 @@
         let now_ms = self.now_ms;
         let of = &mut self.instances[number];
         of.open
-            .retain(|_, (_, asked_ms)| now_ms <= *asked_ms + USE_WITHIN_MS);
+            .retain(|_, (_, asked_ms)| now_ms <= *asked_ms + GRANT_VALID_MS);
     }
 
     fn take(&mut self, number: usize, parcel: Parcel) {
@@ -106,7 +106,7 @@
                     return;
                 };
                 // One that comes late, as after a freeze, isn't used.
-                if now_ms <= asked_ms + USE_WITHIN_MS {
+                if now_ms <= asked_ms + GRANT_VALID_MS {
                     self.answered(number, rank, answer);
                 }
             }
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(super) fn told(&mut self, number: usize, word: Option<LimitWord>) {
+    pub(super) fn told(&mut self, number: usize, word: Option<LimitReport>) {
         let of = &mut self.instances[number];
         if let Some(word) = word
             && of.limit.told(self.now_ms, &word)
@@ -147,7 +147,7 @@
         if has_changed {
             of.pause = AskPause::default();
             if let (Some(word), true) = (self.word(number), self.is_heard(number)) {
-                self.send(self.teller(), Parcel::Told(word));
+                self.send(self.reporter(), Parcel::Told(word));
                 self.send(self.owner(), Parcel::Told(word));
             }
         }
--- a/crates/cranereach-fleet/tests/shortage.rs
+++ b/crates/cranereach-fleet/tests/shortage.rs
@@ -12,7 +12,7 @@
     let ends_at_ms = 10_000;
     let back_at = (0..100).map(|number| {
         let now_ms = number * 100;
-        now_ms + shortages.back_after_ms(now_ms, LIMIT, 60, 0.5)
+        now_ms + shortages.retry_delay_ms(now_ms, LIMIT, 60, 0.5)
     });
     let in_vain_count = back_at.filter(|at_ms| *at_ms < ends_at_ms).count();
     // By the time of its own room, each but the last would.
@@ -22,18 +22,18 @@
 #[test]
 fn a_short_lack_sends_nobody_away_for_long() {
     let mut shortages = Shortages::default();
-    assert_eq!(shortages.back_after_ms(5_000, LIMIT, 60, 0.5), 60);
-    assert_eq!(shortages.back_after_ms(5_050, LIMIT, 60, 0.5), 60);
+    assert_eq!(shortages.retry_delay_ms(5_000, LIMIT, 60, 0.5), 60);
+    assert_eq!(shortages.retry_delay_ms(5_050, LIMIT, 60, 0.5), 60);
     // Another one, later.
-    assert_eq!(shortages.back_after_ms(9_000, LIMIT, 80, 0.5), 80);
-    assert_eq!(shortages.back_after_ms(9_100, LIMIT + 1, 80, 0.5), 80);
+    assert_eq!(shortages.retry_delay_ms(9_000, LIMIT, 80, 0.5), 80);
+    assert_eq!(shortages.retry_delay_ms(9_100, LIMIT + 1, 80, 0.5), 80);
 }
 
 #[test]
 fn callers_refused_together_are_spread() {
     let mut shortages = Shortages::default();
-    shortages.back_after_ms(0, LIMIT, 60, 0.5);
-    let back_ms = [0.0, 0.5, 1.0].map(|varied| shortages.back_after_ms(1_000, LIMIT, 60, varied));
+    shortages.retry_delay_ms(0, LIMIT, 60, 0.5);
+    let back_ms = [0.0, 0.5, 1.0].map(|varied| shortages.retry_delay_ms(1_000, LIMIT, 60, varied));
     assert_eq!(back_ms, [700, 1_000, 1_300]);
 }
 
@@ -41,8 +41,8 @@
 fn what_is_remembered_is_bounded() {
     let mut shortages = Shortages::default();
     for key in 0..10_000 {
-        shortages.back_after_ms(1_000, key, 60, 0.5);
+        shortages.retry_delay_ms(1_000, key, 60, 0.5);
     }
-    assert_eq!(shortages.back_after_ms(2_000, 9_999, 60, 0.5), 60);
-    assert_eq!(shortages.back_after_ms(2_000, 1, 60, 0.5), 1_000);
+    assert_eq!(shortages.retry_delay_ms(2_000, 9_999, 60, 0.5), 60);
+    assert_eq!(shortages.retry_delay_ms(2_000, 1, 60, 0.5), 1_000);
 }
--- a/crates/cranereach-fleet/tests/stays.rs
+++ b/crates/cranereach-fleet/tests/stays.rs
@@ -1,10 +1,10 @@
 //! How long answers are expected to stay.
 
-use cranereach_fleet::stay::Stays;
+use cranereach_fleet::stay::SlotTimes;
 
 #[test]
 fn a_model_is_learned_by_its_answers_and_others_lean_on_all() {
-    let mut stays = Stays::default();
+    let mut stays = SlotTimes::default();
     let first_ms = stays.expected_ms("slow", 100);
     assert!(first_ms > 0.0);
     for _answer in 0..200 {
@@ -19,7 +19,7 @@
 
 #[test]
 fn guesses_that_are_far_off_are_right_together() {
-    let mut stays = Stays::default();
+    let mut stays = SlotTimes::default();
     // Every answer takes 1,000 ms; callers expect 25 or 400 tokens of it.
     for _pair in 0..200 {
         stays.learn("m", 25, 1_000.0);
@@ -31,7 +31,7 @@
 
 #[test]
 fn answers_without_an_expected_length_teach_nothing() {
-    let mut stays = Stays::default();
+    let mut stays = SlotTimes::default();
     let before_ms = stays.expected_ms("m", 10);
     stays.learn("m", 0, 5_000.0);
     assert!((stays.expected_ms("m", 10) - before_ms).abs() < f64::EPSILON);
--- a/crates/cranereach-fleet/tests/ways.rs
+++ b/crates/cranereach-fleet/tests/ways.rs
@@ -1,11 +1,11 @@
 //! How long answers are waited for, by distance.
 
 use cranereach_fleet::topology::Distance;
-use cranereach_fleet::ways::Ways;
+use cranereach_fleet::ways::RoundTrips;
 
 #[test]
 fn an_answer_from_another_region_is_waited_for_before_and_after_its_way_is_known() {
-    let mut ways = Ways::default();
+    let mut ways = RoundTrips::default();
     assert!(ways.wait_ms(Distance::OtherRegion) >= 60);
     for answer in 0..100 {
         ways.answered(Distance::OtherRegion, 16.0 + f64::from(answer % 4));
@@ -20,11 +20,11 @@
 
 #[test]
 fn a_way_that_grows_longer_than_the_wait_is_found_again() {
-    let mut ways = Ways::default();
+    let mut ways = RoundTrips::default();
     for _answer in 0..50 {
         ways.answered(Distance::OtherRegion, 16.0);
     }
-    let is_heard = |ways: &Ways| ways.wait_ms(Distance::OtherRegion) >= 50;
+    let is_heard = |ways: &RoundTrips| ways.wait_ms(Distance::OtherRegion) >= 50;
     let mut question_count = 0;
     while !is_heard(&ways) {
         ways.missed(Distance::OtherRegion);
@@ -32,7 +32,7 @@
         assert!(question_count < 100);
     }
     // One owner that has died among others that answer changes nothing.
-    let mut ways = Ways::default();
+    let mut ways = RoundTrips::default();
     for question in 0..400 {
         if question % 3 == 0 {
             ways.missed(Distance::OwnRegion);
@@ -50,7 +50,7 @@
 
 #[test]
 fn instances_that_are_slow_or_gone_hold_up_no_call_within_a_region() {
-    let mut ways = Ways::default();
+    let mut ways = RoundTrips::default();
     for question in 0..400 {
         for distance in [Distance::OwnDomain, Distance::OwnRegion] {
             ways.answered(distance, f64::from(question % 20));
--- a/crates/cranereach-fleet/tests/workers/mod.rs
+++ b/crates/cranereach-fleet/tests/workers/mod.rs
@@ -54,7 +54,7 @@
         crossings_ms: [0.0; 3],
         regions: &ANY_REGION,
         end_count: 0,
-        needs_no_grant: false,
+        must_avoid_grants: false,
         tried: &[],
     }
 }
--- a/crates/cranereach-gateway/src/adapter.rs
+++ b/crates/cranereach-gateway/src/adapter.rs
@@ -52,9 +52,9 @@
     /// Client account of the request, as passed on to the worker.
     pub account: &'static str,
     /// Prefixes of the headers in which workers describe themselves.
-    pub worker_prefixes: &'static [&'static str],
+    pub worker_header_prefixes: &'static [&'static str],
     /// Headers with such a prefix whose meaning is known.
-    pub worker_known: &'static [&'static str],
+    pub known_worker_headers: &'static [&'static str],
     /// Headers that only this system may set. They are removed from callers' requests.
     pub reserved: &'static [&'static str],
 }
@@ -152,7 +152,7 @@
     /// Returns the path for waiting for changes of a table after a version.
     pub watch_path: fn(table: &str, after: u64, wait_ms: u64) -> String,
     /// Size from which on the answer to a wait may be truncated.
-    pub watch_whole: AnswerSize,
+    pub watch_truncation_size: AnswerSize,
     /// Parses the answer to a read or a wait, given in an era of the store.
     pub parse_read: fn(status: u16, era: u64, body: &[u8]) -> Result<ReadAnswer, FormatError>,
     /// Path of writes and removals.
@@ -247,7 +247,7 @@
     pub parse_configuration: fn(&[u8]) -> Result<Configuration, FormatError>,
     /// Replaces the API keys in a configuration by their hashes, so that it can be passed on to
     /// peers.
-    pub conceal_keys: fn(&[u8]) -> Result<Vec<u8>, FormatError>,
+    pub hash_keys: fn(&[u8]) -> Result<Vec<u8>, FormatError>,
     /// Parses the row of a worker.
     pub parse_worker: fn(id: &str, value: &[u8]) -> Result<WorkerRecord, FormatError>,
     /// Interface of the store.
--- a/crates/cranereach-gateway/src/bodies.rs
+++ b/crates/cranereach-gateway/src/bodies.rs
@@ -158,7 +158,7 @@
     match node.offer_configuration(&Bytes::from(body), "peer") {
         Ok(is_newer) => {
             if is_newer {
-                node.tell_news(Origin::at(node.distance_to(peer)));
+                node.gossip_news(Origin::at(node.distance_to(peer)));
             }
         }
         Err(error) => {
--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -21,7 +21,7 @@
 use crate::store_era;
 use crate::store_pace;
 use cranereach_fleet::first_read::FirstSource;
-use cranereach_fleet::first_read::Newcomer;
+use cranereach_fleet::first_read::JoiningInstance;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Number of instances that watch the store on behalf of all. There are two, so that the failure
@@ -69,7 +69,7 @@
                 }
             }
         };
-        store_pace::note_call(&node, "configuration", &read);
+        store_pace::count_read(&node, "configuration", &read);
         match read {
             Ok(rows) => {
                 // The answer may be the first sign of a new era.
@@ -103,7 +103,7 @@
                     continue;
                 }
                 if error == StoreError::OtherEra {
-                    store_pace::after_other_era().await;
+                    store_pace::pause_after_era_change().await;
                     continue;
                 }
                 if failure_count == 0 {
@@ -179,14 +179,14 @@
 /// Returns whether an instance that has no proof yet is to read the store itself, instead of
 /// taking the configuration from peers.
 fn should_read_first(node: &Node, now_ms: u64) -> bool {
-    let newcomer = node.peers().newcomer(now_ms, RANK_PURPOSE);
+    let joining_instance = node.peers().joining_instance(now_ms, RANK_PURPOSE);
     // The configuration is small, and without it every call is refused, so no instance that is
     // listed as a seed waits for another.
-    let newcomer = Newcomer {
-        seed_rank: newcomer.seed_rank.map(|_rank| 0),
-        ..newcomer
+    let joining_instance = JoiningInstance {
+        seed_rank: joining_instance.seed_rank.map(|_rank| 0),
+        ..joining_instance
     };
-    newcomer.source() == FirstSource::Store
+    joining_instance.source() == FirstSource::Store
 }
 
 /// Returns whether this instance is one of those that watch the store on behalf of all.
@@ -211,7 +211,7 @@
         match node.offer_configuration(&Bytes::from(row.value), "store") {
             Ok(is_newer) => {
                 if is_newer {
-                    node.tell_news(Origin::Own);
+                    node.gossip_news(Origin::Own);
                 }
             }
             Err(error) => {
--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -13,8 +13,8 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::tenure::LeaseRow;
+use cranereach_fleet::tenure::LeaseState;
 use cranereach_fleet::tenure::Step;
-use cranereach_fleet::tenure::Tenure;
 
 /// Table of the lease rows.
 const TABLE: &str = "cranereach_leases";
@@ -44,7 +44,7 @@
 /// Performs the next step for the lease: nothing, one read or one write of its row.
 pub async fn advance(
     node: &Node,
-    tenure: &mut Tenure,
+    tenure: &mut LeaseState,
     candidacy: &mut Candidacy,
     service: &Arc<str>,
 ) {
@@ -54,14 +54,14 @@
         return;
     }
     let key = worker_key(service);
-    let is_holder_heard = node.peers().hears_holder(now_ms, key);
+    let is_holder_heard = node.peers().knows_holder(now_ms, key);
     if is_holder_heard {
         candidacy.candidate_since_ms = None;
     }
     tenure.enter_era(node.store.eras().newest());
     announce_ended_term(node, tenure, now_ms, key);
     for ended in node.peers().ended_terms(now_ms, key) {
-        tenure.heard_ended(ended);
+        tenure.record_ended_term(ended);
     }
     if now_ms < candidacy.next_call_at_ms {
         return;
@@ -91,7 +91,7 @@
 }
 
 /// Announces to peers whether a term of this instance has expired.
-fn announce_ended_term(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
+fn announce_ended_term(node: &Node, tenure: &LeaseState, now_ms: u64, service: u64) {
     let mut ended = lock(&node.ended_leases);
     let is_unchanged = match tenure.ended(now_ms) {
         Some(term) => ended.insert(service, term) == Some(term),
@@ -112,9 +112,9 @@
 }
 
 /// Reads the lease row.
-async fn read(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
+async fn read(node: &Node, tenure: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
     let rows = node.store.read(TABLE).await;
-    store_pace::note_call(node, "lease", &rows);
+    store_pace::count_read(node, "lease", &rows);
     let now_ms = node.now_ms();
     match rows {
         Ok(rows) => {
@@ -130,7 +130,7 @@
 /// Writes the lease row to acquire or renew the lease.
 async fn write(
     node: &Node,
-    tenure: &mut Tenure,
+    tenure: &mut LeaseState,
     candidacy: &mut Candidacy,
     service: &str,
     expected: StorePosition,
@@ -142,7 +142,7 @@
         .write(&row_name(service), expected, &content)
         .await;
     let now_ms = node.now_ms();
-    let outcome = store_pace::note_write(node, "lease_write", &written);
+    let outcome = store_pace::count_write(node, "lease_write", &written);
     match written {
         Ok(WriteAnswer::Done(position)) => {
             tenure.written(sent_at_ms, position);
@@ -164,7 +164,7 @@
 }
 
 /// Releases the lease on the first call; later calls do nothing.
-async fn release(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
+async fn release(node: &Node, tenure: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
     if candidacy.has_released {
         return;
     }
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -31,7 +31,7 @@
 use cranereach_fleet::placement::WorkerView;
 use cranereach_fleet::pressure::Pressure;
 use cranereach_fleet::pressure::WantedModel;
-use cranereach_fleet::tenure::Tenure;
+use cranereach_fleet::tenure::LeaseState;
 
 /// Time between two rounds of the control loop, in milliseconds.
 const ROUND_INTERVAL_MS: u64 = 100;
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct ServiceController {
     service: Arc<str>,
-    tenure: Tenure,
+    tenure: LeaseState,
     candidacy: Candidacy,
     ledger: Ledger,
     load_budget: TokenBucket,
@@ -138,7 +138,7 @@
     fn new(node: &Node, service: Arc<str>, engine: &Engine) -> Self {
         let settings = &node.settings;
         Self {
-            tenure: Tenure::new(&settings.instance.id, settings.bounds.lease_ms),
+            tenure: LeaseState::new(&settings.instance.id, settings.bounds.lease_ms),
             candidacy: Candidacy::default(),
             ledger: Ledger::default(),
             load_budget: TokenBucket::new(
@@ -261,7 +261,7 @@
                 demand: &demand,
                 workers: &workers,
             };
-            let Some(planned) = plan.next(self.load_budget.is_filled(now_ms)) else {
+            let Some(planned) = plan.next(self.load_budget.has_token(now_ms)) else {
                 return;
             };
             let id = Arc::clone(&ids[planned.worker]);
@@ -339,7 +339,7 @@
             .collect();
         let now_ms = node.now_ms();
         news::apply_orders(node, now_ms, &announced.adapters, &announced.withheld);
-        news::tell_placed(node, worker_key(&self.service), &announced.adapters);
+        news::notify_placed(node, worker_key(&self.service), &announced.adapters);
         let mut all_announced = node.announced();
         let previous = all_announced.insert(Arc::clone(&self.service), announced.clone());
         drop(all_announced);
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -24,7 +24,7 @@
 use cranereach_fleet::load::RANK_COUNT;
 use cranereach_fleet::placement::Order;
 use cranereach_fleet::purpose::Purpose;
-use cranereach_fleet::tenure::Tenure;
+use cranereach_fleet::tenure::LeaseState;
 use cranereach_http::client::Answer;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
@@ -108,7 +108,7 @@
     /// Sends an order, provided that the lease still permits it at the moment of sending.
     pub fn send_order(
         &mut self,
-        tenure: &Tenure,
+        tenure: &LeaseState,
         service: &Arc<str>,
         engine: &Engine,
         worker: &Arc<str>,
@@ -179,7 +179,7 @@
 async fn send(
     node: &Node,
     client: &JsonClient,
-    tenure: &Tenure,
+    tenure: &LeaseState,
     worker: &Arc<str>,
     model: String,
     open: OpenOrder,
--- a/crates/cranereach-gateway/src/controller/view.rs
+++ b/crates/cranereach-gateway/src/controller/view.rs
@@ -74,7 +74,7 @@
         view.is_evacuated = roster.is_evacuated(id);
         // The few requests that a limited or resting worker accepts are left to callers. Each
         // order also leads to a report request.
-        view.is_free &= !roster.names_limit(now_ms, id) && !roster.is_resting(now_ms, id);
+        view.is_free &= !roster.is_rate_limited(now_ms, id) && !roster.is_resting(now_ms, id);
     }
     (ids, views)
 }
--- a/crates/cranereach-gateway/src/departures.rs
+++ b/crates/cranereach-gateway/src/departures.rs
@@ -14,7 +14,7 @@
 use crate::node::lock;
 use crate::send_permit::Permit;
 use cranereach_fleet::departure::DepartureNews;
-use cranereach_fleet::departure::Teller;
+use cranereach_fleet::departure::DepartureSource;
 use cranereach_fleet::key::worker_key;
 
 /// Maximum number of departures in one digest; if there are more, each digest contains a random
@@ -26,11 +26,11 @@
     let now_ms = node.now_ms();
     let (is_new, news) = {
         let mut roster = node.roster();
-        let is_new = roster.heard_leaving(now_ms, &permit.worker, permit.started_unix_ms);
+        let is_new = roster.note_leaving_announced(now_ms, &permit.worker, permit.started_unix_ms);
         (is_new, roster.departure_news(&permit.worker))
     };
     if is_new {
-        log_and_wake(node, &permit.worker, Teller::Worker);
+        log_and_wake(node, &permit.worker, DepartureSource::Worker);
         tell(node, now_ms, news.as_slice());
     }
 }
@@ -44,7 +44,7 @@
     let reported = reported.iter().take(GOSSIPED_MAX_COUNT);
     let new: Vec<(DepartureNews, Option<Arc<str>>)> = {
         let mut roster = node.roster();
-        let new = reported.filter(|news| roster.told_leaving(now_ms, news));
+        let new = reported.filter(|news| roster.note_leaving_reported(now_ms, news));
         let new: Vec<DepartureNews> = new.copied().collect();
         let id = |news: &DepartureNews| {
             let worker = roster.by_key(news.worker)?;
@@ -53,14 +53,14 @@
         new.into_iter().map(|news| (news, id(&news))).collect()
     };
     for worker in new.iter().filter_map(|(_, id)| id.as_ref()) {
-        log_and_wake(node, worker, Teller::Peer);
+        log_and_wake(node, worker, DepartureSource::Peer);
     }
     let new: Vec<DepartureNews> = new.into_iter().map(|(news, _)| news).collect();
     tell(node, now_ms, &new);
 }
 
 /// Applies the report of a worker's owner that the given incarnation of the worker is leaving.
-pub fn take_owners(node: &Node, worker: u64, start: Option<u64>) {
+pub fn take_owner_report(node: &Node, worker: u64, start: Option<u64>) {
     if let Some(start) = start {
         take(node, &[DepartureNews { worker, start }]);
     }
@@ -92,8 +92,8 @@
 }
 
 /// Logs that a worker is leaving, and wakes the calls that wait for it and the controller.
-fn log_and_wake(node: &Node, worker: &str, teller: Teller) {
-    info!(node.log, "worker leaves"; "worker" => worker, "by" => teller.name());
+fn log_and_wake(node: &Node, worker: &str, reporter: DepartureSource) {
+    info!(node.log, "worker leaves"; "worker" => worker, "by" => reporter.name());
     // Waiting calls select another worker, and the controller places the worker's models elsewhere.
     node.roster_changed.notify_waiters();
     node.controller_wanted.notify_one();
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -58,7 +58,7 @@
     },
     /// The row was changed concurrently.
     #[error("the evacuation request was changed concurrently; check its state and try again")]
-    Raced,
+    ChangedConcurrently,
     /// The settings name an unknown adapter.
     #[error("unknown platform adapter {0:?}")]
     Adapter(String),
@@ -69,7 +69,7 @@
 
 /// Result of a request or withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Demanded {
+pub enum EvacuationOutcome {
     /// Written at this version of the store. The time bound runs from the store's response.
     At(u64),
     /// Nothing had to be changed.
@@ -103,7 +103,7 @@
     settings: &Settings,
     domain: &str,
     is_withdrawn: bool,
-) -> Result<Demanded, DomainsError> {
+) -> Result<EvacuationOutcome, DomainsError> {
     let adapter = adapter_of(settings)?;
     let snapshot = read(settings, adapter).await?;
     let asked_at = snapshot.asked.get(domain).copied();
@@ -120,7 +120,7 @@
     };
     let store = store(settings, adapter);
     let answer = match (asked_at, is_withdrawn) {
-        (Some(_), false) | (None, true) => return Ok(Demanded::Already),
+        (Some(_), false) | (None, true) => return Ok(EvacuationOutcome::Already),
         (None, false) => {
             store
                 .write(&row, snapshot.absent_position, ROW_VALUE)
@@ -129,8 +129,8 @@
         (Some(position), true) => store.remove(&row, position).await?,
     };
     match answer {
-        WriteAnswer::Done(position) => Ok(Demanded::At(position.version)),
-        WriteAnswer::Conflict => Err(DomainsError::Raced),
+        WriteAnswer::Done(position) => Ok(EvacuationOutcome::At(position.version)),
+        WriteAnswer::Conflict => Err(DomainsError::ChangedConcurrently),
         WriteAnswer::Refused(status) => {
             let refused = StoreError::NotDone(format!("status {status}"));
             Err(DomainsError::Store(refused))
--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -121,7 +121,7 @@
         .set(list.domains.len() as i64);
     node.roster_changed.notify_waiters();
     node.controller_wanted.notify_one();
-    node.tell_news(origin);
+    node.gossip_news(origin);
 }
 
 /// Whether a domain is named in the settings or by a worker.
--- a/crates/cranereach-gateway/src/expected.rs
+++ b/crates/cranereach-gateway/src/expected.rs
@@ -20,7 +20,7 @@
 const ANSWER_VALID_MS: u64 = 1_000;
 
 /// Maximum number of models in one question or answer.
-pub const ASKED_MAX_COUNT: usize = 64;
+pub const QUERIED_MAX_COUNT: usize = 64;
 
 /// Maximum number of models whose answers are cached.
 const CACHED_MAX_COUNT: usize = 4_096;
@@ -31,7 +31,7 @@
     /// The model is expected to be ready at this time, in milliseconds.
     At(u64),
     /// The model is not being loaded.
-    NotComing,
+    NotLoading,
 }
 
 /// Answers by service and model, each with the time of its receipt.
@@ -81,7 +81,7 @@
 /// Returns the answer about a model from this instance as the lease holder.
 fn local_answer(announced: &Announced, model: u16) -> Word {
     let at_ms = announced.coming.get(&model).copied();
-    at_ms.map_or(Word::NotComing, Word::At)
+    at_ms.map_or(Word::NotLoading, Word::At)
 }
 
 /// Answers a peer whose requests lack some models, for the leases held by this instance.
@@ -90,11 +90,11 @@
     let mut answers = Vec::new();
     for (service, announced) in node.announced().iter() {
         let key = worker_key(service);
-        let asked = lacks.iter().take(ASKED_MAX_COUNT);
+        let asked = lacks.iter().take(QUERIED_MAX_COUNT);
         for (_, model) in asked.filter(|(service_key, _)| *service_key == key) {
             let in_ms = match local_answer(announced, *model) {
                 Word::At(at_ms) => Some(at_ms.saturating_sub(now_ms) as u32),
-                Word::NotComing => None,
+                Word::NotLoading => None,
             };
             answers.push(ExpectedModel {
                 service: key,
@@ -113,10 +113,10 @@
 pub fn take(node: &Node, answers: &[ExpectedModel]) {
     let now_ms = node.now_ms();
     let mut expected = lock(&node.expected);
-    for answer in answers.iter().take(ASKED_MAX_COUNT) {
-        let word = answer
-            .in_ms
-            .map_or(Word::NotComing, |in_ms| Word::At(now_ms + u64::from(in_ms)));
+    for answer in answers.iter().take(QUERIED_MAX_COUNT) {
+        let word = answer.in_ms.map_or(Word::NotLoading, |in_ms| {
+            Word::At(now_ms + u64::from(in_ms))
+        });
         expected.insert(now_ms, (answer.service, answer.model), word);
     }
     drop(expected);
--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::quarantine;
 use crate::worker_ends;
-use crate::worker_ends::Found;
+use crate::worker_ends::ProbeResult;
 
 /// Checks in the background what became of the worker whose connection broke during a call. If
 /// the worker has ended, records that against the call's fingerprint. `earlier_end_known` says
@@ -19,7 +19,7 @@
     call: &Arc<Call>,
     worker: &Arc<str>,
     earlier_end_known: bool,
-) -> JoinHandle<Found> {
+) -> JoinHandle<ProbeResult> {
     let start = node
         .roster()
         .get(worker)
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -153,7 +153,7 @@
                     Some(Word::At(at_ms)) if at_ms < aim_at_ms => {
                         aim_at_ms.min(at_ms + LISTING_DELAY_MS)
                     }
-                    Some(Word::At(_) | Word::NotComing) => received_ms,
+                    Some(Word::At(_) | Word::NotLoading) => received_ms,
                     None => received_ms + LOAD_EXPECTATION_WAIT_MS,
                 }
             }
@@ -166,7 +166,7 @@
         let now_ms = self.node.now_ms();
         let retry_after_ms = match workload::load_expectation(self.node, self.call) {
             Some(Word::At(at_ms)) => at_ms.saturating_sub(now_ms) + LISTING_DELAY_MS,
-            Some(Word::NotComing) | None => workload::model_load_ms(self.call).unwrap_or_default(),
+            Some(Word::NotLoading) | None => workload::model_load_ms(self.call).unwrap_or_default(),
         };
         retry_after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
@@ -182,8 +182,8 @@
     /// Returns the Retry-After of a call whose workers accept no more calls for now, in
     /// milliseconds.
     fn free_after_ms(&self, wanted: &Wanted<'_>) -> u64 {
-        let free_at_ms = self.free_from_ms(wanted).map(|(_, at_ms)| at_ms);
-        let after_ms = free_at_ms.map_or(0, |at_ms| at_ms.saturating_sub(self.node.now_ms()));
+        let may_send_from_ms = self.free_from_ms(wanted).map(|(_, at_ms)| at_ms);
+        let after_ms = may_send_from_ms.map_or(0, |at_ms| at_ms.saturating_sub(self.node.now_ms()));
         after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
 
@@ -266,7 +266,7 @@
         let waited_ms = self.node.now_ms().saturating_sub(call.received_ms) as f64;
         match admission.judge(choice.begins_in_ms, waited_ms) {
             Verdict::Send => return Ok(None),
-            Verdict::LookAgain(in_ms) => return Ok(Some(in_ms as u64)),
+            Verdict::RecheckAfter(in_ms) => return Ok(Some(in_ms as u64)),
             Verdict::Refuse => {}
         }
         let detail = format!("predicted to begin in {:.0} ms", choice.begins_in_ms);
@@ -296,7 +296,7 @@
             crossings_ms: lock(&self.node.ways).crossings_ms(),
             regions: &self.call.regions,
             end_count: quarantine::suspicion(self.node, self.call).end_count,
-            needs_no_grant: self.has_exhausted_permits(),
+            must_avoid_grants: self.has_exhausted_permits(),
             tried: &self.tried,
         }
     }
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -23,7 +23,7 @@
 use super::workload;
 use crate::node::Node;
 use crate::quarantine;
-use crate::worker_ends::Found;
+use crate::worker_ends::ProbeResult;
 use cranereach_core::codes::ResultCode;
 use cranereach_fleet::roster::Choice;
 
@@ -123,7 +123,7 @@
     call: &Arc<Call>,
     history: OfferHistory,
     last_event: Option<String>,
-    worker_check: JoinHandle<Found>,
+    worker_check: JoinHandle<ProbeResult>,
 ) -> Result<(StartedStream, OfferHistory), Refusal> {
     let mut exchange = Exchange::new(node, call);
     exchange.tried = history.tried;
@@ -145,7 +145,7 @@
 
 /// Waits a limited time for the check of a worker whose connection broke. Before the call is sent
 /// again, it should be known whether workers end under it.
-async fn wait_for_worker_check(worker_check: JoinHandle<Found>) {
+async fn wait_for_worker_check(worker_check: JoinHandle<ProbeResult>) {
     let within = Duration::from_millis(WORKER_CHECK_WAIT_MS);
     // A check that takes longer continues in the background.
     let _found = tokio::time::timeout(within, worker_check).await;
@@ -283,7 +283,7 @@
         if self.offer_count >= OFFER_MAX_COUNT {
             return Err(self.refusal(self.no_worker_code(), "maximum number of offers reached"));
         }
-        if spends_budget && !self.node.spend_repeat(&self.call.service.name) {
+        if spends_budget && !self.node.spend_retry(&self.call.service.name) {
             let code = if self.may_have_run {
                 ResultCode::OutcomeUnknown
             } else {
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -7,8 +7,8 @@
 use crate::owners;
 use crate::owners::Told;
 use cranereach_fleet::load::RANK_COUNT;
-use cranereach_fleet::owned::Opening;
 use cranereach_fleet::owned::Outcome;
+use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::quarantine::ALONE_FROM_COUNT;
 use cranereach_fleet::roster::Choice;
 use cranereach_fleet::topology::Distance;
@@ -87,7 +87,7 @@
         node.metrics.open_requests.inc();
         let open_in_domain = &node.metrics.open_in_domain;
         open_in_domain.with_label_values(&[domain.as_ref()]).inc();
-        let opening = Opening {
+        let opening = SentRequest {
             rank: wanted.rank.min(RANK_COUNT - 1) as u8,
             unread_ms: reading_ms as f32,
             stay_ms: (wanted.stay_ms + reading_ms) as f32,
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -191,7 +191,7 @@
         let available_in_ms = refusal.retry_after_ms;
         let mut shortages = lock(&node.shortages);
         refusal.retry_after_ms =
-            shortages.back_after_ms(node.now_ms(), shortage_key, available_in_ms, rand::random());
+            shortages.retry_delay_ms(node.now_ms(), shortage_key, available_in_ms, rand::random());
     }
     let row = refusal.code.row();
     let route = refusal.route.as_deref().unwrap_or("");
--- a/crates/cranereach-gateway/src/forward/response_head.rs
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::send_permit::Permit;
 use crate::worker_words;
-use crate::worker_words::WorkerWords;
+use crate::worker_words::WorkerHeaders;
 use cranereach_http::pool::Connection;
 
 /// Reason why one offer to one worker failed.
@@ -65,7 +65,7 @@
     permit: &Permit,
     in_flight: &mut InFlightCall,
     response: &Response<Incoming>,
-) -> Result<WorkerWords, Failure> {
+) -> Result<WorkerHeaders, Failure> {
     let headers = response.headers();
     let status = response.status();
     let request_id = headers.get(node.adapter.headers.request_id);
--- a/crates/cranereach-gateway/src/forward/resumption.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -102,7 +102,7 @@
         call: &Arc<Call>,
         history: OfferHistory,
         last_event: Option<String>,
-        worker_check: JoinHandle<worker_ends::Found>,
+        worker_check: JoinHandle<worker_ends::ProbeResult>,
     ) -> Self {
         let node = Arc::clone(node);
         let call = Arc::clone(call);
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -20,7 +20,7 @@
 use crate::cold;
 use crate::quarantine;
 use crate::send_permit;
-use crate::worker_words::REST_UNSAID_MS;
+use crate::worker_words::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Choice;
 use cranereach_http::body;
@@ -86,7 +86,7 @@
         let permit = send_permit::ask(node, &choice.id, Purpose::Call, call.rank).await;
         let Some(permit) = permit else {
             if !connection.is_reused() {
-                connection.keep_for(REST_UNSAID_MS);
+                connection.keep_for(DEFAULT_KEEP_ALIVE_MS);
             }
             return Err(Failure::NoPermit);
         };
@@ -114,7 +114,7 @@
         Ok(ResponseHead {
             response,
             connection,
-            keep_alive_ms: words.connection_rest_ms,
+            keep_alive_ms: words.connection_keep_alive_ms,
             in_flight,
         })
     }
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -30,7 +30,7 @@
 use super::resumption::StreamResumption;
 use crate::node::Node;
 use crate::quarantine;
-use crate::worker_ends::Found;
+use crate::worker_ends::ProbeResult;
 use cranereach_http::events::Reached;
 use cranereach_http::events::WholeEvents;
 
@@ -211,7 +211,7 @@
     }
 
     /// Starts the check what became of the worker whose connection broke.
-    fn investigate_worker(&self) -> Option<JoinHandle<Found>> {
+    fn investigate_worker(&self) -> Option<JoinHandle<ProbeResult>> {
         let worker = self.in_flight.as_ref()?.worker();
         let earlier_end_known = self.history.earlier_end_known;
         Some(broken_connection::investigate(
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -11,7 +11,7 @@
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
-use cranereach_fleet::pace::Pace;
+use cranereach_fleet::pace::PrefillCost;
 
 /// Records the demand of a call, so that its model is loaded where it is needed.
 pub fn note_demand(node: &Node, call: &Call) {
@@ -56,9 +56,9 @@
 }
 
 /// Returns the prefill speed of the call's model; zero time if the call names no model.
-pub fn pace(node: &Node, call: &Call) -> Pace {
+pub fn pace(node: &Node, call: &Call) -> PrefillCost {
     let model = call.model();
-    model.map_or(Pace::default(), |(model, _)| node.paces().of(model))
+    model.map_or(PrefillCost::default(), |(model, _)| node.paces().of(model))
 }
 
 /// Returns the time for which the call is expected to occupy a slot once it runs, in
--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -20,7 +20,7 @@
 use crate::departures;
 use crate::evacuations;
 use crate::expected;
-use crate::expected::ASKED_MAX_COUNT;
+use crate::expected::QUERIED_MAX_COUNT;
 use crate::limits;
 use crate::list_news;
 use crate::messages::DATAGRAM_MAX_BYTES;
@@ -43,7 +43,7 @@
 use crate::send_grants;
 use cranereach_fleet::freshness::Freshness;
 use cranereach_fleet::key::worker_key;
-use cranereach_fleet::membership::MemberNews;
+use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::topology::DomainTag;
 
@@ -76,7 +76,7 @@
         let now_ms = node.now_ms();
         round += 1;
         let is_slow_round = round.is_multiple_of(SLOW_ROUND_EVERY);
-        let members = node.peers().member_news(now_ms);
+        let members = node.peers().member_updates(now_ms);
         let digest = make_digest(&node, now_ms, members);
         let holds = services_to_notify(&digest);
         let recipients = node.peers().recipients(now_ms, is_slow_round, &holds);
@@ -111,7 +111,7 @@
             boot: node.boot,
             count,
             waits_for: waits_for.into_iter().collect(),
-            lacks: lacks.into_iter().take(ASKED_MAX_COUNT).collect(),
+            lacks: lacks.into_iter().take(QUERIED_MAX_COUNT).collect(),
             parts: demand_parts(&node, now_ms),
         };
         let is_urgent = !message.waits_for.is_empty() || !message.lacks.is_empty();
@@ -145,7 +145,7 @@
 }
 
 /// Makes a digest of this instance's state.
-fn make_digest(node: &Node, now_ms: u64, members: Vec<MemberNews>) -> Digest {
+fn make_digest(node: &Node, now_ms: u64, members: Vec<MemberUpdate>) -> Digest {
     let count = node.digest_count.fetch_add(1, Ordering::AcqRel) + 1;
     let peers = node.peers();
     let store_failed = peers.store_failures(now_ms);
@@ -244,7 +244,7 @@
                             node.send_now(sender, Message::Quote(quote));
                         }
                     }
-                    Message::Quote(quote) => owners::take_quote(&node, quote),
+                    Message::Quote(quote) => owners::handle_quote(&node, quote),
                     Message::Placed(placed) => news::take_placed(&node, &placed),
                     Message::Expected(answers) => expected::take(&node, &answers),
                     Message::Prove(question) => proofs::answer(&node, sender, question),
@@ -275,21 +275,21 @@
 
 /// Sends a digest at once to an instance that has no worker list yet, so that it learns whom
 /// to ask; members of its own failure domain come first.
-fn reply_to_joining(node: &Node, now_ms: u64, newcomer: Ipv4Addr, received: &Digest) {
+fn reply_to_joining(node: &Node, now_ms: u64, joining_instance: Ipv4Addr, received: &Digest) {
     let members = {
         let mut peers = node.peers();
-        if !peers.may_greet(now_ms, newcomer) {
+        if !peers.may_reply_to_joining(now_ms, joining_instance) {
             return;
         }
-        peers.member_news_for(now_ms, DomainTag::from_key(received.domain))
+        peers.member_updates_for(now_ms, DomainTag::from_key(received.domain))
     };
     let digest = Digest {
         // The joining instance has missed earlier announcements.
         departures: departures::all(node),
         ..make_digest(node, now_ms, members)
     };
-    let newcomer = SocketAddr::from((newcomer, node.peer_port()));
-    node.send_now(newcomer, Message::Digest(Box::new(digest)));
+    let joining_instance = SocketAddr::from((joining_instance, node.peer_port()));
+    node.send_now(joining_instance, Message::Digest(Box::new(digest)));
 }
 
 /// Returns the origin of news from a peer.
@@ -313,7 +313,7 @@
     if digest.list_position.is_none() {
         reply_to_joining(node, now_ms, sender, digest);
     }
-    node.store.eras().rise_to(digest.store_era, "peer");
+    node.store.eras().advance_to(digest.store_era, "peer");
     bodies::fetch_configuration_if_behind(node, sender, digest.configuration_version);
     evacuations::take(node, &digest.evacuations, origin(node, sender));
     quarantine::take(node, sender, &digest.suspects);
--- a/crates/cranereach-gateway/src/heard_leases.rs
+++ b/crates/cranereach-gateway/src/heard_leases.rs
@@ -8,7 +8,7 @@
 use crate::messages::HeldLease;
 
 /// Age up to which news of a held lease counts, in milliseconds.
-pub const HEARD_WITHIN_MS: u64 = 1_500;
+pub const LEASE_NEWS_MAX_AGE_MS: u64 = 1_500;
 
 /// The leases that are known from gossip.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +53,7 @@
             let released_ms = self.released_at_ms.get(service).copied();
             // Relayed news that is older than the holder's own release does not count.
             let is_held = released_ms.is_none_or(|released_ms| *at_ms > released_ms);
-            is_held && now_ms < at_ms + HEARD_WITHIN_MS
+            is_held && now_ms < at_ms + LEASE_NEWS_MAX_AGE_MS
         });
         recent
             .map(|(service, (holder, at_ms))| HeldLease {
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -113,7 +113,7 @@
             lock(&node.uses).refused(now_ms, key, wait_ms);
             Err(Denied::Beyond(wait_ms))
         }
-        None if lock(&node.uses).may_run_alone(now_ms, key, cost) => Ok(charge),
+        None if lock(&node.uses).may_run_without_owner(now_ms, key, cost) => Ok(charge),
         None => Err(Denied::Unknown),
     }
 }
@@ -283,7 +283,7 @@
         Ownership::StandIn
     } else if is_starting && peers.have_all_started_within(now_ms, STARTUP_PERIOD_MS) {
         Ownership::Restarted
-    } else if members.same_for_ms(now_ms) as f64 >= window_ms {
+    } else if members.unchanged_for_ms(now_ms) as f64 >= window_ms {
         Ownership::Settled
     } else {
         Ownership::Fresh
--- a/crates/cranereach-gateway/src/list_bodies.rs
+++ b/crates/cranereach-gateway/src/list_bodies.rs
@@ -82,7 +82,7 @@
     packed_at_ms: u64,
     position: StorePosition,
     /// Time at which `position` was known to be the newest, in milliseconds.
-    true_at_ms: u64,
+    as_of_ms: u64,
     packed_rows: Vec<u8>,
     history: History,
 }
@@ -146,7 +146,7 @@
         from: StorePosition::default(),
         span: Span::Difference,
         position: cached.position,
-        age_ms: now_ms.saturating_sub(cached.true_at_ms),
+        age_ms: now_ms.saturating_sub(cached.as_of_ms),
         packed_rows: cached.packed_rows.clone(),
     };
     let history = cached.history.clone();
@@ -167,7 +167,7 @@
     PackedList {
         packed_at_ms: now_ms,
         position: listing.position(),
-        true_at_ms: now_ms.saturating_sub(age_ms),
+        as_of_ms: now_ms.saturating_sub(age_ms),
         packed_rows: pack_rows(&rows),
         history: listing.history().clone(),
     }
@@ -194,8 +194,8 @@
     };
     // However long the answer took, its age is counted from the question, so that the list
     // never seems fresher than it is.
-    let true_at_ms = asked_at_ms.saturating_sub(list.age_ms);
-    let is_newer = list.position > known || lock(&node.list).is_older_than(true_at_ms);
+    let as_of_ms = asked_at_ms.saturating_sub(list.age_ms);
+    let is_newer = list.position > known || lock(&node.list).is_older_than(as_of_ms);
     if let Some(history) = history {
         let Some(rows) = unpack_rows(&list.packed_rows, bodies::FETCH_MAX_BYTES as u64) else {
             return count_malformed(node);
@@ -205,11 +205,11 @@
         if list.position < node.list_position() {
             return FetchOutcome::NothingNew;
         }
-        roster_sync::take_whole(node, true_at_ms, list.position, rows);
-        lock(&node.listing).inherit(list.position, history);
+        roster_sync::take_whole(node, as_of_ms, list.position, rows);
+        lock(&node.listing).adopt_history(list.position, history);
         node.tell_list(Origin::at(node.distance_to(peer)));
     } else {
-        roster_sync::take_changes(node, peer, true_at_ms, &list);
+        roster_sync::take_changes(node, peer, as_of_ms, &list);
     }
     if is_newer {
         FetchOutcome::Updated
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -1,7 +1,7 @@
 //! Decides when this instance has to refresh its worker list, and from where.
 //!
 //! [`Freshness`] says when. The instances that rank first read the store; the others, and
-//! those without a list ([`Newcomer`]), fetch it from a peer that has a newer one before they
+//! those without a list ([`JoiningInstance`]), fetch it from a peer that has a newer one before they
 //! fall back to the store. So the load on the store doesn't grow with the fleet.
 //!
 //! [`Freshness`]: cranereach_fleet::freshness::Freshness
@@ -19,7 +19,7 @@
 use crate::store_pace;
 use cranereach_fleet::first_read::FirstSource;
 use cranereach_fleet::first_read::Holder;
-use cranereach_fleet::first_read::Newcomer;
+use cranereach_fleet::first_read::JoiningInstance;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Interval between two checks whether a refresh is due, in milliseconds.
@@ -52,7 +52,7 @@
 
 /// Selects when and from where to refresh the list.
 #[derive(Clone, Debug, Default)]
-pub struct Finder {
+pub struct ListSourceSelector {
     /// Whether a peer was asked since the last read of the store.
     has_asked_peer: bool,
     failed_count: u32,
@@ -60,7 +60,7 @@
     holder_known_since_ms: Option<u64>,
 }
 
-impl Finder {
+impl ListSourceSelector {
     /// Waits until a refresh is due and returns its source; meanwhile drops workers whose rows
     /// have lapsed.
     pub async fn next(&mut self, node: &Node) -> Source {
@@ -74,7 +74,7 @@
             if node.now_ms() > now_ms + POLL_INTERVAL_MS + STALL_MIN_MS {
                 // Messages that waited in the socket meanwhile would seem fresher than they
                 // are.
-                lock(&node.list).distrust();
+                lock(&node.list).invalidate();
             }
         }
     }
@@ -149,15 +149,15 @@
         } else {
             Holder::Nobody
         };
-        let newcomer = Newcomer {
+        let joining_instance = JoiningInstance {
             holder,
-            ..peers.newcomer(now_ms, PURPOSE)
+            ..peers.joining_instance(now_ms, PURPOSE)
         };
         drop(peers);
         if self.failed_count >= FAILED_FETCHES_MAX_COUNT {
             return Some(Source::Store);
         }
-        match newcomer.source() {
+        match joining_instance.source() {
             FirstSource::Store => Some(Source::Store),
             FirstSource::Near => near.map(Source::Peer),
             FirstSource::Far => far.map(Source::Peer),
--- a/crates/cranereach-gateway/src/messages.rs
+++ b/crates/cranereach-gateway/src/messages.rs
@@ -23,13 +23,13 @@
 use cranereach_fleet::listing::ChangedRow;
 use cranereach_fleet::listing::Span;
 use cranereach_fleet::load::RANK_COUNT;
-use cranereach_fleet::membership::MemberNews;
-use cranereach_fleet::named_limit::LimitWord;
-use cranereach_fleet::owned::Opening;
+use cranereach_fleet::membership::MemberUpdate;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::owned::Outcome;
+use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::proof::ProofAnswer;
-use cranereach_fleet::proof::ProofQuestion;
-use cranereach_fleet::quarantine::SuspectNews;
+use cranereach_fleet::proof::ProofQuery;
+use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Version of the message format; messages of other versions are dropped.
@@ -97,7 +97,7 @@
     /// expected.
     Expected(Vec<ExpectedModel>),
     /// A question for proof that the sender's configuration is the newest.
-    Prove(ProofQuestion),
+    Prove(ProofQuery),
     /// Answer to a question for proof.
     Proof(ProofAnswer),
     /// A request for units to the owner of a part of an account's limit.
@@ -113,7 +113,7 @@
     /// Answer to a question whether a request may be sent.
     SendGranted(SendGrant),
     /// A request during which a worker ended, for the instances that count such ends.
-    Suspect(Box<SuspectNews>),
+    Suspect(Box<SuspectUpdate>),
 }
 
 /// Time at which a model is expected to be loaded at some worker.
@@ -181,13 +181,13 @@
     /// Asks for the worker's state with regard to a call.
     Ask(OwnerAsk),
     /// A request with these prompt prefixes is sent to the worker.
-    Begun(Opening, Vec<u64>),
+    Begun(SentRequest, Vec<u64>),
     /// The worker has read the request's prompt, after this many milliseconds.
     Read(u32),
     /// The request has ended.
     Ended(Outcome),
     /// The worker has announced another rate limit, or no longer has one.
-    Limit(LimitWord),
+    Limit(LimitReport),
 }
 
 /// A call that the owner of a worker is asked about.
@@ -203,7 +203,7 @@
     /// Whether the call may be retried on another worker if it fails.
     pub may_repeat: bool,
     /// The worker's rate limit, as the sender knows it.
-    pub limit: Option<LimitWord>,
+    pub limit: Option<LimitReport>,
 }
 
 /// State of a worker with regard to a call, from the worker's owner.
@@ -231,7 +231,7 @@
     /// Longest pause that the prompt's prefill causes in running streams, in milliseconds.
     pub pause_ms: u32,
     /// The worker's rate limit, as the owner knows it.
-    pub limit: Option<LimitWord>,
+    pub limit: Option<LimitReport>,
     /// Key of the worker's incarnation that has announced its departure, as the owner knows
     /// it.
     pub leaving_start: Option<u64>,
@@ -377,7 +377,7 @@
     /// Instances that recently could not reach the store, possibly including the sender.
     pub store_failed: Vec<StoreFailure>,
     /// A sample of the other living instances.
-    pub members: Vec<MemberNews>,
+    pub members: Vec<MemberUpdate>,
     /// Workers whose rows say that they are leaving or gone: key, position.
     pub leaving: Vec<(u64, StorePosition)>,
     /// A sample of the workers that recently announced their own departure.
@@ -391,5 +391,5 @@
     /// Failure domains that are to be evacuated, as the sender knows them.
     pub evacuations: EvacuationList,
     /// A sample of the requests during which workers ended.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
 }
--- a/crates/cranereach-gateway/src/messages/grants.rs
+++ b/crates/cranereach-gateway/src/messages/grants.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 
 /// A question whether one request may be sent to a cold or rate-limited worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     /// Whether the sender considers the worker cold.
     pub is_cold: bool,
     /// The worker's rate limit, as the sender knows it.
-    pub limit: Option<LimitWord>,
+    pub limit: Option<LimitReport>,
 }
 
 /// Answer of the owner of a worker.
@@ -32,5 +32,5 @@
     /// once.
     pub wait_ms: Option<u32>,
     /// The worker's rate limit, as the owner knows it.
-    pub limit: Option<LimitWord>,
+    pub limit: Option<LimitReport>,
 }
