--- a/crates/cranereach-gateway/src/named_limits.rs
+++ b/crates/cranereach-gateway/src/named_limits.rs
@@ -16,13 +16,13 @@
 use crate::owners;
 use crate::send_permit::Permit;
 use cranereach_fleet::key::worker_key;
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::named_limit::Said;
 use cranereach_fleet::purpose::Purpose;
 
 /// A worker that announces a limit, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownLimit {
+pub struct LimitedWorker {
     /// Identity of the worker.
     pub worker: String,
     /// Service of the worker.
@@ -39,12 +39,12 @@
 }
 
 /// Lists the workers that announce a limit, as far as this instance knows.
-pub fn show(node: &Node) -> Vec<ShownLimit> {
+pub fn show(node: &Node) -> Vec<LimitedWorker> {
     let now_ms = node.now_ms();
-    let limited: Vec<ShownLimit> = {
+    let limited: Vec<LimitedWorker> = {
         let roster = node.roster();
         let limited = roster.workers().filter_map(|worker| {
-            Some(ShownLimit {
+            Some(LimitedWorker {
                 worker: worker.record.id.to_string(),
                 service: worker.record.service.to_string(),
                 rate_per_s: worker.limit.rate_per_s(now_ms)?,
@@ -58,7 +58,7 @@
     let grants = lock(&node.send_grants);
     let with_counts = limited.into_iter().map(|limit| {
         let counts = grants.counts(worker_key(&limit.worker));
-        ShownLimit {
+        LimitedWorker {
             granted_count: counts.granted_count,
             refused_count: counts.refused_count,
             ..limit
@@ -118,26 +118,26 @@
     } else {
         0
     };
-    let has_changed = known.heard_limit(announced, may_lift, requested_ms, now_ms);
+    let has_changed = known.note_limit_answered(announced, may_lift, requested_ms, now_ms);
     if has_changed {
         let report = known.limit_word(now_ms);
         drop(roster);
         log_change(node, worker, "worker", report);
         // The owner is told, because instances ask it before they send to the worker.
         if let Some(report) = report {
-            owners::tell_limit(node, worker, report);
+            owners::report_limit(node, worker, report);
         }
     }
 }
 
 /// Applies another instance's report of a worker's limit. `worker` is the worker's key.
-pub fn note_told(node: &Node, worker: u64, report: &LimitWord) {
+pub fn apply_peer_limit(node: &Node, worker: u64, report: &LimitReport) {
     let now_ms = node.now_ms();
     let mut roster = node.roster();
     let Some(known) = roster.by_key_mut(worker) else {
         return;
     };
-    if known.told_limit(now_ms, report) {
+    if known.note_limit_reported(now_ms, report) {
         let id = Arc::clone(&known.record.id);
         let report = known.limit_word(now_ms);
         drop(roster);
@@ -146,7 +146,7 @@
 }
 
 /// Logs that the limit of a worker has changed or been lifted, and wakes waiting calls.
-fn log_change(node: &Node, worker: &str, by: &str, report: Option<LimitWord>) {
+fn log_change(node: &Node, worker: &str, by: &str, report: Option<LimitReport>) {
     let rate_per_s = report.and_then(|report| report.rate_per_s);
     info!(node.log, "worker limit"; "worker" => worker, "rate_per_s" => rate_per_s, "by" => by);
     // Calls that wait for a worker make their selection again.
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/news.rs
@@ -90,14 +90,14 @@
         };
         let service = Arc::clone(&worker.record.service);
         if let Some(name) = name_of(&service, *model) {
-            worker.told_adapter(now_ms, &name, &format!("a{adapter}"));
+            worker.note_adapter_loaded(now_ms, &name, &format!("a{adapter}"));
         }
     }
 }
 
 /// Applies a peer's demand.
 pub fn take_demand(node: &Node, sender: Ipv4Addr, demand: &DemandMessage) {
-    let is_new = node.peers().heard_demand(node.now_ms(), sender, demand);
+    let is_new = node.peers().apply_demand(node.now_ms(), sender, demand);
     if is_new && !demand.lacks.is_empty() {
         expected::answer(node, sender, &demand.lacks);
     }
@@ -110,15 +110,15 @@
         .map(|(service, announced)| (worker_key(service), announced.adapters.clone()))
         .collect();
     for (service, adapters) in placed {
-        tell_placed(node, service, &adapters);
+        notify_placed(node, service, &adapters);
         node.controller_wanted.notify_one();
     }
 }
 
 /// Notifies the peers that wait for adapters of a service of those that have been loaded.
-pub fn tell_placed(node: &Node, service: u64, adapters: &[(u64, ModelKey)]) {
+pub fn notify_placed(node: &Node, service: u64, adapters: &[(u64, ModelKey)]) {
     let now_ms = node.now_ms();
-    let answers = node.peers().take_answered(now_ms, service, adapters);
+    let answers = node.peers().take_satisfied_waits(now_ms, service, adapters);
     for (peer, placed) in answers {
         let peer = SocketAddr::from((peer, node.peer_port()));
         node.send_now(peer, Message::Placed(placed));
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -31,25 +31,25 @@
 use crate::messages::SendGrant;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::quarantine::lasting::Lasting;
+use crate::quarantine::lasting::PersistenceState;
 use crate::questions::Questions;
-use crate::recent::Recent;
+use crate::recent::RecentUpdates;
 use crate::recipients::Origin;
 use crate::settings::Settings;
 use crate::store::Store;
-use crate::unknown_words::UnknownWords;
-use crate::worker_ends::Tries;
+use crate::unknown_words::UnknownHeaders;
+use crate::worker_ends::WorkerProbes;
 use cranereach_fleet::configuration::Configuration;
 use cranereach_fleet::demand::Demand;
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::fingerprint::FingerprintKey;
 use cranereach_fleet::freshness::Freshness;
+use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::OwnedLimits;
-use cranereach_fleet::limits::Uses;
 use cranereach_fleet::listing::Listing;
 use cranereach_fleet::owned::OwnedWorkers;
-use cranereach_fleet::pace::Paces;
+use cranereach_fleet::pace::PrefillCosts;
 use cranereach_fleet::proof::Proof;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::retry_window::RetryWindow;
@@ -57,11 +57,11 @@
 use cranereach_fleet::send_grants::SendGrants;
 use cranereach_fleet::service_time::ServiceTimes;
 use cranereach_fleet::shortage::Shortages;
-use cranereach_fleet::stay::Stays;
+use cranereach_fleet::stay::SlotTimes;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::tenure::EndedTerm;
 use cranereach_fleet::topology::Topology;
-use cranereach_fleet::ways::Ways;
+use cranereach_fleet::ways::RoundTrips;
 use cranereach_http::clock::Clock;
 
 /// Changes that this instance's orders have made at workers, to be gossiped to peers.
@@ -93,13 +93,13 @@
     /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
     /// Probes of workers whose connections broke.
-    pub tries: Tries,
+    pub tries: WorkerProbes,
     /// Headers in workers' answers that this build does not recognize.
-    pub unknown_words: UnknownWords,
+    pub unknown_words: UnknownHeaders,
     /// Requests during which workers ended.
     pub quarantine: Mutex<Quarantine>,
     /// Whether the quarantined requests kept in the store have been read.
-    pub lasting: Lasting,
+    pub lasting: PersistenceState,
     /// Random ID of this process start.
     pub boot: u64,
     /// Wakes tasks that wait for a worker holding the model or adapter they need.
@@ -133,17 +133,17 @@
     /// Widest origin of the list changes still to be sent; `None` if none are pending.
     pub list_origin: Mutex<Option<Origin>>,
     /// Workers whose rows say that they are leaving or gone: key, position.
-    pub recent_leaving: Mutex<Recent<(u64, StorePosition)>>,
+    pub recent_leaving: Mutex<RecentUpdates<(u64, StorePosition)>>,
     /// Workers that have announced their own departure.
-    pub recent_departures: Mutex<Recent<DepartureNews>>,
+    pub recent_departures: Mutex<RecentUpdates<DepartureNews>>,
     /// Body of the configuration in force as sent to peers, without API keys.
     pub configuration_body: Mutex<Bytes>,
     /// That body, and its compressed form; empty until a peer first asks for it.
     pub packed_configuration: Mutex<(Bytes, Bytes)>,
     configuration: Mutex<Option<Arc<Configuration>>>,
     roster: Mutex<Roster>,
-    paces: Mutex<Paces>,
-    stays: Mutex<Stays>,
+    paces: Mutex<PrefillCosts>,
+    stays: Mutex<SlotTimes>,
     service_times: Mutex<ServiceTimes>,
     /// Recent refusals, by what was short, from which callers' retry delays follow.
     pub shortages: Mutex<Shortages>,
@@ -157,11 +157,11 @@
     /// Pending questions to owners of workers.
     pub questions: Questions<Quote>,
     /// Round-trip times to owners of workers, by distance.
-    pub ways: Mutex<Ways>,
+    pub ways: Mutex<RoundTrips>,
     /// Parts of accounts' limits that this instance owns.
     pub owned_limits: Mutex<OwnedLimits>,
     /// This instance's usage of accounts' limits.
-    pub uses: Mutex<Uses>,
+    pub uses: Mutex<AccountUsages>,
     /// Pending questions to owners of limits.
     pub limit_questions: Questions<LimitGrant>,
     /// Send grants for the cold or rate-limited workers that this instance owns.
@@ -223,10 +223,10 @@
             log,
             metrics,
             fingerprint_key: FingerprintKey::new(&settings.peers.fingerprint_secret),
-            tries: Tries::default(),
-            unknown_words: UnknownWords::default(),
+            tries: WorkerProbes::default(),
+            unknown_words: UnknownHeaders::default(),
             quarantine: Mutex::default(),
-            lasting: Lasting::default(),
+            lasting: PersistenceState::default(),
             boot,
             roster_changed: Notify::new(),
             digest_count: AtomicU64::new(0),
@@ -306,12 +306,12 @@
     }
 
     /// Returns the learned cost of prefill.
-    pub fn paces(&self) -> MutexGuard<'_, Paces> {
+    pub fn paces(&self) -> MutexGuard<'_, PrefillCosts> {
         lock(&self.paces)
     }
 
     /// Returns how long responses occupy a batch slot.
-    pub fn stays(&self) -> MutexGuard<'_, Stays> {
+    pub fn stays(&self) -> MutexGuard<'_, SlotTimes> {
         lock(&self.stays)
     }
 
@@ -356,7 +356,7 @@
     }
 
     /// Spends one retry from a service's retry budget; returns whether one was left.
-    pub fn spend_repeat(&self, service: &str) -> bool {
+    pub fn spend_retry(&self, service: &str) -> bool {
         let now_ms = self.now_ms();
         let instance_count = self.peers().members().known_count();
         let mut retries = lock(&self.retries);
@@ -370,7 +370,7 @@
     }
 
     /// Sends a digest at once, since there is news from `origin`.
-    pub fn tell_news(&self, origin: Origin) {
+    pub fn gossip_news(&self, origin: Origin) {
         self.peers().note_news(self.now_ms(), origin);
         self.digest_wanted.notify_one();
     }
@@ -384,9 +384,9 @@
     }
 
     /// Requests a stop.
-    pub fn ask_stop(&self) {
+    pub fn request_stop(&self) {
         self.is_stopping.store(true, Ordering::Release);
-        self.tell_news(Origin::Own);
+        self.gossip_news(Origin::Own);
         self.controller_wanted.notify_one();
     }
 }
--- a/crates/cranereach-gateway/src/node/configuration.rs
+++ b/crates/cranereach-gateway/src/node/configuration.rs
@@ -29,7 +29,7 @@
     pub fn offer_configuration(&self, body: &Bytes, from: &str) -> Result<bool, FormatError> {
         let offered = (self.adapter.parse_configuration)(body)?;
         // Peers are sent hashes of API keys, never the keys.
-        let redacted = (self.adapter.conceal_keys)(body)?;
+        let redacted = (self.adapter.hash_keys)(body)?;
         let version = offered.version;
         let mut configuration = lock(&self.configuration);
         if configuration
--- a/crates/cranereach-gateway/src/own_words.rs
+++ b/crates/cranereach-gateway/src/own_words.rs
@@ -11,7 +11,7 @@
 
 /// A worker that is leaving or resting, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownWorker {
+pub struct UnavailableWorker {
     /// Identity of the worker.
     pub worker: String,
     /// Service of the worker.
@@ -41,13 +41,13 @@
 }
 
 /// Lists the workers that are leaving or resting, as far as this instance knows.
-pub fn show(node: &Node) -> Vec<ShownWorker> {
+pub fn show(node: &Node) -> Vec<UnavailableWorker> {
     let now_ms = node.now_ms();
     let roster = node.roster();
     let shown = roster.workers().filter_map(|worker| {
         let leaving = leaving_status(now_ms, worker);
         let rest = rest_status(now_ms, worker);
-        (leaving.is_some() || rest.is_some()).then(|| ShownWorker {
+        (leaving.is_some() || rest.is_some()).then(|| UnavailableWorker {
             worker: worker.record.id.to_string(),
             service: worker.record.service.to_string(),
             leaving,
@@ -81,7 +81,7 @@
     };
     match worker.departure {
         Some(departure) => Some(LeavingStatus {
-            by: departure.teller.name().to_owned(),
+            by: departure.reporter.name().to_owned(),
             for_ms: Some(now_ms.saturating_sub(departure.since_ms)),
         }),
         None => worker.is_leaving().then(from_row),
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -22,9 +22,9 @@
 use crate::questions::Question;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::load::Load;
-use cranereach_fleet::named_limit::LimitWord;
-use cranereach_fleet::owned::Opening;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::owned::Outcome;
+use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::owned::Standing;
 use cranereach_fleet::prefixes::PromptPart;
 use cranereach_fleet::send_grants;
@@ -129,15 +129,15 @@
             node.peers().members_mut().answered(matched.owner);
             record_standing(node, matched.worker, decode_standing(&quote));
             if let Some(limit) = &quote.limit {
-                named_limits::note_told(node, quote.worker, limit);
+                named_limits::apply_peer_limit(node, quote.worker, limit);
             }
-            departures::take_owners(node, quote.worker, quote.leaving_start);
+            departures::take_owner_report(node, quote.worker, quote.leaving_start);
         }
     }
 }
 
 /// Reports to the owner of a worker that a request is being sent to the worker.
-pub fn begun(node: &Node, worker: &str, opening: Opening, parts: &[PromptPart]) -> Told {
+pub fn begun(node: &Node, worker: &str, opening: SentRequest, parts: &[PromptPart]) -> Told {
     let key = worker_key(worker);
     let request = Told {
         owner: owner_of(node, key),
@@ -158,7 +158,7 @@
 
 /// Reports the limit that a worker states to the owner of the worker and to the owner of its send
 /// grants.
-pub fn tell_limit(node: &Node, worker: &str, word: LimitWord) {
+pub fn report_limit(node: &Node, worker: &str, word: LimitReport) {
     let key = worker_key(worker);
     let owner = owner_of(node, key);
     let grant_owner = send_grants::other_owner(node.peers().members(), node.now_ms(), key);
@@ -211,7 +211,7 @@
         OwnerEvent::Ask(ask) => {
             drop(owned);
             if let Some(limit) = &ask.limit {
-                named_limits::note_told(node, worker, limit);
+                named_limits::apply_peer_limit(node, worker, limit);
             }
             let standing = own_standing(node, worker, &ask);
             let roster = node.roster();
@@ -236,7 +236,7 @@
         OwnerEvent::Ended(outcome) => owned.ended(now_ms, worker, request, outcome),
         OwnerEvent::Limit(word) => {
             drop(owned);
-            named_limits::note_told(node, worker, &word);
+            named_limits::apply_peer_limit(node, worker, &word);
         }
     }
     None
@@ -258,7 +258,7 @@
 }
 
 /// Hands an owner's answer to the waiting question.
-pub fn take_quote(node: &Node, quote: Quote) {
+pub fn handle_quote(node: &Node, quote: Quote) {
     node.questions.answered(quote.ticket, quote);
 }
 
@@ -282,7 +282,7 @@
 fn record_standing(node: &Node, worker: &Arc<str>, standing: Standing) {
     let now_ms = node.now_ms();
     if let Some(worker) = node.roster().get_mut(worker) {
-        worker.stands(now_ms, standing);
+        worker.set_standing(now_ms, standing);
     }
 }
 
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
-use crate::heard_leases::HEARD_WITHIN_MS;
 use crate::heard_leases::HeardLeases;
+use crate::heard_leases::LEASE_NEWS_MAX_AGE_MS;
 use crate::messages::DemandMessage;
 use crate::messages::DemandPart;
 use crate::messages::Digest;
@@ -17,7 +17,7 @@
 use crate::store_failures::StoreFailures;
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::key::worker_key;
-use cranereach_fleet::membership::MemberNews;
+use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::tenure::EndedTerm;
@@ -108,7 +108,7 @@
     join_reply_at_ms: Option<u64>,
     /// Whether a peer of another failure domain has advertised its worker list to this
     /// instance.
-    is_gate: bool,
+    is_domain_relay: bool,
     /// Peer that last advertised its worker list, and the list's position.
     list_advertiser: Option<(Ipv4Addr, StorePosition)>,
     /// Random number from zero to one, drawn at the start.
@@ -134,7 +134,7 @@
             store_failures: StoreFailures::default(),
             leases: HeardLeases::default(),
             join_reply_at_ms: None,
-            is_gate: false,
+            is_domain_relay: false,
             list_advertiser: None,
             chance: rand::random(),
         }
@@ -214,13 +214,13 @@
     }
 
     /// Returns the sequence number of a peer's last digest; `None` before the first.
-    pub fn last_count(&self, peer: Ipv4Addr) -> Option<u64> {
+    pub fn last_digest_count(&self, peer: Ipv4Addr) -> Option<u64> {
         self.peer_states.get(&peer).map(|state| state.count)
     }
 
     /// Applies a peer's demand; returns false if it is outdated or its sender is not a known
     /// member.
-    pub fn heard_demand(
+    pub fn apply_demand(
         &mut self,
         now_ms: u64,
         sender: Ipv4Addr,
@@ -251,7 +251,7 @@
 
     /// Removes the waits for adapters of a service that are now loaded, and returns these
     /// adapters by waiting peer.
-    pub fn take_answered(
+    pub fn take_satisfied_waits(
         &mut self,
         now_ms: u64,
         service: u64,
@@ -276,7 +276,8 @@
 
     /// Lists the demand that peers have reported recently.
     pub fn demand(&self, now_ms: u64, round_ms: u64) -> impl Iterator<Item = &DemandPart> {
-        let within_ms = HEARD_WITHIN_MS + DEMAND_MISSED_MAX_COUNT * self.demand_every_ms(round_ms);
+        let within_ms =
+            LEASE_NEWS_MAX_AGE_MS + DEMAND_MISSED_MAX_COUNT * self.demand_every_ms(round_ms);
         let known = self.demand.values();
         let recent = known.filter(move |reported| now_ms < reported.heard_at_ms + within_ms);
         recent.flat_map(|reported| &reported.parts)
@@ -288,7 +289,7 @@
     }
 
     /// Whether some peer is known to hold a lease, from its own digest or from others'.
-    pub fn hears_holder(&self, now_ms: u64, service: u64) -> bool {
+    pub fn knows_holder(&self, now_ms: u64, service: u64) -> bool {
         let held = self.held(now_ms);
         held.iter().any(|held| held.service == service)
     }
@@ -296,7 +297,7 @@
     /// Lists the terms of a service's lease that peers report as ended.
     pub fn ended_terms(&self, now_ms: u64, service: u64) -> Vec<EndedTerm> {
         let known = self.peer_states.values();
-        let heard = known.filter(|state| now_ms < state.heard_at_ms + HEARD_WITHIN_MS);
+        let heard = known.filter(|state| now_ms < state.heard_at_ms + LEASE_NEWS_MAX_AGE_MS);
         let ended = heard.flat_map(|state| {
             let of_service = state.ended.iter().filter(|ended| ended.service == service);
             of_service.map(move |ended| EndedTerm {
@@ -342,20 +343,20 @@
     }
 
     /// Whether a joining instance may be sent a digest in reply now; if so, notes that it is.
-    pub fn may_greet(&mut self, now_ms: u64, newcomer: Ipv4Addr) -> bool {
-        let Some(state) = self.peer_states.get_mut(&newcomer) else {
+    pub fn may_reply_to_joining(&mut self, now_ms: u64, joining_instance: Ipv4Addr) -> bool {
+        let Some(state) = self.peer_states.get_mut(&joining_instance) else {
             return false;
         };
         let is_due = |at_ms: Option<u64>, every_ms: u64| {
             at_ms.is_none_or(|at_ms| now_ms >= at_ms + every_ms)
         };
-        let may_greet = is_due(state.join_reply_at_ms, JOIN_REPLY_PER_PEER_INTERVAL_MS)
+        let may_reply_to_joining = is_due(state.join_reply_at_ms, JOIN_REPLY_PER_PEER_INTERVAL_MS)
             && is_due(self.join_reply_at_ms, JOIN_REPLY_INTERVAL_MS);
-        if may_greet {
+        if may_reply_to_joining {
             state.join_reply_at_ms = Some(now_ms);
             self.join_reply_at_ms = Some(now_ms);
         }
-        may_greet
+        may_reply_to_joining
     }
 
     /// Returns the interval between two demand messages, in milliseconds; it grows with the
@@ -388,12 +389,12 @@
     }
 
     /// Samples the members that a digest reports.
-    pub fn member_news(&self, now_ms: u64) -> Vec<MemberNews> {
+    pub fn member_updates(&self, now_ms: u64) -> Vec<MemberUpdate> {
         self.members.sample(now_ms, &mut rand::rng())
     }
 
     /// Samples the members that a digest reports to a joining instance of a failure domain.
-    pub fn member_news_for(&self, now_ms: u64, domain: DomainTag) -> Vec<MemberNews> {
+    pub fn member_updates_for(&self, now_ms: u64, domain: DomainTag) -> Vec<MemberUpdate> {
         self.members.sample_for(now_ms, domain, &mut rand::rng())
     }
 }
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -8,8 +8,8 @@
 use crate::recipients::Origin;
 use crate::recipients::PeersByDistance;
 use cranereach_fleet::first_read::Holder;
-use cranereach_fleet::first_read::Newcomer;
-use cranereach_fleet::first_read::SPREAD_EACH_MS;
+use cranereach_fleet::first_read::JoiningInstance;
+use cranereach_fleet::first_read::SPREAD_PER_INSTANCE_MS;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::DomainTag;
@@ -86,9 +86,9 @@
     }
 
     /// Notes that a peer advertised its worker list, so that the list can be fetched from it.
-    pub fn told_list(&mut self, peer: Ipv4Addr, position: StorePosition) {
+    pub fn note_list_advertised(&mut self, peer: Ipv4Addr, position: StorePosition) {
         let own_domain = DomainTag::from_key(self.own_domain);
-        self.is_gate |= self.members.domain_of(peer) != Some(own_domain);
+        self.is_domain_relay |= self.members.domain_of(peer) != Some(own_domain);
         if let Some(state) = self.peer_states.get_mut(&peer) {
             state.list_position = position.max(state.list_position);
         }
@@ -97,14 +97,14 @@
 
     /// Returns the state of an instance that has no list or configuration yet, except for who
     /// holds what it lacks.
-    pub fn newcomer(&self, now_ms: u64, purpose: &str) -> Newcomer {
-        Newcomer {
+    pub fn joining_instance(&self, now_ms: u64, purpose: &str) -> JoiningInstance {
+        JoiningInstance {
             up_for_ms: now_ms,
             seed_rank: self.members.seed_rank(),
             has_heard: !self.peer_states.is_empty(),
             known_count: self.members.known_count(),
             holder: Holder::Nobody,
-            is_gate: self.is_gate,
+            is_domain_relay: self.is_domain_relay,
             rank_in_domain: self.rank_in_domain(now_ms, purpose),
             chance: self.chance,
         }
@@ -113,7 +113,7 @@
     /// Returns this instance's share, in milliseconds, of the time over which store reads are
     /// spread when all instances may have to read.
     pub fn read_spread_ms(&self) -> u64 {
-        let longest_ms = SPREAD_EACH_MS * self.members.known_count() as u64;
+        let longest_ms = SPREAD_PER_INSTANCE_MS * self.members.known_count() as u64;
         (longest_ms as f64 * self.chance) as u64
     }
 
--- a/crates/cranereach-gateway/src/proofs.rs
+++ b/crates/cranereach-gateway/src/proofs.rs
@@ -16,7 +16,7 @@
 use crate::node::pause;
 use crate::store_era;
 use cranereach_fleet::proof::ProofAnswer;
-use cranereach_fleet::proof::ProofQuestion;
+use cranereach_fleet::proof::ProofQuery;
 
 /// Interval between two rounds of questions, in milliseconds. If each instance asks two others, an
 /// update reaches nearly all of some hundred instances within five rounds.
@@ -48,7 +48,7 @@
 }
 
 /// Answers a peer's question.
-pub fn answer(node: &Node, peer: SocketAddr, question: ProofQuestion) {
+pub fn answer(node: &Node, peer: SocketAddr, question: ProofQuery) {
     let IpAddr::V4(ip) = peer.ip() else { return };
     if node.peers().members().is_known(ip) {
         let evacuations = node.roster().evacuations.list().clone();
@@ -62,7 +62,7 @@
 
 /// Applies a peer's answer, and fetches the configuration if the peer has a newer one.
 pub fn take(node: &Arc<Node>, peer: Ipv4Addr, answer: &ProofAnswer) {
-    node.store.eras().rise_to(answer.era, "peer");
+    node.store.eras().advance_to(answer.era, "peer");
     store_era::enter(node);
     bodies::fetch_configuration_if_behind(node, peer, answer.version);
     lock(&node.proof).take(answer);
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -27,7 +27,7 @@
 use cranereach_fleet::quarantine::Change;
 use cranereach_fleet::quarantine::Listed;
 use cranereach_fleet::quarantine::RequestMark;
-use cranereach_fleet::quarantine::SuspectNews;
+use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::quarantine::Suspicion;
 use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
@@ -37,7 +37,7 @@
 
 /// A request under which workers terminated, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct SuspectRequest {
     /// Fingerprint of the request content.
     pub fingerprint: String,
     /// The request's route; empty if this instance knows the request only from peers.
@@ -139,7 +139,7 @@
 /// peers if more than one termination is or was recorded.
 fn notify_peers(node: &Node, mark: RequestMark, suspicion: Suspicion) {
     let now_ms = node.now_ms();
-    let news = lock(&node.quarantine).news_of(now_ms as i64, mark);
+    let news = lock(&node.quarantine).update_for(now_ms as i64, mark);
     let Some(news) = news else { return };
     let purpose = mark.fingerprint.purpose();
     let recipients = node
@@ -152,12 +152,12 @@
     }
     update_gauges(node);
     if suspicion.end_count > 1 {
-        node.tell_news(Origin::Own);
+        node.gossip_news(Origin::Own);
     }
 }
 
 /// Applies a peer's reports on suspected requests.
-pub fn take(node: &Node, sender: Ipv4Addr, reported: &[SuspectNews]) {
+pub fn take(node: &Node, sender: Ipv4Addr, reported: &[SuspectUpdate]) {
     if reported.is_empty() || !node.peers().members().is_known(sender) {
         return;
     }
@@ -178,12 +178,12 @@
         update_gauges(node);
     }
     if change == Change::Suspicion {
-        node.tell_news(Origin::at(node.distance_to(sender)));
+        node.gossip_news(Origin::at(node.distance_to(sender)));
     }
 }
 
 /// Selects the reports for the next digest and removes expired entries.
-pub fn news(node: &Node) -> Vec<SuspectNews> {
+pub fn news(node: &Node) -> Vec<SuspectUpdate> {
     let now_ms = node.now_ms() as i64;
     let mut quarantine = lock(&node.quarantine);
     if quarantine.known_count() == 0 {
@@ -204,7 +204,7 @@
 }
 
 /// Lists the requests under which workers terminated, for operators.
-pub fn show(node: &Node) -> Vec<Shown> {
+pub fn show(node: &Node) -> Vec<SuspectRequest> {
     let now_ms = node.now_ms() as i64;
     let quarantine = lock(&node.quarantine);
     let listed = quarantine.list();
@@ -212,7 +212,7 @@
 }
 
 /// Converts one entry to the form shown to operators.
-fn describe(now_ms: i64, listed: &Listed) -> Shown {
+fn describe(now_ms: i64, listed: &Listed) -> SuspectRequest {
     let worker_name = |key: u64| {
         let mut seen = listed.seen.workers.iter();
         let seen = seen.find(|(seen_key, _)| *seen_key == key);
@@ -222,7 +222,7 @@
         worker: worker_name(end.worker),
         age_ms: now_ms - end.at_ms,
     });
-    Shown {
+    SuspectRequest {
         fingerprint: listed.fingerprint.to_string(),
         route: listed.seen.route.to_string(),
         account: listed.seen.account.to_string(),
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -22,7 +22,7 @@
 use crate::node::pause;
 use crate::store::StoreError;
 use crate::store_pace;
-use cranereach_fleet::quarantine::SuspectNews;
+use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::store_position::StorePosition;
 
 const TABLE: &str = "cranereach_quarantine";
@@ -41,7 +41,7 @@
 
 /// State of the one-time load of the row.
 #[derive(Debug, Default)]
-pub struct Lasting {
+pub struct PersistenceState {
     is_loaded: OnceCell<()>,
     /// Time before which no further read is attempted, in milliseconds.
     retry_at_ms: AtomicU64,
@@ -50,7 +50,7 @@
 /// Content of the row as read from the store.
 struct Row {
     position: StorePosition,
-    requests: Vec<SuspectNews>,
+    requests: Vec<SuspectUpdate>,
 }
 
 /// Loads the row unless it has been loaded since the start.
@@ -82,7 +82,7 @@
 }
 
 /// Whether this instance knows of requests that the row should contain.
-pub fn has_some(node: &Node) -> bool {
+pub fn has_requests_to_store(node: &Node) -> bool {
     let now_ms = node.now_ms() as i64;
     let kept = lock(&node.quarantine).lasting(now_ms, &[], STORED_MAX_COUNT);
     !kept.is_empty()
@@ -105,7 +105,7 @@
 /// Reads the row from the store.
 async fn read(node: &Node) -> Result<Row, StoreError> {
     let rows = node.store.read(TABLE).await;
-    store_pace::note_call(node, "quarantine", &rows);
+    store_pace::count_read(node, "quarantine", &rows);
     let rows = rows?;
     let row = rows.rows.iter().find(|row| row.key == KEY);
     let requests = row.and_then(|row| {
@@ -145,6 +145,6 @@
     };
     let value = serde_json::to_vec(&requests).unwrap_or_default();
     let written = node.store.write(&name, row.position, &value).await;
-    store_pace::note_write(node, "quarantine_write", &written);
+    store_pace::count_write(node, "quarantine_write", &written);
     Ok(matches!(written?, WriteAnswer::Done(_)))
 }
--- a/crates/cranereach-gateway/src/recent.rs
+++ b/crates/cranereach-gateway/src/recent.rs
@@ -5,12 +5,12 @@
 
 /// Updates that are repeated to peers for a limited time.
 #[derive(Debug)]
-pub struct Recent<T> {
+pub struct RecentUpdates<T> {
     /// Updates with the times at which they were learned, in milliseconds.
     entries: Vec<(u64, T)>,
 }
 
-impl<T> Default for Recent<T> {
+impl<T> Default for RecentUpdates<T> {
     fn default() -> Self {
         Self {
             entries: Vec::new(),
@@ -18,14 +18,14 @@
     }
 }
 
-impl<T: Copy> Recent<T> {
+impl<T: Copy> RecentUpdates<T> {
     /// Adds updates, except those for which a matching one is already present. Returns whether the
     /// number of updates to repeat has grown.
     ///
     /// ```
-    /// use cranereach_gateway::recent::Recent;
+    /// use cranereach_gateway::recent::RecentUpdates;
     ///
-    /// let mut recent = Recent::default();
+    /// let mut recent = RecentUpdates::default();
     /// assert!(recent.add(1_000, &[7, 8], |known, new| known == new));
     /// assert!(!recent.add(2_000, &[7], |known, new| known == new));
     /// assert_eq!(recent.told().collect::<Vec<_>>(), [7, 8]);
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -1,6 +1,6 @@
 //! Keeps the list of workers current, from reads of the store and from peers' messages.
 //!
-//! A [`Finder`] decides when this instance has to read, and from where. Each read's changes are
+//! A [`ListSourceSelector`] decides when this instance has to read, and from where. Each read's changes are
 //! sent to all peers at once, so that normally one instance reads on behalf of all.
 
 mod row_effects;
@@ -15,7 +15,7 @@
 use crate::adapter::Row;
 use crate::bodies;
 use crate::list_bodies;
-use crate::list_source::Finder;
+use crate::list_source::ListSourceSelector;
 use crate::list_source::Source;
 use crate::messages::ListMessage;
 use crate::messages::unpack_rows;
@@ -46,7 +46,7 @@
 
 /// Runs until the process exits.
 pub async fn run(node: Arc<Node>) {
-    let mut finder = Finder::default();
+    let mut finder = ListSourceSelector::default();
     let mut is_whole = true;
     let mut failure_count = 0_u32;
     loop {
@@ -78,7 +78,7 @@
                     "position" => %node.list_position());
                 is_whole = true;
                 if error == StoreError::OtherEra {
-                    store_pace::after_other_era().await;
+                    store_pace::pause_after_era_change().await;
                 }
             }
             Err(error) => {
@@ -102,7 +102,7 @@
         let position = node.list_position();
         node.store.watch(table, position, WAIT_MS).await
     };
-    store_pace::note_call(node, "workers", &read);
+    store_pace::count_read(node, "workers", &read);
     let rows = read?;
     if is_whole {
         info!(node.log, "workers read whole"; "rows" => rows.rows.len(),
@@ -119,9 +119,9 @@
 
 /// Applies list changes sent by a peer. Missing changes are fetched from that peer.
 pub fn take_message(node: &Arc<Node>, sender: Ipv4Addr, message: &ListMessage) {
-    node.peers().told_list(sender, message.position);
-    let true_at_ms = told_at_ms(node.now_ms(), message.age_ms);
-    let verdict = take_changes(node, sender, true_at_ms, message);
+    node.peers().note_list_advertised(sender, message.position);
+    let as_of_ms = told_at_ms(node.now_ms(), message.age_ms);
+    let verdict = take_changes(node, sender, as_of_ms, message);
     // An instance without any list obtains one in `run`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
         list_bodies::fetch_missing(node, sender, message.position);
@@ -133,7 +133,7 @@
 pub fn take_changes(
     node: &Node,
     sender: Ipv4Addr,
-    true_at_ms: u64,
+    as_of_ms: u64,
     message: &ListMessage,
 ) -> Verdict {
     let (position, span) = (message.position, message.span);
@@ -148,9 +148,9 @@
         return Verdict::Old;
     };
     let known_at_ms = lock(&node.list).known_at_ms();
-    apply_rows(node, true_at_ms, position, span, rows);
+    apply_rows(node, as_of_ms, position, span, rows);
     let is_much_fresher =
-        known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < true_at_ms);
+        known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < as_of_ms);
     if position > known_position || is_much_fresher {
         node.tell_list(Origin::at(node.distance_to(sender)));
     }
@@ -159,43 +159,43 @@
 
 /// Applies a peer's statement that the list at a position was complete `age_ms` ago.
 pub fn take_age(node: &Node, position: StorePosition, age_ms: u64) {
-    let true_at_ms = told_at_ms(node.now_ms(), age_ms);
-    let is_fresher = lock(&node.list).is_older_than(true_at_ms);
+    let as_of_ms = told_at_ms(node.now_ms(), age_ms);
+    let is_fresher = lock(&node.list).is_older_than(as_of_ms);
     if !position.is_none() && position == node.list_position() && is_fresher {
-        apply(node, true_at_ms, position, &[]);
+        apply(node, as_of_ms, position, &[]);
     }
 }
 
 /// Replaces the list by the whole list as of the given time.
-pub fn take_whole(node: &Node, true_at_ms: u64, position: StorePosition, listed: Vec<ChangedRow>) {
+pub fn take_whole(node: &Node, as_of_ms: u64, position: StorePosition, listed: Vec<ChangedRow>) {
     enter_era(node, position);
     let changed = lock(&node.listing).take_whole(position, listed);
-    apply(node, true_at_ms, position, &changed);
+    apply(node, as_of_ms, position, &changed);
 }
 
 /// Applies rows that make the list complete as of the given time.
 fn apply_rows(
     node: &Node,
-    true_at_ms: u64,
+    as_of_ms: u64,
     position: StorePosition,
     span: Span,
     rows: Vec<ChangedRow>,
 ) {
     enter_era(node, position);
     let changed = lock(&node.listing).take(position, span, rows);
-    apply(node, true_at_ms, position, &changed);
+    apply(node, as_of_ms, position, &changed);
 }
 
 /// Enters the era of a position, in case it has not been announced before.
 fn enter_era(node: &Node, position: StorePosition) {
-    node.store.eras().rise_to(position.era, "list");
+    node.store.eras().advance_to(position.era, "list");
     store_era::enter(node);
 }
 
 /// Updates the state of the workers to a list that was complete as of the given time.
-fn apply(node: &Node, true_at_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
+fn apply(node: &Node, as_of_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
     let now_ms = node.now_ms();
-    let lapse_until_ms = confirm_list(node, now_ms, true_at_ms, position);
+    let lapse_until_ms = confirm_list(node, now_ms, as_of_ms, position);
     if changed.is_empty() {
         return;
     }
@@ -242,19 +242,19 @@
 /// Records that the list was complete as of the given time. Returns the time until which rows may
 /// have been removed only because they lapsed during an outage of the store; `None` if there was
 /// none.
-fn confirm_list(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
+fn confirm_list(node: &Node, now_ms: u64, as_of_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
         // The list was in transit when the store was restored from a copy, so newer rows may be
         // missing.
         return None;
     }
     let mut list = lock(&node.list);
-    let is_regained = list.ends_outage(true_at_ms);
-    let lapse_until_ms = list.lapse_until_ms(now_ms, true_at_ms);
-    list.confirm(true_at_ms);
+    let is_regained = list.ends_outage(as_of_ms);
+    let lapse_until_ms = list.lapse_until_ms(now_ms, as_of_ms);
+    list.confirm(as_of_ms);
     drop(list);
     if is_regained {
-        node.roster().distrust_copy(now_ms);
+        node.roster().distrust_restored_rows(now_ms);
         // The pending wait for the configuration may have been lost in the outage.
         node.configuration_wanted.notify_one();
     }
@@ -276,7 +276,7 @@
     let is_fresh = age_ms.is_some_and(|age_ms| age_ms < node.settings.bounds.drain_ms);
     let mut roster = node.roster();
     if is_fresh {
-        roster.trust_copy(now_ms);
+        roster.trust_restored_rows(now_ms);
     }
     let lapsed = roster.lapsed(now_ms);
     if lapsed.is_empty() {
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -181,7 +181,7 @@
         let begun_ms = node.now_ms();
         let grace_ms = (node.settings.bounds.grace_s * 1_000.0) as u64;
         let end_by_ms = begun_ms + grace_ms.saturating_sub(KILL_MARGIN_MS);
-        node.ask_stop();
+        node.request_stop();
         info!(node.log, "stopping"; "open" => node.metrics.open_requests.get());
         pause(ACCEPT_WHILE_STOPPING_MS.min(grace_ms / 3)).await;
         self.stopping.send_replace(true);
--- a/crates/cranereach-gateway/src/send_grants.rs
+++ b/crates/cranereach-gateway/src/send_grants.rs
@@ -16,13 +16,13 @@
 use crate::node::Node;
 use crate::node::lock;
 use cranereach_fleet::key::worker_key;
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::send_grants;
+use cranereach_fleet::send_grants::GRANT_VALID_MS;
 use cranereach_fleet::send_grants::Ownership;
 use cranereach_fleet::send_grants::SendAnswer;
 use cranereach_fleet::send_grants::SendRule;
-use cranereach_fleet::send_grants::USE_WITHIN_MS;
 use cranereach_fleet::worker::Worker;
 
 /// Time before the owner of a worker is asked again after it did not answer, in milliseconds.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 struct SendConstraint {
     is_cold: bool,
-    limit: Option<LimitWord>,
+    limit: Option<LimitReport>,
 }
 
 /// Whether one request of a given priority rank may be sent to a worker now.
@@ -47,7 +47,7 @@
     let answer = ask(node, worker_key(worker), constraint, rank).await;
     // An answer read after the process was suspended may have expired.
     let now_ms = node.now_ms();
-    let timely_answer = answer.filter(|_| now_ms <= asked_at_ms + USE_WITHIN_MS);
+    let timely_answer = answer.filter(|_| now_ms <= asked_at_ms + GRANT_VALID_MS);
     let (outcome, wait_ms) = match timely_answer {
         Some(SendAnswer::Send) => ("granted", 0),
         Some(SendAnswer::After(wait_ms)) => ("refused", wait_ms),
@@ -91,7 +91,7 @@
 }
 
 /// Returns the report of a worker's limit if one is in force.
-fn limit_in_force(worker: &Worker, now_ms: u64) -> Option<LimitWord> {
+fn limit_in_force(worker: &Worker, now_ms: u64) -> Option<LimitReport> {
     let report = worker.limit_word(now_ms);
     report.filter(|report| report.rate_per_s.is_some())
 }
@@ -111,7 +111,7 @@
     let Some(owner) = owner else {
         return grant(node, &ask).map(|(answer, _limit)| answer);
     };
-    let deadline = node.instant(node.now_ms() + USE_WITHIN_MS);
+    let deadline = node.instant(node.now_ms() + GRANT_VALID_MS);
     node.send_now(
         SocketAddr::from((owner, node.peer_port())),
         Message::MaySend(ask),
@@ -119,7 +119,7 @@
     let answered = tokio::time::timeout_at(deadline, question.answers.recv()).await;
     let granted = answered.ok().flatten()?;
     if let Some(limit) = &granted.limit {
-        named_limits::note_told(node, worker, limit);
+        named_limits::apply_peer_limit(node, worker, limit);
     }
     let refused = granted.wait_ms.map(|wait_ms| {
         // A refusal without a wait must not be taken for a grant.
@@ -153,9 +153,9 @@
 
 /// Decides on one request to a worker according to this instance's ownership of it. Returns the
 /// decision and the worker's limit as known here, or `None` if the worker is unknown.
-fn grant(node: &Node, ask: &GrantAsk) -> Option<(SendAnswer, Option<LimitWord>)> {
+fn grant(node: &Node, ask: &GrantAsk) -> Option<(SendAnswer, Option<LimitReport>)> {
     if let Some(limit) = &ask.limit {
-        named_limits::note_told(node, ask.worker, limit);
+        named_limits::apply_peer_limit(node, ask.worker, limit);
     }
     let now_ms = node.now_ms();
     let (service, limit) = {
--- a/crates/cranereach-gateway/src/store.rs
+++ b/crates/cranereach-gateway/src/store.rs
@@ -146,7 +146,7 @@
             // Versions are comparable within one era only, so the changes do not follow `after`.
             return Err(StoreError::OtherEra);
         }
-        let truncation_size = self.adapter.store.watch_whole;
+        let truncation_size = self.adapter.store.watch_truncation_size;
         let may_be_truncated = rows.rows.len() >= truncation_size.row_count
             || answer.body.len() >= truncation_size.byte_count;
         let is_truncated = may_be_truncated && rows.position > after;
--- a/crates/cranereach-gateway/src/store/eras.rs
+++ b/crates/cranereach-gateway/src/store/eras.rs
@@ -94,7 +94,7 @@
             return self.newest();
         };
         self.has_stated_era.store(true, Ordering::Release);
-        self.rise_to(era, "store");
+        self.advance_to(era, "store");
         if era < self.newest() {
             self.count_invalid_era("store_era_fallen");
         }
@@ -107,7 +107,7 @@
     }
 
     /// Raises the newest known era. `source` names who reported it, for the log.
-    pub fn rise_to(&self, era: u64, source: &str) {
+    pub fn advance_to(&self, era: u64, source: &str) {
         let before = self.newest.fetch_max(era, Ordering::AcqRel);
         if era <= before {
             return;
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -14,7 +14,7 @@
 use crate::node::pause;
 use crate::quarantine::lasting;
 use crate::recipients::Origin;
-use cranereach_fleet::freshness::BACK_WITHIN_MS;
+use cranereach_fleet::freshness::OUTAGE_RECOVERY_MS;
 
 /// Purpose for which instances are ranked: the first in rank rewrites the rows that this system
 /// had stored. The text is hashed into the rank, so all instances must use the same one.
@@ -26,9 +26,9 @@
         node.store.eras().wait_for_new_era().await;
         enter(&node);
         // By then the other writers have rewritten what the restored store has lost.
-        pause(BACK_WITHIN_MS).await;
+        pause(OUTAGE_RECOVERY_MS).await;
         let is_first = node.peers().rank(node.now_ms(), RANK_PURPOSE) == 0;
-        if is_first && lasting::has_some(&node) {
+        if is_first && lasting::has_requests_to_store(&node) {
             lasting::keep(Arc::clone(&node)).await;
         }
     }
@@ -51,6 +51,6 @@
         // Watches that are open at the store still wait for changes of the previous era.
         node.configuration_wanted.notify_one();
         node.controller_wanted.notify_one();
-        node.tell_news(Origin::Own);
+        node.gossip_news(Origin::Own);
     }
 }
--- a/crates/cranereach-gateway/src/store_pace.rs
+++ b/crates/cranereach-gateway/src/store_pace.rs
@@ -44,12 +44,12 @@
 }
 
 /// Waits after an answer of another era, before the data of the new era is requested.
-pub async fn after_other_era() {
+pub async fn pause_after_era_change() {
     pause(BACKOFF_BASE_MS).await;
 }
 
 /// Counts a read of the store by its outcome.
-pub fn note_call(node: &Node, kind: &str, read: &Result<Rows, StoreError>) {
+pub fn count_read(node: &Node, kind: &str, read: &Result<Rows, StoreError>) {
     let outcome = match read {
         Ok(_) => "done",
         Err(error) => failure_label(error),
@@ -58,7 +58,7 @@
 }
 
 /// Counts a write of the store by its outcome and returns the label of the outcome.
-pub fn note_write(
+pub fn count_write(
     node: &Node,
     kind: &str,
     written: &Result<WriteAnswer, StoreError>,
--- a/crates/cranereach-gateway/src/unknown_words.rs
+++ b/crates/cranereach-gateway/src/unknown_words.rs
@@ -24,7 +24,7 @@
 
 /// Names of unknown and of unreadable headers seen so far.
 #[derive(Debug, Default)]
-pub struct UnknownWords {
+pub struct UnknownHeaders {
     names: Mutex<BTreeSet<String>>,
     unreadable: Mutex<BTreeSet<&'static str>>,
 }
@@ -52,9 +52,9 @@
 /// Whether a header has a prefix used for statements about workers but is not a known one.
 fn is_unknown(node: &Node, name: &HeaderName) -> bool {
     let names = &node.adapter.headers;
-    let mut prefixes = names.worker_prefixes.iter();
+    let mut prefixes = names.worker_header_prefixes.iter();
     let has_worker_prefix = prefixes.any(|prefix| name.as_str().starts_with(prefix));
-    has_worker_prefix && !names.worker_known.contains(&name.as_str())
+    has_worker_prefix && !names.known_worker_headers.contains(&name.as_str())
 }
 
 /// Counts an unknown header, and logs its name when it is seen for the first time.
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
-use crate::worker_words::REST_UNSAID_MS;
+use crate::worker_words::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_http::pool::ConnectError;
 
 /// Delay between the break of a connection and the probe, in milliseconds. A terminating process
@@ -50,7 +50,7 @@
 
 /// State of a worker after a connection to it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ProbeResult {
     /// The machine refuses connections: the worker has terminated.
     Refused,
     /// The worker kept no connection open, and its row was removed without having been marked as
@@ -65,7 +65,7 @@
     OutOfReach,
 }
 
-impl Found {
+impl ProbeResult {
     /// Whether the worker terminated unexpectedly.
     pub fn has_ended(self) -> bool {
         matches!(self, Self::Refused | Self::Delisted)
@@ -88,33 +88,33 @@
 struct Probe {
     started_at_ms: u64,
     /// Result, once the probe has completed.
-    result: Arc<OnceCell<Found>>,
+    result: Arc<OnceCell<ProbeResult>>,
 }
 
 /// Recent probes of workers whose connections broke.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct WorkerProbes {
     by_worker: Mutex<HashMap<Arc<str>, Probe>>,
 }
 
 /// Determines the state of a worker after a connection to it broke. Waits for the worker's row only
 /// if the worker is out of reach.
-pub async fn find(node: &Node, worker: &Arc<str>) -> Found {
+pub async fn find(node: &Node, worker: &Arc<str>) -> ProbeResult {
     if !is_expected_to_run(node, worker) {
-        return Found::Planned;
+        return ProbeResult::Planned;
     }
     let incarnation = incarnation_of(node, worker);
     let result_cell = node.tries.current(node.now_ms(), worker);
     let found = *result_cell.get_or_init(|| probe(node, worker)).await;
-    if found == Found::OutOfReach {
+    if found == ProbeResult::OutOfReach {
         return wait_for_delisting(node, worker, incarnation).await;
     }
     found
 }
 
-impl Tries {
+impl WorkerProbes {
     /// Returns the result cell of the current probe of a worker; adds a probe if there is none.
-    fn current(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<Found>> {
+    fn current(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<ProbeResult>> {
         let mut probes = lock(&self.by_worker);
         probes.retain(|_, probe| now_ms < probe.started_at_ms + PROBE_RESULT_TTL_MS);
         let probe = probes.entry(Arc::clone(worker)).or_insert_with(|| Probe {
@@ -138,14 +138,14 @@
 }
 
 /// Probes a worker with one connection attempt.
-async fn probe(node: &Node, worker: &Arc<str>) -> Found {
+async fn probe(node: &Node, worker: &Arc<str>) -> ProbeResult {
     pause(PROBE_DELAY_MS).await;
     let address = node
         .roster()
         .get(worker)
         .map(|known| known.record.address.clone());
     let Some(address) = address else {
-        return Found::Planned;
+        return ProbeResult::Planned;
     };
     let pool = node.pool(worker, &address);
     let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
@@ -154,30 +154,30 @@
             node.metrics.connections_total.inc();
             pause(MIN_OPEN_MS).await;
             if connection.is_closed() {
-                return Found::OutOfReach;
+                return ProbeResult::OutOfReach;
             }
-            connection.keep_for(REST_UNSAID_MS);
-            Found::Alive
+            connection.keep_for(DEFAULT_KEEP_ALIVE_MS);
+            ProbeResult::Alive
         }
         Ok(Err(ConnectError::Refused(error))) if error.kind() == ErrorKind::ConnectionRefused => {
-            Found::Refused
+            ProbeResult::Refused
         }
-        Ok(Err(_)) | Err(_) => Found::OutOfReach,
+        Ok(Err(_)) | Err(_) => ProbeResult::OutOfReach,
     }
 }
 
 /// Waits until the row of an unreachable worker is removed or replaced by that of a new
 /// incarnation.
-async fn wait_for_delisting(node: &Node, worker: &str, incarnation: Option<u64>) -> Found {
+async fn wait_for_delisting(node: &Node, worker: &str, incarnation: Option<u64>) -> ProbeResult {
     let until_ms = node.now_ms() + DELISTING_TIMEOUT_MS;
     while node.now_ms() < until_ms {
         if incarnation_of(node, worker) != incarnation {
-            return Found::Delisted;
+            return ProbeResult::Delisted;
         }
         if !is_expected_to_run(node, worker) {
-            return Found::Planned;
+            return ProbeResult::Planned;
         }
         pause(LIST_POLL_INTERVAL_MS).await;
     }
-    Found::OutOfReach
+    ProbeResult::OutOfReach
 }
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_words.rs
@@ -18,13 +18,13 @@
 use crate::send_permit::Permit;
 use crate::unknown_words;
 use cranereach_fleet::departure;
-use cranereach_fleet::load::SaidLoad;
+use cranereach_fleet::load::ReportedLoad;
 use cranereach_fleet::named_limit;
 use cranereach_fleet::rest;
 
 /// Time for which an idle connection is reused if the worker does not state a keep-alive timeout,
 /// in milliseconds.
-pub const REST_UNSAID_MS: u64 = 300;
+pub const DEFAULT_KEEP_ALIVE_MS: u64 = 300;
 
 /// Safety margin subtracted from a worker's keep-alive timeout, in milliseconds.
 const KEEP_ALIVE_MARGIN_MS: u64 = 150;
@@ -37,13 +37,13 @@
 
 /// What the head of a response says about the worker that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorkerWords {
+pub struct WorkerHeaders {
     /// Whether another worker than the intended one responded.
     pub is_of_another: bool,
     /// Whether the response states that the request was not run.
     pub is_not_run: bool,
     /// The worker's load, if stated and valid.
-    pub load: Option<SaidLoad>,
+    pub load: Option<ReportedLoad>,
     /// Whether a load is stated that cannot be parsed.
     pub is_load_unreadable: bool,
     /// Requests per second that the worker accepts.
@@ -53,10 +53,10 @@
     /// Time for which the worker asks for no requests.
     pub rest: rest::Said,
     /// Time for which the idle connection may be kept, in milliseconds; `None` if it closes.
-    pub connection_rest_ms: Option<u64>,
+    pub connection_keep_alive_ms: Option<u64>,
 }
 
-impl WorkerWords {
+impl WorkerHeaders {
     /// Reads the head of a response to a request intended for `worker`.
     pub fn read(
         names: &HeaderNames,
@@ -80,7 +80,7 @@
             limit: named_limit::read(values(headers, names.limit)),
             leaving: departure::read(values(headers, names.leaving)),
             rest,
-            connection_rest_ms: connection_rest_ms(headers),
+            connection_keep_alive_ms: connection_keep_alive_ms(headers),
         }
     }
 }
@@ -92,9 +92,9 @@
     permit: &Permit,
     head: (StatusCode, &HeaderMap),
     is_expected_response: bool,
-) -> WorkerWords {
+) -> WorkerHeaders {
     let (status, _headers) = head;
-    let worker_headers = WorkerWords::read(&node.adapter.headers, &permit.worker, head);
+    let worker_headers = WorkerHeaders::read(&node.adapter.headers, &permit.worker, head);
     if worker_headers.is_of_another {
         return worker_headers;
     }
@@ -139,7 +139,7 @@
 }
 
 /// Counts and logs headers that cannot be parsed.
-fn record_unreadable(node: &Node, worker: &str, worker_headers: &WorkerWords) {
+fn record_unreadable(node: &Node, worker: &str, worker_headers: &WorkerHeaders) {
     let names = &node.adapter.headers;
     let unreadable = [
         (worker_headers.is_load_unreadable, "load", names.load),
@@ -178,17 +178,17 @@
 }
 
 /// Parses a worker's load: running, waiting, slots.
-fn parse_load(value: &HeaderValue) -> Option<SaidLoad> {
+fn parse_load(value: &HeaderValue) -> Option<ReportedLoad> {
     let text = value.to_str().ok()?;
     let mut counts = text.split(',').map(|count| count.trim().parse().ok());
-    Some(SaidLoad {
+    Some(ReportedLoad {
         running_count: counts.next()??,
         waiting_count: counts.next()??,
     })
 }
 
 /// Returns the time for which an idle connection may be kept, in milliseconds; `None` if it closes.
-fn connection_rest_ms(headers: &HeaderMap) -> Option<u64> {
+fn connection_keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     if has_option(headers, &CONNECTION, "close") {
         return None;
     }
@@ -198,7 +198,7 @@
             .filter_map(|part| part.trim().strip_prefix("timeout="));
         timeouts.next()?.trim().parse::<u64>().ok()
     });
-    let keep_alive_ms = timeout_s.map_or(REST_UNSAID_MS, |timeout_s| {
+    let keep_alive_ms = timeout_s.map_or(DEFAULT_KEEP_ALIVE_MS, |timeout_s| {
         timeout_s
             .saturating_mul(1_000)
             .saturating_sub(KEEP_ALIVE_MARGIN_MS)
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -10,7 +10,7 @@
 
 use cranereach_fleet::first_read::FirstSource;
 use cranereach_fleet::first_read::Holder;
-use cranereach_fleet::first_read::Newcomer;
+use cranereach_fleet::first_read::JoiningInstance;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_gateway::messages::Digest;
@@ -116,16 +116,16 @@
         self.are_seeds_down && number < SEED_COUNT
     }
 
-    fn digest(&mut self, sender: usize, newcomer: Option<usize>) -> Digest {
+    fn digest(&mut self, sender: usize, joining_instance: Option<usize>) -> Digest {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[sender];
         instance.digest_count += 1;
-        let members = match newcomer {
-            Some(newcomer) => {
-                let domain = DomainTag::of(&domain(newcomer));
-                instance.peers.member_news_for(now_ms, domain)
+        let members = match joining_instance {
+            Some(joining_instance) => {
+                let domain = DomainTag::of(&domain(joining_instance));
+                instance.peers.member_updates_for(now_ms, domain)
             }
-            None => instance.peers.member_news(now_ms),
+            None => instance.peers.member_updates(now_ms),
         };
         Digest {
             boot: instance.boot,
@@ -144,11 +144,14 @@
         let now_ms = self.now_ms;
         let peers = &mut self.instances[recipient].peers;
         let is_new = peers.heard(now_ms, address(sender), digest);
-        if is_new && digest.list_position.is_none() && peers.may_greet(now_ms, address(sender)) {
+        if is_new
+            && digest.list_position.is_none()
+            && peers.may_reply_to_joining(now_ms, address(sender))
+        {
             let greeting = self.digest(recipient, Some(sender));
             if !self.rng.random_bool(LOST_SHARE) {
-                let newcomer = &mut self.instances[sender].peers;
-                newcomer.heard(now_ms, address(recipient), &greeting);
+                let joining_instance = &mut self.instances[sender].peers;
+                joining_instance.heard(now_ms, address(recipient), &greeting);
             }
         }
     }
@@ -187,7 +190,7 @@
         for recipient in recipients.into_iter().map(number) {
             if !self.is_down(recipient) && !self.rng.random_bool(LOST_SHARE) {
                 let peers = &mut self.instances[recipient].peers;
-                peers.told_list(address(sender), StorePosition::new(0, 1));
+                peers.note_list_advertised(address(sender), StorePosition::new(0, 1));
             }
         }
     }
@@ -257,12 +260,12 @@
         } else {
             Holder::Nobody
         };
-        let newcomer = Newcomer {
+        let joining_instance = JoiningInstance {
             up_for_ms: now_ms - instance.started_at_ms,
             holder,
-            ..instance.peers.newcomer(now_ms, PURPOSE)
+            ..instance.peers.joining_instance(now_ms, PURPOSE)
         };
-        (newcomer.source(), near, far)
+        (joining_instance.source(), near, far)
     }
 
     fn fetch(&mut self, number: usize, peer: Option<Ipv4Addr>) {
--- a/crates/cranereach-gateway/tests/limit_words.rs
+++ b/crates/cranereach-gateway/tests/limit_words.rs
@@ -1,6 +1,6 @@
 //! What instances tell each other of workers that name a limit, in bytes.
 
-use cranereach_fleet::named_limit::LimitWord;
+use cranereach_fleet::named_limit::LimitReport;
 use cranereach_gateway::messages::GrantAsk;
 use cranereach_gateway::messages::Message;
 use cranereach_gateway::messages::OwnerAsk;
@@ -16,14 +16,14 @@
 const GRANT_MAX_BYTES: usize = 64;
 
 /// A word as large as words get.
-const WORD: LimitWord = LimitWord {
+const WORD: LimitReport = LimitReport {
     start: u64::MAX,
     rate_per_s: Some(1.2),
     asked_age_ms: u32::MAX,
     heard_age_ms: u32::MAX,
 };
 
-fn question_bytes(limit: Option<LimitWord>) -> usize {
+fn question_bytes(limit: Option<LimitReport>) -> usize {
     let ask = OwnerAsk {
         limit,
         ..OwnerAsk::default()
--- a/crates/cranereach-gateway/tests/peers.rs
+++ b/crates/cranereach-gateway/tests/peers.rs
@@ -8,11 +8,11 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::listing::ChangedRow;
 use cranereach_fleet::membership::MEMBER_MAX_COUNT;
-use cranereach_fleet::membership::MemberNews;
+use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
-use cranereach_gateway::heard_leases::HEARD_WITHIN_MS;
+use cranereach_gateway::heard_leases::LEASE_NEWS_MAX_AGE_MS;
 use cranereach_gateway::messages::DemandMessage;
 use cranereach_gateway::messages::DemandPart;
 use cranereach_gateway::messages::Digest;
@@ -65,17 +65,17 @@
 #[test]
 fn a_holder_that_only_others_hear_counts_until_its_word_is_old() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
-    assert!(!peers.hears_holder(0, SERVICE));
+    assert!(!peers.knows_holder(0, SERVICE));
     peers.heard(1_000, ip(2), &told(1, 400));
-    assert!(peers.hears_holder(1_000, SERVICE));
+    assert!(peers.knows_holder(1_000, SERVICE));
     assert_eq!(peers.held(1_100), [held(500)]);
     // What it asks for goes to that holder, whom it never heard.
     assert_eq!(peers.holders(1_100), [ip(9)]);
     // Telling it again makes it no younger.
     peers.heard(1_800, ip(3), &told(1, 1_200));
-    let end_ms = 600 + HEARD_WITHIN_MS;
-    assert!(peers.hears_holder(end_ms - 1, SERVICE));
-    assert!(!peers.hears_holder(end_ms, SERVICE));
+    let end_ms = 600 + LEASE_NEWS_MAX_AGE_MS;
+    assert!(peers.knows_holder(end_ms - 1, SERVICE));
+    assert!(!peers.knows_holder(end_ms, SERVICE));
 }
 
 #[test]
@@ -89,14 +89,14 @@
     ] {
         let mut peers = Peers::new(ip(1), "z1", &[]);
         peers.heard(1_000, ip(2), &holder(1));
-        assert!(peers.hears_holder(1_100, SERVICE));
+        assert!(peers.knows_holder(1_100, SERVICE));
         peers.heard(1_200, ip(2), &given_up);
-        assert!(!peers.hears_holder(1_200, SERVICE));
+        assert!(!peers.knows_holder(1_200, SERVICE));
         // What others heard before that counts no more.
         peers.heard(1_300, ip(3), &told(1, 300));
-        assert!(!peers.hears_holder(1_300, SERVICE));
+        assert!(!peers.knows_holder(1_300, SERVICE));
         peers.heard(1_400, ip(3), &holder(2));
-        assert!(peers.hears_holder(1_400, SERVICE), "a successor");
+        assert!(peers.knows_holder(1_400, SERVICE), "a successor");
     }
 }
 
@@ -162,7 +162,7 @@
         }
         // To another domain one a second; without news no round goes there besides.
         assert_eq!(far_count, 2);
-        assert!(peers.member_news(10).len() <= 48);
+        assert!(peers.member_updates(10).len() <= 48);
         // A holder hears so many messages of demand a second, from however many.
         let every_ms = peers.demand_every_ms(250);
         let heard_per_s = f64::from(count) * 1_000.0 / every_ms as f64;
@@ -181,18 +181,24 @@
         waits_for: vec![(SERVICE, (3, 1)), (SERVICE, (4, 1))],
         ..demand(count, 5.0)
     };
-    assert!(peers.heard_demand(0, address(77), &waits(1)));
+    assert!(peers.apply_demand(0, address(77), &waits(1)));
     let placed = [(8, (3, 1)), (9, (3, 1)), (9, (5, 1))];
-    assert!(peers.take_answered(10, SERVICE + 1, &placed).is_empty());
-    let answers = peers.take_answered(10, SERVICE, &placed);
+    assert!(
+        peers
+            .take_satisfied_waits(10, SERVICE + 1, &placed)
+            .is_empty()
+    );
+    let answers = peers.take_satisfied_waits(10, SERVICE, &placed);
     assert_eq!(answers[&address(77)], placed[..2]);
     assert!(
-        peers.take_answered(10, SERVICE, &placed).is_empty(),
+        peers.take_satisfied_waits(10, SERVICE, &placed).is_empty(),
         "told once"
     );
     let other = [(8, (4, 1))];
     assert!(
-        peers.take_answered(5_000, SERVICE, &other).is_empty(),
+        peers
+            .take_satisfied_waits(5_000, SERVICE, &other)
+            .is_empty(),
         "given up"
     );
 }
@@ -215,9 +221,9 @@
 fn the_demand_of_every_instance_counts_until_it_falls_silent() {
     let mut peers = fleet(300);
     for peer in 2..=300 {
-        assert!(peers.heard_demand(100, address(peer), &demand(2, 1.0)));
+        assert!(peers.apply_demand(100, address(peer), &demand(2, 1.0)));
         assert!(
-            !peers.heard_demand(100, address(peer), &demand(1, 9.0)),
+            !peers.apply_demand(100, address(peer), &demand(1, 9.0)),
             "old"
         );
     }
@@ -229,7 +235,7 @@
     };
     assert!((sum(&peers, 200) - 299.0).abs() < 0.01);
     assert!(
-        !peers.heard_demand(100, address(9_000), &demand(2, 1.0)),
+        !peers.apply_demand(100, address(9_000), &demand(2, 1.0)),
         "a stranger"
     );
     assert!(sum(&peers, 60_000).abs() < 0.01);
@@ -265,7 +271,7 @@
 fn strange_digests_are_bounded_in_what_they_leave() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
     for sender in 0..3 {
-        let introduced = (0..10_000).map(|number| MemberNews {
+        let introduced = (0..10_000).map(|number| MemberUpdate {
             address: address(100_000 + sender * 10_000 + number),
             domain: DomainTag::default(),
             age_ms: if number % 2 == 0 { 0 } else { u32::MAX },
@@ -285,7 +291,7 @@
     }
     // What each sender told, as far as it was taken, and the senders.
     assert!(peers.members().known_count() <= 3 * 48 + 4);
-    assert!(!peers.hears_holder(5_000, SERVICE));
+    assert!(!peers.knows_holder(5_000, SERVICE));
     for sender in 0..20_000 {
         peers.heard(6_000, address(200_000 + sender), &digest(1));
     }
--- a/crates/cranereach-gateway/tests/spreading.rs
+++ b/crates/cranereach-gateway/tests/spreading.rs
@@ -213,7 +213,7 @@
         let now_ms = self.now_ms();
         for sender in 0..self.peers.len() {
             let digest = Digest {
-                members: self.peers[sender].member_news(now_ms),
+                members: self.peers[sender].member_updates(now_ms),
                 ..self.digest(sender, self.round + 1)
             };
             for recipient in self.recipients(sender) {
--- a/crates/cranereach-gateway/tests/suspects.rs
+++ b/crates/cranereach-gateway/tests/suspects.rs
@@ -48,7 +48,7 @@
 fn an_end_is_told_in_a_small_datagram() {
     let mut quarantine = Quarantine::default();
     quarantine.ended(1_000, mark(1), u64::MAX, true);
-    let news = quarantine.news_of(601_000, mark(1)).unwrap();
+    let news = quarantine.update_for(601_000, mark(1)).unwrap();
     let byte_count = encode(Message::Suspect(Box::new(news))).len();
     assert!(byte_count <= END_MAX_BYTES, "{byte_count}");
 }
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -9,8 +9,8 @@
 use cranereach_fleet::named_limit;
 use cranereach_fleet::rest;
 use cranereach_gateway::adapter::HeaderNames;
-use cranereach_gateway::worker_words::REST_UNSAID_MS;
-use cranereach_gateway::worker_words::WorkerWords;
+use cranereach_gateway::worker_words::DEFAULT_KEEP_ALIVE_MS;
+use cranereach_gateway::worker_words::WorkerHeaders;
 
 /// Names of another platform.
 const NAMES: HeaderNames = HeaderNames {
@@ -29,19 +29,19 @@
     priority: "priority",
     last_event: "last-event",
     account: "account",
-    worker_prefixes: &[],
-    worker_known: &[],
+    worker_header_prefixes: &[],
+    known_worker_headers: &[],
     reserved: &[],
 };
 
-fn read(status: u16, headers: &[(&'static str, &'static str)]) -> WorkerWords {
+fn read(status: u16, headers: &[(&'static str, &'static str)]) -> WorkerHeaders {
     let mut map = HeaderMap::new();
     for (name, value) in headers {
         let name = HeaderName::from_static(name);
         map.append(name, HeaderValue::from_static(value));
     }
     let status = StatusCode::from_u16(status).unwrap();
-    WorkerWords::read(&NAMES, "w", (status, &map))
+    WorkerHeaders::read(&NAMES, "w", (status, &map))
 }
 
 #[test]
@@ -52,7 +52,7 @@
     assert_eq!(words.limit, named_limit::Said::Nothing);
     assert_eq!(words.leaving, departure::Said::Nothing);
     assert_eq!(words.rest, rest::Said::Nothing);
-    assert_eq!(words.connection_rest_ms, Some(REST_UNSAID_MS));
+    assert_eq!(words.connection_keep_alive_ms, Some(DEFAULT_KEEP_ALIVE_MS));
 }
 
 #[test]
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_connection_rests_as_long_as_the_worker_says_less_a_margin() {
-    let rest_ms = |headers: &[_]| read(200, headers).connection_rest_ms;
+    let rest_ms = |headers: &[_]| read(200, headers).connection_keep_alive_ms;
     assert_eq!(rest_ms(&[("keep-alive", "timeout=5")]), Some(4_850));
     assert_eq!(rest_ms(&[("keep-alive", "max=9, timeout=1")]), Some(850));
     assert_eq!(rest_ms(&[("keep-alive", "timeout=0")]), None);
--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -253,7 +253,7 @@
                 return;
             };
             occupant.state = LEAVING;
-            occupant.worker.say_it_leaves();
+            occupant.worker.announce_leaving();
             occupant.worker.clone()
         };
         self.beat();
@@ -356,8 +356,8 @@
         let start = self.start_count.fetch_add(1, Ordering::Relaxed);
         let id = format!("w-{}-{start}", self.number);
         let mut worker = Worker::start(&id).await;
-        worker.be_strict(WORK_MS);
-        worker.end_under(ENDING);
+        worker.enable_strict_mode(WORK_MS);
+        worker.crash_on_path_word(ENDING);
         worker.set_event_pause_ms(EVENT_PAUSES_MS[self.number % EVENT_PAUSES_MS.len()]);
         if self.service == "models" {
             let first = self.number % MODELS.len();
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -130,7 +130,7 @@
     let lost = store.restore(copied);
     store.set_fault(store::Fault::None);
     pause(WRITTEN_AGAIN_AFTER_MS).await;
-    store.write_again(lost);
+    store.rewrite_lost_rows(lost);
     parts.journal.trouble(Whom::Store, false, from_ms);
 }
 
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -7,8 +7,8 @@
 use super::gateway;
 use crate::exit::Exit;
 use cranereach_gateway::domains;
-use cranereach_gateway::domains::Demanded;
 use cranereach_gateway::domains::DomainsError;
+use cranereach_gateway::domains::EvacuationOutcome;
 use cranereach_gateway::store::StoreError;
 // Linked for the adapter that it registers.
 use cranereach_platform as _;
@@ -42,7 +42,7 @@
         "asked for"
     };
     match super::block_on_one_core(demand) {
-        Ok(Demanded::At(version)) => {
+        Ok(EvacuationOutcome::At(version)) => {
             println!(
                 "evacuation of {} {word} at version {version}",
                 options.domain
@@ -53,7 +53,7 @@
             }
             Exit::Done
         }
-        Ok(Demanded::Already) => {
+        Ok(EvacuationOutcome::Already) => {
             println!("evacuation of {} was {word} already", options.domain);
             Exit::Done
         }
@@ -68,7 +68,7 @@
 pub fn exit_of(error: &DomainsError) -> Exit {
     match error {
         DomainsError::Unknown { .. } => Exit::Faults,
-        DomainsError::Raced => Exit::RaceLost,
+        DomainsError::ChangedConcurrently => Exit::RaceLost,
         DomainsError::Adapter(_) => Exit::Settings,
         DomainsError::Store(StoreError::Unknown(_)) => Exit::Unknown,
         DomainsError::Store(_) => Exit::Unavailable,
--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -3,7 +3,7 @@
 use super::instance;
 use super::instance::ListArguments;
 use crate::exit::Exit;
-use cranereach_gateway::named_limits::ShownLimit;
+use cranereach_gateway::named_limits::LimitedWorker;
 use cranereach_gateway::operators::LIMITS_PATH;
 
 /// Asks an instance.
@@ -12,7 +12,7 @@
 }
 
 /// Shows one worker.
-fn show_one(shown: &ShownLimit) {
+fn show_one(shown: &LimitedWorker) {
     println!(
         "{} of {}: {} a second, for {} s; granted here {}, refused {}",
         shown.worker,
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::exit::Exit;
 use cranereach_gateway::operators::QUARANTINE_PATH;
 use cranereach_gateway::operators::RELEASE_PATH;
-use cranereach_gateway::quarantine::Shown;
+use cranereach_gateway::quarantine::SuspectRequest;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 // Linked for the adapter that it registers.
@@ -53,7 +53,7 @@
 }
 
 /// Shows one request.
-fn show_one(shown: &Shown) {
+fn show_one(shown: &SuspectRequest) {
     let state = if shown.is_quarantined {
         "refused"
     } else {
--- a/src/cmd/workers.rs
+++ b/src/cmd/workers.rs
@@ -4,7 +4,7 @@
 use super::instance::ListArguments;
 use crate::exit::Exit;
 use cranereach_gateway::operators::WORKERS_PATH;
-use cranereach_gateway::own_words::ShownWorker;
+use cranereach_gateway::own_words::UnavailableWorker;
 
 /// Asks an instance.
 pub fn execute(options: &ListArguments) -> Exit {
@@ -12,8 +12,8 @@
 }
 
 /// Shows one worker.
-fn show_one(shown: &ShownWorker) {
-    let ShownWorker {
+fn show_one(shown: &UnavailableWorker) {
+    let UnavailableWorker {
         worker, service, ..
     } = shown;
     if let Some(leaving) = &shown.leaving {
--- a/tests/testsuite/docs.rs
+++ b/tests/testsuite/docs.rs
@@ -113,7 +113,7 @@
         ("ms of an order's lifetime", ledger::ORDER_LIFETIME_MS),
         (
             "ms until an unconfirmed instance goes",
-            config::CONFIRM_WITHIN_MS,
+            config::CONFIRMATION_TIMEOUT_MS,
         ),
     ];
     for (name, value) in quoted {
