--- a/crates/cranereach-http/src/bearer.rs
+++ b/crates/cranereach-http/src/bearer.rs
@@ -1,13 +1,16 @@
-//! The bearer key that a request carries.
+//! Extraction of the bearer token from request headers.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
 
-/// Name of the scheme, in any case.
+/// Name of the authentication scheme, compared without regard to case.
 const SCHEME: &str = "bearer";
 
-/// Returns the bearer key of a request; none if there is none, if it isn't plain
-/// text, or if two are given, which two parties might read differently.
+/// Returns the bearer token of a request.
+///
+/// Returns `None` if the request has no token or one that isn't visible ASCII. Several
+/// `Authorization` headers also give `None`, because another server on the path might
+/// choose a different one.
 ///
 /// ```
 /// use cranereach_http::bearer::bearer;
--- a/crates/cranereach-http/src/body.rs
+++ b/crates/cranereach-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading bodies within limits, and making small ones.
+//! Reading bodies within limits of size and time, and building JSON responses.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Why a body could not be read.
+/// Reasons why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     #[error("the body is larger than the limit")]
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     #[error("the body did not arrive in time")]
     TooSlow,
-    /// The sender left.
+    /// Reading failed before the end, usually because the connection was closed.
     #[error("the body broke off")]
     Broken,
 }
 
-/// Reads a whole body of at most `max_bytes` within `within_ms`.
+/// Reads a whole body of at most `max_bytes` within `timeout_ms`.
 pub async fn collect<B>(body: B, max_bytes: usize, within_ms: u64) -> Result<Bytes, BodyError>
 where
     B: Body,
@@ -44,11 +44,12 @@
     }
 }
 
-/// Makes an answer with a JSON body.
+/// Builds a response with a JSON body.
 ///
 /// # Panics
 ///
-/// If the value has no form in JSON, which our typed messages all have.
+/// Panics if the value doesn't serialize to JSON, which all message types of this project
+/// do, or if `status` isn't a valid HTTP status code.
 ///
 /// ```
 /// let answer = cranereach_http::body::json(200, &[1, 2]);
--- a/crates/cranereach-http/src/client.rs
+++ b/crates/cranereach-http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to JSON interfaces, each with a deadline.
+//! Client for JSON interfaces; each call has a timeout.
 
 use std::future::ready;
 use std::time::Duration;
@@ -19,52 +19,54 @@
 use crate::pool::Pool;
 use crate::pool::SendError;
 
-/// Largest answer of a JSON interface, in bytes.
+/// Largest response body that is accepted, in bytes.
 const ANSWER_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Time to connect, in milliseconds: whoever waits long for an answer does not
-/// wait as long for a connection that nobody takes.
+/// Timeout for connecting, in milliseconds.
+///
+/// It doesn't depend on the timeout of the call, so that a call with a long timeout still
+/// fails early if nobody accepts the connection.
 const CONNECT_WITHIN_MS: u64 = 1_000;
 
-/// How a call failed.
+/// Reasons why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Nothing was sent.
+    /// Nothing was sent: there was no connection, or the permit was refused.
     #[error("{address}: could not be reached")]
     NotSent {
         /// Whom the call was for.
         address: String,
     },
-    /// It may have taken effect: no answer came in time.
+    /// No complete answer came in time; the request may have taken effect.
     #[error("{address}: no answer")]
     Unanswered {
         /// Whom the call was for.
         address: String,
     },
-    /// The answer can't be understood.
+    /// The answer can't be decoded, or the request could not be built.
     #[error("{address}: answered {status} with {detail}")]
     Garbled {
         /// Whom the call was for.
         address: String,
-        /// HTTP status.
+        /// HTTP status; zero if the request could not be built.
         status: u16,
-        /// What is wrong with it.
+        /// Text of the underlying error.
         detail: String,
     },
 }
 
-/// An answer.
+/// Response to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// Client of one JSON interface.
+/// Client for the JSON interface at one address.
 #[derive(Debug)]
 pub struct JsonClient {
     pool: Pool<Full<Bytes>>,
@@ -73,10 +75,10 @@
 }
 
 impl JsonClient {
-    /// Makes a client for `ip:port`.
+    /// Creates a client for an address of the form `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
-            // An order or write that was given up must not arrive seconds later.
+            // An order or write whose caller has given up must not be delivered seconds later.
             pool: Pool::new(address).with_reset(),
             token: None,
             header: None,
@@ -97,17 +99,17 @@
         self
     }
 
-    /// Returns the address.
+    /// Returns the address of the server.
     pub fn address(&self) -> &str {
         self.pool.address()
     }
 
-    /// Asks without a body.
+    /// Sends a GET request.
     pub async fn get(&self, path: &str, within_ms: u64) -> Result<Answer, CallError> {
         self.call(Method::GET, path, Bytes::new(), within_ms).await
     }
 
-    /// Asks without a body if there is a permit, as [`JsonClient::post_bytes_when`].
+    /// Sends a GET request if `permit` grants it, as in [`JsonClient::post_bytes_when`].
     pub async fn get_when<T, F>(
         &self,
         path: &str,
@@ -121,7 +123,7 @@
             .await
     }
 
-    /// Sends a value.
+    /// Sends a POST request with a value as JSON.
     pub async fn post<T: Serialize>(
         &self,
         path: &str,
@@ -134,7 +136,7 @@
             .await
     }
 
-    /// Sends bytes by POST.
+    /// Sends a POST request with a body of bytes.
     pub async fn post_bytes(
         &self,
         path: &str,
@@ -144,8 +146,11 @@
         self.call(Method::POST, path, bytes, within_ms).await
     }
 
-    /// Sends bytes by POST if there is a permit, which is asked for on an open connection
-    /// right before the request leaves; returns it with the answer.
+    /// Sends a POST request if `permit` grants it; returns the permit with the answer.
+    ///
+    /// The permit is requested once the connection is open, right before the request is
+    /// sent, and again before each retry. Without a permit, the call fails with
+    /// [`CallError::NotSent`].
     pub async fn post_bytes_when<T, F>(
         &self,
         path: &str,
@@ -160,18 +165,18 @@
             .await
     }
 
-    /// Sends bytes.
+    /// Sends a PUT request with a body of bytes.
     pub async fn put(&self, path: &str, bytes: Bytes, within_ms: u64) -> Result<Answer, CallError> {
         self.call(Method::PUT, path, bytes, within_ms).await
     }
 
-    /// Reads an answer's body as a typed value.
+    /// Decodes the JSON body of an answer.
     pub fn read<T: DeserializeOwned>(&self, answer: &Answer) -> Result<T, CallError> {
         serde_json::from_slice(&answer.body)
             .map_err(|error| self.garbled(answer.status, &error.to_string()))
     }
 
-    /// Makes one call that needs no permit.
+    /// Makes a call that needs no permit.
     async fn call(
         &self,
         method: Method,
@@ -184,7 +189,7 @@
         called.await.map(|(answer, ())| answer)
     }
 
-    /// Makes one call with a permit; a connection that closed unused is replaced.
+    /// Makes a call with a permit, within `timeout_ms` in all.
     async fn call_when<T, F>(
         &self,
         method: Method,
@@ -205,6 +210,9 @@
     }
 
     /// Sends the request and reads the whole answer.
+    ///
+    /// If a reused connection turns out to be closed before any byte of the request was
+    /// sent, the request is retried on another connection.
     async fn exchange<T, F>(
         &self,
         method: Method,
@@ -253,7 +261,7 @@
         }
     }
 
-    /// Builds a request.
+    /// Builds a request with the headers of this client.
     fn request(
         &self,
         method: Method,
@@ -278,7 +286,7 @@
             .map_err(|error| self.garbled(0, &error.to_string()))
     }
 
-    /// Makes the error of something that can't be understood.
+    /// Returns the error for a message that can't be encoded or decoded.
     fn garbled(&self, status: u16, detail: &str) -> CallError {
         CallError::Garbled {
             address: self.address().to_owned(),
--- a/crates/cranereach-http/src/clock.rs
+++ b/crates/cranereach-http/src/clock.rs
@@ -1,9 +1,10 @@
-//! The process's own clock; it never goes back and means nothing to others.
+//! Monotonic clock of the process. Its values can't be compared with those of other processes.
 //!
-//! Time for which the machine is suspended counts: a lease that ran out meanwhile isn't
-//! held any more, and what was heard is as old as it is to others. The clock that timers
-//! of the runtime go by stands still then, so that they fire late by that time: what is
-//! done when one fires has to look at this clock.
+//! The clock includes time during which the machine is suspended: a lease that expired
+//! meanwhile is no longer held, and information received before has aged as much as on
+//! other machines. The clock behind the timers of the async runtime stops during suspension,
+//! so that timers fire late by that time. Code that runs when a timer fires has to check
+//! this clock.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -12,24 +13,24 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// Where a clock reads the time, in milliseconds.
+/// Function that a clock reads the time from, in milliseconds.
 type Source = fn() -> u64;
 
-/// Milliseconds since the start of the process, as the kernel takes them.
+/// Clock that counts milliseconds since its start, by default from `CLOCK_BOOTTIME`.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: Source,
-    /// When it was started, by its source, in milliseconds.
+    /// Time of the source at which the clock was started, in milliseconds.
     started_ms: u64,
 }
 
 impl Clock {
-    /// Starts now.
+    /// Starts a clock that reads `CLOCK_BOOTTIME`.
     pub fn start() -> Self {
         Self::of(boot_ms)
     }
 
-    /// Starts now by another source, for tests.
+    /// Starts a clock that reads another source, for tests.
     pub fn of(source: Source) -> Self {
         Self {
             source,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Returns now, in milliseconds since the start.
+    /// Returns the time since the start of the clock, in milliseconds.
     ///
     /// ```
     /// assert!(cranereach_http::clock::Clock::start().now_ms() < 1_000);
@@ -46,25 +47,29 @@
         (self.source)().saturating_sub(self.started_ms)
     }
 
-    /// Returns the instant of a time in milliseconds, as long as the machine isn't
-    /// suspended; one that has passed is now.
+    /// Converts a time of this clock to an instant of the async runtime.
+    ///
+    /// A time in the past gives the present instant. The result is too late if the machine
+    /// is suspended before it is reached.
     pub fn instant(&self, at_ms: u64) -> tokio::time::Instant {
         let left_ms = at_ms.saturating_sub(self.now_ms());
         tokio::time::Instant::now() + Duration::from_millis(left_ms)
     }
 }
 
-/// Returns the time since the machine's start, suspended or not, in milliseconds.
+/// Returns the time since the machine booted, including suspension, in milliseconds.
 ///
 /// # Panics
 ///
-/// If the system has no such clock, which Linux has had since 2.6.39.
+/// Panics if the system has no `CLOCK_BOOTTIME`, which Linux has had since 2.6.39.
 pub fn boot_ms() -> u64 {
     let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
     Duration::from(read.expect("Linux has this clock")).as_millis() as u64
 }
 
-/// Returns a number that grows with each boot of an instance, in milliseconds.
+/// Returns the boot number for a starting instance: the wall-clock time in milliseconds.
+///
+/// It grows with each start of an instance, as long as the wall clock doesn't go back.
 pub fn boot_number_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/cranereach-http/src/events.rs
+++ b/crates/cranereach-http/src/events.rs
@@ -1,31 +1,31 @@
-//! Events of a stream (`text/event-stream`), told apart as bytes come.
+//! Incremental splitting of an event stream (`text/event-stream`) into complete events.
 //!
-//! A stream that may go on elsewhere is passed on in whole events only: what a broken
-//! upstream left of an event is dropped, and the next upstream goes on after the last
-//! whole event by its id.
+//! A stream that another upstream may resume is forwarded in complete events only. If the
+//! upstream fails, its incomplete event is discarded, and the next upstream resumes after
+//! the id of the last complete event.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Largest event that is kept back until it is whole, in bytes.
+/// Largest event that is buffered until it is complete, in bytes.
 const EVENT_MAX_BYTES: usize = 64 * 1024;
 
-/// Largest id that is remembered, in bytes.
+/// Largest event id that is kept, in bytes.
 const ID_MAX_BYTES: usize = 256;
 
-/// How far the whole events of a stream have come.
+/// Position after the last complete event, from which a stream may be resumed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Reached {
-    /// There was none.
+    /// No event is complete yet.
     #[default]
     Start,
-    /// The last one has this id.
+    /// The last complete event has this id.
     Event(String),
-    /// The last one can't be named, so that nobody can go on after it.
+    /// The last complete event has no usable id, so that the stream can't be resumed.
     Unknown,
 }
 
-/// The bytes of one stream, cut after whole events.
+/// Buffer that releases the bytes of one stream in complete events.
 ///
 /// ```
 /// use cranereach_http::events::Reached;
@@ -35,21 +35,21 @@
 /// let bytes = events.take(b"id: 1\ndata: a\n\nid: 2\nda");
 /// assert_eq!(bytes.as_ref(), b"id: 1\ndata: a\n\n");
 /// assert_eq!(events.reached(), &Reached::Event("1".to_owned()));
-/// // The rest of an event that never came whole is forgotten.
+/// // The stream breaks: the incomplete event is discarded, and another upstream sends it again.
 /// events.forget_part();
 /// let bytes = events.take(b"id: 2\ndata: b\n\n");
 /// assert_eq!(bytes.as_ref(), b"id: 2\ndata: b\n\n");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct WholeEvents {
-    /// The beginning of an event.
+    /// Bytes of an event that isn't complete yet.
     part: BytesMut,
     reached: Reached,
     is_too_large: bool,
     has_gone_back: bool,
 }
 
-/// What the lines of one event say.
+/// Fields of an event that matter for resuming.
 #[derive(Debug, Default)]
 struct Event {
     id: Option<String>,
@@ -57,9 +57,10 @@
 }
 
 impl WholeEvents {
-    /// Takes bytes; returns those up to the end of the last whole event.
+    /// Adds received bytes; returns the buffered bytes up to the end of the last complete event.
     ///
-    /// Once an event was larger than is kept back, bytes are returned as they come.
+    /// Once an event exceeds the buffer limit of 64 KiB, bytes are returned as they arrive
+    /// and the stream can't be resumed any more.
     pub fn take(&mut self, bytes: &[u8]) -> Bytes {
         self.part.extend_from_slice(bytes);
         let mut end = 0;
@@ -86,7 +87,7 @@
         self.part.split_to(end).freeze()
     }
 
-    /// Notes the end of an event.
+    /// Updates the position in the stream at the end of an event.
     fn ended(&mut self, event: Event) {
         match event.id {
             Some(id) => {
@@ -100,28 +101,28 @@
         }
     }
 
-    /// Returns what has come of an event that isn't whole.
+    /// Removes and returns the bytes of an incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.part.split().freeze()
     }
 
-    /// Forgets what has come of an event that isn't whole.
+    /// Discards the bytes of an incomplete event.
     pub fn forget_part(&mut self) {
         self.part.clear();
     }
 
-    /// Returns how far the whole events have come.
+    /// Returns the position after the last complete event.
     pub fn reached(&self) -> &Reached {
         &self.reached
     }
 
-    /// Whether an event came whose number isn't higher than that of the one before.
+    /// Whether an event had an id that doesn't follow that of the event before it.
     pub fn has_gone_back(&self) -> bool {
         self.has_gone_back
     }
 }
 
-/// Whether an id comes after another; ids that aren't numbers are only told apart.
+/// Whether `id` may follow `before`: a higher number, or any other id if one isn't a number.
 fn is_after(before: &str, id: &str) -> bool {
     match (before.parse::<u64>(), id.parse::<u64>()) {
         (Ok(before), Ok(id)) => id > before,
@@ -129,8 +130,8 @@
     }
 }
 
-/// Returns the whole line that starts at a place, without its end, and where the next
-/// one starts; none if the line isn't whole.
+/// Returns the line that starts at an offset, without its line ending, and the offset of the
+/// next line. Returns `None` if the line isn't complete.
 fn line_at(bytes: &[u8], start: usize) -> Option<(&[u8], usize)> {
     let rest = bytes.get(start..)?;
     let length = rest.iter().position(|byte| *byte == b'\n')?;
@@ -139,7 +140,8 @@
     Some((line, start + length + 1))
 }
 
-/// Reads the id that a line gives; none if it gives none that can be sent back.
+/// Parses an `id:` line. Returns `None` for other lines and for ids that are empty, too long
+/// or contain other than visible ASCII and blanks, which can't be sent back in a header.
 fn id_of(line: &[u8]) -> Option<String> {
     let value = line.strip_prefix(b"id:")?;
     let value = value.strip_prefix(b" ").unwrap_or(value);
--- a/crates/cranereach-http/src/lib.rs
+++ b/crates/cranereach-http/src/lib.rs
@@ -1,9 +1,13 @@
-//! HTTP plumbing over `hyper` that the entry instance and the stand-ins share.
+//! HTTP building blocks over `hyper` that instances, command-line tools and stand-ins share.
 //!
-//! [`server`] accepts and stops gracefully, [`pool`] keeps connections to one
-//! upstream and says exactly whether a request was handed over, [`client`]
-//! calls JSON interfaces with a deadline, [`body`] reads and makes bodies,
-//! [`clock`] tells the process's own time, [`bearer`] finds a request's key, [`events`] tells the events of a stream apart.
+//! - [`server`] accepts connections and shuts down gracefully.
+//! - [`pool`] keeps connections to one upstream and reports whether any byte of a failed
+//!   request may have been sent.
+//! - [`client`] calls JSON interfaces with a timeout.
+//! - [`body`] reads request and response bodies within limits and builds JSON responses.
+//! - [`clock`] provides the monotonic clock of the process.
+//! - [`bearer`] extracts the bearer token of a request.
+//! - [`events`] splits event streams into complete events.
 
 pub mod bearer;
 pub mod body;
--- a/crates/cranereach-http/src/pool.rs
+++ b/crates/cranereach-http/src/pool.rs
@@ -1,7 +1,7 @@
-//! Kept connections to one upstream, one request at a time on each.
+//! Pool of connections to one upstream; each connection carries one request at a time.
 //!
-//! HTTP/1.1 towards upstreams: an answer is bound to its request by the
-//! connection, and leaving a connection cancels what runs on it.
+//! Upstreams are called over HTTP/1.1: the connection ties an answer to its request, and
+//! closing the connection cancels the request that runs on it.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,43 +21,43 @@
 
 use crate::clock::boot_ms;
 
-/// Most idle connections kept per upstream.
+/// Maximum number of idle connections kept per upstream.
 const IDLE_MAX_COUNT: usize = 256;
 
-/// Largest buffer of one connection, so that a fast upstream fills no memory.
+/// Largest buffer of one connection, in bytes; limits the memory that a fast upstream can fill.
 const BUFFER_MAX_BYTES: usize = 32 * 1024;
 
-/// How a request failed.
+/// Reasons why a request failed.
 #[derive(Debug, Error)]
 pub enum SendError<B> {
-    /// The request was handed back: no byte of it left.
+    /// No byte of the request was sent; the request is returned.
     #[error("the connection closed before the request was sent")]
     Unsent(Box<Request<B>>),
-    /// Bytes may have left.
+    /// Bytes of the request may have been sent.
     #[error("the connection broke: {0}")]
     Broken(#[source] hyper::Error),
 }
 
-/// Why no connection could be made.
+/// Reasons why no connection could be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The system refused.
+    /// The connection could not be opened or configured.
     #[error("can't connect: {0}")]
     Refused(#[from] std::io::Error),
-    /// The protocol could not be started.
+    /// The HTTP handshake failed.
     #[error("can't start HTTP: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
-/// A connection that rests.
+/// Idle connection.
 struct Idle<B> {
     sender: SendRequest<B>,
-    /// Until when it may be used again, in milliseconds since the machine's start; none
-    /// for as long as it is open.
+    /// Time until which it may be used, in milliseconds since the machine booted; `None` if
+    /// it may be used for as long as it is open.
     until_ms: Option<u64>,
 }
 
-/// Connections that rest, the one used last at the end.
+/// Idle connections, the most recently used at the end.
 type IdleList<B> = Arc<Mutex<Vec<Idle<B>>>>;
 
 /// Pool of connections to one address.
@@ -76,7 +76,7 @@
     }
 }
 
-/// A connection taken from the pool.
+/// Connection in use, taken from a pool.
 pub struct Connection<B> {
     sender: SendRequest<B>,
     home: IdleList<B>,
@@ -97,7 +97,7 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    /// Makes a pool for `ip:port`.
+    /// Creates a pool for an address of the form `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
             address: address.to_owned(),
@@ -107,27 +107,30 @@
         }
     }
 
-    /// Resets connections that are given up, so that what the network still holds
-    /// back of a call, as behind a cut, never arrives later.
+    /// Makes connections send a reset when they are closed.
+    ///
+    /// This discards unsent data, so that an abandoned call isn't delivered later, such as
+    /// after a network partition has healed.
     #[must_use]
     pub fn with_reset(mut self) -> Self {
         self.does_reset = true;
         self
     }
 
-    /// Breaks a connection whose peer hasn't confirmed sent bytes for so long.
+    /// Closes a connection if the peer doesn't acknowledge sent data within this time
+    /// (`TCP_USER_TIMEOUT`).
     #[must_use]
     pub fn with_silence_max_ms(mut self, silence_max_ms: u64) -> Self {
         self.silence_max_ms = Some(silence_max_ms);
         self
     }
 
-    /// Returns the address.
+    /// Returns the address of the upstream.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Takes a kept connection, or makes one.
+    /// Takes an idle connection, or opens one.
     pub async fn take(&self) -> Result<Connection<B>, ConnectError> {
         if let Some(sender) = self.pop_idle() {
             return Ok(Connection {
@@ -139,13 +142,13 @@
         self.make().await
     }
 
-    /// Makes a new connection, for a call that must not meet an old one's end.
+    /// Opens a new connection, for a call that must not run into the closing of a reused one.
     pub async fn make(&self) -> Result<Connection<B>, ConnectError> {
         let stream = TcpStream::connect(&self.address).await?;
         stream.set_nodelay(true)?;
         if let Some(silence_max_ms) = self.silence_max_ms {
             let silence_max = Duration::from_millis(silence_max_ms);
-            // Where the system lacks the option, deadlines alone end the wait.
+            // Systems without the option rely on the deadlines of calls.
             let _set = SockRef::from(&stream).set_tcp_user_timeout(Some(silence_max));
         }
         if self.does_reset {
@@ -155,7 +158,7 @@
         builder.max_buf_size(BUFFER_MAX_BYTES);
         let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // The error reaches whoever waits on the sender.
+            // A connection error is also reported to the task that waits on the sender.
             let _ended = connection.await;
         });
         Ok(Connection {
@@ -165,7 +168,7 @@
         })
     }
 
-    /// Removes a kept connection that is still good.
+    /// Removes idle connections until one is open and hasn't expired; returns that one.
     fn pop_idle(&self) -> Option<SendRequest<B>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let now_ms = boot_ms();
@@ -183,7 +186,7 @@
 where
     B: Body + 'static,
 {
-    /// Whether the connection carried a request before.
+    /// Whether the connection was taken from the idle ones.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
@@ -193,7 +196,7 @@
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the status and headers of its answer.
     pub async fn send(&mut self, request: Request<B>) -> Result<Response<Incoming>, SendError<B>> {
         self.sender
             .try_send_request(request)
@@ -204,17 +207,17 @@
             })
     }
 
-    /// Keeps the connection for another request; call it after a whole answer.
+    /// Returns the connection to the pool. Must only be called while no answer is outstanding.
     pub fn keep(self) {
         self.keep_until(None);
     }
 
-    /// Keeps the connection for another request within `rest_max_ms`.
+    /// Returns the connection to the pool, for reuse within `idle_max_ms`.
     pub fn keep_for(self, rest_max_ms: u64) {
         self.keep_until(Some(boot_ms() + rest_max_ms));
     }
 
-    /// Keeps the connection for another request until a time.
+    /// Returns the connection to the pool, for reuse until a time.
     fn keep_until(self, until_ms: Option<u64>) {
         if self.sender.is_closed() {
             return;
--- a/crates/cranereach-http/src/server.rs
+++ b/crates/cranereach-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, HTTP/1.1 and HTTP/2, with a graceful stop.
+//! Server for HTTP/1.1 and HTTP/2 with graceful shutdown.
 
 use std::io;
 use std::time::Duration;
@@ -19,15 +19,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Time to wait after the system refuses to accept, in milliseconds.
+/// Delay before the next attempt after accepting a connection failed, in milliseconds.
 const ACCEPT_PAUSE_MS: u64 = 50;
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeOptions {
-    /// Time for the head of a request to arrive, in milliseconds.
+    /// Timeout for receiving the headers of a request, in milliseconds.
     pub header_within_ms: u64,
-    /// Largest head of a request, in bytes.
+    /// Largest size of the headers of a request, in bytes.
     pub header_max_bytes: usize,
 }
 
@@ -40,12 +40,13 @@
     }
 }
 
-/// The handler wants the connection closed without an answer.
+/// Error by which a handler closes the connection without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("closed without an answer")]
 pub struct Closed;
 
-/// Serves until `stopping` turns true, then until the open answers have ended.
+/// Serves connections until `stopping` becomes true, then closes the listener and waits for
+/// the requests in progress.
 pub async fn serve<H, F, B>(
     listener: TcpListener,
     options: ServeOptions,
@@ -76,7 +77,7 @@
             .into_owned();
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
-            // A broken connection is the peer's affair; its requests know.
+            // Connection errors need no handling here: open requests end with their connection.
             let _ended = watched.await;
         });
     }
@@ -84,14 +85,14 @@
     graceful.shutdown().await;
 }
 
-/// Prepares an accepted stream.
+/// Configures the socket of an accepted connection.
 fn ready(accepted: io::Result<(TcpStream, std::net::SocketAddr)>) -> io::Result<TcpStream> {
     let (stream, _peer) = accepted?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Builds the protocol settings of a listener.
+/// Creates the connection builder of a listener.
 fn builder(options: ServeOptions) -> auto::Builder<TokioExecutor> {
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
