--- a/crates/cranereach-wire/src/folder.rs
+++ b/crates/cranereach-wire/src/folder.rs
@@ -1,7 +1,7 @@
-//! A folder of declarations: the body of a configuration.
+//! Folder of declaration files, which is the body of a configuration.
 //!
-//! The body keeps the files as they are, so that a change by one operator can
-//! be merged, file by file, with what others changed since it was begun.
+//! The body keeps the text of each file. So the change of one operator can be merged, file
+//! by file, with the changes that others made since the version it is based on.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,16 +14,16 @@
 use crate::jsonc::FileError;
 use cranereach_core::declarations::Declarations;
 
-/// The files of a folder by name.
+/// Declaration files of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Folder {
-    /// Text of each file.
+    /// Text of each file, by its name.
     pub files: BTreeMap<String, String>,
 }
 
 impl Folder {
-    /// Reads all files into one set of declarations.
+    /// Parses all files and combines them into one set of declarations.
     ///
     /// ```
     /// let folder = cranereach_wire::folder::Folder::default();
@@ -50,9 +50,9 @@
             .collect()
     }
 
-    /// Merges what `mine` and `theirs` changed since `base`, file by file.
+    /// Performs a three-way merge of `mine` and `theirs` since `base`, file by file.
     ///
-    /// Returns the files that both changed differently, if there are any.
+    /// If both changed the same files in different ways, the error holds their names.
     ///
     /// ```
     /// use cranereach_wire::folder::Folder;
--- a/crates/cranereach-wire/src/head_row.rs
+++ b/crates/cranereach-wire/src/head_row.rs
@@ -1,7 +1,7 @@
-//! The row that says which configuration is accepted, and how a change is.
+//! Table row that holds the accepted configuration versions.
 //!
-//! Accepted means: the compare-and-set of this row took effect. A lost answer
-//! is settled by looking for the change's identity in the row's history.
+//! A change is accepted once the compare-and-set of this row has taken effect. If the answer
+//! to that write is lost, the author looks for the id of the change in the history of the row.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,29 +11,29 @@
 /// Key of the row in the table.
 pub const HEAD_KEY: &str = "config-head";
 
-/// Changes that the row remembers, to settle lost answers.
+/// Number of changes kept in the row, in which an author whose answer was lost finds the change.
 pub const HISTORY_COUNT: usize = 64;
 
-/// One accepted change.
+/// Accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Version that the change made.
+    /// Configuration version that the change created.
     pub version: u64,
-    /// Random identity that its author gave it.
+    /// Random id chosen by the author of the change.
     pub change_id: String,
-    /// BLAKE3 of the body, in hex.
+    /// BLAKE3 hash of the body of the configuration, in hex.
     pub hash: String,
 }
 
-/// The row: accepted changes, the newest last.
+/// Content of the row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// At most [`HISTORY_COUNT`] changes.
+    /// The latest accepted changes, at most [`HISTORY_COUNT`], oldest first.
     pub history: Vec<Accepted>,
 }
 
 impl HeadRow {
-    /// Returns the head in force, if any change was ever accepted.
+    /// Returns the latest accepted version, if there is one.
     pub fn head(&self) -> Option<Head> {
         self.history.last().map(|last| Head {
             version: last.version,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Returns the row after one more change.
+    /// Returns the row with one more accepted change, whose version is the next higher.
     ///
     /// ```
     /// use cranereach_wire::head_row::HeadRow;
@@ -64,7 +64,7 @@
         Self { history }
     }
 
-    /// Returns the accepted change of an identity.
+    /// Returns the accepted change with an id.
     pub fn find(&self, change_id: &str) -> Option<&Accepted> {
         self.history
             .iter()
--- a/crates/cranereach-wire/src/jsonc.rs
+++ b/crates/cranereach-wire/src/jsonc.rs
@@ -1,4 +1,4 @@
-//! Reading files of JSON with comments, with the place of each fault.
+//! Reading JSON files with comments; errors give the line and column.
 
 use std::fs;
 use std::io;
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why a file can't be used.
+/// Reasons why a file can't be used.
 #[derive(Debug, Error)]
 pub enum FileError {
     /// The file can't be read.
@@ -18,10 +18,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The text is not JSON with comments, or a key or value has no meaning.
+    /// The text is not JSON with comments, or has an unknown key or an invalid value.
     #[error("{}:{line}:{column}: {detail}", path.display())]
     Meaningless {
         /// The file.
@@ -30,14 +30,14 @@
         line: usize,
         /// Column, from 1.
         column: usize,
-        /// What is wrong and what would be valid.
+        /// Description of the error, with what would be valid.
         detail: String,
-        /// Whether the text itself is broken, rather than a key or value.
+        /// Whether it is a syntax error, rather than an unknown key or an invalid value.
         is_syntax: bool,
     },
 }
 
-/// Reads a file of JSON with comments into a typed value.
+/// Reads a JSON file with comments and deserializes it.
 pub fn read_file<T: DeserializeOwned>(path: &Path) -> Result<T, FileError> {
     let text = fs::read_to_string(path).map_err(|source| FileError::Unreadable {
         path: path.to_owned(),
@@ -46,7 +46,7 @@
     parse(path, &text)
 }
 
-/// Parses text of JSON with comments; `path` is for messages only.
+/// Deserializes JSON text with comments; `path` is used in error messages only.
 ///
 /// ```
 /// use std::path::Path;
--- a/crates/cranereach-wire/src/lib.rs
+++ b/crates/cranereach-wire/src/lib.rs
@@ -1,9 +1,12 @@
-//! Messages between our processes and to the platform and the upstreams.
+//! Messages between the processes of this project, and to the platform and the upstreams.
 //!
-//! [`peer`] is ours alone: `postcard`, sealed with a keyed hash. [`platform`]
-//! and [`upstream`] mirror the interfaces of others in `serde_json`; an adapter
-//! per interface in the entry crate is all that knows them.
-//! [`jsonc`] reads files of JSON with comments.
+//! - [`peer`] defines the messages between entry instances, encoded with `postcard` and
+//!   authenticated by a keyed hash. [`replay`] drops replayed ones, and [`thinner`] leaves
+//!   out parts that haven't changed.
+//! - [`platform`] and [`upstream`] mirror external interfaces, encoded as JSON.
+//!   The entry crate has one adapter for each interface.
+//! - [`folder`] and [`head_row`] define the body and the stored versions of a configuration.
+//! - [`jsonc`] reads JSON files with comments, and [`locate`] finds the line of a fault.
 
 pub mod folder;
 pub mod head_row;
--- a/crates/cranereach-wire/src/locate.rs
+++ b/crates/cranereach-wire/src/locate.rs
@@ -1,4 +1,4 @@
-//! Finds the line of a fault in the files of a folder.
+//! Finding the line of a configuration fault in the declaration files.
 
 use jsonc_parser::CollectOptions;
 use jsonc_parser::ParseOptions;
@@ -10,7 +10,7 @@
 use crate::folder::Folder;
 use cranereach_core::snapshot::Place;
 
-/// A line of a file.
+/// Line of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
     /// Name of the file.
@@ -19,7 +19,7 @@
     pub line: usize,
 }
 
-/// Returns the line of a place: its key's, or its entry's if it lacks the key.
+/// Returns the line of the key at a place, or the first line of its entry if the key is missing.
 ///
 /// ```
 /// use cranereach_core::snapshot::Place;
@@ -40,11 +40,11 @@
             line,
         })
     });
-    // Of a name that stands twice, the later is the one to look at.
+    // Of several entries with the same name, the last one is reported.
     lines.next_back()
 }
 
-/// Returns where a place starts in a text, in bytes.
+/// Returns the byte offset of a place in a text; its last entry if several have the name.
 fn start_of(text: &str, place: &Place) -> Option<usize> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default()).ok()?;
     let root = parsed.value?;
@@ -55,7 +55,7 @@
     Some(key.unwrap_or_else(|| entry.start()))
 }
 
-/// Whether an entry has a name.
+/// Whether an entry has the given name.
 fn has_name(entry: &Object<'_>, name: &str) -> bool {
     entry
         .get_string("name")
--- a/crates/cranereach-wire/src/peer.rs
+++ b/crates/cranereach-wire/src/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between entry instances.
 //!
-//! Digests go over UDP, each part small and complete in itself, so that a lost
-//! or doubled datagram does no harm. Bodies of configurations go over TCP.
-//! Every message is sealed with a keyed hash; [`crate::replay`] drops old ones.
+//! Digests are sent over UDP. Each part of a digest is small and complete in itself, so that
+//! a lost or duplicated datagram does no harm. Configuration bodies are sent over TCP. Every
+//! message is authenticated by a keyed hash; [`crate::replay`] drops replayed datagrams.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,19 +18,19 @@
 use cranereach_core::names::InstanceId;
 use cranereach_core::names::WorkerId;
 
-/// Version of the messages; others are dropped.
+/// Version of the message format; datagrams of other versions are dropped.
 pub const VERSION: u8 = 1;
 
-/// Largest datagram, so that none is fragmented on the way, in bytes.
+/// Largest datagram, in bytes; small enough not to be fragmented by the network.
 pub const DATAGRAM_MAX_BYTES: usize = 1_200;
 
 /// Largest message over TCP, in bytes.
 pub const MESSAGE_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Bytes of the keyed hash at the start of each message.
+/// Length of the keyed hash at the start of each message, in bytes.
 const SEAL_BYTES: usize = 32;
 
-/// Secret shared by all entry instances.
+/// Authentication key shared by all entry instances.
 #[derive(Clone)]
 pub struct PeerKey([u8; 32]);
 
@@ -41,7 +41,7 @@
 }
 
 impl PeerKey {
-    /// Derives the key from the secret in settings.
+    /// Derives the key from the secret in the settings.
     pub fn derive(secret: &str) -> Self {
         Self(blake3::derive_key(
             "cranereach peer messages v1",
@@ -50,73 +50,73 @@
     }
 }
 
-/// A datagram.
+/// Datagram with the state of one entry instance, or a part of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Version of the message.
+    /// Version of the message format.
     pub version: u8,
-    /// Who sends it.
+    /// Instance that sends the datagram.
     pub sender: InstanceId,
-    /// Grows with each boot of the sender.
+    /// Number of the sender's boot; grows with each boot.
     pub boot_id: u64,
-    /// Grows with each datagram of a boot.
+    /// Number of the datagram; grows with each datagram of a boot.
     pub sequence: u64,
-    /// What it says.
+    /// Content.
     pub parts: Vec<DigestPart>,
 }
 
-/// One statement of a digest, complete in itself.
+/// Part of a digest, complete in itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DigestPart {
-    /// Head that the sender holds.
+    /// Configuration version that the sender holds.
     Head(Head),
-    /// Requests that the sender has at a worker.
+    /// Number of requests that the sender has outstanding at a worker.
     Outstanding(WorkerId, u32),
-    /// Demand that the sender sees for a target.
+    /// Demand for a target, as observed by the sender.
     Demand(TargetDemand),
-    /// Total cost that the sender has served to an account, in tokens.
+    /// Total cost of the requests that the sender has served to an account, in tokens.
     Served(AccountName, f64),
-    /// Report of a worker that the sender polls.
+    /// Report of a worker, as polled by the sender.
     Report(WorkerReport),
-    /// Epoch under which the sender orders a cell.
+    /// Epoch under which the sender sends orders to the workers of a cell.
     Epoch(CellId, Epoch),
-    /// The sender is stopping.
+    /// The sender is shutting down.
     Leaving,
 }
 
-/// Question over TCP.
+/// Request over TCP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Asks for the body of a configuration by its hash.
+    /// Fetches the body of a configuration by its hash.
     Body {
-        /// BLAKE3 of the body, in hex.
+        /// BLAKE3 hash of the body, in hex.
         hash: String,
     },
 }
 
-/// Answer over TCP.
+/// Answer to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// The body, if the peer holds it.
     Body(Option<Vec<u8>>),
 }
 
-/// Why a message was dropped.
+/// Reasons why a message is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PeerError {
-    /// Too short or not sealed with our secret.
+    /// The message is too short, or its keyed hash wasn't made with the shared key.
     #[error("the seal doesn't fit")]
     Unsealed,
-    /// Sealed, but not a message of this version.
+    /// The message is authentic but can't be decoded.
     #[error("the message can't be read")]
     Malformed,
 }
 
-/// Seals a message.
+/// Encodes a message and puts its keyed hash in front. The message isn't encrypted.
 ///
 /// # Panics
 ///
-/// Never: our message types have no form that can't be written.
+/// Never panics for the message types of this module, which can always be encoded.
 ///
 /// ```
 /// use cranereach_wire::peer::{open, seal, PeerAnswer, PeerKey};
@@ -133,26 +133,27 @@
     sealed
 }
 
-/// Opens a sealed message.
+/// Verifies the keyed hash of a sealed message and decodes the message.
 pub fn open<T: DeserializeOwned>(key: &PeerKey, sealed: &[u8]) -> Result<T, PeerError> {
     let Some((seal, body)) = sealed.split_at_checked(SEAL_BYTES) else {
         return Err(PeerError::Unsealed);
     };
     let seal: [u8; SEAL_BYTES] = seal.try_into().map_err(|_short| PeerError::Unsealed)?;
-    // The comparison of hashes takes constant time.
+    // `blake3::Hash` compares in constant time, which gives nothing away to timing attacks.
     if blake3::keyed_hash(&key.0, body) != blake3::Hash::from_bytes(seal) {
         return Err(PeerError::Unsealed);
     }
     postcard::from_bytes(body).map_err(|_unreadable| PeerError::Malformed)
 }
 
-/// Splits parts over datagrams that each fit [`DATAGRAM_MAX_BYTES`].
+/// Distributes parts over datagrams of at most [`DATAGRAM_MAX_BYTES`].
 ///
-/// `first_sequence` is the number of the first; they count up from there.
+/// A part that is larger than that gets a datagram of its own. The datagrams are numbered
+/// from `first_sequence`. Without parts, there is one empty datagram.
 ///
 /// # Panics
 ///
-/// Never: there is one digest from the start.
+/// Never panics: the list starts with one digest.
 pub fn pack(
     sender: &InstanceId,
     boot_id: u64,
@@ -166,6 +167,7 @@
         sequence,
         parts: Vec::new(),
     };
+    // 32 bytes are more than the version, boot, sequence number and lengths take.
     let overhead = SEAL_BYTES + sender.as_str().len() + 32;
     let mut digests = vec![empty(first_sequence)];
     let mut used_bytes = overhead;
--- a/crates/cranereach-wire/src/platform.rs
+++ b/crates/cranereach-wire/src/platform.rs
@@ -1,4 +1,4 @@
-//! Messages to the platform: table, object store and list of instances.
+//! Messages of the platform interfaces: the table and the list of instances.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,47 +8,47 @@
 use cranereach_core::names::InstanceId;
 use cranereach_core::names::PoolName;
 
-/// A row of the table.
+/// Row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableRow {
-    /// Grows with each write of the row, from 1.
+    /// Version, which starts at 1 and grows with each write of the row.
     pub version: u64,
     /// Content.
     pub value: Value,
 }
 
-/// One write of a transaction.
+/// Conditional write of one row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableWrite {
     /// Key of the row.
     pub key: String,
-    /// Version that must stand; zero for no row.
+    /// Version that the row must have; zero if the row must not exist.
     pub expected_version: u64,
     /// New content.
     pub value: Value,
 }
 
-/// Writes that take effect together or not at all.
+/// Writes that take effect atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// The writes.
+    /// Writes, one for each row.
     pub writes: Vec<TableWrite>,
 }
 
 /// Answer to a transaction that took effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Committed {
-    /// New versions, in the order of the writes.
+    /// New versions of the rows, in the order of the writes.
     pub versions: Vec<u64>,
 }
 
-/// What a listed instance is for.
+/// Role of a listed instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// An entry instance of ours.
+    /// Entry instance.
     Entry,
-    /// An upstream worker.
+    /// Upstream worker.
     Worker,
 }
 
@@ -62,18 +62,18 @@
     Leaving,
 }
 
-/// One instance on the platform's lagging list.
+/// Instance on the platform's list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Identity.
+    /// Id.
     pub id: InstanceId,
-    /// What it is for.
+    /// Role.
     pub role: Role,
-    /// State, as the list has it.
+    /// State, according to the list.
     pub state: ListState,
     /// Failure domain.
     pub domain: FailureDomain,
-    /// `ip:port`: peers' port of an entry instance, service port of a worker.
+    /// Address as `ip:port`: the peer port of an entry instance, the service port of a worker.
     pub address: String,
     /// Pool of a worker.
     #[serde(default)]
--- a/crates/cranereach-wire/src/replay.rs
+++ b/crates/cranereach-wire/src/replay.rs
@@ -1,28 +1,31 @@
-//! Drops messages that were seen before or come from an earlier boot.
+//! Replay protection: rejects messages that were received before or come from an earlier boot
+//! of the sender.
 
 use std::collections::HashMap;
 
 use cranereach_core::names::InstanceId;
 
-/// Messages by which one may be overtaken and still count.
+/// Size of the reorder window: a message that is this many sequence numbers or more behind the
+/// highest is dropped.
 const WINDOW_COUNT: u64 = 64;
 
-/// What was last seen from one sender.
+/// State for one sender.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     boot_id: u64,
     highest: u64,
+    /// Bitmap of received messages; bit `n` is for the sequence number `highest - n`.
     window: u64,
 }
 
-/// Guard over all senders.
+/// Replay protection for all senders.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
     senders: HashMap<InstanceId, Seen>,
 }
 
 impl ReplayGuard {
-    /// Whether a message is new; remembers it if so.
+    /// Checks whether a message is new, and records it if so.
     ///
     /// ```
     /// use cranereach_wire::replay::ReplayGuard;
@@ -56,7 +59,7 @@
 }
 
 impl Seen {
-    /// Whether a sequence number is new within the window.
+    /// Checks whether a sequence number is new within the window, and records it if so.
     fn admit(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
--- a/crates/cranereach-wire/src/thinner.rs
+++ b/crates/cranereach-wire/src/thinner.rs
@@ -1,8 +1,7 @@
-//! Leaves out of a digest what its readers know already.
+//! Removal of parts from a digest that its receivers know already.
 //!
-//! A part is sent when it has changed enough to matter, or when its last sending
-//! is so old that a reader would soon forget it. A lost datagram is made good by
-//! that repetition.
+//! A part is sent if it has changed significantly, or if it was last sent so long ago that
+//! receivers would soon expire it. This repetition also makes up for lost datagrams.
 
 use std::collections::HashMap;
 
@@ -14,16 +13,18 @@
 
 /// Age at which an unchanged part is sent again, in milliseconds.
 ///
-/// Readers forget after 3 s, so one lost repetition in between does no harm.
+/// Receivers expire a part after 3 s, so that one lost repetition does no harm.
 pub const REPEAT_AFTER_MS: u64 = 1_400;
 
-/// Change of a demand that matters, as a part of it.
+/// Change of a demand above which it is sent, as a ratio of the demand last sent.
+/// [`DEMAND_CHANGE_COUNT`] has to be exceeded too.
 const DEMAND_CHANGE_RATIO: f32 = 0.25;
 
-/// Change of a demand that matters, in requests at once.
+/// Change of a demand above which it is sent, in concurrent requests.
+/// [`DEMAND_CHANGE_RATIO`] has to be exceeded too.
 const DEMAND_CHANGE_COUNT: f32 = 0.5;
 
-/// What a part is about.
+/// Key of a part: its kind and the entity it describes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Subject {
     Head,
@@ -35,21 +36,21 @@
     Leaving,
 }
 
-/// A part with the time of its last sending.
+/// Part with the time at which it was last sent.
 #[derive(Clone, Debug)]
 struct Sent {
     part: DigestPart,
     at_ms: u64,
 }
 
-/// What one sender has told its peers.
+/// Parts that this instance has sent to its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Thinner {
     sent: HashMap<Subject, Sent>,
 }
 
 impl Thinner {
-    /// Keeps the parts that are worth sending now.
+    /// Returns the parts that have to be sent now, and records them as sent.
     ///
     /// ```
     /// use cranereach_wire::peer::DigestPart;
@@ -69,7 +70,7 @@
             .collect()
     }
 
-    /// Whether a part is worth sending; remembers it if so.
+    /// Checks whether a part has to be sent, and records it as sent if so.
     fn is_due(&mut self, now_ms: u64, part: &DigestPart) -> bool {
         let subject = subject(part);
         let known = self.sent.get(&subject);
@@ -89,7 +90,7 @@
     }
 }
 
-/// Returns what a part is about.
+/// Returns the key of a part.
 fn subject(part: &DigestPart) -> Subject {
     match part {
         DigestPart::Head(_) => Subject::Head,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Whether a part says something else than the one sent before.
+/// Whether a part differs significantly from the one sent before.
 fn differs(sent: &DigestPart, now: &DigestPart) -> bool {
     match (sent, now) {
         (DigestPart::Demand(sent), DigestPart::Demand(now)) => {
@@ -111,7 +112,8 @@
                 && change > DEMAND_CHANGE_RATIO * sent.concurrent_count;
             matters || (sent.waiting_count > 0) != (now.waiting_count > 0)
         }
-        // Totals grow with every answer; readers take the difference, late or not.
+        // Totals grow with every answer, so they are sent by age only: receivers use the
+        // difference of two totals, however late it comes.
         (DigestPart::Served(..), DigestPart::Served(..)) => false,
         (DigestPart::Report(sent), DigestPart::Report(now)) => {
             sent.boot_id != now.boot_id
--- a/crates/cranereach-wire/src/upstream.rs
+++ b/crates/cranereach-wire/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Messages to model engines: load reports and fenced orders.
+//! Messages of the interface of model engines: load reports and fenced orders.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,43 +8,43 @@
 use cranereach_core::ledger::OrderKind;
 use cranereach_core::names::TargetName;
 
-/// Header by which a request and its answer are bound together.
+/// Header with the id of a request, which its answer repeats.
 pub const REQUEST_HEADER: &str = "x-cranereach-request";
 
-/// Header by which an upstream says that it did not run a request.
+/// Header by which an upstream states that it did not run a request, with the reason.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
 /// Value of [`NOT_RUN_HEADER`] when the model isn't resident.
 pub const NOT_RUN_NOT_RESIDENT: &str = "not-resident";
 
-/// Header that carries the priority of a request, lowest first.
+/// Header with the priority of a request; lower values come first.
 pub const PRIORITY_HEADER: &str = "x-priority";
 
-/// An engine's report of itself; it lags.
+/// Load report of an engine, which lags behind its actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Its memory.
+    /// State of its memory.
     pub memory: MemoryReport,
-    /// Requests that it runs or queues.
+    /// Number of requests that are running or queued.
     pub outstanding_count: u32,
-    /// Requests that it batches at once.
+    /// Maximum number of requests that are batched at once.
     pub slot_count: u32,
-    /// Whether it is leaving.
+    /// Whether the engine is shutting down.
     pub is_leaving: bool,
 }
 
-/// An order to an engine.
+/// Order to an engine to change what is in its memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Boot that the order is meant for; checked by engines that check fences.
+    /// Boot of the engine that the order is meant for; checked by engines that check fences.
     pub boot_id: u64,
-    /// Place among all orders; checked by engines that do.
+    /// Fencing token of the order; checked by engines that check fences.
     pub fence: Fence,
-    /// What to do.
+    /// Kind of the order.
     pub kind: OrderKind,
-    /// Target to load or unload; empty for a seal.
+    /// Target to load or unload; empty for a seal order, which only raises the fence.
     pub target: TargetName,
-    /// Memory that the target takes, in bytes.
+    /// Memory that the target needs, in bytes.
     pub memory_bytes: u64,
 }
 
@@ -53,6 +53,6 @@
 pub struct OrderAnswer {
     /// Whether the order was accepted.
     pub is_accepted: bool,
-    /// Highest fence that the engine has accepted.
+    /// Highest fencing token that the engine has accepted.
     pub highest: Fence,
 }
