--- a/crates/cranereach-http/src/body.rs
+++ b/crates/cranereach-http/src/body.rs
@@ -24,7 +24,7 @@
     #[error("the body did not arrive in time")]
     TooSlow,
     /// Reading failed before the end, usually because the connection was closed.
-    #[error("the body broke off")]
+    #[error("the body ended before it was complete")]
     Broken,
 }
 
@@ -56,10 +56,10 @@
 /// assert_eq!(answer.status(), 200);
 /// ```
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Full<Bytes>> {
-    let text = serde_json::to_vec(value).expect("typed messages have a form in JSON");
+    let text = serde_json::to_vec(value).expect("message types serialize to JSON");
     let mut answer = Response::new(Full::new(Bytes::from(text)));
     *answer.status_mut() =
-        hyper::StatusCode::from_u16(status).expect("statuses are constants of ours");
+        hyper::StatusCode::from_u16(status).expect("callers pass valid status codes");
     answer
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/cranereach-http/src/client.rs
+++ b/crates/cranereach-http/src/client.rs
@@ -32,19 +32,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
     /// Nothing was sent: there was no connection, or the permit was refused.
-    #[error("{address}: could not be reached")]
+    #[error("{address}: request not sent (no connection, or sending not permitted)")]
     NotSent {
         /// Whom the call was for.
         address: String,
     },
     /// No complete answer came in time; the request may have taken effect.
-    #[error("{address}: no answer")]
+    #[error("{address}: no complete answer; the request may have taken effect")]
     Unanswered {
         /// Whom the call was for.
         address: String,
     },
     /// The answer can't be decoded, or the request could not be built.
-    #[error("{address}: answered {status} with {detail}")]
+    #[error("{address}: invalid message (HTTP status {status}): {detail}")]
     Garbled {
         /// Whom the call was for.
         address: String,
--- a/crates/cranereach-http/src/clock.rs
+++ b/crates/cranereach-http/src/clock.rs
@@ -64,7 +64,7 @@
 /// Panics if the system has no `CLOCK_BOOTTIME`, which Linux has had since 2.6.39.
 pub fn boot_ms() -> u64 {
     let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    Duration::from(read.expect("Linux has this clock")).as_millis() as u64
+    Duration::from(read.expect("CLOCK_BOOTTIME exists on Linux since 2.6.39")).as_millis() as u64
 }
 
 /// Returns the boot number for a starting instance: the wall-clock time in milliseconds.
--- a/crates/cranereach-http/src/pool.rs
+++ b/crates/cranereach-http/src/pool.rs
@@ -34,7 +34,7 @@
     #[error("the connection closed before the request was sent")]
     Unsent(Box<Request<B>>),
     /// Bytes of the request may have been sent.
-    #[error("the connection broke: {0}")]
+    #[error("the connection failed after the request may have been sent: {0}")]
     Broken(#[source] hyper::Error),
 }
 
@@ -45,7 +45,7 @@
     #[error("can't connect: {0}")]
     Refused(#[from] std::io::Error),
     /// The HTTP handshake failed.
-    #[error("can't start HTTP: {0}")]
+    #[error("HTTP handshake failed: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
--- a/crates/cranereach-http/src/server.rs
+++ b/crates/cranereach-http/src/server.rs
@@ -42,7 +42,7 @@
 
 /// Error by which a handler closes the connection without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("closed without an answer")]
+#[error("the connection is closed without an answer")]
 pub struct Closed;
 
 /// Serves connections until `stopping` becomes true, then closes the listener and waits for
--- a/crates/cranereach-wire/src/peer.rs
+++ b/crates/cranereach-wire/src/peer.rs
@@ -105,10 +105,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PeerError {
     /// The message is too short, or its keyed hash wasn't made with the shared key.
-    #[error("the seal doesn't fit")]
+    #[error("the message is too short or its keyed hash is wrong")]
     Unsealed,
     /// The message is authentic but can't be decoded.
-    #[error("the message can't be read")]
+    #[error("the message is authentic but can't be decoded")]
     Malformed,
 }
 
@@ -126,7 +126,7 @@
 /// assert_eq!(open::<PeerAnswer>(&key, &sealed), Ok(PeerAnswer::Body(None)));
 /// ```
 pub fn seal<T: Serialize>(key: &PeerKey, message: &T) -> Vec<u8> {
-    let body = postcard::to_stdvec(message).expect("our messages can be written");
+    let body = postcard::to_stdvec(message).expect("peer messages can be encoded");
     let mut sealed = Vec::with_capacity(SEAL_BYTES + body.len());
     sealed.extend_from_slice(blake3::keyed_hash(&key.0, &body).as_bytes());
     sealed.extend_from_slice(&body);
@@ -180,7 +180,7 @@
         used_bytes += part_bytes;
         digests
             .last_mut()
-            .expect("one digest at least")
+            .expect("the list is never empty")
             .parts
             .push(part);
     }
