--- a/crates/cranereach-http/src/bearer.rs
+++ b/crates/cranereach-http/src/bearer.rs
@@ -25,12 +25,12 @@
 /// assert_eq!(bearer(&headers), None);
 /// ```
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
-    let mut given = headers.get_all(AUTHORIZATION).iter();
-    let text = given.next()?.to_str().ok()?;
-    if given.next().is_some() {
+    let mut values = headers.get_all(AUTHORIZATION).iter();
+    let text = values.next()?.to_str().ok()?;
+    if values.next().is_some() {
         return None;
     }
-    let (scheme, key) = text.split_once(' ')?;
-    let key = key.trim();
-    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then_some(key)
+    let (scheme, token) = text.split_once(' ')?;
+    let token = token.trim();
+    (scheme.eq_ignore_ascii_case(SCHEME) && !token.is_empty()).then_some(token)
 }
--- a/crates/cranereach-http/src/body.rs
+++ b/crates/cranereach-http/src/body.rs
@@ -29,13 +29,13 @@
 }
 
 /// Reads a whole body of at most `max_bytes` within `timeout_ms`.
-pub async fn collect<B>(body: B, max_bytes: usize, within_ms: u64) -> Result<Bytes, BodyError>
+pub async fn collect<B>(body: B, max_bytes: usize, timeout_ms: u64) -> Result<Bytes, BodyError>
 where
     B: Body,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let collecting = Limited::new(body, max_bytes).collect();
-    let collected = tokio::time::timeout(Duration::from_millis(within_ms), collecting).await;
+    let collected = tokio::time::timeout(Duration::from_millis(timeout_ms), collecting).await;
     match collected {
         Err(_elapsed) => Err(BodyError::TooSlow),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
@@ -56,8 +56,8 @@
 /// assert_eq!(answer.status(), 200);
 /// ```
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Full<Bytes>> {
-    let text = serde_json::to_vec(value).expect("message types serialize to JSON");
-    let mut answer = Response::new(Full::new(Bytes::from(text)));
+    let bytes = serde_json::to_vec(value).expect("message types serialize to JSON");
+    let mut answer = Response::new(Full::new(Bytes::from(bytes)));
     *answer.status_mut() =
         hyper::StatusCode::from_u16(status).expect("callers pass valid status codes");
     answer
--- a/crates/cranereach-http/src/client.rs
+++ b/crates/cranereach-http/src/client.rs
@@ -26,7 +26,7 @@
 ///
 /// It doesn't depend on the timeout of the call, so that a call with a long timeout still
 /// fails early if nobody accepts the connection.
-const CONNECT_WITHIN_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// Reasons why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -79,7 +79,7 @@
     pub fn new(address: &str) -> Self {
         Self {
             // An order or write whose caller has given up must not be delivered seconds later.
-            pool: Pool::new(address).with_reset(),
+            pool: Pool::new(address).with_reset_on_close(),
             token: None,
             header: None,
         }
@@ -105,21 +105,21 @@
     }
 
     /// Sends a GET request.
-    pub async fn get(&self, path: &str, within_ms: u64) -> Result<Answer, CallError> {
-        self.call(Method::GET, path, Bytes::new(), within_ms).await
+    pub async fn get(&self, path: &str, timeout_ms: u64) -> Result<Answer, CallError> {
+        self.call(Method::GET, path, Bytes::new(), timeout_ms).await
     }
 
     /// Sends a GET request if `permit` grants it, as in [`JsonClient::post_bytes_when`].
     pub async fn get_when<T, F>(
         &self,
         path: &str,
-        within_ms: u64,
+        timeout_ms: u64,
         permit: impl Fn() -> F,
     ) -> Result<(Answer, T), CallError>
     where
         F: Future<Output = Option<T>>,
     {
-        self.call_when(Method::GET, path, Bytes::new(), within_ms, permit)
+        self.call_with_permit(Method::GET, path, Bytes::new(), timeout_ms, permit)
             .await
     }
 
@@ -128,11 +128,11 @@
         &self,
         path: &str,
         value: &T,
-        within_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Answer, CallError> {
-        let text =
+        let bytes =
             serde_json::to_vec(value).map_err(|error| self.garbled(0, &error.to_string()))?;
-        self.call(Method::POST, path, Bytes::from(text), within_ms)
+        self.call(Method::POST, path, Bytes::from(bytes), timeout_ms)
             .await
     }
 
@@ -141,9 +141,9 @@
         &self,
         path: &str,
         bytes: Bytes,
-        within_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Answer, CallError> {
-        self.call(Method::POST, path, bytes, within_ms).await
+        self.call(Method::POST, path, bytes, timeout_ms).await
     }
 
     /// Sends a POST request if `permit` grants it; returns the permit with the answer.
@@ -155,19 +155,24 @@
         &self,
         path: &str,
         bytes: Bytes,
-        within_ms: u64,
+        timeout_ms: u64,
         permit: impl Fn() -> F,
     ) -> Result<(Answer, T), CallError>
     where
         F: Future<Output = Option<T>>,
     {
-        self.call_when(Method::POST, path, bytes, within_ms, permit)
+        self.call_with_permit(Method::POST, path, bytes, timeout_ms, permit)
             .await
     }
 
     /// Sends a PUT request with a body of bytes.
-    pub async fn put(&self, path: &str, bytes: Bytes, within_ms: u64) -> Result<Answer, CallError> {
-        self.call(Method::PUT, path, bytes, within_ms).await
+    pub async fn put(
+        &self,
+        path: &str,
+        bytes: Bytes,
+        timeout_ms: u64,
+    ) -> Result<Answer, CallError> {
+        self.call(Method::PUT, path, bytes, timeout_ms).await
     }
 
     /// Decodes the JSON body of an answer.
@@ -182,27 +187,27 @@
         method: Method,
         path: &str,
         bytes: Bytes,
-        within_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Answer, CallError> {
         let permit = || ready(Some(()));
-        let called = self.call_when(method, path, bytes, within_ms, permit);
+        let called = self.call_with_permit(method, path, bytes, timeout_ms, permit);
         called.await.map(|(answer, ())| answer)
     }
 
     /// Makes a call with a permit, within `timeout_ms` in all.
-    async fn call_when<T, F>(
+    async fn call_with_permit<T, F>(
         &self,
         method: Method,
         path: &str,
         bytes: Bytes,
-        within_ms: u64,
+        timeout_ms: u64,
         permit: impl Fn() -> F,
     ) -> Result<(Answer, T), CallError>
     where
         F: Future<Output = Option<T>>,
     {
         let calling = self.exchange(method, path, bytes, permit);
-        tokio::time::timeout(Duration::from_millis(within_ms), calling)
+        tokio::time::timeout(Duration::from_millis(timeout_ms), calling)
             .await
             .map_err(|_elapsed| CallError::Unanswered {
                 address: self.address().to_owned(),
@@ -231,8 +236,8 @@
             address: self.address().to_owned(),
         };
         loop {
-            let within = Duration::from_millis(CONNECT_WITHIN_MS);
-            let taken = tokio::time::timeout(within, self.pool.take()).await;
+            let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+            let taken = tokio::time::timeout(connect_timeout, self.pool.take()).await;
             let taken = taken.map_err(|_elapsed| not_sent())?;
             let mut connection = taken.map_err(|_refused| not_sent())?;
             let Some(permit) = permit().await else {
--- a/crates/cranereach-http/src/clock.rs
+++ b/crates/cranereach-http/src/clock.rs
@@ -14,12 +14,12 @@
 use nix::time::clock_gettime;
 
 /// Function that a clock reads the time from, in milliseconds.
-type Source = fn() -> u64;
+type TimeSource = fn() -> u64;
 
 /// Clock that counts milliseconds since its start, by default from `CLOCK_BOOTTIME`.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    source: Source,
+    source: TimeSource,
     /// Time of the source at which the clock was started, in milliseconds.
     started_ms: u64,
 }
@@ -31,7 +31,7 @@
     }
 
     /// Starts a clock that reads another source, for tests.
-    pub fn of(source: Source) -> Self {
+    pub fn of(source: TimeSource) -> Self {
         Self {
             source,
             started_ms: source(),
@@ -52,8 +52,8 @@
     /// A time in the past gives the present instant. The result is too late if the machine
     /// is suspended before it is reached.
     pub fn instant(&self, at_ms: u64) -> tokio::time::Instant {
-        let left_ms = at_ms.saturating_sub(self.now_ms());
-        tokio::time::Instant::now() + Duration::from_millis(left_ms)
+        let remaining_ms = at_ms.saturating_sub(self.now_ms());
+        tokio::time::Instant::now() + Duration::from_millis(remaining_ms)
     }
 }
 
@@ -71,6 +71,6 @@
 ///
 /// It grows with each start of an instance, as long as the wall clock doesn't go back.
 pub fn boot_number_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/cranereach-http/src/events.rs
+++ b/crates/cranereach-http/src/events.rs
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct WholeEvents {
     /// Bytes of an event that isn't complete yet.
-    part: BytesMut,
+    buffer: BytesMut,
     reached: Reached,
-    is_too_large: bool,
+    has_exceeded_limit: bool,
     has_gone_back: bool,
 }
 
@@ -62,33 +62,33 @@
     /// Once an event exceeds the buffer limit of 64 KiB, bytes are returned as they arrive
     /// and the stream can't be resumed any more.
     pub fn take(&mut self, bytes: &[u8]) -> Bytes {
-        self.part.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut end = 0;
         let mut line_start = 0;
         let mut event = Event::default();
-        let part = std::mem::take(&mut self.part);
-        while let Some((line, next)) = line_at(&part, line_start) {
+        let buffer = std::mem::take(&mut self.buffer);
+        while let Some((line, next)) = line_at(&buffer, line_start) {
             if line.is_empty() {
-                self.ended(std::mem::take(&mut event));
+                self.finish_event(std::mem::take(&mut event));
                 end = next;
             } else if line.starts_with(b"data") {
                 event.has_data = true;
-            } else if let Some(id) = id_of(line) {
+            } else if let Some(id) = parse_id(line) {
                 event.id = Some(id);
             }
             line_start = next;
         }
-        self.part = part;
-        self.is_too_large |= self.part.len() - end > EVENT_MAX_BYTES;
-        if self.is_too_large {
+        self.buffer = buffer;
+        self.has_exceeded_limit |= self.buffer.len() - end > EVENT_MAX_BYTES;
+        if self.has_exceeded_limit {
             self.reached = Reached::Unknown;
             return self.take_rest();
         }
-        self.part.split_to(end).freeze()
+        self.buffer.split_to(end).freeze()
     }
 
     /// Updates the position in the stream at the end of an event.
-    fn ended(&mut self, event: Event) {
+    fn finish_event(&mut self, event: Event) {
         match event.id {
             Some(id) => {
                 if let Reached::Event(before) = &self.reached {
@@ -103,12 +103,12 @@
 
     /// Removes and returns the bytes of an incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
-        self.part.split().freeze()
+        self.buffer.split().freeze()
     }
 
     /// Discards the bytes of an incomplete event.
     pub fn forget_part(&mut self) {
-        self.part.clear();
+        self.buffer.clear();
     }
 
     /// Returns the position after the last complete event.
@@ -142,7 +142,7 @@
 
 /// Parses an `id:` line. Returns `None` for other lines and for ids that are empty, too long
 /// or contain other than visible ASCII and blanks, which can't be sent back in a header.
-fn id_of(line: &[u8]) -> Option<String> {
+fn parse_id(line: &[u8]) -> Option<String> {
     let value = line.strip_prefix(b"id:")?;
     let value = value.strip_prefix(b" ").unwrap_or(value);
     let is_sendable = !value.is_empty()
--- a/crates/cranereach-http/src/pool.rs
+++ b/crates/cranereach-http/src/pool.rs
@@ -50,22 +50,22 @@
 }
 
 /// Idle connection.
-struct Idle<B> {
+struct IdleConnection<B> {
     sender: SendRequest<B>,
     /// Time until which it may be used, in milliseconds since the machine booted; `None` if
     /// it may be used for as long as it is open.
-    until_ms: Option<u64>,
+    expires_at_ms: Option<u64>,
 }
 
 /// Idle connections, the most recently used at the end.
-type IdleList<B> = Arc<Mutex<Vec<Idle<B>>>>;
+type IdleList<B> = Arc<Mutex<Vec<IdleConnection<B>>>>;
 
 /// Pool of connections to one address.
 pub struct Pool<B> {
     address: String,
     idle: IdleList<B>,
-    silence_max_ms: Option<u64>,
-    does_reset: bool,
+    user_timeout_ms: Option<u64>,
+    resets_on_close: bool,
 }
 
 impl<B> std::fmt::Debug for Pool<B> {
@@ -79,7 +79,7 @@
 /// Connection in use, taken from a pool.
 pub struct Connection<B> {
     sender: SendRequest<B>,
-    home: IdleList<B>,
+    idle_list: IdleList<B>,
     is_reused: bool,
 }
 
@@ -102,8 +102,8 @@
         Self {
             address: address.to_owned(),
             idle: Arc::default(),
-            silence_max_ms: None,
-            does_reset: false,
+            user_timeout_ms: None,
+            resets_on_close: false,
         }
     }
 
@@ -112,16 +112,16 @@
     /// This discards unsent data, so that an abandoned call isn't delivered later, such as
     /// after a network partition has healed.
     #[must_use]
-    pub fn with_reset(mut self) -> Self {
-        self.does_reset = true;
+    pub fn with_reset_on_close(mut self) -> Self {
+        self.resets_on_close = true;
         self
     }
 
     /// Closes a connection if the peer doesn't acknowledge sent data within this time
     /// (`TCP_USER_TIMEOUT`).
     #[must_use]
-    pub fn with_silence_max_ms(mut self, silence_max_ms: u64) -> Self {
-        self.silence_max_ms = Some(silence_max_ms);
+    pub fn with_silence_max_ms(mut self, user_timeout_ms: u64) -> Self {
+        self.user_timeout_ms = Some(user_timeout_ms);
         self
     }
 
@@ -135,7 +135,7 @@
         if let Some(sender) = self.pop_idle() {
             return Ok(Connection {
                 sender,
-                home: Arc::clone(&self.idle),
+                idle_list: Arc::clone(&self.idle),
                 is_reused: true,
             });
         }
@@ -146,12 +146,12 @@
     pub async fn make(&self) -> Result<Connection<B>, ConnectError> {
         let stream = TcpStream::connect(&self.address).await?;
         stream.set_nodelay(true)?;
-        if let Some(silence_max_ms) = self.silence_max_ms {
-            let silence_max = Duration::from_millis(silence_max_ms);
+        if let Some(user_timeout_ms) = self.user_timeout_ms {
+            let user_timeout = Duration::from_millis(user_timeout_ms);
             // Systems without the option rely on the deadlines of calls.
-            let _set = SockRef::from(&stream).set_tcp_user_timeout(Some(silence_max));
+            let _set = SockRef::from(&stream).set_tcp_user_timeout(Some(user_timeout));
         }
-        if self.does_reset {
+        if self.resets_on_close {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         }
         let mut builder = http1::Builder::new();
@@ -163,7 +163,7 @@
         });
         Ok(Connection {
             sender,
-            home: Arc::clone(&self.idle),
+            idle_list: Arc::clone(&self.idle),
             is_reused: false,
         })
     }
@@ -172,10 +172,12 @@
     fn pop_idle(&self) -> Option<SendRequest<B>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let now_ms = boot_ms();
-        while let Some(rested) = idle.pop() {
-            let is_fresh = rested.until_ms.is_none_or(|until_ms| now_ms < until_ms);
-            if is_fresh && rested.sender.is_ready() {
-                return Some(rested.sender);
+        while let Some(candidate) = idle.pop() {
+            let is_fresh = candidate
+                .expires_at_ms
+                .is_none_or(|expires_at_ms| now_ms < expires_at_ms);
+            if is_fresh && candidate.sender.is_ready() {
+                return Some(candidate.sender);
             }
         }
         None
@@ -213,22 +215,29 @@
     }
 
     /// Returns the connection to the pool, for reuse within `idle_max_ms`.
-    pub fn keep_for(self, rest_max_ms: u64) {
-        self.keep_until(Some(boot_ms() + rest_max_ms));
+    pub fn keep_for(self, idle_max_ms: u64) {
+        self.keep_until(Some(boot_ms() + idle_max_ms));
     }
 
     /// Returns the connection to the pool, for reuse until a time.
-    fn keep_until(self, until_ms: Option<u64>) {
+    fn keep_until(self, expires_at_ms: Option<u64>) {
         if self.sender.is_closed() {
             return;
         }
-        let mut idle = self.home.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut idle = self
+            .idle_list
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let now_ms = boot_ms();
-        idle.retain(|rested| rested.until_ms.is_none_or(|until_ms| now_ms < until_ms));
+        idle.retain(|candidate| {
+            candidate
+                .expires_at_ms
+                .is_none_or(|expires_at_ms| now_ms < expires_at_ms)
+        });
         if idle.len() < IDLE_MAX_COUNT {
-            idle.push(Idle {
+            idle.push(IdleConnection {
                 sender: self.sender,
-                until_ms,
+                expires_at_ms,
             });
         }
     }
--- a/crates/cranereach-http/src/server.rs
+++ b/crates/cranereach-http/src/server.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 /// Delay before the next attempt after accepting a connection failed, in milliseconds.
-const ACCEPT_PAUSE_MS: u64 = 50;
+const ACCEPT_RETRY_DELAY_MS: u64 = 50;
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
@@ -66,8 +66,8 @@
             accepted = listener.accept() => accepted,
             _changed = stop.wait_for(|stopping| *stopping) => break,
         };
-        let Ok(stream) = ready(accepted) else {
-            tokio::time::sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
+        let Ok(stream) = configure(accepted) else {
+            tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
             continue;
         };
         let handler = handler.clone();
@@ -86,7 +86,7 @@
 }
 
 /// Configures the socket of an accepted connection.
-fn ready(accepted: io::Result<(TcpStream, std::net::SocketAddr)>) -> io::Result<TcpStream> {
+fn configure(accepted: io::Result<(TcpStream, std::net::SocketAddr)>) -> io::Result<TcpStream> {
     let (stream, _peer) = accepted?;
     stream.set_nodelay(true)?;
     Ok(stream)
--- a/crates/cranereach-wire/src/locate.rs
+++ b/crates/cranereach-wire/src/locate.rs
@@ -33,8 +33,8 @@
 /// ```
 pub fn locate(folder: &Folder, place: &Place) -> Option<Line> {
     let mut lines = folder.files.iter().filter_map(|(file, text)| {
-        let start = start_of(text, place)?;
-        let line = text[..start].matches('\n').count() + 1;
+        let offset = byte_offset_of(text, place)?;
+        let line = text[..offset].matches('\n').count() + 1;
         Some(Line {
             file: file.clone(),
             line,
@@ -45,7 +45,7 @@
 }
 
 /// Returns the byte offset of a place in a text; its last entry if several have the name.
-fn start_of(text: &str, place: &Place) -> Option<usize> {
+fn byte_offset_of(text: &str, place: &Place) -> Option<usize> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default()).ok()?;
     let root = parsed.value?;
     let section = root.as_object()?.get_array(place.section)?;
@@ -59,5 +59,5 @@
 fn has_name(entry: &Object<'_>, name: &str) -> bool {
     entry
         .get_string("name")
-        .is_some_and(|given| given.value == name)
+        .is_some_and(|value| value.value == name)
 }
--- a/crates/cranereach-wire/src/peer.rs
+++ b/crates/cranereach-wire/src/peer.rs
@@ -28,7 +28,7 @@
 pub const MESSAGE_MAX_BYTES: usize = 64 * 1024 * 1024;
 
 /// Length of the keyed hash at the start of each message, in bytes.
-const SEAL_BYTES: usize = 32;
+const KEYED_HASH_BYTES: usize = 32;
 
 /// Authentication key shared by all entry instances.
 #[derive(Clone)]
@@ -106,7 +106,7 @@
 pub enum PeerError {
     /// The message is too short, or its keyed hash wasn't made with the shared key.
     #[error("the message is too short or its keyed hash is wrong")]
-    Unsealed,
+    NotAuthentic,
     /// The message is authentic but can't be decoded.
     #[error("the message is authentic but can't be decoded")]
     Malformed,
@@ -127,7 +127,7 @@
 /// ```
 pub fn seal<T: Serialize>(key: &PeerKey, message: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(message).expect("peer messages can be encoded");
-    let mut sealed = Vec::with_capacity(SEAL_BYTES + body.len());
+    let mut sealed = Vec::with_capacity(KEYED_HASH_BYTES + body.len());
     sealed.extend_from_slice(blake3::keyed_hash(&key.0, &body).as_bytes());
     sealed.extend_from_slice(&body);
     sealed
@@ -135,15 +135,15 @@
 
 /// Verifies the keyed hash of a sealed message and decodes the message.
 pub fn open<T: DeserializeOwned>(key: &PeerKey, sealed: &[u8]) -> Result<T, PeerError> {
-    let Some((seal, body)) = sealed.split_at_checked(SEAL_BYTES) else {
-        return Err(PeerError::Unsealed);
+    let Some((hash, body)) = sealed.split_at_checked(KEYED_HASH_BYTES) else {
+        return Err(PeerError::NotAuthentic);
     };
-    let seal: [u8; SEAL_BYTES] = seal.try_into().map_err(|_short| PeerError::Unsealed)?;
+    let hash: [u8; KEYED_HASH_BYTES] = hash.try_into().map_err(|_short| PeerError::NotAuthentic)?;
     // `blake3::Hash` compares in constant time, which gives nothing away to timing attacks.
-    if blake3::keyed_hash(&key.0, body) != blake3::Hash::from_bytes(seal) {
-        return Err(PeerError::Unsealed);
+    if blake3::keyed_hash(&key.0, body) != blake3::Hash::from_bytes(hash) {
+        return Err(PeerError::NotAuthentic);
     }
-    postcard::from_bytes(body).map_err(|_unreadable| PeerError::Malformed)
+    postcard::from_bytes(body).map_err(|_undecodable| PeerError::Malformed)
 }
 
 /// Distributes parts over datagrams of at most [`DATAGRAM_MAX_BYTES`].
@@ -168,14 +168,14 @@
         parts: Vec::new(),
     };
     // 32 bytes are more than the version, boot, sequence number and lengths take.
-    let overhead = SEAL_BYTES + sender.as_str().len() + 32;
+    let overhead_bytes = KEYED_HASH_BYTES + sender.as_str().len() + 32;
     let mut digests = vec![empty(first_sequence)];
-    let mut used_bytes = overhead;
+    let mut used_bytes = overhead_bytes;
     for part in parts {
         let part_bytes = postcard::experimental::serialized_size(&part).unwrap_or(0);
-        if used_bytes + part_bytes > DATAGRAM_MAX_BYTES && used_bytes > overhead {
+        if used_bytes + part_bytes > DATAGRAM_MAX_BYTES && used_bytes > overhead_bytes {
             digests.push(empty(first_sequence + digests.len() as u64));
-            used_bytes = overhead;
+            used_bytes = overhead_bytes;
         }
         used_bytes += part_bytes;
         digests
--- a/crates/cranereach-wire/src/replay.rs
+++ b/crates/cranereach-wire/src/replay.rs
@@ -7,11 +7,11 @@
 
 /// Size of the reorder window: a message that is this many sequence numbers or more behind the
 /// highest is dropped.
-const WINDOW_COUNT: u64 = 64;
+const REORDER_WINDOW_COUNT: u64 = 64;
 
 /// State for one sender.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct SenderState {
     boot_id: u64,
     highest: u64,
     /// Bitmap of received messages; bit `n` is for the sequence number `highest - n`.
@@ -21,7 +21,7 @@
 /// Replay protection for all senders.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
-    senders: HashMap<InstanceId, Seen>,
+    senders: HashMap<InstanceId, SenderState>,
 }
 
 impl ReplayGuard {
@@ -38,7 +38,7 @@
     /// assert!(!guard.admit(&"a".into(), 1, 6));
     /// ```
     pub fn admit(&mut self, sender: &InstanceId, boot_id: u64, sequence: u64) -> bool {
-        let fresh = Seen {
+        let fresh = SenderState {
             boot_id,
             highest: sequence,
             window: 1,
@@ -48,22 +48,22 @@
             return true;
         };
         if boot_id != seen.boot_id {
-            let later = boot_id > seen.boot_id;
-            if later {
+            let is_later_boot = boot_id > seen.boot_id;
+            if is_later_boot {
                 *seen = fresh;
             }
-            return later;
+            return is_later_boot;
         }
         seen.admit(sequence)
     }
 }
 
-impl Seen {
+impl SenderState {
     /// Checks whether a sequence number is new within the window, and records it if so.
     fn admit(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            self.window = if ahead < WINDOW_COUNT {
+            self.window = if ahead < REORDER_WINDOW_COUNT {
                 (self.window << ahead) | 1
             } else {
                 1
@@ -72,7 +72,7 @@
             return true;
         }
         let behind = self.highest - sequence;
-        if behind >= WINDOW_COUNT || self.window & (1 << behind) != 0 {
+        if behind >= REORDER_WINDOW_COUNT || self.window & (1 << behind) != 0 {
             return false;
         }
         self.window |= 1 << behind;
--- a/crates/cranereach-wire/src/thinner.rs
+++ b/crates/cranereach-wire/src/thinner.rs
@@ -26,7 +26,7 @@
 
 /// Key of a part: its kind and the entity it describes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Subject {
+enum PartKey {
     Head,
     Outstanding(WorkerId),
     Demand(TargetName),
@@ -38,7 +38,7 @@
 
 /// Part with the time at which it was last sent.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentPart {
     part: DigestPart,
     at_ms: u64,
 }
@@ -46,7 +46,7 @@
 /// Parts that this instance has sent to its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Thinner {
-    sent: HashMap<Subject, Sent>,
+    sent: HashMap<PartKey, SentPart>,
 }
 
 impl Thinner {
@@ -66,21 +66,21 @@
             .retain(|_, sent| now_ms.saturating_sub(sent.at_ms) < 10 * REPEAT_AFTER_MS);
         parts
             .into_iter()
-            .filter(|part| self.is_due(now_ms, part))
+            .filter(|part| self.record_if_due(now_ms, part))
             .collect()
     }
 
     /// Checks whether a part has to be sent, and records it as sent if so.
-    fn is_due(&mut self, now_ms: u64, part: &DigestPart) -> bool {
-        let subject = subject(part);
-        let known = self.sent.get(&subject);
-        let is_due = known.is_none_or(|sent| {
-            now_ms.saturating_sub(sent.at_ms) >= REPEAT_AFTER_MS || differs(&sent.part, part)
+    fn record_if_due(&mut self, now_ms: u64, part: &DigestPart) -> bool {
+        let key = key_of(part);
+        let last_sent = self.sent.get(&key);
+        let is_due = last_sent.is_none_or(|sent| {
+            now_ms.saturating_sub(sent.at_ms) >= REPEAT_AFTER_MS || has_changed(&sent.part, part)
         });
         if is_due {
             self.sent.insert(
-                subject,
-                Sent {
+                key,
+                SentPart {
                     part: part.clone(),
                     at_ms: now_ms,
                 },
@@ -91,26 +91,26 @@
 }
 
 /// Returns the key of a part.
-fn subject(part: &DigestPart) -> Subject {
+fn key_of(part: &DigestPart) -> PartKey {
     match part {
-        DigestPart::Head(_) => Subject::Head,
-        DigestPart::Outstanding(worker, _) => Subject::Outstanding(worker.clone()),
-        DigestPart::Demand(demand) => Subject::Demand(demand.target.clone()),
-        DigestPart::Served(account, _) => Subject::Served(account.clone()),
-        DigestPart::Report(report) => Subject::Report(report.worker.clone()),
-        DigestPart::Epoch(cell, _) => Subject::Epoch(cell.clone()),
-        DigestPart::Leaving => Subject::Leaving,
+        DigestPart::Head(_) => PartKey::Head,
+        DigestPart::Outstanding(worker, _) => PartKey::Outstanding(worker.clone()),
+        DigestPart::Demand(demand) => PartKey::Demand(demand.target.clone()),
+        DigestPart::Served(account, _) => PartKey::Served(account.clone()),
+        DigestPart::Report(report) => PartKey::Report(report.worker.clone()),
+        DigestPart::Epoch(cell, _) => PartKey::Epoch(cell.clone()),
+        DigestPart::Leaving => PartKey::Leaving,
     }
 }
 
 /// Whether a part differs significantly from the one sent before.
-fn differs(sent: &DigestPart, now: &DigestPart) -> bool {
+fn has_changed(sent: &DigestPart, now: &DigestPart) -> bool {
     match (sent, now) {
         (DigestPart::Demand(sent), DigestPart::Demand(now)) => {
             let change = (sent.concurrent_count - now.concurrent_count).abs();
-            let matters = change > DEMAND_CHANGE_COUNT
+            let is_significant = change > DEMAND_CHANGE_COUNT
                 && change > DEMAND_CHANGE_RATIO * sent.concurrent_count;
-            matters || (sent.waiting_count > 0) != (now.waiting_count > 0)
+            is_significant || (sent.waiting_count > 0) != (now.waiting_count > 0)
         }
         // Totals grow with every answer, so they are sent by age only: receivers use the
         // difference of two totals, however late it comes.
