--- a/crates/cranereach-entry/src/callers/claims.rs
+++ b/crates/cranereach-entry/src/callers/claims.rs
@@ -12,9 +12,9 @@
 use hyper::header::HeaderValue;
 use slog::warn;
 
-use super::AnswerBody;
-use super::Caller;
-use super::error_answer::Refusal;
+use super::RequestContext;
+use super::ResponseBody;
+use super::error_response::Refusal;
 use super::exchange;
 use super::job::Job;
 use crate::platform::StoreError;
@@ -30,17 +30,17 @@
 use cranereach_http::body;
 
 /// Largest answer of a claimed call, in bytes; it is kept whole on its way.
-const CLAIMED_ANSWER_MAX_BYTES: usize = 4 * 1024 * 1024;
+const CLAIMED_RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// Tries to settle a claim whose write was not answered.
-const SETTLE_TRIES: u32 = 100;
+const SETTLE_MAX_ATTEMPTS: u32 = 100;
 
 /// Pause between two such tries, in milliseconds.
-const SETTLE_PAUSE_MS: u64 = 2_000;
+const SETTLE_RETRY_INTERVAL_MS: u64 = 2_000;
 
 /// A claim that this attempt holds.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldClaim {
     row_key: String,
     version: u64,
     claim: Claim,
@@ -50,18 +50,18 @@
 ///
 /// The call goes on when the caller leaves, so that a repeat gets its answer.
 pub(crate) async fn run(
-    caller: Caller,
+    context: RequestContext,
     job: Job,
     key: &str,
     bytes: &Bytes,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let row_key = row_key(&caller, key);
+) -> Result<Response<ResponseBody>, Refusal> {
+    let row_key = row_key(&context, key);
     let claim = Claim {
-        attempt_id: caller.request_name.clone(),
+        attempt_id: context.request_name.clone(),
         fingerprint: fingerprint(&job, bytes),
         outcome: Outcome::Open,
     };
-    let running = tokio::spawn(run_claimed(caller, job, row_key, claim));
+    let running = tokio::spawn(run_claimed(context, job, row_key, claim));
     running
         .await
         .unwrap_or_else(|_panicked| Err(Refusal::of(ResultCode::OutcomeUnknown)))
@@ -69,32 +69,32 @@
 
 /// Takes the claim, and runs the job if it is ours.
 async fn run_claimed(
-    caller: Caller,
+    context: RequestContext,
     mut job: Job,
     row_key: String,
     claim: Claim,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let held = match take(&caller.shared, row_key, claim).await? {
-        Taken::Held(held) => held,
-        Taken::Replay(answer) => return Ok(replay(&answer)),
+) -> Result<Response<ResponseBody>, Refusal> {
+    let held = match acquire(&context.shared, row_key, claim).await? {
+        Acquired::Held(held) => held,
+        Acquired::Replay(response) => return Ok(replay(&response)),
     };
-    let outcome = exchange::run(&caller, &mut job).await;
-    keep_outcome(&caller.shared, held, outcome).await
+    let outcome = exchange::run(&context, &mut job).await;
+    finish_claim(&context.shared, held, outcome).await
 }
 
 /// What came of taking a claim.
-enum Taken {
-    Held(Held),
+enum Acquired {
+    Held(HeldClaim),
     Replay(KeptAnswer),
 }
 
 /// Writes the claim, or joins the attempt that has.
-async fn take(shared: &Arc<Shared>, row_key: String, claim: Claim) -> Result<Taken, Refusal> {
+async fn acquire(shared: &Arc<Shared>, row_key: String, claim: Claim) -> Result<Acquired, Refusal> {
     let mut expected_version = 0;
     loop {
         match shared.table.write(&row_key, expected_version, &claim).await {
             Ok(version) => {
-                return Ok(Taken::Held(Held {
+                return Ok(Acquired::Held(HeldClaim {
                     row_key,
                     version,
                     claim,
@@ -105,66 +105,70 @@
             }
             Err(StoreError::Conflict) => {}
             Err(StoreError::Unknown { .. }) => {
-                let lost = Held {
+                let unconfirmed = HeldClaim {
                     row_key: row_key.clone(),
                     version: expected_version + 1,
                     claim: claim.clone(),
                 };
                 if shared.table.read::<Option<Claim>>(&row_key).await.is_err() {
-                    settle_later(shared, lost);
+                    settle_in_background(shared, unconfirmed);
                     return Err(Refusal::of(ResultCode::ClaimsUnavailable));
                 }
             }
         }
         let found = shared.table.read::<Option<Claim>>(&row_key).await;
-        let found = found.map_err(|_unread| Refusal::of(ResultCode::ClaimsUnavailable))?;
+        let found = found.map_err(|_read_error| Refusal::of(ResultCode::ClaimsUnavailable))?;
         match join(found.value.as_ref(), &claim.attempt_id, &claim.fingerprint) {
             Joining::Send => expected_version = found.version,
             Joining::Own => {
-                return Ok(Taken::Held(Held {
+                return Ok(Acquired::Held(HeldClaim {
                     row_key,
                     version: found.version,
                     claim,
                 }));
             }
-            Joining::Replay(answer) => return Ok(Taken::Replay(answer)),
+            Joining::Replay(response) => return Ok(Acquired::Replay(response)),
             Joining::Tell(code) => return Err(Refusal::of(code)),
         }
     }
 }
 
 /// Keeps what became of a claimed call before the caller is told.
-async fn keep_outcome(
+async fn finish_claim(
     shared: &Arc<Shared>,
-    held: Held,
-    outcome: Result<Response<AnswerBody>, Refusal>,
-) -> Result<Response<AnswerBody>, Refusal> {
+    held: HeldClaim,
+    outcome: Result<Response<ResponseBody>, Refusal>,
+) -> Result<Response<ResponseBody>, Refusal> {
     match outcome {
-        Ok(answer) => {
-            let (parts, passing) = answer.into_parts();
-            let collected =
-                body::collect(passing, CLAIMED_ANSWER_MAX_BYTES, u64::from(u32::MAX)).await;
+        Ok(response) => {
+            let (parts, response_body) = response.into_parts();
+            let collected = body::collect(
+                response_body,
+                CLAIMED_RESPONSE_MAX_BYTES,
+                u64::from(u32::MAX),
+            )
+            .await;
             // Broken midway: the claim stays open, for the outcome is unknown.
-            let bytes = collected.map_err(|_broken| Refusal::of(ResultCode::OutcomeUnknown))?;
+            let bytes = collected.map_err(|_body_error| Refusal::of(ResultCode::OutcomeUnknown))?;
             let content_type = parts
                 .headers
                 .get(CONTENT_TYPE)
                 .and_then(|value| value.to_str().ok())
                 .unwrap_or_default();
-            let kept = KeptAnswer {
+            let stored_response = KeptAnswer {
                 status: parts.status.as_u16(),
                 content_type: content_type.to_owned(),
                 body: bytes.to_vec(),
             };
-            let became = if bytes.len() <= ANSWER_MAX_BYTES {
-                Outcome::Answered(kept)
+            let stored_outcome = if bytes.len() <= ANSWER_MAX_BYTES {
+                Outcome::Answered(stored_response)
             } else {
                 Outcome::AnsweredUnkept
             };
-            write_outcome(shared, &held, became).await;
+            write_outcome(shared, &held, stored_outcome).await;
             Ok(Response::from_parts(
                 parts,
-                AnswerBody::whole(Full::new(bytes)),
+                ResponseBody::buffered(Full::new(bytes)),
             ))
         }
         Err(refusal) => {
@@ -177,7 +181,7 @@
 }
 
 /// Writes what became of a claim; says whether the row has it now.
-async fn write_outcome(shared: &Shared, held: &Held, outcome: Outcome) -> bool {
+async fn write_outcome(shared: &Shared, held: &HeldClaim, outcome: Outcome) -> bool {
     let claim = Claim {
         outcome,
         ..held.claim.clone()
@@ -193,23 +197,23 @@
 }
 
 /// Marks a claim as not run once the table is back, if its write took effect.
-fn settle_later(shared: &Arc<Shared>, held: Held) {
+fn settle_in_background(shared: &Arc<Shared>, held: HeldClaim) {
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        for _try in 0..SETTLE_TRIES {
-            tokio::time::sleep(std::time::Duration::from_millis(SETTLE_PAUSE_MS)).await;
+        for _attempt in 0..SETTLE_MAX_ATTEMPTS {
+            tokio::time::sleep(std::time::Duration::from_millis(SETTLE_RETRY_INTERVAL_MS)).await;
             let Ok(found) = shared.table.read::<Option<Claim>>(&held.row_key).await else {
                 continue;
             };
-            let is_ours = found
+            let is_own_claim = found
                 .value
                 .as_ref()
                 .is_some_and(|claim| claim.attempt_id == held.claim.attempt_id);
-            let settled = Held {
+            let settled = HeldClaim {
                 version: found.version,
                 ..held.clone()
             };
-            if !is_ours || write_outcome(&shared, &settled, Outcome::NotRun).await {
+            if !is_own_claim || write_outcome(&shared, &settled, Outcome::NotRun).await {
                 return;
             }
         }
@@ -217,22 +221,25 @@
 }
 
 /// Makes the answer of a kept one.
-fn replay(kept: &KeptAnswer) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(Full::new(Bytes::from(kept.body.clone()))));
-    *answer.status_mut() = hyper::StatusCode::from_u16(kept.status).unwrap_or_default();
-    if let Ok(content_type) = HeaderValue::from_str(&kept.content_type) {
-        answer.headers_mut().insert(CONTENT_TYPE, content_type);
+fn replay(stored_response: &KeptAnswer) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(Full::new(Bytes::from(
+        stored_response.body.clone(),
+    ))));
+    *response.status_mut() =
+        hyper::StatusCode::from_u16(stored_response.status).unwrap_or_default();
+    if let Ok(content_type) = HeaderValue::from_str(&stored_response.content_type) {
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
-    answer
+    response
         .headers_mut()
         .insert("x-replayed", HeaderValue::from_static("true"));
-    answer
+    response
 }
 
 /// Returns the key of a claim's row.
-fn row_key(caller: &Caller, key: &str) -> String {
+fn row_key(context: &RequestContext, key: &str) -> String {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(caller.grant.account.as_str().as_bytes());
+    hasher.update(context.grant.account.as_str().as_bytes());
     hasher.update(&[0]);
     hasher.update(key.as_bytes());
     format!("claim-{}", hasher.finalize().to_hex())
--- a/crates/cranereach-entry/src/callers/ticket.rs
+++ b/crates/cranereach-entry/src/callers/dispatch_guard.rs
@@ -15,34 +15,34 @@
 
 /// How far the request is with the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum DispatchState {
     /// Not there.
-    Outside,
+    Unregistered,
     /// Waiting for a worker.
-    Waiting,
+    Queued,
     /// Counted at a worker.
     Running,
 }
 
 /// A request's place at the dispatcher.
 #[derive(Debug)]
-pub(crate) struct Ticket {
+pub(crate) struct DispatchGuard {
     shared: Arc<Shared>,
-    waiting: Waiting,
-    place: Place,
-    admitted_before: bool,
+    queue_entry: Waiting,
+    state: DispatchState,
+    has_arrived_before: bool,
     /// What has been passed on so far, in tokens.
     pub(crate) cost_tokens: f64,
 }
 
-impl Ticket {
+impl DispatchGuard {
     /// Makes a ticket for a request that isn't at the dispatcher yet.
-    pub(crate) fn new(shared: Arc<Shared>, waiting: Waiting) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, queue_entry: Waiting) -> Self {
         Self {
             shared,
-            waiting,
-            place: Place::Outside,
-            admitted_before: false,
+            queue_entry,
+            state: DispatchState::Unregistered,
+            has_arrived_before: false,
             cost_tokens: 0.0,
         }
     }
@@ -51,29 +51,29 @@
     pub(crate) async fn admit(&mut self) -> Routed {
         let (reply, routed) = oneshot::channel();
         let arrive = Arrive {
-            waiting: self.waiting.clone(),
-            is_again: self.admitted_before,
+            waiting: self.queue_entry.clone(),
+            is_again: self.has_arrived_before,
             reply,
         };
-        self.place = Place::Waiting;
-        self.admitted_before = true;
+        self.state = DispatchState::Queued;
+        self.has_arrived_before = true;
         tell(&self.shared.dispatcher, arrive);
         let routed = routed.await.unwrap_or(Routed::Refuse {
             code: ResultCode::Draining,
             retry_after_ms: 1_000,
         });
-        self.place = if matches!(routed, Routed::Send(_)) {
-            Place::Running
+        self.state = if matches!(routed, Routed::Send(_)) {
+            DispatchState::Running
         } else {
-            Place::Outside
+            DispatchState::Unregistered
         };
         routed
     }
 
     /// Gives the place at the worker back.
-    pub(crate) fn end(&mut self, whole: bool) {
-        if self.place == Place::Running {
-            let request = self.waiting.request;
+    pub(crate) fn release(&mut self, whole: bool) {
+        if self.state == DispatchState::Running {
+            let request = self.queue_entry.request;
             tell(
                 &self.shared.dispatcher,
                 End {
@@ -83,16 +83,16 @@
                 },
             );
         }
-        self.place = Place::Outside;
+        self.state = DispatchState::Unregistered;
     }
 }
 
-impl Drop for Ticket {
+impl Drop for DispatchGuard {
     fn drop(&mut self) {
-        match self.place {
-            Place::Outside => {}
-            Place::Waiting => tell(&self.shared.dispatcher, Left(self.waiting.request)),
-            Place::Running => self.end(false),
+        match self.state {
+            DispatchState::Unregistered => {}
+            DispatchState::Queued => tell(&self.shared.dispatcher, Left(self.queue_entry.request)),
+            DispatchState::Running => self.release(false),
         }
     }
 }
--- a/crates/cranereach-entry/src/callers/error_answer.rs
+++ b/crates/cranereach-entry/src/callers/error_response.rs
@@ -6,7 +6,7 @@
 use hyper::header::RETRY_AFTER;
 use serde::Serialize;
 
-use super::AnswerBody;
+use super::ResponseBody;
 use cranereach_core::codes::Ran;
 use cranereach_core::codes::Repeat;
 use cranereach_core::codes::ResultCode;
@@ -72,17 +72,17 @@
 }
 
 /// Makes the answer of a refusal.
-pub(crate) fn make(refusal: &Refusal, request_name: &str) -> Response<AnswerBody> {
+pub(crate) fn build(refusal: &Refusal, request_name: &str) -> Response<ResponseBody> {
     let row = refusal.code.row();
     let body = error_body(refusal.code, refusal.detail.as_deref(), request_name);
-    let mut answer = body::json(row.http_status, &body).map(AnswerBody::whole);
+    let mut response = body::json(row.http_status, &body).map(ResponseBody::buffered);
     if row.repeat == Repeat::Later {
         let seconds = refusal.retry_after_ms.div_ceil(1_000).max(1);
-        answer
+        response
             .headers_mut()
             .insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
-    answer
+    response
 }
 
 /// Makes the event that ends a broken stream.
--- a/crates/cranereach-entry/src/callers/exchange.rs
+++ b/crates/cranereach-entry/src/callers/exchange.rs
@@ -9,22 +9,22 @@
 use hyper::body::Incoming;
 use hyper::header::CONTENT_TYPE;
 
-use super::AnswerBody;
-use super::Caller;
-use super::error_answer::Refusal;
-use super::job::AnswerForm;
+use super::RequestContext;
+use super::ResponseBody;
+use super::dispatch_guard::DispatchGuard;
+use super::error_response::Refusal;
+use super::job::BodyKind;
 use super::job::Job;
-use super::job::passed_headers;
-use super::passing::Passing;
-use super::record::Record;
-use super::ticket::Ticket;
+use super::job::forwarded_headers;
+use super::record::RequestRecord;
+use super::streamed_response::StreamedResponse;
 use crate::control_actor::tell;
 use crate::dispatch_actor::Avoid;
 use crate::dispatch_actor::NotResident;
 use crate::dispatch_actor::Routed;
 use crate::shared::Shared;
 use crate::shared::lock;
-use crate::upstream::SendBody;
+use crate::upstream::UpstreamRequestBody;
 use cranereach_core::attempt::Attempt;
 use cranereach_core::attempt::Event;
 use cranereach_core::attempt::Verdict;
@@ -39,42 +39,48 @@
 use cranereach_wire::upstream::REQUEST_HEADER;
 
 /// Largest answer that is kept whole before it is passed on, in bytes.
-const KEPT_ANSWER_MAX_BYTES: usize = 16 * 1024 * 1024;
+const BUFFERED_RESPONSE_MAX_BYTES: usize = 16 * 1024 * 1024;
 
 /// One request on its way through upstreams.
 struct Exchange<'a> {
-    caller: &'a Caller,
+    context: &'a RequestContext,
     job: &'a mut Job,
     attempt: Attempt,
-    ticket: Ticket,
-    record: Record,
+    dispatch_guard: DispatchGuard,
+    record: RequestRecord,
 }
 
 /// The head of an upstream's answer with the connection that it came on.
-struct Head {
-    answer: Response<Incoming>,
-    connection: Connection<SendBody>,
+struct ResponseHead {
+    response: Response<Incoming>,
+    connection: Connection<UpstreamRequestBody>,
 }
 
 /// Runs a job to its answer or refusal.
-pub(crate) async fn run(caller: &Caller, job: &mut Job) -> Result<Response<AnswerBody>, Refusal> {
-    let now_ms = caller.shared.now_ms();
-    let grant = &caller.grant;
-    let record = Record::start(
-        &caller.shared,
+pub(crate) async fn run(
+    context: &RequestContext,
+    job: &mut Job,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let now_ms = context.shared.now_ms();
+    let grant = &context.grant;
+    let record = RequestRecord::start(
+        &context.shared,
         &grant.account,
         grant.class,
         &job.target,
-        &caller.request_name,
+        &context.request_name,
     );
-    let ticket = Ticket::new(Arc::clone(&caller.shared), job.waiting(caller, now_ms));
-    let attempt = Attempt::new(job.repeat, job.end_by_ms);
-    lock(&caller.shared.retry_budget).first_try();
+    let dispatch_guard = DispatchGuard::new(
+        Arc::clone(&context.shared),
+        job.queue_entry(context, now_ms),
+    );
+    let attempt = Attempt::new(job.repeat, job.deadline_ms);
+    lock(&context.shared.retry_budget).first_try();
     Exchange {
-        caller,
+        context,
         job,
         attempt,
-        ticket,
+        dispatch_guard,
         record,
     }
     .run()
@@ -83,9 +89,9 @@
 
 impl Exchange<'_> {
     /// Tries upstreams until there is an answer or an end.
-    async fn run(mut self) -> Result<Response<AnswerBody>, Refusal> {
+    async fn run(mut self) -> Result<Response<ResponseBody>, Refusal> {
         loop {
-            let worker = match self.ticket.admit().await {
+            let worker = match self.dispatch_guard.admit().await {
                 Routed::Send(worker) => worker,
                 Routed::Refuse {
                     code,
@@ -98,25 +104,25 @@
             self.record.routed(&worker);
             let event = match self.send(&worker).await {
                 Ok(head)
-                    if self.job.form == AnswerForm::Events
-                        && head.answer.status() == StatusCode::OK =>
+                    if self.job.kind == BodyKind::EventStream
+                        && head.response.status() == StatusCode::OK =>
                 {
-                    match self.begin_events(head).await {
-                        Ok((first, head)) => return Ok(self.pass(head, Some(first))),
+                    match self.read_first_event(head).await {
+                        Ok((first, head)) => return Ok(self.stream(head, Some(first))),
                         Err(event) => event,
                     }
                 }
-                Ok(head) if self.job.form == AnswerForm::Plain => return Ok(self.pass(head, None)),
-                Ok(head) => match self.read_whole(head).await {
-                    Ok(answer) => return Ok(answer),
+                Ok(head) if self.job.kind == BodyKind::Plain => return Ok(self.stream(head, None)),
+                Ok(head) => match self.buffer_response(head).await {
+                    Ok(response) => return Ok(response),
                     Err(event) => event,
                 },
                 Err(event) => event,
             };
-            self.ticket.end(false);
-            let verdict = self.judge(event);
+            self.dispatch_guard.release(false);
+            let verdict = self.apply_event(event);
             match verdict {
-                Verdict::TryElsewhere if self.job.can_send() => {}
+                Verdict::TryElsewhere if self.job.can_resend() => {}
                 Verdict::TryElsewhere | Verdict::Continue => {
                     return Err(self.refusal(ResultCode::OutcomeUnknown, 1_000));
                 }
@@ -126,42 +132,46 @@
     }
 
     /// Sends the job to one worker and waits for the head of the answer.
-    async fn send(&mut self, worker: &WorkerId) -> Result<Head, Event> {
-        let shared = Arc::clone(&self.caller.shared);
+    async fn send(&mut self, worker: &WorkerId) -> Result<ResponseHead, Event> {
+        let shared = Arc::clone(&self.context.shared);
         let mut connection = self.connect(worker).await?;
-        let Some(request) = self.job.request(&worker_address(&shared, worker)) else {
+        let Some(request) = self.job.build_request(&worker_address(&shared, worker)) else {
             return Err(Event::NotConnected);
         };
-        let due = shared.clock.instant(self.job.end_by_ms);
-        let sent = match tokio::time::timeout_at(due, connection.send(request)).await {
+        let deadline = shared.clock.instant(self.job.deadline_ms);
+        let sent = match tokio::time::timeout_at(deadline, connection.send(request)).await {
             Ok(sent) => sent,
             Err(_elapsed) => {
-                self.judge(Event::Handed);
+                self.apply_event(Event::Handed);
                 return Err(Event::DeadlinePassed);
             }
         };
-        let answer = match sent {
-            Ok(answer) => answer,
+        let response = match sent {
+            Ok(response) => response,
             Err(SendError::Unsent(request)) => {
-                self.job.take_back(*request);
+                self.job.restore_body(*request);
                 return Err(Event::NotConnected);
             }
             Err(SendError::Broken(_)) => {
-                self.judge(Event::Handed);
+                self.apply_event(Event::Handed);
                 return Err(Event::Broken);
             }
         };
-        self.judge(Event::Handed);
-        self.judge(Event::Head);
-        self.check_head(worker, &answer)?;
-        Ok(Head { answer, connection })
+        self.apply_event(Event::Handed);
+        self.apply_event(Event::Head);
+        self.check_head(worker, &response)?;
+        Ok(ResponseHead {
+            response,
+            connection,
+        })
     }
 
     /// Takes or makes a connection; an unsafe job gets a new one.
-    async fn connect(&self, worker: &WorkerId) -> Result<Connection<SendBody>, Event> {
-        let shared = &self.caller.shared;
+    async fn connect(&self, worker: &WorkerId) -> Result<Connection<UpstreamRequestBody>, Event> {
+        let shared = &self.context.shared;
         let pool = shared.upstreams.pool(worker).ok_or(Event::NotConnected)?;
-        let within = std::time::Duration::from_millis(shared.settings.limits.connect_within_ms);
+        let connect_timeout =
+            std::time::Duration::from_millis(shared.settings.limits.connect_within_ms);
         let is_unsafe = self.job.repeat == Repeatable::Unsafe;
         let connecting = async {
             if is_unsafe {
@@ -170,7 +180,7 @@
                 pool.take().await
             }
         };
-        if let Ok(Ok(connection)) = tokio::time::timeout(within, connecting).await {
+        if let Ok(Ok(connection)) = tokio::time::timeout(connect_timeout, connecting).await {
             Ok(connection)
         } else {
             tell(&shared.dispatcher, Avoid(worker.clone()));
@@ -179,10 +189,10 @@
     }
 
     /// Checks that the answer is to this request and that something ran.
-    fn check_head(&self, worker: &WorkerId, answer: &Response<Incoming>) -> Result<(), Event> {
-        let shared = &self.caller.shared;
-        if let Some(why) = answer.headers().get(NOT_RUN_HEADER) {
-            if why == NOT_RUN_NOT_RESIDENT {
+    fn check_head(&self, worker: &WorkerId, response: &Response<Incoming>) -> Result<(), Event> {
+        let shared = &self.context.shared;
+        if let Some(reason) = response.headers().get(NOT_RUN_HEADER) {
+            if reason == NOT_RUN_NOT_RESIDENT {
                 tell(
                     &shared.dispatcher,
                     NotResident {
@@ -193,11 +203,14 @@
             }
             return Err(Event::RefusedByUpstream);
         }
-        let names_us = answer
+        let matches_request = response
             .headers()
             .get(REQUEST_HEADER)
-            .is_some_and(|name| name == self.caller.request_name.as_str());
-        if self.job.form != AnswerForm::Plain && answer.status() == StatusCode::OK && !names_us {
+            .is_some_and(|name| name == self.context.request_name.as_str());
+        if self.job.kind != BodyKind::Plain
+            && response.status() == StatusCode::OK
+            && !matches_request
+        {
             shared.metrics.foreign_answers_total.inc();
             return Err(Event::Garbled);
         }
@@ -205,39 +218,57 @@
     }
 
     /// Waits for the first event, so that a stream that never began can be repeated.
-    async fn begin_events(&mut self, head: Head) -> Result<(Bytes, Head), Event> {
+    async fn read_first_event(
+        &mut self,
+        head: ResponseHead,
+    ) -> Result<(Bytes, ResponseHead), Event> {
         let is_events = head
-            .answer
+            .response
             .headers()
             .get(CONTENT_TYPE)
             .is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"));
         if !is_events {
             return Err(Event::Garbled);
         }
-        let Head { answer, connection } = head;
-        let (parts, mut incoming) = answer.into_parts();
-        let due = self.caller.shared.clock.instant(self.job.end_by_ms);
+        let ResponseHead {
+            response,
+            connection,
+        } = head;
+        let (parts, mut incoming) = response.into_parts();
+        let deadline = self.context.shared.clock.instant(self.job.deadline_ms);
         let first =
-            tokio::time::timeout_at(due, http_body_util::BodyExt::frame(&mut incoming)).await;
+            tokio::time::timeout_at(deadline, http_body_util::BodyExt::frame(&mut incoming)).await;
         match first.map_err(|_elapsed| Event::DeadlinePassed)? {
             Some(Ok(frame)) => {
                 let first = frame.into_data().unwrap_or_default();
-                let answer = Response::from_parts(parts, incoming);
-                Ok((first, Head { answer, connection }))
+                let response = Response::from_parts(parts, incoming);
+                Ok((
+                    first,
+                    ResponseHead {
+                        response,
+                        connection,
+                    },
+                ))
             }
             Some(Err(_)) | None => Err(Event::Broken),
         }
     }
 
     /// Reads a whole answer before any of it is passed on.
-    async fn read_whole(&mut self, head: Head) -> Result<Response<AnswerBody>, Event> {
-        let Head { answer, connection } = head;
-        let (parts, incoming) = answer.into_parts();
-        let left_ms = self
+    async fn buffer_response(
+        &mut self,
+        head: ResponseHead,
+    ) -> Result<Response<ResponseBody>, Event> {
+        let ResponseHead {
+            response,
+            connection,
+        } = head;
+        let (parts, incoming) = response.into_parts();
+        let remaining_ms = self
             .job
-            .end_by_ms
-            .saturating_sub(self.caller.shared.now_ms());
-        let collected = body::collect(incoming, KEPT_ANSWER_MAX_BYTES, left_ms).await;
+            .deadline_ms
+            .saturating_sub(self.context.shared.now_ms());
+        let collected = body::collect(incoming, BUFFERED_RESPONSE_MAX_BYTES, remaining_ms).await;
         let bytes = collected.map_err(|error| match error {
             body::BodyError::TooSlow => Event::DeadlinePassed,
             body::BodyError::TooLarge => Event::Garbled,
@@ -249,48 +280,51 @@
             return Err(Event::Garbled);
         }
         connection.keep();
-        self.judge(Event::Whole);
-        self.record.tokens(self.job.cost_tokens as u64);
+        self.apply_event(Event::Whole);
+        self.record.add_tokens(self.job.cost_tokens as u64);
         self.record.finish(ResultCode::Served);
-        self.ticket.cost_tokens = self.job.cost_tokens;
-        self.ticket.end(true);
-        let mut whole = Response::new(AnswerBody::whole(Full::new(bytes)));
-        *whole.status_mut() = parts.status;
-        *whole.headers_mut() = passed_headers(&parts.headers);
-        Ok(whole)
+        self.dispatch_guard.cost_tokens = self.job.cost_tokens;
+        self.dispatch_guard.release(true);
+        let mut client_response = Response::new(ResponseBody::buffered(Full::new(bytes)));
+        *client_response.status_mut() = parts.status;
+        *client_response.headers_mut() = forwarded_headers(&parts.headers);
+        Ok(client_response)
     }
 
     /// Passes an answer on as it comes.
-    fn pass(self, head: Head, first: Option<Bytes>) -> Response<AnswerBody> {
-        let Head { answer, connection } = head;
-        let (parts, incoming) = answer.into_parts();
+    fn stream(self, head: ResponseHead, first: Option<Bytes>) -> Response<ResponseBody> {
+        let ResponseHead {
+            response,
+            connection,
+        } = head;
+        let (parts, incoming) = response.into_parts();
         let mut attempt = self.attempt;
-        let shared = &self.caller.shared;
+        let shared = &self.context.shared;
         attempt.on(
             shared.now_ms(),
             Event::FirstBytes,
             &mut lock(&shared.retry_budget),
         );
-        let due = shared.clock.instant(self.job.end_by_ms);
-        let passing = Passing::new(
+        let deadline = shared.clock.instant(self.job.deadline_ms);
+        let streamed = StreamedResponse::new(
             self.job,
-            &self.caller.request_name,
+            &self.context.request_name,
             first,
             incoming,
             connection,
-            self.ticket,
+            self.dispatch_guard,
             self.record,
-            due,
+            deadline,
         );
-        let mut passed = Response::new(AnswerBody::passing(passing));
-        *passed.status_mut() = parts.status;
-        *passed.headers_mut() = passed_headers(&parts.headers);
-        passed
+        let mut client_response = Response::new(ResponseBody::streamed(streamed));
+        *client_response.status_mut() = parts.status;
+        *client_response.headers_mut() = forwarded_headers(&parts.headers);
+        client_response
     }
 
     /// Lets the kernel judge an event.
-    fn judge(&mut self, event: Event) -> Verdict {
-        let shared = &self.caller.shared;
+    fn apply_event(&mut self, event: Event) -> Verdict {
+        let shared = &self.context.shared;
         self.attempt
             .on(shared.now_ms(), event, &mut lock(&shared.retry_budget))
     }
@@ -302,7 +336,7 @@
             code,
             retry_after_ms,
             detail: None,
-            account: Some(self.caller.grant.account.clone()),
+            account: Some(self.context.grant.account.clone()),
         }
     }
 }
--- a/crates/cranereach-entry/src/callers/job.rs
+++ b/crates/cranereach-entry/src/callers/job.rs
@@ -10,19 +10,19 @@
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
 
-use super::Caller;
-use crate::upstream::SendBody;
+use super::RequestContext;
+use crate::upstream::UpstreamRequestBody;
 use cranereach_core::declarations::Repeatable;
 use cranereach_core::dispatch::queues::Waiting;
 use cranereach_core::names::TargetName;
 
 /// Which form of answer is expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerForm {
+pub(crate) enum BodyKind {
     /// Server-sent events that end with `[DONE]`.
-    Events,
+    EventStream,
     /// One JSON object.
-    Object,
+    JsonObject,
     /// Whatever a plain service answers.
     Plain,
 }
@@ -31,9 +31,9 @@
 #[derive(Debug)]
 pub(crate) enum JobBody {
     /// Kept, so that it can be sent again.
-    Kept(Bytes),
+    Buffered(Bytes),
     /// To be passed on as it arrives; none once it is gone.
-    Passed(Option<Incoming>),
+    Streamed(Option<Incoming>),
 }
 
 /// One request, ready to be sent.
@@ -42,11 +42,11 @@
     /// What it asks for.
     pub(crate) target: TargetName,
     /// Which form of answer is expected.
-    pub(crate) form: AnswerForm,
+    pub(crate) kind: BodyKind,
     /// Whether it may run twice.
     pub(crate) repeat: Repeatable,
     /// When the whole answer is due.
-    pub(crate) end_by_ms: u64,
+    pub(crate) deadline_ms: u64,
     /// Expected cost, in tokens.
     pub(crate) cost_tokens: f64,
     /// Hash of the start of its prompt; zero for none.
@@ -62,7 +62,7 @@
 }
 
 /// Headers that belong to one connection, or to us alone.
-const OWN_HEADERS: [HeaderName; 11] = [
+const UNFORWARDED_HEADERS: [HeaderName; 11] = [
     header::AUTHORIZATION,
     header::CONNECTION,
     header::HOST,
@@ -77,46 +77,46 @@
 ];
 
 /// Copies the headers that pass from one side to the other.
-pub(crate) fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !OWN_HEADERS.contains(name) && !named.contains(name) {
-            passed.append(name, value.clone());
+        if !UNFORWARDED_HEADERS.contains(name) && !connection_headers.contains(name) {
+            forwarded.append(name, value.clone());
         }
     }
-    passed
+    forwarded
 }
 
 impl Job {
     /// Returns the request's entry for the dispatcher.
-    pub(crate) fn waiting(&self, caller: &Caller, now_ms: u64) -> Waiting {
-        let grant = &caller.grant;
+    pub(crate) fn queue_entry(&self, context: &RequestContext, now_ms: u64) -> Waiting {
+        let grant = &context.grant;
         Waiting {
-            request: caller.request,
+            request: context.request_id,
             account: grant.account.clone(),
             share: grant.share,
             queue_count: grant.queue_count,
             target: self.target.clone(),
             class: grant.class,
             arrived_at_ms: now_ms,
-            start_by_ms: self.end_by_ms.min(now_ms + grant.first_token_ms),
+            start_by_ms: self.deadline_ms.min(now_ms + grant.first_token_ms),
             cost_tokens: self.cost_tokens,
             prefix_hash: self.prefix_hash,
         }
     }
 
     /// Builds the request for an upstream; none if the body is gone.
-    pub(crate) fn request(&mut self, address: &str) -> Option<Request<SendBody>> {
+    pub(crate) fn build_request(&mut self, address: &str) -> Option<Request<UpstreamRequestBody>> {
         let body = match &mut self.body {
-            JobBody::Kept(bytes) => SendBody::Kept(Full::new(bytes.clone())),
-            JobBody::Passed(incoming) => SendBody::Passed(incoming.take()?),
+            JobBody::Buffered(bytes) => UpstreamRequestBody::Buffered(Full::new(bytes.clone())),
+            JobBody::Streamed(incoming) => UpstreamRequestBody::Streamed(incoming.take()?),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -129,16 +129,16 @@
     }
 
     /// Takes the body of a request back that was not sent.
-    pub(crate) fn take_back(&mut self, request: Request<SendBody>) {
-        if let (JobBody::Passed(place), SendBody::Passed(incoming)) =
+    pub(crate) fn restore_body(&mut self, request: Request<UpstreamRequestBody>) {
+        if let (JobBody::Streamed(slot), UpstreamRequestBody::Streamed(incoming)) =
             (&mut self.body, request.into_body())
         {
-            *place = Some(incoming);
+            *slot = Some(incoming);
         }
     }
 
     /// Whether the request can be sent once more.
-    pub(crate) fn can_send(&self) -> bool {
-        !matches!(self.body, JobBody::Passed(None))
+    pub(crate) fn can_resend(&self) -> bool {
+        !matches!(self.body, JobBody::Streamed(None))
     }
 }
--- a/crates/cranereach-entry/src/callers/mod.rs
+++ b/crates/cranereach-entry/src/callers/mod.rs
@@ -1,15 +1,15 @@
 //! The callers' side: authenticate, find out what is asked for, answer.
 
-mod answer_body;
 mod claims;
-mod error_answer;
+mod dispatch_guard;
+mod error_response;
 mod exchange;
 mod job;
 mod model_call;
-mod passing;
 mod plain_call;
 mod record;
-mod ticket;
+mod response_body;
+mod streamed_response;
 
 use std::sync::Arc;
 
@@ -23,8 +23,8 @@
 use hyper::header::HeaderValue;
 use serde_json::json;
 
-pub use self::answer_body::AnswerBody;
-use self::error_answer::Refusal;
+use self::error_response::Refusal;
+pub use self::response_body::ResponseBody;
 use crate::shared::Shared;
 use cranereach_core::codes::ResultCode;
 use cranereach_core::declarations::PoolKind;
@@ -41,11 +41,11 @@
 
 /// What every step of one request has at hand.
 #[derive(Debug)]
-pub(crate) struct Caller {
+pub(crate) struct RequestContext {
     shared: Arc<Shared>,
     snapshot: Arc<Snapshot>,
     grant: Arc<Grant>,
-    request: cranereach_core::names::RequestId,
+    request_id: cranereach_core::names::RequestId,
     request_name: String,
 }
 
@@ -53,38 +53,39 @@
 pub async fn answer(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Closed> {
+) -> Result<Response<ResponseBody>, Closed> {
     let in_flight = shared.begin_request();
     let version = request.version();
-    let number = shared.next_request();
-    let request_name = shared.request_name(number);
-    let result = match admit(&shared, number, &request_name, request.headers()) {
-        Ok(caller) => route(caller, request).await,
+    let request_id = shared.next_request();
+    let request_name = shared.request_name(request_id);
+    let result = match authenticate(&shared, request_id, &request_name, request.headers()) {
+        Ok(context) => route(context, request).await,
         Err(code) => Err(Refusal::of(code)),
     };
     let is_body_unread = result.as_ref().is_err_and(Refusal::leaves_body_unread);
-    let mut answer = result.unwrap_or_else(|refusal| refused(&shared, &request_name, &refusal));
+    let mut response =
+        result.unwrap_or_else(|refusal| refusal_response(&shared, &request_name, &refusal));
     if let Ok(value) = HeaderValue::from_str(&request_name) {
-        answer.headers_mut().insert(REQUEST_ID_HEADER, value);
+        response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
     let is_leaving = shared.phase() != Phase::Serving;
     if (is_leaving || is_body_unread) && version < Version::HTTP_2 {
         // The caller's next connection goes through the balancer to another; one
         // with bytes left unread ends, and must not be used for the next call.
-        answer
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer.map(|body| body.with_guard(in_flight)))
+    Ok(response.map(|body| body.with_in_flight_guard(in_flight)))
 }
 
 /// Finds out who calls, and whether this instance may serve at all.
-fn admit(
+fn authenticate(
     shared: &Arc<Shared>,
-    request: cranereach_core::names::RequestId,
+    request_id: cranereach_core::names::RequestId,
     request_name: &str,
     headers: &HeaderMap,
-) -> Result<Caller, ResultCode> {
+) -> Result<RequestContext, ResultCode> {
     if !shared.may_serve() {
         return Err(ResultCode::ConfigUnknown);
     }
@@ -94,49 +95,53 @@
         .grant(key)
         .map(Arc::clone)
         .ok_or(ResultCode::Unauthenticated)?;
-    Ok(Caller {
+    Ok(RequestContext {
         shared: Arc::clone(shared),
         snapshot,
         grant,
-        request,
+        request_id,
         request_name: request_name.to_owned(),
     })
 }
 
 /// Hands a request to what its path means.
 async fn route(
-    caller: Caller,
+    context: RequestContext,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     match (request.method(), request.uri().path()) {
         (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-            model_call::answer(caller, request).await
+            model_call::handle(context, request).await
         }
-        (&Method::GET, "/v1/models") => Ok(models(&caller)),
-        _ => plain_call::answer(caller, request).await,
+        (&Method::GET, "/v1/models") => Ok(list_models(&context)),
+        _ => plain_call::handle(context, request).await,
     }
 }
 
 /// Lists the models that the caller's account is entitled to.
-fn models(caller: &Caller) -> Response<AnswerBody> {
-    let is_model = |target: &&TargetName| caller.snapshot.models.contains_key(*target);
-    let data: Vec<_> = caller
+fn list_models(context: &RequestContext) -> Response<ResponseBody> {
+    let is_model = |target: &&TargetName| context.snapshot.models.contains_key(*target);
+    let data: Vec<_> = context
         .grant
         .targets
         .iter()
         .filter(is_model)
         .map(|target| json!({ "id": target, "object": "model", "owned_by": "cranereach" }))
         .collect();
-    body::json(200, &json!({ "object": "list", "data": data })).map(AnswerBody::whole)
+    body::json(200, &json!({ "object": "list", "data": data })).map(ResponseBody::buffered)
 }
 
 /// Answers a refusal, and counts and logs it.
-fn refused(shared: &Shared, request_name: &str, refusal: &Refusal) -> Response<AnswerBody> {
-    record::refused(shared, request_name, refusal);
-    error_answer::make(refusal, request_name)
+fn refusal_response(
+    shared: &Shared,
+    request_name: &str,
+    refusal: &Refusal,
+) -> Response<ResponseBody> {
+    record::record_refused(shared, request_name, refusal);
+    error_response::build(refusal, request_name)
 }
 
-impl Caller {
+impl RequestContext {
     /// Whether the account is entitled to a model that its pool can serve.
     fn may_use_model(&self, target: &TargetName) -> bool {
         let is_model = self
--- a/crates/cranereach-entry/src/callers/model_call.rs
+++ b/crates/cranereach-entry/src/callers/model_call.rs
@@ -9,11 +9,11 @@
 use hyper::header::HeaderValue;
 use serde::Deserialize;
 
-use super::AnswerBody;
-use super::Caller;
-use super::error_answer::Refusal;
+use super::RequestContext;
+use super::ResponseBody;
+use super::error_response::Refusal;
 use super::exchange;
-use super::job::AnswerForm;
+use super::job::BodyKind;
 use super::job::Job;
 use super::job::JobBody;
 use cranereach_core::codes::ResultCode;
@@ -25,7 +25,7 @@
 use cranereach_wire::upstream::REQUEST_HEADER;
 
 /// Tokens expected of a request that names no limit.
-const DEFAULT_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Characters per token, for estimates.
 const CHARS_PER_TOKEN: f64 = 4.0;
@@ -50,25 +50,25 @@
 }
 
 /// Answers a call of a model.
-pub(crate) async fn answer(
-    caller: Caller,
+pub(crate) async fn handle(
+    context: RequestContext,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let path = request.uri().path().to_owned();
-    let limits = caller.shared.settings.limits;
+    let limits = context.shared.settings.limits;
     let collected = body::collect(
         request.into_body(),
         limits.body_max_bytes,
         limits.body_within_ms,
     )
     .await;
-    let bytes = collected.map_err(|error| Refusal::of(body_code(error)))?;
-    let mut job = job(&caller, path, bytes)?;
-    exchange::run(&caller, &mut job).await
+    let bytes = collected.map_err(|error| Refusal::of(body_error_code(error)))?;
+    let mut job = build_job(&context, path, bytes)?;
+    exchange::run(&context, &mut job).await
 }
 
 /// Returns the code of a body that could not be read.
-pub(crate) fn body_code(error: BodyError) -> ResultCode {
+pub(crate) fn body_error_code(error: BodyError) -> ResultCode {
     match error {
         BodyError::TooLarge => ResultCode::BodyTooLarge,
         BodyError::TooSlow => ResultCode::RequestTooSlow,
@@ -77,13 +77,13 @@
 }
 
 /// Makes the job of a call.
-fn job(caller: &Caller, path: String, bytes: Bytes) -> Result<Job, Refusal> {
+fn build_job(context: &RequestContext, path: String, bytes: Bytes) -> Result<Job, Refusal> {
     let completion: Completion<'_> = serde_json::from_slice(&bytes)
         .map_err(|error| Refusal::of(ResultCode::BadRequest).with_detail(error.to_string()))?;
     let target = TargetName::from(completion.model.as_str());
-    if !caller.may_use_model(&target) {
+    if !context.may_use_model(&target) {
         // The same answer for a model of another account as for none at all.
-        let allowed: Vec<&str> = caller
+        let allowed: Vec<&str> = context
             .grant
             .targets
             .iter()
@@ -95,7 +95,7 @@
     let max_tokens = completion
         .max_completion_tokens
         .or(completion.max_tokens)
-        .unwrap_or(DEFAULT_TOKENS);
+        .unwrap_or(DEFAULT_MAX_TOKENS);
     let prompt = completion
         .messages
         .or(completion.prompt)
@@ -103,32 +103,32 @@
     let cost_tokens = prompt.len() as f64 / CHARS_PER_TOKEN + f64::from(max_tokens);
     let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     Ok(Job {
-        form: if completion.stream {
-            AnswerForm::Events
+        kind: if completion.stream {
+            BodyKind::EventStream
         } else {
-            AnswerForm::Object
+            BodyKind::JsonObject
         },
-        repeat: caller.grant.repeat,
-        end_by_ms: caller.shared.now_ms() + caller.grant.whole_answer_ms,
+        repeat: context.grant.repeat,
+        deadline_ms: context.shared.now_ms() + context.grant.whole_answer_ms,
         cost_tokens,
         prefix_hash: rendezvous_weight(&prefix, target.as_str()),
         method: hyper::Method::POST,
         path,
-        headers: headers(caller),
-        body: JobBody::Kept(bytes),
+        headers: engine_headers(context),
+        body: JobBody::Buffered(bytes),
         target,
     })
 }
 
 /// Makes the headers that an engine gets.
-fn headers(caller: &Caller) -> HeaderMap {
+fn engine_headers(context: &RequestContext) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(
         PRIORITY_HEADER,
-        HeaderValue::from(caller.grant.class.index()),
+        HeaderValue::from(context.grant.class.index()),
     );
-    if let Ok(name) = HeaderValue::from_str(&caller.request_name) {
+    if let Ok(name) = HeaderValue::from_str(&context.request_name) {
         headers.insert(REQUEST_HEADER, name);
     }
     headers
--- a/crates/cranereach-entry/src/callers/record.rs
+++ b/crates/cranereach-entry/src/callers/record.rs
@@ -6,7 +6,7 @@
 use prometheus::Histogram;
 use slog::info;
 
-use super::error_answer::Refusal;
+use super::error_response::Refusal;
 use crate::shared::Shared;
 use cranereach_core::codes::ResultCode;
 use cranereach_core::declarations::Class;
@@ -16,21 +16,21 @@
 
 /// Follows one admitted request to its end; a drop without one is the caller's.
 #[derive(Debug)]
-pub(crate) struct Record {
+pub(crate) struct RequestRecord {
     shared: Arc<Shared>,
     account: AccountName,
     class: Class,
     target: TargetName,
     request_name: String,
     worker: Option<WorkerId>,
-    started: Instant,
-    last_token: Option<Instant>,
+    started_at: Instant,
+    last_token_at: Option<Instant>,
     token_count: u64,
     between_tokens: Histogram,
     is_finished: bool,
 }
 
-impl Record {
+impl RequestRecord {
     /// Starts to follow a request.
     pub(crate) fn start(
         shared: &Arc<Shared>,
@@ -47,8 +47,8 @@
             target: target.clone(),
             request_name: request_name.to_owned(),
             worker: None,
-            started: Instant::now(),
-            last_token: None,
+            started_at: Instant::now(),
+            last_token_at: None,
             token_count: 0,
             between_tokens: shared
                 .metrics
@@ -61,7 +61,7 @@
     /// Notes that the request left the queue for a worker.
     pub(crate) fn routed(&mut self, worker: &WorkerId) {
         if self.worker.is_none() {
-            let waited = self.started.elapsed().as_secs_f64();
+            let waited = self.started_at.elapsed().as_secs_f64();
             self.shared
                 .metrics
                 .queue_wait_seconds
@@ -74,19 +74,19 @@
     }
 
     /// Notes tokens that are being passed on.
-    pub(crate) fn tokens(&mut self, count: u64) {
+    pub(crate) fn add_tokens(&mut self, count: u64) {
         let now = Instant::now();
-        if let Some(last) = self.last_token {
+        if let Some(last) = self.last_token_at {
             self.between_tokens.observe((now - last).as_secs_f64());
         } else {
-            let first = (now - self.started).as_secs_f64();
+            let first = (now - self.started_at).as_secs_f64();
             self.shared
                 .metrics
                 .first_token_seconds
                 .with_label_values(&[self.account.as_str(), self.class.name()])
                 .observe(first);
         }
-        self.last_token = Some(now);
+        self.last_token_at = Some(now);
         self.token_count += count;
     }
 
@@ -106,28 +106,28 @@
             .tokens_total
             .with_label_values(&[self.account.as_str()])
             .inc_by(self.token_count);
-        let whole = self.started.elapsed();
+        let total_time = self.started_at.elapsed();
         if code == ResultCode::Served {
             metrics
                 .whole_answer_seconds
                 .with_label_values(&[self.account.as_str(), self.class.name()])
-                .observe(whole.as_secs_f64());
+                .observe(total_time.as_secs_f64());
         }
         info!(self.shared.log, "request"; "request" => self.request_name.as_str(), "account" => self.account.as_str(),
             "class" => self.class.name(), "target" => self.target.as_str(), "code" => row.number,
             "worker" => self.worker.as_ref().map(|worker| worker.as_str().to_owned()),
-            "tokens" => self.token_count, "whole_us" => whole.as_micros() as u64);
+            "tokens" => self.token_count, "whole_us" => total_time.as_micros() as u64);
     }
 }
 
-impl Drop for Record {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
         self.finish(ResultCode::CallerLeft);
     }
 }
 
 /// Counts and logs a request that was refused before it was followed.
-pub(crate) fn refused(shared: &Shared, request_name: &str, refusal: &Refusal) {
+pub(crate) fn record_refused(shared: &Shared, request_name: &str, refusal: &Refusal) {
     if refusal.account.is_some() {
         // It was followed: its record has counted it.
         return;
--- a/crates/cranereach-entry/src/callers/answer_body.rs
+++ b/crates/cranereach-entry/src/callers/response_body.rs
@@ -11,17 +11,17 @@
 use hyper::body::SizeHint;
 use thiserror::Error;
 
-use super::passing::Passing;
+use super::streamed_response::StreamedResponse;
 use crate::shared::InFlight;
 
 /// The answer broke off; the connection ends so that nobody takes it as whole.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
-pub struct BrokenOff;
+pub struct ResponseAborted;
 
 /// Body of an answer.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     kind: Kind,
     in_flight: Option<InFlight>,
 }
@@ -29,61 +29,61 @@
 /// Where the bytes come from.
 #[derive(Debug)]
 enum Kind {
-    Whole(Full<Bytes>),
-    Passing(Box<Passing>),
+    Buffered(Full<Bytes>),
+    Streamed(Box<StreamedResponse>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Makes a whole body.
-    pub(crate) fn whole(body: Full<Bytes>) -> Self {
+    pub(crate) fn buffered(body: Full<Bytes>) -> Self {
         Self {
-            kind: Kind::Whole(body),
+            kind: Kind::Buffered(body),
             in_flight: None,
         }
     }
 
     /// Makes a body that passes an upstream's answer on.
-    pub(crate) fn passing(passing: Passing) -> Self {
+    pub(crate) fn streamed(streamed: StreamedResponse) -> Self {
         Self {
-            kind: Kind::Passing(Box::new(passing)),
+            kind: Kind::Streamed(Box::new(streamed)),
             in_flight: None,
         }
     }
 
     /// Counts the request as in flight until the body has ended.
-    pub(crate) fn with_guard(mut self, in_flight: InFlight) -> Self {
+    pub(crate) fn with_in_flight_guard(mut self, in_flight: InFlight) -> Self {
         self.in_flight = Some(in_flight);
         self
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match &mut self.get_mut().kind {
-            Kind::Whole(body) => Pin::new(body)
+            Kind::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            Kind::Passing(passing) => passing.poll_next(cx),
+            Kind::Streamed(streamed) => streamed.poll_next(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.kind {
-            Kind::Whole(body) => body.is_end_stream(),
-            Kind::Passing(passing) => passing.is_ended(),
+            Kind::Buffered(body) => body.is_end_stream(),
+            Kind::Streamed(streamed) => streamed.is_ended(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Whole(body) => body.size_hint(),
-            Kind::Passing(passing) => passing.size_hint(),
+            Kind::Buffered(body) => body.size_hint(),
+            Kind::Streamed(streamed) => streamed.size_hint(),
         }
     }
 }
--- a/crates/cranereach-entry/src/callers/passing.rs
+++ b/crates/cranereach-entry/src/callers/streamed_response.rs
@@ -17,38 +17,38 @@
 use tokio::time::Instant;
 use tokio::time::Sleep;
 
-use super::answer_body::BrokenOff;
-use super::error_answer;
-use super::job::AnswerForm;
+use super::dispatch_guard::DispatchGuard;
+use super::error_response;
+use super::job::BodyKind;
 use super::job::Job;
-use super::record::Record;
-use super::ticket::Ticket;
-use crate::upstream::SendBody;
+use super::record::RequestRecord;
+use super::response_body::ResponseAborted;
+use crate::upstream::UpstreamRequestBody;
 use cranereach_core::codes::ResultCode;
 use cranereach_http::pool::Connection;
 
 /// What ends a whole stream of events.
-const DONE: &[u8] = b"[DONE]";
+const DONE_MARKER: &[u8] = b"[DONE]";
 
 /// Bytes of the stream's end that are kept, to find [`DONE`] across frames.
 const TAIL_BYTES: usize = 16;
 
 /// An answer that is being passed on.
 #[derive(Debug)]
-pub(crate) struct Passing {
-    form: AnswerForm,
+pub(crate) struct StreamedResponse {
+    kind: BodyKind,
     request_name: String,
-    first: Option<Bytes>,
+    first_chunk: Option<Bytes>,
     incoming: Incoming,
-    connection: Option<Connection<SendBody>>,
-    ticket: Ticket,
-    record: Record,
-    due: Pin<Box<Sleep>>,
+    connection: Option<Connection<UpstreamRequestBody>>,
+    dispatch_guard: DispatchGuard,
+    record: RequestRecord,
+    deadline: Pin<Box<Sleep>>,
     tail: Vec<u8>,
     is_ended: bool,
 }
 
-impl Passing {
+impl StreamedResponse {
     /// Starts to pass an answer on.
     #[expect(
         clippy::too_many_arguments,
@@ -57,22 +57,22 @@
     pub(crate) fn new(
         job: &Job,
         request_name: &str,
-        first: Option<Bytes>,
+        first_chunk: Option<Bytes>,
         incoming: Incoming,
-        connection: Connection<SendBody>,
-        ticket: Ticket,
-        record: Record,
-        due: Instant,
+        connection: Connection<UpstreamRequestBody>,
+        dispatch_guard: DispatchGuard,
+        record: RequestRecord,
+        deadline: Instant,
     ) -> Self {
         Self {
-            form: job.form,
+            kind: job.kind,
             request_name: request_name.to_owned(),
-            first,
+            first_chunk,
             incoming,
             connection: Some(connection),
-            ticket,
+            dispatch_guard,
             record,
-            due: Box::pin(tokio::time::sleep_until(due)),
+            deadline: Box::pin(tokio::time::sleep_until(deadline)),
             tail: Vec::new(),
             is_ended: false,
         }
@@ -85,7 +85,7 @@
 
     /// Returns what is known of the size.
     pub(crate) fn size_hint(&self) -> SizeHint {
-        if self.form == AnswerForm::Plain {
+        if self.kind == BodyKind::Plain {
             self.incoming.size_hint()
         } else {
             SizeHint::default()
@@ -96,48 +96,48 @@
     pub(crate) fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         if self.is_ended {
             return Poll::Ready(None);
         }
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(self.pass(Frame::data(first)))));
+        if let Some(first) = self.first_chunk.take() {
+            return Poll::Ready(Some(Ok(self.record_frame(Frame::data(first)))));
         }
-        if self.due.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Some(self.break_off(ResultCode::DeadlinePassedRunning)));
+        if self.deadline.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(Some(self.abort(ResultCode::DeadlinePassedRunning)));
         }
         match ready!(Pin::new(&mut self.incoming).poll_frame(cx)) {
-            Some(Ok(frame)) => Poll::Ready(Some(Ok(self.pass(frame)))),
-            Some(Err(_broken)) => Poll::Ready(Some(self.break_off(ResultCode::BrokenMidway))),
-            None if self.is_whole() => {
-                self.end_whole();
+            Some(Ok(frame)) => Poll::Ready(Some(Ok(self.record_frame(frame)))),
+            Some(Err(_body_error)) => Poll::Ready(Some(self.abort(ResultCode::BrokenMidway))),
+            None if self.is_complete() => {
+                self.finish();
                 Poll::Ready(None)
             }
-            None => Poll::Ready(Some(self.break_off(ResultCode::BrokenMidway))),
+            None => Poll::Ready(Some(self.abort(ResultCode::BrokenMidway))),
         }
     }
 
     /// Notes a frame that is passed on.
-    fn pass(&mut self, frame: Frame<Bytes>) -> Frame<Bytes> {
+    fn record_frame(&mut self, frame: Frame<Bytes>) -> Frame<Bytes> {
         if let Some(data) = frame.data_ref() {
-            let count = if self.form == AnswerForm::Events {
+            let count = if self.kind == BodyKind::EventStream {
                 count_events(data)
             } else {
                 1
             };
-            self.record.tokens(count);
-            self.ticket.cost_tokens += count as f64;
-            self.keep_tail(data);
+            self.record.add_tokens(count);
+            self.dispatch_guard.cost_tokens += count as f64;
+            self.update_tail(data);
         }
-        if self.form == AnswerForm::Plain && self.incoming.is_end_stream() {
-            self.end_whole();
+        if self.kind == BodyKind::Plain && self.incoming.is_end_stream() {
+            self.finish();
         }
         frame
     }
 
     /// Keeps the end of what was passed on.
-    fn keep_tail(&mut self, data: &[u8]) {
-        if self.form != AnswerForm::Events {
+    fn update_tail(&mut self, data: &[u8]) {
+        if self.kind != BodyKind::EventStream {
             return;
         }
         let from = data.len().saturating_sub(TAIL_BYTES);
@@ -147,32 +147,35 @@
     }
 
     /// Whether what was passed on is a whole answer.
-    fn is_whole(&self) -> bool {
-        self.form != AnswerForm::Events
-            || self.tail.windows(DONE.len()).any(|window| window == DONE)
+    fn is_complete(&self) -> bool {
+        self.kind != BodyKind::EventStream
+            || self
+                .tail
+                .windows(DONE_MARKER.len())
+                .any(|window| window == DONE_MARKER)
     }
 
     /// Ends a whole answer.
-    fn end_whole(&mut self) {
+    fn finish(&mut self) {
         self.is_ended = true;
         if let Some(connection) = self.connection.take() {
             connection.keep();
         }
         self.record.finish(ResultCode::Served);
-        self.ticket.end(true);
+        self.dispatch_guard.release(true);
     }
 
     /// Ends an answer that isn't whole; leaving the connection cancels the rest.
-    fn break_off(&mut self, code: ResultCode) -> Result<Frame<Bytes>, BrokenOff> {
+    fn abort(&mut self, code: ResultCode) -> Result<Frame<Bytes>, ResponseAborted> {
         self.is_ended = true;
         self.connection = None;
         self.record.finish(code);
-        self.ticket.end(false);
-        if self.form == AnswerForm::Events {
-            let event = error_answer::event(code, &self.request_name);
+        self.dispatch_guard.release(false);
+        if self.kind == BodyKind::EventStream {
+            let event = error_response::event(code, &self.request_name);
             return Ok(Frame::data(event));
         }
-        Err(BrokenOff)
+        Err(ResponseAborted)
     }
 }
 
--- a/crates/cranereach-entry/src/upstream/engine.rs
+++ b/crates/cranereach-entry/src/upstream/engine.rs
@@ -9,10 +9,10 @@
 use cranereach_wire::upstream::OrderRequest;
 
 /// Time for a report, in milliseconds.
-const REPORT_WITHIN_MS: u64 = 1_000;
+const REPORT_TIMEOUT_MS: u64 = 1_000;
 
 /// Time for the answer to an order, in milliseconds.
-const ORDER_WITHIN_MS: u64 = 2_000;
+const ORDER_TIMEOUT_MS: u64 = 2_000;
 
 /// Client of one worker's control interface.
 #[derive(Debug)]
@@ -35,8 +35,8 @@
 
     /// Asks for the worker's report.
     pub async fn report(&self) -> Result<EngineLoad, CallError> {
-        let answer = self.client.get("/load", REPORT_WITHIN_MS).await?;
-        self.client.read(&answer)
+        let response = self.client.get("/load", REPORT_TIMEOUT_MS).await?;
+        self.client.read(&response)
     }
 
     /// Sends an order and says how it ended.
@@ -48,14 +48,18 @@
             target: order.target.clone(),
             memory_bytes: order.memory_bytes,
         };
-        let answer = match self.client.post("/orders", &request, ORDER_WITHIN_MS).await {
-            Ok(answer) => answer,
+        let response = match self
+            .client
+            .post("/orders", &request, ORDER_TIMEOUT_MS)
+            .await
+        {
+            Ok(response) => response,
             Err(CallError::NotSent { .. }) => return OrderEnd::NeverSent,
-            Err(_lost) => return OrderEnd::Unknown,
+            Err(_unanswered) => return OrderEnd::Unknown,
         };
-        match self.client.read::<OrderAnswer>(&answer) {
-            Ok(taken) if taken.is_accepted => OrderEnd::Accepted,
-            Ok(taken) => OrderEnd::Refused(taken.highest),
+        match self.client.read::<OrderAnswer>(&response) {
+            Ok(order_response) if order_response.is_accepted => OrderEnd::Accepted,
+            Ok(order_response) => OrderEnd::Refused(order_response.highest),
             Err(_garbled) => OrderEnd::Unknown,
         }
     }
--- a/crates/cranereach-entry/src/upstream/mod.rs
+++ b/crates/cranereach-entry/src/upstream/mod.rs
@@ -23,14 +23,14 @@
 
 /// Body of a request to an upstream.
 #[derive(Debug)]
-pub enum SendBody {
+pub enum UpstreamRequestBody {
     /// Kept whole, so that it can be sent again.
-    Kept(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on from the caller as it arrives.
-    Passed(Incoming),
+    Streamed(Incoming),
 }
 
-impl Body for SendBody {
+impl Body for UpstreamRequestBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -39,24 +39,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match self.get_mut() {
-            Self::Kept(body) => Pin::new(body)
+            Self::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never: Infallible| match never {}),
-            Self::Passed(body) => Pin::new(body).poll_frame(cx),
+            Self::Streamed(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Kept(body) => body.is_end_stream(),
-            Self::Passed(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
+            Self::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Kept(body) => body.size_hint(),
-            Self::Passed(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streamed(body) => body.size_hint(),
         }
     }
 }
@@ -64,7 +64,7 @@
 /// Connections to all listed upstreams.
 #[derive(Debug, Default)]
 pub struct Upstreams {
-    pools: RwLock<HashMap<WorkerId, Arc<Pool<SendBody>>>>,
+    pools: RwLock<HashMap<WorkerId, Arc<Pool<UpstreamRequestBody>>>>,
 }
 
 impl Upstreams {
@@ -73,15 +73,15 @@
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
         pools.retain(|id, _| listed.iter().any(|(listed_id, _)| listed_id == id));
         for (id, address) in listed {
-            let known = pools.get(id).is_some_and(|pool| pool.address() == address);
-            if !known {
+            let is_known = pools.get(id).is_some_and(|pool| pool.address() == address);
+            if !is_known {
                 pools.insert(id.clone(), Arc::new(Pool::new(address)));
             }
         }
     }
 
     /// Returns the connections to a worker.
-    pub fn pool(&self, worker: &WorkerId) -> Option<Arc<Pool<SendBody>>> {
+    pub fn pool(&self, worker: &WorkerId) -> Option<Arc<Pool<UpstreamRequestBody>>> {
         let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
         pools.get(worker).cloned()
     }
