--- a/crates/cranereach-entry/src/callers/claims.rs
+++ b/crates/cranereach-entry/src/callers/claims.rs
@@ -1,7 +1,7 @@
-//! Unsafe calls with an idempotency key: claimed in the table, then sent once.
+//! Unsafe calls with an idempotency key: claimed in the platform's table, then sent at most once.
 //!
-//! The claim is written before the call is sent. While the table is out of
-//! reach no such call is sent: it is refused as not run.
+//! The claim is written before the call is sent. While the table is unreachable, such calls are
+//! not sent but refused as not run.
 
 use std::sync::Arc;
 
@@ -29,16 +29,16 @@
 use cranereach_core::codes::ResultCode;
 use cranereach_http::body;
 
-/// Largest answer of a claimed call, in bytes; it is kept whole on its way.
+/// Largest response to a claimed call, in bytes; it is buffered in full before it is returned.
 const CLAIMED_RESPONSE_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Tries to settle a claim whose write was not answered.
+/// Maximum number of attempts to settle a claim whose write was not acknowledged.
 const SETTLE_MAX_ATTEMPTS: u32 = 100;
 
-/// Pause between two such tries, in milliseconds.
+/// Pause before each of these attempts, in milliseconds.
 const SETTLE_RETRY_INTERVAL_MS: u64 = 2_000;
 
-/// A claim that this attempt holds.
+/// A claim held by this attempt, with the key and version of its row.
 #[derive(Clone, Debug)]
 struct HeldClaim {
     row_key: String,
@@ -46,9 +46,9 @@
     claim: Claim,
 }
 
-/// Claims the key, runs the job, and keeps what became of it.
+/// Claims the idempotency key, runs the job and stores its outcome.
 ///
-/// The call goes on when the caller leaves, so that a repeat gets its answer.
+/// The call continues if the caller disconnects, so that a retry gets its response.
 pub(crate) async fn run(
     context: RequestContext,
     job: Job,
@@ -67,7 +67,7 @@
         .unwrap_or_else(|_panicked| Err(Refusal::of(ResultCode::OutcomeUnknown)))
 }
 
-/// Takes the claim, and runs the job if it is ours.
+/// Acquires the claim and runs the job, or replays the stored response of an earlier attempt.
 async fn run_claimed(
     context: RequestContext,
     mut job: Job,
@@ -82,13 +82,13 @@
     finish_claim(&context.shared, held, outcome).await
 }
 
-/// What came of taking a claim.
+/// Result of acquiring a claim.
 enum Acquired {
     Held(HeldClaim),
     Replay(KeptAnswer),
 }
 
-/// Writes the claim, or joins the attempt that has.
+/// Writes the claim, or joins the attempt that has already claimed the key.
 async fn acquire(shared: &Arc<Shared>, row_key: String, claim: Claim) -> Result<Acquired, Refusal> {
     let mut expected_version = 0;
     loop {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Keeps what became of a claimed call before the caller is told.
+/// Stores the outcome of a claimed call before the caller gets the response.
 async fn finish_claim(
     shared: &Arc<Shared>,
     held: HeldClaim,
@@ -148,7 +148,7 @@
                 u64::from(u32::MAX),
             )
             .await;
-            // Broken midway: the claim stays open, for the outcome is unknown.
+            // The claim stays open if the response is incomplete: the outcome is unknown.
             let bytes = collected.map_err(|_body_error| Refusal::of(ResultCode::OutcomeUnknown))?;
             let content_type = parts
                 .headers
@@ -180,7 +180,7 @@
     }
 }
 
-/// Writes what became of a claim; says whether the row has it now.
+/// Writes the outcome of a claim to its row; returns whether the write succeeded.
 async fn write_outcome(shared: &Shared, held: &HeldClaim, outcome: Outcome) -> bool {
     let claim = Claim {
         outcome,
@@ -196,7 +196,7 @@
     written.is_ok()
 }
 
-/// Marks a claim as not run once the table is back, if its write took effect.
+/// Marks a claim as not run once the table is reachable again, if the claim's write took effect.
 fn settle_in_background(shared: &Arc<Shared>, held: HeldClaim) {
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
@@ -220,7 +220,7 @@
     });
 }
 
-/// Makes the answer of a kept one.
+/// Builds the response to a retry from the stored response.
 fn replay(stored_response: &KeptAnswer) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::buffered(Full::new(Bytes::from(
         stored_response.body.clone(),
@@ -236,7 +236,7 @@
     response
 }
 
-/// Returns the key of a claim's row.
+/// Returns the row key of a claim, unique per account and idempotency key.
 fn row_key(context: &RequestContext, key: &str) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(context.grant.account.as_str().as_bytes());
@@ -245,7 +245,7 @@
     format!("claim-{}", hasher.finalize().to_hex())
 }
 
-/// Returns the hash by which a reused key is told from a repeat.
+/// Returns a hash of the request that tells a retry from another request with the same key.
 fn fingerprint(job: &Job, bytes: &Bytes) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(job.method.as_str().as_bytes());
--- a/crates/cranereach-entry/src/callers/dispatch_guard.rs
+++ b/crates/cranereach-entry/src/callers/dispatch_guard.rs
@@ -1,4 +1,4 @@
-//! A request's place at the dispatcher; given back when dropped.
+//! RAII guard for a request's queue entry or worker slot at the dispatcher.
 
 use std::sync::Arc;
 
@@ -13,30 +13,30 @@
 use cranereach_core::codes::ResultCode;
 use cranereach_core::dispatch::queues::Waiting;
 
-/// How far the request is with the dispatcher.
+/// State of the request at the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DispatchState {
-    /// Not there.
+    /// Not known to the dispatcher.
     Unregistered,
-    /// Waiting for a worker.
+    /// Waiting in the queue for a worker.
     Queued,
-    /// Counted at a worker.
+    /// Occupying a slot of a worker.
     Running,
 }
 
-/// A request's place at the dispatcher.
+/// A request's queue entry or worker slot at the dispatcher; released on drop.
 #[derive(Debug)]
 pub(crate) struct DispatchGuard {
     shared: Arc<Shared>,
     queue_entry: Waiting,
     state: DispatchState,
     has_arrived_before: bool,
-    /// What has been passed on so far, in tokens.
+    /// Cost of what has been forwarded to the caller so far, in tokens.
     pub(crate) cost_tokens: f64,
 }
 
 impl DispatchGuard {
-    /// Makes a ticket for a request that isn't at the dispatcher yet.
+    /// Creates a guard for a request that is not at the dispatcher yet.
     pub(crate) fn new(shared: Arc<Shared>, queue_entry: Waiting) -> Self {
         Self {
             shared,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Waits for a worker, or for the refusal.
+    /// Queues the request and waits until the dispatcher assigns a worker or refuses it.
     pub(crate) async fn admit(&mut self) -> Routed {
         let (reply, routed) = oneshot::channel();
         let arrive = Arrive {
@@ -70,7 +70,7 @@
         routed
     }
 
-    /// Gives the place at the worker back.
+    /// Releases the worker slot; `whole` says whether the response was complete.
     pub(crate) fn release(&mut self, whole: bool) {
         if self.state == DispatchState::Running {
             let request = self.queue_entry.request;
--- a/crates/cranereach-entry/src/callers/error_response.rs
+++ b/crates/cranereach-entry/src/callers/error_response.rs
@@ -1,4 +1,4 @@
-//! Answers that say what went wrong: numbered code, request, when to come back.
+//! Error responses: result code, request identity and Retry-After.
 
 use bytes::Bytes;
 use hyper::Response;
@@ -13,29 +13,29 @@
 use cranereach_core::names::AccountName;
 use cranereach_http::body;
 
-/// Retry-After of a refusal that has no better estimate, in milliseconds.
+/// Retry-After of a refusal without a better estimate, in milliseconds.
 const RETRY_AFTER_DEFAULT_MS: u64 = 1_000;
 
-/// A request that gets an error in place of an answer.
+/// Reason and details of a request that is answered with an error.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
-    /// Why.
+    /// Result code.
     pub(crate) code: ResultCode,
-    /// When a repeat is worth it, in milliseconds from now.
+    /// Earliest useful time of a retry, in milliseconds from now.
     pub(crate) retry_after_ms: u64,
-    /// What to say besides the code's meaning.
+    /// Text appended to the meaning of the code.
     pub(crate) detail: Option<String>,
-    /// Whose request it was, once that is known.
+    /// Account of the request; set only if a `RequestRecord` has already recorded the refusal.
     pub(crate) account: Option<AccountName>,
 }
 
-/// Body of an error answer, and data of an error event.
+/// Body of an error response, and data of an error event.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
 }
 
-/// What an error says.
+/// Content of an error.
 #[derive(Serialize)]
 struct ErrorDetail<'a> {
     code: u16,
@@ -46,7 +46,7 @@
 }
 
 impl Refusal {
-    /// Whether the caller may still be sending its body, so that the connection ends.
+    /// Whether the caller may still be sending the request body, so that the connection must close.
     pub(crate) fn leaves_body_unread(&self) -> bool {
         matches!(
             self.code,
@@ -54,7 +54,7 @@
         )
     }
 
-    /// Makes a refusal of a code alone.
+    /// Creates a refusal from a code, without further detail.
     pub(crate) fn of(code: ResultCode) -> Self {
         Self {
             code,
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Adds what to say besides the code's meaning.
+    /// Sets the text that is appended to the meaning of the code.
     pub(crate) fn with_detail(mut self, detail: String) -> Self {
         self.detail = Some(detail);
         self
     }
 }
 
-/// Makes the answer of a refusal.
+/// Builds the error response for a refusal.
 pub(crate) fn build(refusal: &Refusal, request_name: &str) -> Response<ResponseBody> {
     let row = refusal.code.row();
     let body = error_body(refusal.code, refusal.detail.as_deref(), request_name);
@@ -85,14 +85,14 @@
     response
 }
 
-/// Makes the event that ends a broken stream.
+/// Builds the error event that ends an aborted event stream.
 pub(crate) fn event(code: ResultCode, request_name: &str) -> Bytes {
     let body = error_body(code, None, request_name);
     let text = serde_json::to_string(&body).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {text}\n\n"))
 }
 
-/// Makes the body of an error.
+/// Builds the error body for a code.
 fn error_body<'a>(code: ResultCode, detail: Option<&str>, request: &'a str) -> ErrorBody<'a> {
     let row = code.row();
     let message = detail.map_or_else(
--- a/crates/cranereach-entry/src/callers/exchange.rs
+++ b/crates/cranereach-entry/src/callers/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends a job to an upstream, again where that is right, and answers.
+//! Sends a job to an upstream, retries where that is allowed, and returns the response.
 
 use std::sync::Arc;
 
@@ -38,10 +38,10 @@
 use cranereach_wire::upstream::NOT_RUN_NOT_RESIDENT;
 use cranereach_wire::upstream::REQUEST_HEADER;
 
-/// Largest answer that is kept whole before it is passed on, in bytes.
+/// Largest response that is buffered in full before it is forwarded, in bytes.
 const BUFFERED_RESPONSE_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// One request on its way through upstreams.
+/// State of one request over all its attempts at upstreams.
 struct Exchange<'a> {
     context: &'a RequestContext,
     job: &'a mut Job,
@@ -50,13 +50,13 @@
     record: RequestRecord,
 }
 
-/// The head of an upstream's answer with the connection that it came on.
+/// An upstream's response whose body is still unread, with its connection.
 struct ResponseHead {
     response: Response<Incoming>,
     connection: Connection<UpstreamRequestBody>,
 }
 
-/// Runs a job to its answer or refusal.
+/// Runs a job until there is a response or a refusal.
 pub(crate) async fn run(
     context: &RequestContext,
     job: &mut Job,
@@ -88,7 +88,7 @@
 }
 
 impl Exchange<'_> {
-    /// Tries upstreams until there is an answer or an end.
+    /// Tries upstreams until one responds or no further attempt is allowed.
     async fn run(mut self) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let worker = match self.dispatch_guard.admit().await {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Sends the job to one worker and waits for the head of the answer.
+    /// Sends the job to one worker and waits for the response head.
     async fn send(&mut self, worker: &WorkerId) -> Result<ResponseHead, Event> {
         let shared = Arc::clone(&self.context.shared);
         let mut connection = self.connect(worker).await?;
@@ -166,7 +166,10 @@
         })
     }
 
-    /// Takes or makes a connection; an unsafe job gets a new one.
+    /// Takes a pooled connection or opens one.
+    ///
+    /// An unsafe job always gets a new connection, because the upstream may close a pooled one
+    /// while the request is being sent.
     async fn connect(&self, worker: &WorkerId) -> Result<Connection<UpstreamRequestBody>, Event> {
         let shared = &self.context.shared;
         let pool = shared.upstreams.pool(worker).ok_or(Event::NotConnected)?;
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Checks that the answer is to this request and that something ran.
+    /// Checks that the upstream ran the request and that the response belongs to it.
     fn check_head(&self, worker: &WorkerId, response: &Response<Incoming>) -> Result<(), Event> {
         let shared = &self.context.shared;
         if let Some(reason) = response.headers().get(NOT_RUN_HEADER) {
@@ -217,7 +220,8 @@
         Ok(())
     }
 
-    /// Waits for the first event, so that a stream that never began can be repeated.
+    /// Waits for the first frame of an event stream, so that a stream that fails before it can
+    /// still be retried.
     async fn read_first_event(
         &mut self,
         head: ResponseHead,
@@ -254,7 +258,7 @@
         }
     }
 
-    /// Reads a whole answer before any of it is passed on.
+    /// Reads the whole response before any of it is forwarded.
     async fn buffer_response(
         &mut self,
         head: ResponseHead,
@@ -291,7 +295,7 @@
         Ok(client_response)
     }
 
-    /// Passes an answer on as it comes.
+    /// Forwards the response body as it arrives.
     fn stream(self, head: ResponseHead, first: Option<Bytes>) -> Response<ResponseBody> {
         let ResponseHead {
             response,
@@ -322,14 +326,14 @@
         client_response
     }
 
-    /// Lets the kernel judge an event.
+    /// Applies an event to the attempt and returns how to proceed.
     fn apply_event(&mut self, event: Event) -> Verdict {
         let shared = &self.context.shared;
         self.attempt
             .on(shared.now_ms(), event, &mut lock(&shared.retry_budget))
     }
 
-    /// Makes the refusal of a request that was followed.
+    /// Records the result of the request and builds its refusal.
     fn refusal(&mut self, code: ResultCode, retry_after_ms: u64) -> Refusal {
         self.record.finish(code);
         Refusal {
@@ -341,7 +345,7 @@
     }
 }
 
-/// Returns a worker's address for the host header.
+/// Returns a worker's address for the Host header, empty if the worker is unknown.
 fn worker_address(shared: &Shared, worker: &WorkerId) -> String {
     shared
         .upstreams
--- a/crates/cranereach-entry/src/callers/job.rs
+++ b/crates/cranereach-entry/src/callers/job.rs
@@ -1,4 +1,4 @@
-//! One request, ready to be sent to an upstream.
+//! A caller's request in the form in which it is sent to an upstream.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,52 +16,52 @@
 use cranereach_core::dispatch::queues::Waiting;
 use cranereach_core::names::TargetName;
 
-/// Which form of answer is expected.
+/// Kind of response body that is expected from the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyKind {
     /// Server-sent events that end with `[DONE]`.
     EventStream,
     /// One JSON object.
     JsonObject,
-    /// Whatever a plain service answers.
+    /// Any body, from a plain service.
     Plain,
 }
 
-/// Body of a job.
+/// Request body of a job.
 #[derive(Debug)]
 pub(crate) enum JobBody {
-    /// Kept, so that it can be sent again.
+    /// Buffered, so that it can be sent again.
     Buffered(Bytes),
-    /// To be passed on as it arrives; none once it is gone.
+    /// Streamed from the caller as it arrives; `None` once it has been sent.
     Streamed(Option<Incoming>),
 }
 
-/// One request, ready to be sent.
+/// A request to be sent to an upstream, possibly more than once.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// What it asks for.
+    /// Requested model or plain pool.
     pub(crate) target: TargetName,
-    /// Which form of answer is expected.
+    /// Kind of response body that is expected.
     pub(crate) kind: BodyKind,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub(crate) repeat: Repeatable,
-    /// When the whole answer is due.
+    /// Deadline of the whole response, in milliseconds on the process clock.
     pub(crate) deadline_ms: u64,
-    /// Expected cost, in tokens.
+    /// Estimated cost, in tokens.
     pub(crate) cost_tokens: f64,
-    /// Hash of the start of its prompt; zero for none.
+    /// Hash of the start of the prompt, used for routing by prefix; zero for plain calls.
     pub(crate) prefix_hash: u64,
-    /// Method.
+    /// HTTP method.
     pub(crate) method: Method,
     /// Path and query.
     pub(crate) path: String,
-    /// Headers that go to the upstream.
+    /// Headers sent to the upstream.
     pub(crate) headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub(crate) body: JobBody,
 }
 
-/// Headers that belong to one connection, or to us alone.
+/// Headers that are not forwarded: hop-by-hop headers, and those meant for or set by this instance.
 const UNFORWARDED_HEADERS: [HeaderName; 11] = [
     header::AUTHORIZATION,
     header::CONNECTION,
@@ -76,7 +76,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Copies the headers that pass from one side to the other.
+/// Copies the headers that are forwarded, without those named in the Connection header.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -95,7 +95,7 @@
 }
 
 impl Job {
-    /// Returns the request's entry for the dispatcher.
+    /// Returns the queue entry of the request for the dispatcher.
     pub(crate) fn queue_entry(&self, context: &RequestContext, now_ms: u64) -> Waiting {
         let grant = &context.grant;
         Waiting {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Builds the request for an upstream; none if the body is gone.
+    /// Builds the HTTP request for an upstream; `None` if a streamed body has already been sent, or
+    /// the path or address is invalid.
     pub(crate) fn build_request(&mut self, address: &str) -> Option<Request<UpstreamRequestBody>> {
         let body = match &mut self.body {
             JobBody::Buffered(bytes) => UpstreamRequestBody::Buffered(Full::new(bytes.clone())),
@@ -128,7 +129,7 @@
         Some(request)
     }
 
-    /// Takes the body of a request back that was not sent.
+    /// Takes the streamed body back from a request that was not sent.
     pub(crate) fn restore_body(&mut self, request: Request<UpstreamRequestBody>) {
         if let (JobBody::Streamed(slot), UpstreamRequestBody::Streamed(incoming)) =
             (&mut self.body, request.into_body())
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Whether the request can be sent once more.
+    /// Whether the body is still available for another attempt.
     pub(crate) fn can_resend(&self) -> bool {
         !matches!(self.body, JobBody::Streamed(None))
     }
--- a/crates/cranereach-entry/src/callers/mod.rs
+++ b/crates/cranereach-entry/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: authenticate, find out what is asked for, answer.
+//! Request path of callers: authenticates, routes by path, and responds.
 
 mod claims;
 mod dispatch_guard;
@@ -36,10 +36,10 @@
 use cranereach_http::body;
 use cranereach_http::server::Closed;
 
-/// Header that names a request to its caller.
+/// Header that carries the name of a request.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// What every step of one request has at hand.
+/// Context of one authenticated request.
 #[derive(Debug)]
 pub(crate) struct RequestContext {
     shared: Arc<Shared>,
@@ -49,7 +49,7 @@
     request_name: String,
 }
 
-/// Answers one request of a caller.
+/// Handles one request of a caller.
 pub async fn answer(
     shared: Arc<Shared>,
     request: Request<Incoming>,
@@ -70,8 +70,9 @@
     }
     let is_leaving = shared.phase() != Phase::Serving;
     if (is_leaving || is_body_unread) && version < Version::HTTP_2 {
-        // The caller's next connection goes through the balancer to another; one
-        // with bytes left unread ends, and must not be used for the next call.
+        // While draining, this makes the caller reconnect through the load balancer, which
+        // picks another instance. A connection whose request body was not read to its end
+        // can't be reused either.
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -79,7 +80,7 @@
     Ok(response.map(|body| body.with_in_flight_guard(in_flight)))
 }
 
-/// Finds out who calls, and whether this instance may serve at all.
+/// Authenticates the caller by its bearer key, if this instance may serve at all.
 fn authenticate(
     shared: &Arc<Shared>,
     request_id: cranereach_core::names::RequestId,
@@ -104,7 +105,7 @@
     })
 }
 
-/// Hands a request to what its path means.
+/// Dispatches a request to the handler for its method and path.
 async fn route(
     context: RequestContext,
     request: Request<Incoming>,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Lists the models that the caller's account is entitled to.
+/// Lists the models that the client account is entitled to.
 fn list_models(context: &RequestContext) -> Response<ResponseBody> {
     let is_model = |target: &&TargetName| context.snapshot.models.contains_key(*target);
     let data: Vec<_> = context
@@ -131,7 +132,7 @@
     body::json(200, &json!({ "object": "list", "data": data })).map(ResponseBody::buffered)
 }
 
-/// Answers a refusal, and counts and logs it.
+/// Counts and logs a refusal and builds its response.
 fn refusal_response(
     shared: &Shared,
     request_name: &str,
@@ -142,7 +143,7 @@
 }
 
 impl RequestContext {
-    /// Whether the account is entitled to a model that its pool can serve.
+    /// Whether the target belongs to an engine pool and the account is entitled to it.
     fn may_use_model(&self, target: &TargetName) -> bool {
         let is_model = self
             .snapshot
--- a/crates/cranereach-entry/src/callers/model_call.rs
+++ b/crates/cranereach-entry/src/callers/model_call.rs
@@ -1,4 +1,4 @@
-//! Calls of models: the usual completions protocol.
+//! Model calls in the completions and chat completions protocol.
 
 use bytes::Bytes;
 use hyper::HeaderMap;
@@ -24,16 +24,16 @@
 use cranereach_wire::upstream::PRIORITY_HEADER;
 use cranereach_wire::upstream::REQUEST_HEADER;
 
-/// Tokens expected of a request that names no limit.
+/// Output tokens assumed for a request that sets no limit.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Characters per token, for estimates.
+/// Bytes of prompt JSON per token, for cost estimates.
 const CHARS_PER_TOKEN: f64 = 4.0;
 
-/// Characters at the start of a prompt that make its prefix.
+/// Number of characters at the start of a prompt that are hashed as its prefix.
 const PREFIX_CHARS: usize = 64;
 
-/// What is read of a request; the rest is passed on untouched.
+/// Fields that are read from the request body; the body itself is forwarded unchanged.
 #[derive(Debug, Deserialize)]
 struct Completion<'a> {
     model: String,
@@ -49,7 +49,7 @@
     messages: Option<&'a serde_json::value::RawValue>,
 }
 
-/// Answers a call of a model.
+/// Handles a model call.
 pub(crate) async fn handle(
     context: RequestContext,
     request: Request<Incoming>,
@@ -67,7 +67,7 @@
     exchange::run(&context, &mut job).await
 }
 
-/// Returns the code of a body that could not be read.
+/// Returns the result code for a request body that could not be read.
 pub(crate) fn body_error_code(error: BodyError) -> ResultCode {
     match error {
         BodyError::TooLarge => ResultCode::BodyTooLarge,
@@ -76,13 +76,13 @@
     }
 }
 
-/// Makes the job of a call.
+/// Builds the job of a model call.
 fn build_job(context: &RequestContext, path: String, bytes: Bytes) -> Result<Job, Refusal> {
     let completion: Completion<'_> = serde_json::from_slice(&bytes)
         .map_err(|error| Refusal::of(ResultCode::BadRequest).with_detail(error.to_string()))?;
     let target = TargetName::from(completion.model.as_str());
     if !context.may_use_model(&target) {
-        // The same answer for a model of another account as for none at all.
+        // The error is the same whether the model belongs to another account or does not exist.
         let allowed: Vec<&str> = context
             .grant
             .targets
@@ -120,7 +120,7 @@
     })
 }
 
-/// Makes the headers that an engine gets.
+/// Builds the headers sent to an engine.
 fn engine_headers(context: &RequestContext) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/cranereach-entry/src/callers/plain_call.rs
+++ b/crates/cranereach-entry/src/callers/plain_call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, streamed both ways, and at most once where unsafe.
+//! Calls of plain services: streamed in both directions, and run at most once if unsafe.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -25,16 +25,16 @@
 use cranereach_core::names::TargetName;
 use cranereach_http::body;
 
-/// Header by which a caller joins a repeat to its first attempt.
+/// Header with the key that a caller sets on a request and its retries.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Cost of a plain call, in tokens.
+/// Estimated cost of a plain call, in tokens.
 const COST_TOKENS: f64 = 32.0;
 
-/// Largest body that is kept so that it can be sent again, in bytes.
+/// Largest request body that is buffered so that it can be sent again, in bytes.
 const BUFFERED_BODY_MAX_BYTES: u64 = 64 * 1024;
 
-/// Answers a call of a plain service.
+/// Handles a call of a plain service.
 pub(crate) async fn handle(
     context: RequestContext,
     request: Request<Incoming>,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Makes the job of a call, its body still empty.
+/// Builds the job of a call with an empty body.
 fn build_job(
     context: &RequestContext,
     target: TargetName,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Keeps a small body, so that it can be sent again; passes others on.
+/// Buffers a small request body so that it can be sent again; streams a larger one.
 async fn buffer_if_small(incoming: Incoming, within_ms: u64) -> Result<JobBody, Refusal> {
     let is_small = incoming
         .size_hint()
@@ -109,7 +109,7 @@
         .map_err(|error| Refusal::of(body_error_code(error)))
 }
 
-/// Returns whether a call may run twice: by the pool's rules, else by method.
+/// Returns whether a call may run more than once: by the pool's rules, else by the HTTP method.
 fn repeatability(pool: &Pool, method: &Method, path: &str) -> Repeatable {
     let prefix = pool.path_prefix.as_deref().unwrap_or_default();
     let relative_path = path.strip_prefix(prefix).unwrap_or(path);
--- a/crates/cranereach-entry/src/callers/record.rs
+++ b/crates/cranereach-entry/src/callers/record.rs
@@ -1,4 +1,4 @@
-//! What is measured and logged of one request, at its end.
+//! Metrics and log line of one request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,7 +14,7 @@
 use cranereach_core::names::TargetName;
 use cranereach_core::names::WorkerId;
 
-/// Follows one admitted request to its end; a drop without one is the caller's.
+/// Collects the metrics of one request; dropping it unfinished records that the caller left.
 #[derive(Debug)]
 pub(crate) struct RequestRecord {
     shared: Arc<Shared>,
@@ -31,7 +31,7 @@
 }
 
 impl RequestRecord {
-    /// Starts to follow a request.
+    /// Starts the record of a request.
     pub(crate) fn start(
         shared: &Arc<Shared>,
         account: &AccountName,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Notes that the request left the queue for a worker.
+    /// Records that the request left the queue for a worker; a second time counts as a retry.
     pub(crate) fn routed(&mut self, worker: &WorkerId) {
         if self.worker.is_none() {
             let waited = self.started_at.elapsed().as_secs_f64();
@@ -73,7 +73,7 @@
         self.worker = Some(worker.clone());
     }
 
-    /// Notes tokens that are being passed on.
+    /// Records tokens that are forwarded to the caller.
     pub(crate) fn add_tokens(&mut self, count: u64) {
         let now = Instant::now();
         if let Some(last) = self.last_token_at {
@@ -90,7 +90,7 @@
         self.token_count += count;
     }
 
-    /// Ends the request with a code.
+    /// Records the result of the request; later calls have no effect.
     pub(crate) fn finish(&mut self, code: ResultCode) {
         if self.is_finished {
             return;
@@ -126,10 +126,10 @@
     }
 }
 
-/// Counts and logs a request that was refused before it was followed.
+/// Counts and logs a request that was refused before it had a [`RequestRecord`].
 pub(crate) fn record_refused(shared: &Shared, request_name: &str, refusal: &Refusal) {
     if refusal.account.is_some() {
-        // It was followed: its record has counted it.
+        // The request's record has already counted it.
         return;
     }
     let row = refusal.code.row();
--- a/crates/cranereach-entry/src/callers/response_body.rs
+++ b/crates/cranereach-entry/src/callers/response_body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer to a caller: whole, or passed on as it comes.
+//! Body of a response to a caller: buffered, or streamed from an upstream.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -14,19 +14,19 @@
 use super::streamed_response::StreamedResponse;
 use crate::shared::InFlight;
 
-/// The answer broke off; the connection ends so that nobody takes it as whole.
+/// The response is incomplete; the connection is closed so that no caller takes it as complete.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
 pub struct ResponseAborted;
 
-/// Body of an answer.
+/// Body of a response to a caller.
 #[derive(Debug)]
 pub struct ResponseBody {
     kind: Kind,
     in_flight: Option<InFlight>,
 }
 
-/// Where the bytes come from.
+/// Source of the body.
 #[derive(Debug)]
 enum Kind {
     Buffered(Full<Bytes>),
@@ -34,7 +34,7 @@
 }
 
 impl ResponseBody {
-    /// Makes a whole body.
+    /// Creates a body from buffered bytes.
     pub(crate) fn buffered(body: Full<Bytes>) -> Self {
         Self {
             kind: Kind::Buffered(body),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Makes a body that passes an upstream's answer on.
+    /// Creates a body that forwards an upstream's response.
     pub(crate) fn streamed(streamed: StreamedResponse) -> Self {
         Self {
             kind: Kind::Streamed(Box::new(streamed)),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Counts the request as in flight until the body has ended.
+    /// Attaches the guard that counts the request as in flight until the body is dropped.
     pub(crate) fn with_in_flight_guard(mut self, in_flight: InFlight) -> Self {
         self.in_flight = Some(in_flight);
         self
--- a/crates/cranereach-entry/src/callers/streamed_response.rs
+++ b/crates/cranereach-entry/src/callers/streamed_response.rs
@@ -1,8 +1,8 @@
-//! An upstream's answer on its way to the caller, frame by frame.
+//! An upstream's response that is forwarded to the caller frame by frame.
 //!
-//! Nothing is buffered: the caller's pace is the upstream's. A stream of events
-//! that breaks off ends with an error event and without `[DONE]`; any other
-//! answer that breaks off ends its connection.
+//! Nothing is buffered, so a slow caller slows the upstream down (backpressure). An event stream
+//! that is aborted ends with an error event and without `[DONE]`; any other response that is
+//! aborted closes its connection.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -27,13 +27,13 @@
 use cranereach_core::codes::ResultCode;
 use cranereach_http::pool::Connection;
 
-/// What ends a whole stream of events.
+/// Marker that ends a complete event stream.
 const DONE_MARKER: &[u8] = b"[DONE]";
 
-/// Bytes of the stream's end that are kept, to find [`DONE`] across frames.
+/// Number of bytes kept from the end of the stream, to find [`DONE_MARKER`] across frames.
 const TAIL_BYTES: usize = 16;
 
-/// An answer that is being passed on.
+/// A response that is being forwarded.
 #[derive(Debug)]
 pub(crate) struct StreamedResponse {
     kind: BodyKind,
@@ -49,7 +49,7 @@
 }
 
 impl StreamedResponse {
-    /// Starts to pass an answer on.
+    /// Creates a response that ends with an error once `deadline` has passed.
     #[expect(
         clippy::too_many_arguments,
         reason = "the parts of one exchange, handed over once"
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Whether everything has been passed on.
+    /// Whether the response has ended, complete or not.
     pub(crate) fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// Returns what is known of the size.
+    /// Returns the size hint of the upstream's body for a plain response, else an unknown size.
     pub(crate) fn size_hint(&self) -> SizeHint {
         if self.kind == BodyKind::Plain {
             self.incoming.size_hint()
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Passes the next frame on.
+    /// Polls the next frame for the caller.
     pub(crate) fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notes a frame that is passed on.
+    /// Records a frame that is forwarded, and returns it.
     fn record_frame(&mut self, frame: Frame<Bytes>) -> Frame<Bytes> {
         if let Some(data) = frame.data_ref() {
             let count = if self.kind == BodyKind::EventStream {
@@ -135,7 +135,7 @@
         frame
     }
 
-    /// Keeps the end of what was passed on.
+    /// Keeps the last bytes of an event stream.
     fn update_tail(&mut self, data: &[u8]) {
         if self.kind != BodyKind::EventStream {
             return;
@@ -146,7 +146,7 @@
         self.tail.drain(..surplus);
     }
 
-    /// Whether what was passed on is a whole answer.
+    /// Whether the forwarded frames are a complete response, now that the upstream's body ended.
     fn is_complete(&self) -> bool {
         self.kind != BodyKind::EventStream
             || self
@@ -155,7 +155,7 @@
                 .any(|window| window == DONE_MARKER)
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete response and returns the connection to its pool.
     fn finish(&mut self) {
         self.is_ended = true;
         if let Some(connection) = self.connection.take() {
@@ -165,7 +165,7 @@
         self.dispatch_guard.release(true);
     }
 
-    /// Ends an answer that isn't whole; leaving the connection cancels the rest.
+    /// Ends an incomplete response; dropping the connection cancels the request at the upstream.
     fn abort(&mut self, code: ResultCode) -> Result<Frame<Bytes>, ResponseAborted> {
         self.is_ended = true;
         self.connection = None;
@@ -179,7 +179,7 @@
     }
 }
 
-/// Counts the events in a piece of a stream by their ends.
+/// Counts the events in a chunk of an event stream by their terminating blank lines.
 fn count_events(data: &[u8]) -> u64 {
     data.windows(2).filter(|pair| pair == b"\n\n").count() as u64
 }
--- a/crates/cranereach-entry/src/upstream/engine.rs
+++ b/crates/cranereach-entry/src/upstream/engine.rs
@@ -1,4 +1,4 @@
-//! Adapter of an upstream's control interface: load reports and orders.
+//! Adapter for the control interface of an upstream: load reports and orders.
 
 use cranereach_core::control::Order;
 use cranereach_core::control::OrderEnd;
@@ -8,10 +8,10 @@
 use cranereach_wire::upstream::OrderAnswer;
 use cranereach_wire::upstream::OrderRequest;
 
-/// Time for a report, in milliseconds.
+/// Timeout of a load report, in milliseconds.
 const REPORT_TIMEOUT_MS: u64 = 1_000;
 
-/// Time for the answer to an order, in milliseconds.
+/// Timeout of an order, in milliseconds.
 const ORDER_TIMEOUT_MS: u64 = 2_000;
 
 /// Client of one worker's control interface.
@@ -21,25 +21,25 @@
 }
 
 impl EngineControl {
-    /// Makes a client for `ip:port`.
+    /// Creates a client for `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
             client: JsonClient::new(address),
         }
     }
 
-    /// Returns the address.
+    /// Returns the worker's address.
     pub fn address(&self) -> &str {
         self.client.address()
     }
 
-    /// Asks for the worker's report.
+    /// Fetches the worker's load report.
     pub async fn report(&self) -> Result<EngineLoad, CallError> {
         let response = self.client.get("/load", REPORT_TIMEOUT_MS).await?;
         self.client.read(&response)
     }
 
-    /// Sends an order and says how it ended.
+    /// Sends an order and returns its outcome.
     pub async fn order(&self, order: &Order) -> OrderEnd {
         let request = OrderRequest {
             boot_id: order.boot_id,
--- a/crates/cranereach-entry/src/upstream/mod.rs
+++ b/crates/cranereach-entry/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams: kept connections to each, and the adapter of model engines.
+//! Upstreams: connection pools, and the control adapter for model engines.
 
 pub mod engine;
 
@@ -24,9 +24,9 @@
 /// Body of a request to an upstream.
 #[derive(Debug)]
 pub enum UpstreamRequestBody {
-    /// Kept whole, so that it can be sent again.
+    /// Buffered, so that it can be sent again.
     Buffered(Full<Bytes>),
-    /// Passed on from the caller as it arrives.
+    /// Streamed from the caller as it arrives.
     Streamed(Incoming),
 }
 
@@ -61,14 +61,14 @@
     }
 }
 
-/// Connections to all listed upstreams.
+/// Connection pools of all listed upstreams.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     pools: RwLock<HashMap<WorkerId, Arc<Pool<UpstreamRequestBody>>>>,
 }
 
 impl Upstreams {
-    /// Takes the listed workers with their addresses.
+    /// Replaces the list of workers and addresses; keeps the pools of unchanged workers.
     pub fn list(&self, listed: &[(WorkerId, String)]) {
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
         pools.retain(|id, _| listed.iter().any(|(listed_id, _)| listed_id == id));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the connections to a worker.
+    /// Returns the connection pool of a worker.
     pub fn pool(&self, worker: &WorkerId) -> Option<Arc<Pool<UpstreamRequestBody>>> {
         let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
         pools.get(worker).cloned()
