--- a/crates/cranereach-entry/src/callers/model_call.rs
+++ b/crates/cranereach-entry/src/callers/model_call.rs
@@ -28,7 +28,7 @@
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Bytes of prompt JSON per token, for cost estimates.
-const CHARS_PER_TOKEN: f64 = 4.0;
+const PROMPT_BYTES_PER_TOKEN: f64 = 4.0;
 
 /// Number of characters at the start of a prompt that are hashed as its prefix.
 const PREFIX_CHARS: usize = 64;
@@ -100,7 +100,7 @@
         .messages
         .or(completion.prompt)
         .map_or("", serde_json::value::RawValue::get);
-    let cost_tokens = prompt.len() as f64 / CHARS_PER_TOKEN + f64::from(max_tokens);
+    let cost_tokens = prompt.len() as f64 / PROMPT_BYTES_PER_TOKEN + f64::from(max_tokens);
     let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     Ok(Job {
         kind: if completion.stream {
