--- a/crates/cranereach-entry/src/callers/claims.rs
+++ b/crates/cranereach-entry/src/callers/claims.rs
@@ -191,7 +191,7 @@
         .write(&held.row_key, held.version, &claim)
         .await;
     if let Err(error) = &written {
-        warn!(shared.log, "a claim's outcome isn't kept"; "attempt" => held.claim.attempt_id.as_str(), "error" => error.to_string());
+        warn!(shared.log, "storing the outcome of an idempotency claim failed"; "attempt" => held.claim.attempt_id.as_str(), "error" => error.to_string());
     }
     written.is_ok()
 }
--- a/crates/cranereach-entry/src/callers/response_body.rs
+++ b/crates/cranereach-entry/src/callers/response_body.rs
@@ -16,7 +16,7 @@
 
 /// The response is incomplete; the connection is closed so that no caller takes it as complete.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the answer broke off")]
+#[error("response aborted before it was complete")]
 pub struct ResponseAborted;
 
 /// Body of a response to a caller.
