--- a/crates/cranereach-entry/src/callers/exchange.rs
+++ b/crates/cranereach-entry/src/callers/exchange.rs
@@ -50,7 +50,7 @@
     record: RequestRecord,
 }
 
-/// An upstream's response whose body is still unread, with its connection.
+/// An upstream's response, its body not yet read to the end, with its connection.
 struct ResponseHead {
     response: Response<Incoming>,
     connection: Connection<UpstreamRequestBody>,
--- a/crates/cranereach-entry/src/callers/record.rs
+++ b/crates/cranereach-entry/src/callers/record.rs
@@ -14,7 +14,7 @@
 use cranereach_core::names::TargetName;
 use cranereach_core::names::WorkerId;
 
-/// Collects the metrics of one request; dropping it unfinished records that the caller left.
+/// Collects metrics of one request and logs its result; a drop before that means the caller left.
 #[derive(Debug)]
 pub(crate) struct RequestRecord {
     shared: Arc<Shared>,
