--- a/crates/cranereach-entry/src/apply.rs
+++ b/crates/cranereach-entry/src/apply.rs
@@ -23,10 +23,10 @@
 use cranereach_wire::head_row::HeadRow;
 
 /// Tries to settle a commit whose answer was lost.
-const SETTLE_TRIES: u32 = 10;
+const COMMIT_ATTEMPTS: u32 = 10;
 
 /// Pause between two such tries, in milliseconds.
-const SETTLE_PAUSE_MS: u64 = 500;
+const COMMIT_RETRY_PAUSE_MS: u64 = 500;
 
 /// Why a change was not accepted.
 #[derive(Debug, Error)]
@@ -34,7 +34,7 @@
     /// Others changed the same files first.
     #[error(
         "version {version} was accepted first and changes the same files: {}; pull, merge, and apply again",
-        list(files)
+        join_names(files)
     )]
     RaceLost {
         /// Version that won.
@@ -128,7 +128,7 @@
                 ..Current::default()
             });
         };
-        let folder = self.folder(&head.hash).await?;
+        let folder = self.read_folder(&head.hash).await?;
         Ok(Current {
             head,
             folder,
@@ -138,7 +138,11 @@
     }
 
     /// Reads the files of an accepted version that is still in the history.
-    pub async fn folder_of(&self, current: &Current, version: u64) -> Result<Folder, ApplyError> {
+    pub async fn folder_at_version(
+        &self,
+        current: &Current,
+        version: u64,
+    ) -> Result<Folder, ApplyError> {
         if version == 0 {
             return Ok(Folder::default());
         }
@@ -152,7 +156,7 @@
                 detail: format!("version {version} is too old to merge with; pull first"),
             });
         };
-        self.folder(&accepted.hash).await
+        self.read_folder(&accepted.hash).await
     }
 
     /// Applies `mine`, begun from `base_version`; merges with what came since.
@@ -194,11 +198,11 @@
         if base_version == current.head.version {
             return Ok(mine.clone());
         }
-        let base = self.folder_of(current, base_version).await?;
+        let base = self.folder_at_version(current, base_version).await?;
         let version = current.head.version;
         let merged = Folder::merge(&base, mine, &current.folder)
             .map_err(|files| ApplyError::RaceLost { version, files })?;
-        check(&merged, version)?;
+        check_merged(&merged, version)?;
         Ok(merged)
     }
 
@@ -210,23 +214,23 @@
         change_id: &str,
     ) -> Result<Option<Accepted>, ApplyError> {
         let mut detail = String::new();
-        let mut was_sent = false;
-        for _try in 0..SETTLE_TRIES {
+        let mut may_be_committed = false;
+        for _attempt in 0..COMMIT_ATTEMPTS {
             match self.table.write(HEAD_KEY, expected_version, row).await {
                 Ok(_version) => return Ok(row.find(change_id).cloned()),
                 Err(StoreError::Conflict) => match self.table.read::<HeadRow>(HEAD_KEY).await {
                     Ok(found) => return Ok(found.value.find(change_id).cloned()),
                     Err(error) => detail = error.to_string(),
                 },
-                Err(StoreError::NotDone { detail: seen }) if !was_sent => {
+                Err(StoreError::NotDone { detail: seen }) if !may_be_committed => {
                     return Err(ApplyError::StoreUnavailable { detail: seen });
                 }
                 Err(error) => {
-                    was_sent = true;
+                    may_be_committed = true;
                     detail = error.to_string();
                 }
             }
-            tokio::time::sleep(Duration::from_millis(SETTLE_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(COMMIT_RETRY_PAUSE_MS)).await;
         }
         Err(ApplyError::AcceptanceUnknown {
             change_id: change_id.to_owned(),
@@ -235,7 +239,7 @@
     }
 
     /// Reads the files of a body.
-    async fn folder(&self, hash: &str) -> Result<Folder, ApplyError> {
+    async fn read_folder(&self, hash: &str) -> Result<Folder, ApplyError> {
         let body = self.objects.get(hash).await.map_err(unavailable)?;
         let body = body.ok_or_else(|| ApplyError::StoreUnavailable {
             detail: format!("the object store lacks body {hash}"),
@@ -247,7 +251,7 @@
 }
 
 /// Checks merged declarations as a whole.
-fn check(merged: &Folder, version: u64) -> Result<(), ApplyError> {
+fn check_merged(merged: &Folder, version: u64) -> Result<(), ApplyError> {
     let fault = |code, faults| {
         Err(ApplyError::MergedFaults {
             version,
@@ -285,7 +289,7 @@
 }
 
 /// Lists file names.
-fn list(files: &BTreeSet<String>) -> String {
+fn join_names(files: &BTreeSet<String>) -> String {
     files
         .iter()
         .map(String::as_str)
--- a/crates/cranereach-entry/src/config_sync.rs
+++ b/crates/cranereach-entry/src/config_sync.rs
@@ -13,7 +13,7 @@
 
 use crate::peers::bodies;
 use crate::platform::objects::Objects;
-use crate::platform::objects::hash_of;
+use crate::platform::objects::content_hash;
 use crate::shared::HeldBody;
 use crate::shared::Shared;
 use crate::shared::lock;
@@ -24,10 +24,10 @@
 use cranereach_wire::head_row::HeadRow;
 
 /// Part by which a pause is varied, so that instances don't read in step.
-const JITTER_RATIO: f64 = 0.3;
+const JITTER_RANGE: f64 = 0.3;
 
 /// Pause before a body that could not be fetched is tried again, in ms.
-const FETCH_AGAIN_MS: u64 = 300;
+const FETCH_RETRY_MS: u64 = 300;
 
 /// Runs until the process ends.
 pub async fn run(shared: Arc<Shared>) {
@@ -38,15 +38,15 @@
         let until = shared.clock.instant(until_ms);
         loop {
             fetch_missing(&shared, &objects).await;
-            let again_ms = if shared.config().missing().is_some() {
-                FETCH_AGAIN_MS
+            let retry_ms = if shared.config().missing().is_some() {
+                FETCH_RETRY_MS
             } else {
                 u64::from(u32::MAX)
             };
             tokio::select! {
                 () = tokio::time::sleep_until(until) => break,
-                () = tokio::time::sleep(Duration::from_millis(again_ms)) => {}
-                () = shared.config_wanted.notified() => {}
+                () = tokio::time::sleep(Duration::from_millis(retry_ms)) => {}
+                () = shared.config_body_missing.notified() => {}
             }
         }
     }
@@ -83,7 +83,7 @@
 
 /// Puts a body in force if its head is newer than the one held.
 fn adopt(shared: &Shared, head: &Head, body: Bytes) {
-    if hash_of(&body) != head.hash {
+    if content_hash(&body) != head.hash {
         return;
     }
     let snapshot = match resolve(&body, head.version) {
@@ -120,6 +120,6 @@
 
 /// Varies a pause.
 pub fn jittered(pause_ms: u64) -> u64 {
-    let factor = 1.0 + JITTER_RATIO * (rand::random::<f64>() - 0.5);
+    let factor = 1.0 + JITTER_RANGE * (rand::random::<f64>() - 0.5);
     (pause_ms as f64 * factor) as u64
 }
--- a/crates/cranereach-entry/src/control_actor/calls.rs
+++ b/crates/cranereach-entry/src/control_actor/calls.rs
@@ -8,9 +8,9 @@
 use xtra::Address;
 use xtra::Handler;
 
+use super::CallCompleted;
 use super::ControlActor;
-use super::Ended;
-use super::LEASE_READ_EVERY_MS;
+use super::LEASE_READ_INTERVAL_MS;
 use cranereach_core::cell::CellId;
 use cranereach_core::control::IntentRow;
 use cranereach_core::control::Order;
@@ -29,11 +29,11 @@
 
 impl ControlActor {
     /// Runs a call and brings its end back to the actor.
-    fn call(&self, calling: impl Future<Output = Option<Ended>> + Send + 'static) {
-        let own = self.own.clone();
+    fn spawn_call(&self, call: impl Future<Output = Option<CallCompleted>> + Send + 'static) {
+        let own_address = self.own_address.clone();
         tokio::spawn(async move {
-            if let (Some(ended), Some(address)) = (calling.await, own.try_upgrade()) {
-                tell(&address, ended);
+            if let (Some(completed), Some(address)) = (call.await, own_address.try_upgrade()) {
+                tell(&address, completed);
             }
         });
     }
@@ -48,12 +48,12 @@
                 continue;
             };
             let (id, worker) = (id.clone(), worker.clone());
-            self.call(async move {
+            self.spawn_call(async move {
                 client
                     .report()
                     .await
                     .ok()
-                    .map(|load| Ended::Polled(id, worker, load))
+                    .map(|load| CallCompleted::Polled(id, worker, load))
             });
         }
     }
@@ -65,16 +65,16 @@
         };
         let is_due = cell
             .lease_read_at_ms
-            .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) >= LEASE_READ_EVERY_MS);
+            .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) >= LEASE_READ_INTERVAL_MS);
         if !is_due {
             return;
         }
         cell.lease_read_at_ms = Some(now_ms);
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
-        self.call(async move {
+        self.spawn_call(async move {
             let row = shared.table.read(&lease_key(&id)).await;
-            Some(Ended::LeaseRead(id, row))
+            Some(CallCompleted::LeaseRead(id, row))
         });
     }
 
@@ -83,12 +83,12 @@
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
         debug!(shared.log, "lease write"; "cell" => id.to_string(), "epoch" => write.row.epoch_major);
-        self.call(async move {
+        self.spawn_call(async move {
             let written = shared
                 .table
                 .write(&lease_key(&id), write.expected_version, &write.row)
                 .await;
-            Some(Ended::LeaseWritten(id, write.row, written))
+            Some(CallCompleted::LeaseWritten(id, write.row, written))
         });
     }
 
@@ -96,9 +96,9 @@
     pub(super) fn read_intents(&self, id: &CellId) {
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
-        self.call(async move {
+        self.spawn_call(async move {
             let row = shared.table.read::<IntentRow>(&intents_key(&id)).await;
-            Some(Ended::IntentsRead(id, row))
+            Some(CallCompleted::IntentsRead(id, row))
         });
     }
 
@@ -109,12 +109,12 @@
         };
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
-        self.call(async move {
+        self.spawn_call(async move {
             let written = shared
                 .table
                 .write(&intents_key(&id), expected_version, &row)
                 .await;
-            Some(Ended::IntentsWritten(id, written))
+            Some(CallCompleted::IntentsWritten(id, written))
         });
     }
 
@@ -126,7 +126,7 @@
         let Some(cell) = self.cells.get(id) else {
             return;
         };
-        let not_after_ms = if cell.control.checks_fences() {
+        let send_deadline_ms = if cell.control.checks_fences() {
             None
         } else {
             cell.control.lease().expires_at_ms()
@@ -146,12 +146,12 @@
                 .inc(),
             OrderKind::Seal => {}
         }
-        self.call(async move {
-            let is_late = not_after_ms.is_some_and(|at_ms| shared.now_ms() >= at_ms);
-            let end = if is_late { OrderEnd::NeverSent } else { client.order(&order).await };
+        self.spawn_call(async move {
+            let is_lease_expired = send_deadline_ms.is_some_and(|at_ms| shared.now_ms() >= at_ms);
+            let end = if is_lease_expired { OrderEnd::NeverSent } else { client.order(&order).await };
             info!(shared.log, "order"; "cell" => id.to_string(), "worker" => order.worker.as_str(),
                 "kind" => format!("{:?}", order.kind), "target" => order.target.as_str(), "end" => format!("{end:?}"));
-            Some(Ended::Ordered(id, order.worker, order.fence, end))
+            Some(CallCompleted::Ordered(id, order.worker, order.fence, end))
         });
     }
 }
--- a/crates/cranereach-entry/src/control_actor/arrange.rs
+++ b/crates/cranereach-entry/src/control_actor/cell_assignment.rs
@@ -20,7 +20,7 @@
 
 impl ControlActor {
     /// Sorts the listed workers into cells.
-    pub(super) fn arrange(&mut self) {
+    pub(super) fn assign_cells(&mut self) {
         let snapshot = self.shared.snapshot();
         let listed = self.shared.listed();
         let workers: Vec<&ListedInstance> = listed
@@ -36,17 +36,22 @@
             else {
                 continue;
             };
-            let sharing = workers
+            let same_domain_count = workers
                 .iter()
                 .filter(|other| other.pool == instance.pool && other.domain == instance.domain)
                 .count();
-            let cell = cell_of(&pool.name, &instance.domain, &worker_id(instance), sharing);
+            let cell = cell_of(
+                &pool.name,
+                &instance.domain,
+                &worker_id(instance),
+                same_domain_count,
+            );
             let is_live = instance.state == ListState::Live;
             members
                 .entry(cell)
                 .or_default()
                 .extend(is_live.then(|| worker_id(instance)));
-            self.keep_client(instance);
+            self.ensure_client(instance);
         }
         self.clients
             .retain(|id, _| workers.iter().any(|instance| &worker_id(instance) == id));
@@ -55,12 +60,12 @@
         let cells = members.iter().flat_map(|(cell, workers)| {
             workers.iter().map(|worker| (worker.clone(), cell.clone()))
         });
-        self.residents.arrange(cells.collect());
-        self.make_cells(members);
+        self.residents.set_cells(cells.collect());
+        self.update_cells(members);
     }
 
     /// Keeps a client for a worker's address.
-    fn keep_client(&mut self, instance: &ListedInstance) {
+    fn ensure_client(&mut self, instance: &ListedInstance) {
         let id = worker_id(instance);
         let is_known = self
             .clients
@@ -73,7 +78,7 @@
     }
 
     /// Makes missing cells and tells all which workers they have.
-    fn make_cells(&mut self, members: HashMap<CellId, Vec<WorkerId>>) {
+    fn update_cells(&mut self, members: HashMap<CellId, Vec<WorkerId>>) {
         let snapshot = self.shared.snapshot();
         let engine_cells = members.keys().filter(|cell| {
             snapshot
@@ -81,7 +86,7 @@
                 .get(&cell.pool)
                 .is_some_and(|pool| pool.kind == PoolKind::Engine)
         });
-        let options = self.options(engine_cells.count());
+        let options = self.cell_options(engine_cells.count());
         let now_ms = self.shared.now_ms();
         for (id, workers) in members {
             let Some(pool) = snapshot.pools.get(&id.pool) else {
@@ -111,7 +116,7 @@
     }
 
     /// Returns the options of a cell: its part of the weight store's limits.
-    fn options(&self, engine_cells_count: usize) -> ControlOptions {
+    fn cell_options(&self, engine_cells_count: usize) -> ControlOptions {
         let settings = &self.shared.settings;
         let cells_count = engine_cells_count.max(1);
         let policy = residency::find(&settings.policy.residency).unwrap_or(&residency::MARGINAL);
--- a/crates/cranereach-entry/src/control_actor/demand.rs
+++ b/crates/cranereach-entry/src/control_actor/demand.rs
@@ -15,11 +15,11 @@
 use cranereach_core::snapshot::Snapshot;
 
 /// Age at which a peer's demand no longer counts, in milliseconds.
-const FRESH_MS: u64 = 3_000;
+const PEER_DEMAND_EXPIRY_MS: u64 = 3_000;
 
 /// Demand of one target over all instances.
 #[derive(Clone, Copy, Debug, Default)]
-struct Total {
+struct TotalDemand {
     concurrent_count: f64,
     waiting_count: u32,
     oldest_wait_ms: u64,
@@ -27,47 +27,49 @@
 
 /// What a peer said of a target, and when.
 #[derive(Clone, Debug)]
-struct Said {
+struct PeerDemand {
     demand: TargetDemand,
-    heard_at_ms: u64,
+    received_at_ms: u64,
 }
 
 /// Demand of this instance and its peers.
 #[derive(Debug, Default)]
-pub(super) struct DemandBook {
+pub(super) struct DemandTracker {
     own: HashMap<TargetName, TargetDemand>,
     used_at_ms: HashMap<TargetName, u64>,
-    peers: HashMap<TargetName, HashMap<InstanceId, Said>>,
+    peers: HashMap<TargetName, HashMap<InstanceId, PeerDemand>>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// Takes this instance's own demand.
-    pub(super) fn own(&mut self, now_ms: u64, digest: DispatchDigest) {
+    pub(super) fn set_own(&mut self, now_ms: u64, digest: DispatchDigest) {
         self.own = digest
             .demand
             .into_iter()
             .map(|demand| (demand.target.clone(), demand))
             .collect();
         for (target, at_ms) in digest.used_at_ms {
-            self.note_used(&target, at_ms);
+            self.record_use(&target, at_ms);
         }
-        for said in self.peers.values_mut() {
-            said.retain(|_, said| now_ms.saturating_sub(said.heard_at_ms) < FRESH_MS);
+        for by_peer in self.peers.values_mut() {
+            by_peer.retain(|_, entry| {
+                now_ms.saturating_sub(entry.received_at_ms) < PEER_DEMAND_EXPIRY_MS
+            });
         }
-        self.peers.retain(|_, said| !said.is_empty());
+        self.peers.retain(|_, by_peer| !by_peer.is_empty());
     }
 
     /// Takes a peer's demand for a target.
-    pub(super) fn peer(&mut self, now_ms: u64, sender: &InstanceId, demand: TargetDemand) {
+    pub(super) fn record_peer(&mut self, now_ms: u64, sender: &InstanceId, demand: TargetDemand) {
         if demand.waiting_count > 0 || demand.concurrent_count > 0.1 {
-            self.note_used(&demand.target, now_ms);
+            self.record_use(&demand.target, now_ms);
         }
-        let said = self.peers.entry(demand.target.clone()).or_default();
-        said.insert(
+        let by_peer = self.peers.entry(demand.target.clone()).or_default();
+        by_peer.insert(
             sender.clone(),
-            Said {
+            PeerDemand {
                 demand,
-                heard_at_ms: now_ms,
+                received_at_ms: now_ms,
             },
         );
     }
@@ -125,16 +127,18 @@
     }
 
     /// Adds up the demand for a target.
-    fn total(&self, now_ms: u64, target: &TargetName) -> Total {
-        let fresh = |said: &&Said| now_ms.saturating_sub(said.heard_at_ms) < FRESH_MS;
+    fn total(&self, now_ms: u64, target: &TargetName) -> TotalDemand {
+        let is_fresh = |entry: &&PeerDemand| {
+            now_ms.saturating_sub(entry.received_at_ms) < PEER_DEMAND_EXPIRY_MS
+        };
         let peers = self
             .peers
             .get(target)
             .into_iter()
             .flat_map(HashMap::values)
-            .filter(fresh)
-            .map(|said| &said.demand);
-        let mut total = Total::default();
+            .filter(is_fresh)
+            .map(|entry| &entry.demand);
+        let mut total = TotalDemand::default();
         for demand in self.own.get(target).into_iter().chain(peers) {
             total.concurrent_count += f64::from(demand.concurrent_count);
             total.waiting_count += demand.waiting_count;
@@ -144,7 +148,7 @@
     }
 
     /// Records when a target was asked for.
-    fn note_used(&mut self, target: &TargetName, at_ms: u64) {
+    fn record_use(&mut self, target: &TargetName, at_ms: u64) {
         let used_at_ms = self.used_at_ms.entry(target.clone()).or_default();
         *used_at_ms = at_ms.max(*used_at_ms);
     }
--- a/crates/cranereach-entry/src/control_actor/messages.rs
+++ b/crates/cranereach-entry/src/control_actor/messages.rs
@@ -22,7 +22,7 @@
 
 /// Parts of a peer's digest.
 #[derive(Clone, Debug)]
-pub struct PeerSaid {
+pub struct PeerDigestReceived {
     /// The peer.
     pub sender: InstanceId,
     /// What it says.
@@ -31,11 +31,11 @@
 
 /// Asks for this actor's parts of the digest.
 #[derive(Clone, Copy, Debug)]
-pub struct TakeParts;
+pub struct CollectDigestParts;
 
 /// Asks what operators see of control.
 #[derive(Clone, Copy, Debug)]
-pub struct Look;
+pub struct GetCellViews;
 
 /// What operators see of one cell.
 #[derive(Clone, Debug, serde::Serialize)]
@@ -54,7 +54,7 @@
 
 /// A read or write of a row, or a call to a worker, ended.
 #[derive(Debug)]
-pub(super) enum Ended {
+pub(super) enum CallCompleted {
     LeaseRead(CellId, Result<Versioned<LeaseRow>, StoreError>),
     LeaseWritten(CellId, LeaseRow, Result<u64, StoreError>),
     IntentsRead(CellId, Result<Versioned<IntentRow>, StoreError>),
--- a/crates/cranereach-entry/src/control_actor/mod.rs
+++ b/crates/cranereach-entry/src/control_actor/mod.rs
@@ -4,8 +4,8 @@
 //! rows, polls workers and sends orders, each in a task that reports back. What
 //! it knows of demand is in [`demand`], its calls to others in [`calls`].
 
-mod arrange;
 mod calls;
+mod cell_assignment;
 mod demand;
 mod messages;
 mod residents;
@@ -18,18 +18,18 @@
 use xtra::WeakAddress;
 
 pub(crate) use self::calls::tell;
-use self::demand::DemandBook;
+use self::demand::DemandTracker;
+use self::messages::CallCompleted;
 pub use self::messages::CellView;
-use self::messages::Ended;
+pub use self::messages::CollectDigestParts;
+pub use self::messages::GetCellViews;
 pub use self::messages::ListChanged;
-pub use self::messages::Look;
-pub use self::messages::PeerSaid;
-pub use self::messages::TakeParts;
+pub use self::messages::PeerDigestReceived;
 pub use self::messages::Tick;
 use self::residents::Residents;
+use crate::dispatch_actor::CollectDigest;
 use crate::dispatch_actor::LoadTook;
-use crate::dispatch_actor::Reports;
-use crate::dispatch_actor::TakeDigest;
+use crate::dispatch_actor::WorkerReports;
 use crate::platform::StoreError;
 use crate::shared::Shared;
 use crate::upstream::engine::EngineControl;
@@ -49,20 +49,20 @@
 use cranereach_wire::upstream::EngineLoad;
 
 /// Time between two looks at all cells, in milliseconds.
-pub const TICK_EVERY_MS: u64 = 200;
+pub const TICK_INTERVAL_MS: u64 = 200;
 
 /// Time between two reads of a lease row, in milliseconds.
-const LEASE_READ_EVERY_MS: u64 = 2_000;
+const LEASE_READ_INTERVAL_MS: u64 = 2_000;
 
 /// Age at which a report polled here is no longer told to peers, in ms.
-const POLLED_FRESH_MS: u64 = 1_000;
+const POLLED_REPORT_EXPIRY_MS: u64 = 1_000;
 
 /// Instances that watch a cell's lease row: the owner and one successor.
 const WATCHER_COUNT: usize = 2;
 
 /// A worker's report as polled here.
 #[derive(Debug)]
-struct Polled {
+struct PolledReport {
     report: WorkerReport,
     polled_at_ms: u64,
 }
@@ -81,36 +81,36 @@
 #[derive(Debug, xtra::Actor)]
 pub struct ControlActor {
     shared: Arc<Shared>,
-    own: WeakAddress<Self>,
+    own_address: WeakAddress<Self>,
     lease_id: InstanceId,
     cells: HashMap<CellId, Cell>,
     clients: HashMap<WorkerId, Arc<EngineControl>>,
-    polled: HashMap<WorkerId, Polled>,
-    demand: DemandBook,
+    polled: HashMap<WorkerId, PolledReport>,
+    demand: DemandTracker,
     residents: Residents,
 }
 
 impl ControlActor {
     /// Makes the actor.
-    pub fn new(shared: Arc<Shared>, own: WeakAddress<Self>) -> Self {
+    pub fn new(shared: Arc<Shared>, own_address: WeakAddress<Self>) -> Self {
         // A boot is a new holder: what an earlier one believed is not carried on.
         let lease_id = InstanceId::from(format!("{}#{:x}", shared.own_id(), shared.boot_id));
         Self {
             shared,
-            own,
+            own_address,
             lease_id,
             cells: HashMap::new(),
             clients: HashMap::new(),
             polled: HashMap::new(),
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             residents: Residents::default(),
         }
     }
 
     /// Looks at every cell.
-    fn look_at_cells(&mut self) {
+    fn tick_cells(&mut self) {
         let now_ms = self.shared.now_ms();
-        self.residents.forget_silent(now_ms);
+        self.residents.remove_expired(now_ms);
         let live = self.shared.membership().live(now_ms);
         let ids: Vec<CellId> = self.cells.keys().cloned().collect();
         for id in &ids {
@@ -119,7 +119,7 @@
             ranked.sort_by_key(|instance| {
                 std::cmp::Reverse(rendezvous_weight(instance.as_str(), &name))
             });
-            let place = ranked
+            let rank = ranked
                 .iter()
                 .position(|instance| *instance == self.shared.own_id())
                 .unwrap_or(usize::MAX);
@@ -127,7 +127,7 @@
                 .cells
                 .get(id)
                 .is_some_and(|cell| cell.control.acting().is_some());
-            if place == 0 || is_acting {
+            if rank == 0 || is_acting {
                 self.poll(id);
             }
             if self
@@ -135,18 +135,18 @@
                 .get(id)
                 .is_some_and(|cell| cell.kind == PoolKind::Engine)
             {
-                if place < WATCHER_COUNT || is_acting {
+                if rank < WATCHER_COUNT || is_acting {
                     self.read_lease(now_ms, id);
                 }
-                self.tick_cell(now_ms, id, place == 0, &live);
+                self.tick_cell(now_ms, id, rank == 0, &live);
             }
         }
-        let held = self
+        let held_count = self
             .cells
             .values()
             .filter(|cell| cell.control.acting().is_some())
             .count();
-        self.shared.metrics.cells_held.set(held as i64);
+        self.shared.metrics.cells_held.set(held_count as i64);
     }
 
     /// Ticks one cell and carries out what it wants.
@@ -168,11 +168,11 @@
         };
         let mut actions = Vec::new();
         cell.control.tick(now_ms, &view, &targets, &mut actions);
-        self.carry_out(id, actions);
+        self.execute_actions(id, actions);
     }
 
     /// Carries out what a cell wants.
-    fn carry_out(&mut self, id: &CellId, actions: Vec<ControlAction>) {
+    fn execute_actions(&mut self, id: &CellId, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
                 ControlAction::WriteLease(write) => self.write_lease(id, write),
@@ -187,7 +187,7 @@
     }
 
     /// Takes a worker's report.
-    fn polled(&mut self, id: &CellId, worker: &WorkerId, load: &EngineLoad) {
+    fn record_poll(&mut self, id: &CellId, worker: &WorkerId, load: &EngineLoad) {
         let now_ms = self.shared.now_ms();
         let resident = load
             .memory
@@ -215,11 +215,11 @@
             free_bytes: capacity_bytes.saturating_sub(taken_bytes),
             resident: resident.map(|occupant| occupant.target.clone()).collect(),
         };
-        tell(&self.shared.dispatcher, Reports(vec![report.clone()]));
-        self.residents.reported(now_ms, &report);
+        tell(&self.shared.dispatcher, WorkerReports(vec![report.clone()]));
+        self.residents.record_report(now_ms, &report);
         self.polled.insert(
             worker.clone(),
-            Polled {
+            PolledReport {
                 report,
                 polled_at_ms: now_ms,
             },
@@ -231,49 +231,56 @@
         cell.control.leaving(worker, load.is_leaving);
         cell.control
             .reported(now_ms, worker, &load.memory, load.slot_count, &mut actions);
-        self.carry_out(id, actions);
+        self.execute_actions(id, actions);
     }
 
     /// Takes the end of a call.
-    fn take_end(&mut self, ended: Ended) {
+    fn handle_completed(&mut self, completed: CallCompleted) {
         let now_ms = self.shared.now_ms();
-        match ended {
-            Ended::Polled(id, worker, load) => self.polled(&id, &worker, &load),
-            Ended::LeaseRead(id, Ok(row)) => self.with_cell(&id, |cell| {
+        match completed {
+            CallCompleted::Polled(id, worker, load) => self.record_poll(&id, &worker, &load),
+            CallCompleted::LeaseRead(id, Ok(row)) => self.with_cell(&id, |cell| {
                 cell.control
                     .lease_mut()
                     .read(now_ms, row.version, &row.value);
             }),
-            Ended::LeaseWritten(id, row, Ok(version)) => self.with_cell(&id, |cell| {
+            CallCompleted::LeaseWritten(id, row, Ok(version)) => self.with_cell(&id, |cell| {
                 cell.control.lease_mut().applied(now_ms, version, &row);
             }),
-            Ended::LeaseWritten(
+            CallCompleted::LeaseWritten(
                 id,
                 row,
                 Err(StoreError::Conflict | StoreError::NotDone { .. }),
             ) => {
                 self.with_cell(&id, |cell| cell.control.lease_mut().refused(&row));
             }
-            Ended::IntentsRead(id, Ok(row)) => self.with_cell(&id, |cell| {
+            CallCompleted::IntentsRead(id, Ok(row)) => self.with_cell(&id, |cell| {
                 cell.intents_version = row.version;
                 cell.control.intents_read(now_ms, &row.value);
             }),
-            Ended::IntentsRead(id, Err(_)) => {
+            CallCompleted::IntentsRead(id, Err(_)) => {
                 self.with_cell(&id, |cell| cell.control.intents_unread());
             }
-            Ended::IntentsWritten(id, written) => self.intents_written(now_ms, &id, &written),
-            Ended::Ordered(id, worker, fence, end) => {
+            CallCompleted::IntentsWritten(id, written) => {
+                self.handle_intents_written(now_ms, &id, &written)
+            }
+            CallCompleted::Ordered(id, worker, fence, end) => {
                 self.with_cell(&id, |cell| {
                     cell.control.order_ended(now_ms, &worker, fence, end);
                 });
             }
-            Ended::LeaseRead(_, Err(_))
-            | Ended::LeaseWritten(_, _, Err(StoreError::Unknown { .. })) => {}
+            CallCompleted::LeaseRead(_, Err(_))
+            | CallCompleted::LeaseWritten(_, _, Err(StoreError::Unknown { .. })) => {}
         }
     }
 
     /// Sends the orders whose intents are recorded.
-    fn intents_written(&mut self, now_ms: u64, id: &CellId, written: &Result<u64, StoreError>) {
+    fn handle_intents_written(
+        &mut self,
+        now_ms: u64,
+        id: &CellId,
+        written: &Result<u64, StoreError>,
+    ) {
         let Some(cell) = self.cells.get_mut(id) else {
             return;
         };
@@ -315,7 +322,7 @@
     type Return = ();
 
     async fn handle(&mut self, _message: ListChanged, _ctx: &mut Context<Self>) {
-        self.arrange();
+        self.assign_cells();
     }
 }
 
@@ -323,22 +330,24 @@
     type Return = ();
 
     async fn handle(&mut self, _message: Tick, _ctx: &mut Context<Self>) {
-        if let Ok(digest) = self.shared.dispatcher.send(TakeDigest).await {
-            self.demand.own(self.shared.now_ms(), digest);
+        if let Ok(digest) = self.shared.dispatcher.send(CollectDigest).await {
+            self.demand.set_own(self.shared.now_ms(), digest);
         }
-        self.look_at_cells();
+        self.tick_cells();
     }
 }
 
-impl Handler<PeerSaid> for ControlActor {
+impl Handler<PeerDigestReceived> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: PeerSaid, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: PeerDigestReceived, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         for part in message.parts {
             match part {
-                DigestPart::Demand(demand) => self.demand.peer(now_ms, &message.sender, demand),
-                DigestPart::Report(report) => self.residents.reported(now_ms, &report),
+                DigestPart::Demand(demand) => {
+                    self.demand.record_peer(now_ms, &message.sender, demand)
+                }
+                DigestPart::Report(report) => self.residents.record_report(now_ms, &report),
                 DigestPart::Epoch(cell, epoch) => self.heard_epoch(&cell, epoch),
                 _ => {}
             }
@@ -346,10 +355,14 @@
     }
 }
 
-impl Handler<TakeParts> for ControlActor {
+impl Handler<CollectDigestParts> for ControlActor {
     type Return = Vec<DigestPart>;
 
-    async fn handle(&mut self, _message: TakeParts, _ctx: &mut Context<Self>) -> Vec<DigestPart> {
+    async fn handle(
+        &mut self,
+        _message: CollectDigestParts,
+        _ctx: &mut Context<Self>,
+    ) -> Vec<DigestPart> {
         let acting = self
             .cells
             .iter()
@@ -359,18 +372,19 @@
             .collect();
         // A worker that no longer answers here is no longer spoken for.
         let now_ms = self.shared.now_ms();
-        let is_fresh =
-            |polled: &&Polled| now_ms.saturating_sub(polled.polled_at_ms) < POLLED_FRESH_MS;
+        let is_fresh = |polled: &&PolledReport| {
+            now_ms.saturating_sub(polled.polled_at_ms) < POLLED_REPORT_EXPIRY_MS
+        };
         let fresh = self.polled.values().filter(is_fresh);
         parts.extend(fresh.map(|polled| DigestPart::Report(polled.report.clone())));
         parts
     }
 }
 
-impl Handler<Look> for ControlActor {
+impl Handler<GetCellViews> for ControlActor {
     type Return = Vec<CellView>;
 
-    async fn handle(&mut self, _message: Look, _ctx: &mut Context<Self>) -> Vec<CellView> {
+    async fn handle(&mut self, _message: GetCellViews, _ctx: &mut Context<Self>) -> Vec<CellView> {
         let view = |(id, cell): (&CellId, &Cell)| {
             let committed = |worker: &WorkerId| {
                 Some((worker.to_string(), cell.control.committed_bytes(worker)?))
@@ -387,10 +401,10 @@
     }
 }
 
-impl Handler<Ended> for ControlActor {
+impl Handler<CallCompleted> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Ended, _ctx: &mut Context<Self>) {
-        self.take_end(message);
+    async fn handle(&mut self, message: CallCompleted, _ctx: &mut Context<Self>) {
+        self.handle_completed(message);
     }
 }
--- a/crates/cranereach-entry/src/control_actor/residents.rs
+++ b/crates/cranereach-entry/src/control_actor/residents.rs
@@ -17,7 +17,7 @@
 }
 
 /// Time after which a worker that nobody speaks of holds nothing, in ms.
-const SILENT_AFTER_MS: u64 = 4_500;
+const REPORT_EXPIRY_MS: u64 = 4_500;
 
 /// What one worker holds.
 #[derive(Debug, Default)]
@@ -29,19 +29,19 @@
 
 impl Residents {
     /// Forgets workers of which nobody has spoken for too long.
-    pub(super) fn forget_silent(&mut self, now_ms: u64) {
+    pub(super) fn remove_expired(&mut self, now_ms: u64) {
         self.held
-            .retain(|_, held| now_ms.saturating_sub(held.reported_at_ms) < SILENT_AFTER_MS);
+            .retain(|_, held| now_ms.saturating_sub(held.reported_at_ms) < REPORT_EXPIRY_MS);
     }
 
     /// Takes which worker is in which cell.
-    pub(super) fn arrange(&mut self, cells: HashMap<WorkerId, CellId>) {
+    pub(super) fn set_cells(&mut self, cells: HashMap<WorkerId, CellId>) {
         self.held.retain(|worker, _| cells.contains_key(worker));
         self.cells = cells;
     }
 
     /// Takes a worker's report; a worker that leaves holds nothing any more.
-    pub(super) fn reported(&mut self, now_ms: u64, report: &WorkerReport) {
+    pub(super) fn record_report(&mut self, now_ms: u64, report: &WorkerReport) {
         let held = if report.is_leaving {
             Held {
                 reported_at_ms: now_ms,
--- a/crates/cranereach-entry/src/discovery.rs
+++ b/crates/cranereach-entry/src/discovery.rs
@@ -10,7 +10,7 @@
 use crate::config_sync::jittered;
 use crate::control_actor::ControlActor;
 use crate::control_actor::ListChanged;
-use crate::dispatch_actor::Listed;
+use crate::dispatch_actor::WorkersListed;
 use crate::platform::list::InstanceList;
 use crate::shared::PeerAddress;
 use crate::shared::Shared;
@@ -31,12 +31,12 @@
     let list = InstanceList::new(&shared.settings.platform.instances);
     loop {
         match list.read().await {
-            Ok(listed) => take(&shared, &control, listed).await,
+            Ok(listed) => publish(&shared, &control, listed).await,
             Err(error) => {
                 warn!(shared.log, "can't read the list of instances"; "error" => error.to_string());
                 // The pools of the configuration may have changed all the same.
                 let listed = shared.listed().as_ref().clone();
-                take(&shared, &control, listed).await;
+                publish(&shared, &control, listed).await;
             }
         }
         let pause_ms = jittered(shared.settings.platform.list_every_ms);
@@ -45,7 +45,7 @@
 }
 
 /// Tells every part what the list says.
-async fn take(shared: &Shared, control: &Address<ControlActor>, listed: Vec<ListedInstance>) {
+async fn publish(shared: &Shared, control: &Address<ControlActor>, listed: Vec<ListedInstance>) {
     let entries = listed
         .iter()
         .filter(|instance| instance.role == Role::Entry && instance.state == ListState::Live);
@@ -60,13 +60,13 @@
         .collect();
     shared.upstreams.list(&addresses);
     let snapshot = shared.snapshot();
-    let known = listed
+    let known_workers = listed
         .iter()
         .filter_map(|instance| listed_worker(&snapshot, instance))
         .collect();
-    shared.set_listed(listed);
+    shared.set_instance_list(listed);
     // Neither actor ends before this task does.
-    let _sent = shared.dispatcher.send(Listed(known)).await;
+    let _sent = shared.dispatcher.send(WorkersListed(known_workers)).await;
     let _sent = control.send(ListChanged).await;
 }
 
--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -78,11 +78,11 @@
 
 /// The platform's list of workers.
 #[derive(Clone, Debug)]
-pub struct Listed(pub Vec<ListedWorker>);
+pub struct WorkersListed(pub Vec<ListedWorker>);
 
 /// Reports of workers polled here.
 #[derive(Clone, Debug)]
-pub struct Reports(pub Vec<WorkerReport>);
+pub struct WorkerReports(pub Vec<WorkerReport>);
 
 /// Parts of a peer's digest.
 #[derive(Clone, Debug)]
@@ -103,7 +103,7 @@
 
 /// Asks for what goes into this instance's digest.
 #[derive(Clone, Copy, Debug)]
-pub struct TakeDigest;
+pub struct CollectDigest;
 
 /// What goes into this instance's digest.
 #[derive(Clone, Debug, Default)]
@@ -126,7 +126,7 @@
 #[derive(Debug, xtra::Actor)]
 pub struct DispatchActor {
     shared: Arc<Shared>,
-    kernel: Dispatcher,
+    dispatcher: Dispatcher,
     replies: HashMap<RequestId, oneshot::Sender<Routed>>,
     peers_served: HashMap<(InstanceId, AccountName), f64>,
     actions: Vec<Action>,
@@ -137,7 +137,7 @@
     pub fn new(shared: Arc<Shared>, options: DispatchOptions) -> Self {
         Self {
             shared,
-            kernel: Dispatcher::new(options),
+            dispatcher: Dispatcher::new(options),
             replies: HashMap::new(),
             peers_served: HashMap::new(),
             actions: Vec::new(),
@@ -145,7 +145,7 @@
     }
 
     /// Carries out what the kernel decided.
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         while let Some(action) = self.actions.pop() {
             let (request, routed) = match action {
                 Action::Send { request, worker } => (request, Routed::Send(worker)),
@@ -167,21 +167,23 @@
             if let Err(Routed::Send(_)) = reply.send(routed) {
                 // The caller left meanwhile: the slot goes to the next.
                 let now_ms = self.shared.now_ms();
-                self.kernel
+                self.dispatcher
                     .ended(now_ms, request, 0.0, false, &mut self.actions);
             }
         }
     }
 
     /// Takes one part of a peer's digest.
-    fn take_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
+    fn apply_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
         match part {
             DigestPart::Outstanding(worker, count) => {
-                self.kernel.note_peer(now_ms, sender, &worker, count);
+                self.dispatcher.note_peer(now_ms, sender, &worker, count);
+            }
+            DigestPart::Report(report) => {
+                self.dispatcher.reported(now_ms, &report, &mut self.actions)
             }
-            DigestPart::Report(report) => self.kernel.reported(now_ms, &report, &mut self.actions),
             DigestPart::Served(account, total_tokens) => {
-                self.peer_served(sender, &account, total_tokens);
+                self.record_peer_served(sender, &account, total_tokens);
             }
             DigestPart::Head(_)
             | DigestPart::Demand(_)
@@ -191,14 +193,19 @@
     }
 
     /// Charges an account for what a peer served since its last word.
-    fn peer_served(&mut self, sender: &InstanceId, account: &AccountName, total_tokens: f64) {
+    fn record_peer_served(
+        &mut self,
+        sender: &InstanceId,
+        account: &AccountName,
+        total_tokens: f64,
+    ) {
         let known = self
             .peers_served
             .insert((sender.clone(), account.clone()), total_tokens);
         let added_tokens = total_tokens - known.unwrap_or(total_tokens);
         if added_tokens > 0.0 {
-            let share = self.kernel.queues().share_of(account).unwrap_or(1.0);
-            self.kernel.peer_served(account, added_tokens, share);
+            let share = self.dispatcher.queues().share_of(account).unwrap_or(1.0);
+            self.dispatcher.peer_served(account, added_tokens, share);
         }
     }
 }
@@ -210,13 +217,13 @@
         let now_ms = self.shared.now_ms();
         self.replies.insert(message.waiting.request, message.reply);
         if message.is_again {
-            self.kernel
+            self.dispatcher
                 .arrive_again(now_ms, message.waiting, &mut self.actions);
         } else {
-            self.kernel
+            self.dispatcher
                 .arrive(now_ms, message.waiting, &mut self.actions);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -225,14 +232,14 @@
 
     async fn handle(&mut self, message: End, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.kernel.ended(
+        self.dispatcher.ended(
             now_ms,
             message.request,
             message.cost_tokens,
             message.whole,
             &mut self.actions,
         );
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -241,12 +248,12 @@
 
     async fn handle(&mut self, message: Left, _ctx: &mut Context<Self>) {
         self.replies.remove(&message.0);
-        if !self.kernel.left(message.0) {
+        if !self.dispatcher.left(message.0) {
             // It was sent in the same moment: give the slot back.
             let now_ms = self.shared.now_ms();
-            self.kernel
+            self.dispatcher
                 .ended(now_ms, message.0, 0.0, false, &mut self.actions);
-            self.carry_out();
+            self.execute_actions();
         }
     }
 }
@@ -256,7 +263,7 @@
 
     async fn handle(&mut self, message: Avoid, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.kernel.workers_mut().avoid(now_ms, &message.0);
+        self.dispatcher.workers_mut().avoid(now_ms, &message.0);
     }
 }
 
@@ -264,29 +271,29 @@
     type Return = ();
 
     async fn handle(&mut self, message: NotResident, _ctx: &mut Context<Self>) {
-        self.kernel
+        self.dispatcher
             .workers_mut()
             .not_resident(&message.worker, &message.target);
     }
 }
 
-impl Handler<Listed> for DispatchActor {
+impl Handler<WorkersListed> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Listed, _ctx: &mut Context<Self>) {
-        self.kernel.workers_mut().list(message.0);
+    async fn handle(&mut self, message: WorkersListed, _ctx: &mut Context<Self>) {
+        self.dispatcher.workers_mut().list(message.0);
     }
 }
 
-impl Handler<Reports> for DispatchActor {
+impl Handler<WorkerReports> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Reports, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: WorkerReports, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         for report in &message.0 {
-            self.kernel.reported(now_ms, report, &mut self.actions);
+            self.dispatcher.reported(now_ms, report, &mut self.actions);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -296,9 +303,9 @@
     async fn handle(&mut self, message: PeerParts, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         for part in message.parts {
-            self.take_part(now_ms, &message.sender, part);
+            self.apply_part(now_ms, &message.sender, part);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -306,7 +313,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: LoadTook, _ctx: &mut Context<Self>) {
-        self.kernel.load_took(message.0);
+        self.dispatcher.load_took(message.0);
     }
 }
 
@@ -315,38 +322,42 @@
 
     async fn handle(&mut self, _message: Tick, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.kernel.tick(now_ms, &mut self.actions);
-        self.carry_out();
+        self.dispatcher.tick(now_ms, &mut self.actions);
+        self.execute_actions();
         let metrics = &self.shared.metrics;
         metrics
             .queue_waiting
-            .set(self.kernel.queues().waiting_count() as i64);
+            .set(self.dispatcher.queues().waiting_count() as i64);
         metrics
             .upstream_running
-            .set(self.kernel.running_count() as i64);
+            .set(self.dispatcher.running_count() as i64);
         metrics
             .resident_targets
-            .set(self.kernel.workers().target_count() as i64);
+            .set(self.dispatcher.workers().target_count() as i64);
     }
 }
 
-impl Handler<TakeDigest> for DispatchActor {
+impl Handler<CollectDigest> for DispatchActor {
     type Return = DispatchDigest;
 
-    async fn handle(&mut self, _message: TakeDigest, _ctx: &mut Context<Self>) -> DispatchDigest {
+    async fn handle(
+        &mut self,
+        _message: CollectDigest,
+        _ctx: &mut Context<Self>,
+    ) -> DispatchDigest {
         let now_ms = self.shared.now_ms();
         DispatchDigest {
-            outstanding: self.kernel.workers().own_outstanding(),
-            demand: self.kernel.demand(now_ms),
-            used_at_ms: self.kernel.used().collect(),
+            outstanding: self.dispatcher.workers().own_outstanding(),
+            demand: self.dispatcher.demand(now_ms),
+            used_at_ms: self.dispatcher.used().collect(),
             served: self
-                .kernel
+                .dispatcher
                 .served_tokens()
                 .iter()
                 .map(|(account, tokens)| (account.clone(), *tokens))
                 .collect(),
-            waiting_count: self.kernel.queues().waiting_count(),
-            running_count: self.kernel.running_count(),
+            waiting_count: self.dispatcher.queues().waiting_count(),
+            running_count: self.dispatcher.running_count(),
         }
     }
 }
--- a/crates/cranereach-entry/src/entry.rs
+++ b/crates/cranereach-entry/src/entry.rs
@@ -37,13 +37,13 @@
 use cranereach_http::server::ServeOptions;
 
 /// Time between two looks at waiting requests, in milliseconds.
-const DISPATCH_TICK_EVERY_MS: u64 = 20;
+const DISPATCH_TICK_INTERVAL_MS: u64 = 20;
 
 /// Time between two looks at a planned stop, in milliseconds.
-const DRAIN_LOOK_EVERY_MS: u64 = 50;
+const DRAIN_CHECK_INTERVAL_MS: u64 = 50;
 
 /// Tries to find one port number that is free for both UDP and TCP.
-const PORT_TRIES: u32 = 32;
+const PORT_ATTEMPTS: u32 = 32;
 
 /// Why an instance could not start.
 #[derive(Debug, Error)]
@@ -76,8 +76,8 @@
 pub struct Entry {
     shared: Arc<Shared>,
     addresses: Addresses,
-    stopping: watch::Sender<bool>,
-    serving: JoinHandle<()>,
+    stop_sender: watch::Sender<bool>,
+    server_task: JoinHandle<()>,
     tasks: JoinSet<()>,
 }
 
@@ -86,16 +86,16 @@
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         let callers = listen("listen.callers", &settings.listen.callers).await?;
         let operators = listen("listen.operators", &settings.listen.operators).await?;
-        let (bodies, digests) = listen_to_peers(&settings.listen.peers).await?;
+        let (bodies, digests) = bind_peers(&settings.listen.peers).await?;
         let addresses = Addresses {
-            callers: local("listen.callers", &callers)?,
-            operators: local("listen.operators", &operators)?,
-            peers: local("listen.peers", &bodies)?,
+            callers: local_address("listen.callers", &callers)?,
+            operators: local_address("listen.operators", &operators)?,
+            peers: local_address("listen.peers", &bodies)?,
         };
-        let log = log::make(settings.instance.id.as_str(), settings.log.level);
+        let log = log::new_logger(settings.instance.id.as_str(), settings.log.level);
         let (dispatcher, dispatch_mailbox) = Mailbox::unbounded();
         let shared = Arc::new(Shared::new(settings, log, dispatcher));
-        let (stopping, stop) = watch::channel(false);
+        let (stop_sender, stop_receiver) = watch::channel(false);
         let mut tasks = JoinSet::new();
         let actor = DispatchActor::new(Arc::clone(&shared), dispatch_options(&shared));
         tasks.spawn(xtra::run(dispatch_mailbox, actor));
@@ -105,7 +105,7 @@
         tasks.spawn(server::serve(
             operators,
             ServeOptions::default(),
-            stop.clone(),
+            stop_receiver.clone(),
             move |request| operators::answer(Arc::clone(&for_operators), control.clone(), request),
         ));
         let for_callers = Arc::clone(&shared);
@@ -113,15 +113,15 @@
             header_within_ms: shared.settings.limits.header_within_ms,
             header_max_bytes: shared.settings.limits.header_max_bytes,
         };
-        let serving = server::serve(callers, serve_options, stop, move |request| {
+        let server_task = server::serve(callers, serve_options, stop_receiver, move |request| {
             callers::answer(Arc::clone(&for_callers), request)
         });
         info!(shared.log, "started"; "callers" => addresses.callers.to_string());
         Ok(Self {
             shared,
             addresses,
-            stopping,
-            serving: tokio::spawn(serving),
+            stop_sender,
+            server_task: tokio::spawn(server_task),
             tasks,
         })
     }
@@ -138,14 +138,14 @@
 
     /// Stops as planned: unready first, then finishes what is in flight.
     pub async fn drain(mut self) {
-        self.shared.ask_drain();
+        self.shared.request_drain();
         info!(self.shared.log, "stopping"; "in_flight" => self.shared.in_flight_count());
         while self.shared.phase() == Phase::Announced {
-            pause(DRAIN_LOOK_EVERY_MS).await;
+            sleep_ms(DRAIN_CHECK_INTERVAL_MS).await;
         }
-        self.stopping.send_replace(true);
-        while !self.serving.is_finished() && !self.is_out_of_time() {
-            pause(DRAIN_LOOK_EVERY_MS).await;
+        self.stop_sender.send_replace(true);
+        while !self.server_task.is_finished() && !self.is_drain_limit_reached() {
+            sleep_ms(DRAIN_CHECK_INTERVAL_MS).await;
         }
         info!(self.shared.log, "stopped"; "in_flight" => self.shared.in_flight_count());
         self.tasks.shutdown().await;
@@ -153,12 +153,12 @@
 
     /// Ends at once, as a crash would.
     pub async fn kill(mut self) {
-        self.serving.abort();
+        self.server_task.abort();
         self.tasks.shutdown().await;
     }
 
     /// Whether the limit of a planned stop, if one is set, has passed.
-    fn is_out_of_time(&self) -> bool {
+    fn is_drain_limit_reached(&self) -> bool {
         self.shared.settings.drain.limit_ms.is_some() && self.shared.phase() == Phase::Done
     }
 }
@@ -183,7 +183,7 @@
     let ticked = control.clone();
     tasks.spawn(async move {
         loop {
-            pause(control_actor::TICK_EVERY_MS).await;
+            sleep_ms(control_actor::TICK_INTERVAL_MS).await;
             // The next look waits for this one: a slow one isn't piled upon.
             let _done = ticked.send(control_actor::Tick).await;
         }
@@ -216,7 +216,7 @@
     let ticked = Arc::clone(shared);
     tasks.spawn(async move {
         loop {
-            pause(DISPATCH_TICK_EVERY_MS).await;
+            sleep_ms(DISPATCH_TICK_INTERVAL_MS).await;
             let _done = ticked.dispatcher.send(dispatch_actor::Tick).await;
         }
     });
@@ -224,8 +224,8 @@
 
 /// Listens on an address.
 async fn listen(key: &'static str, address: &str) -> Result<TcpListener, StartError> {
-    let listened = TcpListener::bind(address).await;
-    listened.map_err(|source| StartError::Listen {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|source| StartError::Listen {
         key,
         address: address.to_owned(),
         source,
@@ -233,16 +233,16 @@
 }
 
 /// Listens on one port by TCP and UDP.
-async fn listen_to_peers(address: &str) -> Result<(TcpListener, UdpSocket), StartError> {
+async fn bind_peers(address: &str) -> Result<(TcpListener, UdpSocket), StartError> {
     let key = "listen.peers";
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let listener = listen(key, address).await?;
-        let port = local(key, &listener)?;
+        let port = local_address(key, &listener)?;
         match UdpSocket::bind(port).await {
             Ok(socket) => return Ok((listener, socket)),
-            Err(source) if tries == PORT_TRIES => {
+            Err(source) if attempts == PORT_ATTEMPTS => {
                 return Err(StartError::Listen {
                     key,
                     address: port.to_string(),
@@ -255,7 +255,7 @@
 }
 
 /// Returns the address that a listener got.
-fn local(key: &'static str, listener: &TcpListener) -> Result<SocketAddr, StartError> {
+fn local_address(key: &'static str, listener: &TcpListener) -> Result<SocketAddr, StartError> {
     listener.local_addr().map_err(|source| StartError::Listen {
         key,
         address: String::new(),
@@ -264,6 +264,6 @@
 }
 
 /// Waits.
-async fn pause(pause_ms: u64) {
+async fn sleep_ms(pause_ms: u64) {
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
--- a/crates/cranereach-entry/src/metrics.rs
+++ b/crates/cranereach-entry/src/metrics.rs
@@ -11,7 +11,7 @@
 use prometheus::TextEncoder;
 
 /// Edges of the time histograms, in seconds.
-const TIME_EDGES_S: &[f64] = &[
+const TIME_BUCKETS_S: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
 ];
 
@@ -151,39 +151,39 @@
 
 /// Makes a histogram by account and class.
 fn histogram(registry: &Registry, name: &str, help: &str) -> HistogramVec {
-    let options = HistogramOpts::from(options(name, help)).buckets(TIME_EDGES_S.to_vec());
-    let made =
+    let options = HistogramOpts::from(options(name, help)).buckets(TIME_BUCKETS_S.to_vec());
+    let metric =
         HistogramVec::new(options, &["account", "class"]).expect("names are constants of ours");
     registry
-        .register(Box::new(made.clone()))
+        .register(Box::new(metric.clone()))
         .expect("each name is registered once");
-    made
+    metric
 }
 
 /// Makes counters by labels.
 fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-    let made =
+    let metric =
         IntCounterVec::new(options(name, help), labels).expect("names are constants of ours");
     registry
-        .register(Box::new(made.clone()))
+        .register(Box::new(metric.clone()))
         .expect("each name is registered once");
-    made
+    metric
 }
 
 /// Makes one counter.
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
-    let made = IntCounter::with_opts(options(name, help)).expect("names are constants of ours");
+    let metric = IntCounter::with_opts(options(name, help)).expect("names are constants of ours");
     registry
-        .register(Box::new(made.clone()))
+        .register(Box::new(metric.clone()))
         .expect("each name is registered once");
-    made
+    metric
 }
 
 /// Makes one gauge.
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
-    let made = IntGauge::with_opts(options(name, help)).expect("names are constants of ours");
+    let metric = IntGauge::with_opts(options(name, help)).expect("names are constants of ours");
     registry
-        .register(Box::new(made.clone()))
+        .register(Box::new(metric.clone()))
         .expect("each name is registered once");
-    made
+    metric
 }
--- a/crates/cranereach-entry/src/operators.rs
+++ b/crates/cranereach-entry/src/operators.rs
@@ -11,8 +11,8 @@
 use xtra::Address;
 
 use crate::control_actor::ControlActor;
-use crate::control_actor::Look;
-use crate::dispatch_actor::TakeDigest;
+use crate::control_actor::GetCellViews;
+use crate::dispatch_actor::CollectDigest;
 use crate::shared::Shared;
 use cranereach_core::codes::ResultCode;
 use cranereach_core::drain::Phase;
@@ -53,8 +53,12 @@
 
 /// Says what this instance knows and does.
 async fn status(shared: &Shared, control: &Address<ControlActor>) -> Answer {
-    let digest = shared.dispatcher.send(TakeDigest).await.unwrap_or_default();
-    let cells = control.send(Look).await.unwrap_or_default();
+    let digest = shared
+        .dispatcher
+        .send(CollectDigest)
+        .await
+        .unwrap_or_default();
+    let cells = control.send(GetCellViews).await.unwrap_or_default();
     let live: Vec<String> = shared
         .membership()
         .live(shared.now_ms())
--- a/crates/cranereach-entry/src/peers/bodies.rs
+++ b/crates/cranereach-entry/src/peers/bodies.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 use crate::discovery;
-use crate::platform::objects::hash_of;
+use crate::platform::objects::content_hash;
 use crate::shared::PeerAddress;
 use crate::shared::Shared;
 use crate::shared::lock;
@@ -22,10 +22,10 @@
 use cranereach_wire::peer::seal;
 
 /// Time for one exchange with a peer, in milliseconds.
-const EXCHANGE_WITHIN_MS: u64 = 1_000;
+const EXCHANGE_TIMEOUT_MS: u64 = 1_000;
 
 /// Peers asked before the object store is.
-const ASKED_COUNT: usize = 3;
+const MAX_PEERS_ASKED: usize = 3;
 
 /// Answers peers until the process ends.
 pub async fn run(shared: Arc<Shared>, listener: TcpListener) {
@@ -36,9 +36,9 @@
         };
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let within = Duration::from_millis(EXCHANGE_WITHIN_MS);
-            let answered = tokio::time::timeout(within, answer(&shared, stream)).await;
-            if !matches!(answered, Ok(Ok(()))) {
+            let time_limit = Duration::from_millis(EXCHANGE_TIMEOUT_MS);
+            let result = tokio::time::timeout(time_limit, serve_body(&shared, stream)).await;
+            if !matches!(result, Ok(Ok(()))) {
                 shared
                     .metrics
                     .peer_dropped_total
@@ -54,10 +54,10 @@
     let mut peers = discovery::peers(shared);
     let live = shared.membership().live(shared.now_ms());
     peers.sort_by_key(|peer| (!live.contains(&peer.id), rand::random::<u32>()));
-    for peer in peers.iter().take(ASKED_COUNT) {
-        let within = Duration::from_millis(EXCHANGE_WITHIN_MS);
-        let asked = tokio::time::timeout(within, ask(shared, peer, hash)).await;
-        if let Ok(Ok(Some(body))) = asked {
+    for peer in peers.iter().take(MAX_PEERS_ASKED) {
+        let time_limit = Duration::from_millis(EXCHANGE_TIMEOUT_MS);
+        let fetched = tokio::time::timeout(time_limit, request_body(shared, peer, hash)).await;
+        if let Ok(Ok(Some(body))) = fetched {
             return Some(body);
         }
     }
@@ -65,7 +65,11 @@
 }
 
 /// Asks one peer for a body.
-async fn ask(shared: &Shared, peer: &PeerAddress, hash: &str) -> io::Result<Option<Bytes>> {
+async fn request_body(
+    shared: &Shared,
+    peer: &PeerAddress,
+    hash: &str,
+) -> io::Result<Option<Bytes>> {
     let mut stream = TcpStream::connect(peer.address).await?;
     let request = PeerRequest::Body {
         hash: hash.to_owned(),
@@ -73,11 +77,13 @@
     write_frame(&mut stream, &seal(&shared.peer_key, &request)).await?;
     let sealed = read_frame(&mut stream).await?;
     let PeerAnswer::Body(body) = open(&shared.peer_key, &sealed).map_err(io::Error::other)?;
-    Ok(body.map(Bytes::from).filter(|body| hash_of(body) == hash))
+    Ok(body
+        .map(Bytes::from)
+        .filter(|body| content_hash(body) == hash))
 }
 
 /// Answers one peer.
-async fn answer(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_body(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
     let sealed = read_frame(&mut stream).await?;
     let PeerRequest::Body { hash } = open(&shared.peer_key, &sealed).map_err(io::Error::other)?;
     let held = lock(&shared.held_body).clone();
--- a/crates/cranereach-entry/src/peers/digests.rs
+++ b/crates/cranereach-entry/src/peers/digests.rs
@@ -6,12 +6,12 @@
 use tokio::net::UdpSocket;
 use xtra::Address;
 
+use crate::control_actor::CollectDigestParts;
 use crate::control_actor::ControlActor;
-use crate::control_actor::PeerSaid;
-use crate::control_actor::TakeParts;
+use crate::control_actor::PeerDigestReceived;
 use crate::discovery;
+use crate::dispatch_actor::CollectDigest;
 use crate::dispatch_actor::PeerParts;
-use crate::dispatch_actor::TakeDigest;
 use crate::shared::Shared;
 use cranereach_core::cell::INSTANCES_MAX;
 use cranereach_core::drain::Phase;
@@ -31,7 +31,7 @@
     let mut thinner = Thinner::default();
     loop {
         tokio::time::sleep(Duration::from_millis(shared.settings.peers.digest_every_ms)).await;
-        let parts = thinner.thin(shared.now_ms(), parts(&shared, &control).await);
+        let parts = thinner.thin(shared.now_ms(), collect_parts(&shared, &control).await);
         let digests = pack(shared.own_id(), shared.boot_id, sequence, parts);
         sequence += digests.len() as u64;
         let peers = discovery::peers(&shared);
@@ -56,23 +56,23 @@
             continue;
         };
         match open::<Digest>(&shared.peer_key, &buffer[..length]) {
-            Ok(digest) if digest.version != VERSION => dropped(&shared, "version"),
+            Ok(digest) if digest.version != VERSION => count_dropped(&shared, "version"),
             Ok(digest) if !guard.admit(&digest.sender, digest.boot_id, digest.sequence) => {
-                dropped(&shared, "replayed");
+                count_dropped(&shared, "replayed");
             }
-            Ok(digest) => take(&shared, &control, digest).await,
-            Err(_unsealed) => dropped(&shared, "unsealed"),
+            Ok(digest) => apply_digest(&shared, &control, digest).await,
+            Err(_unsealed) => count_dropped(&shared, "unsealed"),
         }
     }
 }
 
 /// Collects what this instance has to say.
-async fn parts(shared: &Shared, control: &Address<ControlActor>) -> Vec<DigestPart> {
+async fn collect_parts(shared: &Shared, control: &Address<ControlActor>) -> Vec<DigestPart> {
     let mut parts = vec![DigestPart::Head(shared.config().held().clone())];
     if shared.phase() != Phase::Serving {
         parts.push(DigestPart::Leaving);
     }
-    if let Ok(digest) = shared.dispatcher.send(TakeDigest).await {
+    if let Ok(digest) = shared.dispatcher.send(CollectDigest).await {
         parts.extend(
             digest
                 .outstanding
@@ -87,12 +87,12 @@
                 .map(|(account, tokens)| DigestPart::Served(account, tokens)),
         );
     }
-    parts.extend(control.send(TakeParts).await.unwrap_or_default());
+    parts.extend(control.send(CollectDigestParts).await.unwrap_or_default());
     parts
 }
 
 /// Tells every part what a peer said.
-async fn take(shared: &Shared, control: &Address<ControlActor>, digest: Digest) {
+async fn apply_digest(shared: &Shared, control: &Address<ControlActor>, digest: Digest) {
     let now_ms = shared.now_ms();
     shared.membership().heard(now_ms, &digest.sender);
     for part in &digest.parts {
@@ -100,19 +100,19 @@
             DigestPart::Head(head) => {
                 shared.config().heard_head(head);
                 if shared.config().missing().is_some() {
-                    shared.config_wanted.notify_one();
+                    shared.config_body_missing.notify_one();
                 }
             }
             DigestPart::Leaving => shared.membership().left(&digest.sender),
             _ => {}
         }
     }
-    let said = PeerSaid {
+    let received = PeerDigestReceived {
         sender: digest.sender.clone(),
         parts: digest.parts.clone(),
     };
     // Neither actor ends before this task does.
-    let _sent = control.send(said).await;
+    let _sent = control.send(received).await;
     let _sent = shared
         .dispatcher
         .send(PeerParts {
@@ -123,7 +123,7 @@
 }
 
 /// Counts a dropped message.
-fn dropped(shared: &Shared, reason: &str) {
+fn count_dropped(shared: &Shared, reason: &str) {
     shared
         .metrics
         .peer_dropped_total
--- a/crates/cranereach-entry/src/platform/list.rs
+++ b/crates/cranereach-entry/src/platform/list.rs
@@ -2,7 +2,7 @@
 
 use super::ANSWER_WITHIN_MS;
 use super::StoreError;
-use super::refused;
+use super::unexpected_status;
 use cranereach_http::client::JsonClient;
 use cranereach_wire::platform::ListedInstance;
 
@@ -24,7 +24,7 @@
     pub async fn read(&self) -> Result<Vec<ListedInstance>, StoreError> {
         let answer = self.client.get("/instances", ANSWER_WITHIN_MS).await?;
         if answer.status != 200 {
-            return Err(refused(answer.status));
+            return Err(unexpected_status(answer.status));
         }
         Ok(self.client.read(&answer)?)
     }
--- a/crates/cranereach-entry/src/platform/mod.rs
+++ b/crates/cranereach-entry/src/platform/mod.rs
@@ -44,7 +44,7 @@
 }
 
 /// Error of an answer whose status says that the store did not act.
-fn refused(status: u16) -> StoreError {
+fn unexpected_status(status: u16) -> StoreError {
     StoreError::NotDone {
         detail: format!("status {status}"),
     }
--- a/crates/cranereach-entry/src/platform/objects.rs
+++ b/crates/cranereach-entry/src/platform/objects.rs
@@ -4,7 +4,7 @@
 
 use super::ANSWER_WITHIN_MS;
 use super::StoreError;
-use super::refused;
+use super::unexpected_status;
 use cranereach_http::client::JsonClient;
 
 /// Client of the object store.
@@ -28,15 +28,15 @@
             .get(&format!("/objects/{hash}"), ANSWER_WITHIN_MS)
             .await?;
         match answer.status {
-            200 => Ok(Some(answer.body).filter(|body| hash_of(body) == hash)),
+            200 => Ok(Some(answer.body).filter(|body| content_hash(body) == hash)),
             404 => Ok(None),
-            status => Err(refused(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
     /// Writes a body under its hash and returns the hash; may be repeated.
     pub async fn put(&self, body: &Bytes) -> Result<String, StoreError> {
-        let hash = hash_of(body);
+        let hash = content_hash(body);
         let answer = self
             .client
             .put(&format!("/objects/{hash}"), body.clone(), ANSWER_WITHIN_MS)
@@ -44,7 +44,7 @@
         if answer.status == 200 {
             Ok(hash)
         } else {
-            Err(refused(answer.status))
+            Err(unexpected_status(answer.status))
         }
     }
 }
@@ -52,8 +52,8 @@
 /// Returns the name of a body: its BLAKE3 hash in hex.
 ///
 /// ```
-/// assert_eq!(cranereach_entry::platform::objects::hash_of(b"x").len(), 64);
+/// assert_eq!(cranereach_entry::platform::objects::content_hash(b"x").len(), 64);
 /// ```
-pub fn hash_of(body: &[u8]) -> String {
+pub fn content_hash(body: &[u8]) -> String {
     blake3::hash(body).to_hex().to_string()
 }
--- a/crates/cranereach-entry/src/platform/table.rs
+++ b/crates/cranereach-entry/src/platform/table.rs
@@ -5,7 +5,7 @@
 
 use super::ANSWER_WITHIN_MS;
 use super::StoreError;
-use super::refused;
+use super::unexpected_status;
 use cranereach_http::client::JsonClient;
 use cranereach_wire::platform::Committed;
 use cranereach_wire::platform::TableRow;
@@ -60,7 +60,7 @@
                 version: 0,
                 value: T::default(),
             }),
-            status => Err(refused(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
@@ -96,7 +96,7 @@
                     .unwrap_or(expected_version + 1))
             }
             409 => Err(StoreError::Conflict),
-            status => Err(refused(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 }
--- a/crates/cranereach-entry/src/settings.rs
+++ b/crates/cranereach-entry/src/settings.rs
@@ -284,14 +284,14 @@
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let mut settings: Self = jsonc::read_file(path)?;
         let folder = path.parent().unwrap_or(Path::new("."));
-        fill_secret(
+        read_secret_file(
             path,
             folder,
             "peers.secret_file",
             settings.peers.secret_file.as_deref(),
             &mut settings.peers.secret,
         )?;
-        fill_secret(
+        read_secret_file(
             path,
             folder,
             "operators.token_file",
@@ -318,15 +318,21 @@
             );
         }
         if order::find(&self.policy.order).is_none() {
-            return fault("policy.order", choices(&self.policy.order, &order::names()));
+            return fault(
+                "policy.order",
+                invalid_choice(&self.policy.order, &order::names()),
+            );
         }
         if route::find(&self.policy.route).is_none() {
-            return fault("policy.route", choices(&self.policy.route, &route::names()));
+            return fault(
+                "policy.route",
+                invalid_choice(&self.policy.route, &route::names()),
+            );
         }
         if residency::find(&self.policy.residency).is_none() {
             return fault(
                 "policy.residency",
-                choices(&self.policy.residency, &residency::names()),
+                invalid_choice(&self.policy.residency, &residency::names()),
             );
         }
         let weights = [self.policy.attainment_weight, self.policy.move_weight];
@@ -352,7 +358,7 @@
 }
 
 /// Reads a secret from its file, if one is named.
-fn fill_secret(
+fn read_secret_file(
     settings_path: &Path,
     folder: &Path,
     key: &'static str,
@@ -371,7 +377,7 @@
 }
 
 /// Says what would have been valid.
-fn choices(given: &str, valid: &[&str]) -> String {
+fn invalid_choice(given: &str, valid: &[&str]) -> String {
     let mut valid = valid.to_vec();
     valid.sort_unstable();
     format!("{given:?} is not one of {}", valid.join(", "))
--- a/crates/cranereach-entry/src/shared.rs
+++ b/crates/cranereach-entry/src/shared.rs
@@ -74,9 +74,9 @@
     /// Admission, order and route.
     pub dispatcher: Address<DispatchActor>,
     /// Wakes the synchronization of the configuration.
-    pub config_wanted: Notify,
+    pub config_body_missing: Notify,
     /// Wakes the listeners of a planned stop.
-    pub drain_asked: Notify,
+    pub drain_requested: Notify,
     /// Retry budget towards all upstreams.
     pub retry_budget: Mutex<RetryBudget>,
     /// Body of the configuration in force.
@@ -121,8 +121,8 @@
             upstreams: Upstreams::default(),
             table: Table::new(&settings.platform.table),
             dispatcher,
-            config_wanted: Notify::new(),
-            drain_asked: Notify::new(),
+            config_body_missing: Notify::new(),
+            drain_requested: Notify::new(),
             retry_budget: Mutex::default(),
             held_body: Mutex::default(),
             membership: Mutex::new(Membership::new(settings.instance.id.clone())),
@@ -166,7 +166,7 @@
     }
 
     /// Takes the platform's list.
-    pub fn set_listed(&self, listed: Vec<ListedInstance>) {
+    pub fn set_instance_list(&self, listed: Vec<ListedInstance>) {
         *self.listed.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(listed);
     }
 
@@ -198,9 +198,9 @@
     }
 
     /// Asks for a planned stop; asking again changes nothing.
-    pub fn ask_drain(&self) {
+    pub fn request_drain(&self) {
         lock(&self.drain).ask(self.now_ms());
-        self.drain_asked.notify_waiters();
+        self.drain_requested.notify_waiters();
     }
 
     /// Returns the phase of a planned stop.
