--- a/crates/cranereach-entry/src/apply.rs
+++ b/crates/cranereach-entry/src/apply.rs
@@ -1,8 +1,9 @@
-//! Accepting a changed configuration: body first, then the head's commit.
+//! Applies a changed configuration: stores the body, then commits the head row.
 //!
-//! Accepted means that the compare-and-set of the head row took effect. A lost
-//! answer is settled by looking for the change's identity in the row; the same
-//! write may be sent again, for its condition holds at most once.
+//! A change is accepted when the compare-and-set of the head row has taken
+//! effect. If the answer to it is lost, the change's id is looked up in the row.
+//! Repeating the write is safe because its version condition can hold at most
+//! once.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,56 +23,57 @@
 use cranereach_wire::head_row::HEAD_KEY;
 use cranereach_wire::head_row::HeadRow;
 
-/// Tries to settle a commit whose answer was lost.
+/// Attempts to commit a change, or to find out whether a commit whose answer was
+/// lost took effect.
 const COMMIT_ATTEMPTS: u32 = 10;
 
-/// Pause between two such tries, in milliseconds.
+/// Pause between two such attempts, in milliseconds.
 const COMMIT_RETRY_PAUSE_MS: u64 = 500;
 
 /// Why a change was not accepted.
 #[derive(Debug, Error)]
 pub enum ApplyError {
-    /// Others changed the same files first.
+    /// Another change to the same files was accepted first.
     #[error(
         "version {version} was accepted first and changes the same files: {}; pull, merge, and apply again",
         join_names(files)
     )]
     RaceLost {
-        /// Version that won.
+        /// Version of the change accepted first.
         version: u64,
-        /// Files that both changed.
+        /// Files that both changes modify.
         files: BTreeSet<String>,
     },
-    /// A store did not answer, and nothing was accepted.
+    /// A store was unavailable, and the change was not accepted.
     #[error("nothing was accepted: {detail}")]
     StoreUnavailable {
-        /// What was seen.
+        /// Cause, as reported by the store.
         detail: String,
     },
-    /// The commit was sent and its outcome can't be read yet.
+    /// The commit was sent, but its outcome could not be read.
     #[error(
         "change {change_id} may have been accepted: {detail}; run `cranereach status --change {change_id}` when the table is back"
     )]
     AcceptanceUnknown {
-        /// Identity of the change.
+        /// Id of the change.
         change_id: String,
-        /// What was seen.
+        /// Cause, as reported by the store.
         detail: String,
     },
-    /// The merged declarations have faults.
+    /// The merged declarations are invalid.
     #[error("together with version {version} the declarations have faults: {faults}")]
     MergedFaults {
-        /// Version merged with.
+        /// Version that the change was merged with.
         version: u64,
-        /// The faults.
+        /// The faults, joined to one line.
         faults: String,
-        /// Code of the first.
+        /// Result code of the first fault.
         code: ResultCode,
     },
 }
 
 impl ApplyError {
-    /// Returns the numbered code.
+    /// Returns the result code of the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::RaceLost { .. } => ResultCode::RaceLost,
@@ -82,28 +84,28 @@
     }
 }
 
-/// The platform's stores, as an operator's command uses them.
+/// Clients of the platform's stores, for operators' commands.
 #[derive(Debug)]
 pub struct Stores {
-    /// The table.
+    /// Client of the table.
     pub table: Table,
-    /// The object store.
+    /// Client of the object store.
     pub objects: Objects,
 }
 
-/// The configuration in the stores.
+/// The accepted configuration, as read from the stores.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
-    /// Head in force; version zero if none was ever accepted.
+    /// Head of the newest accepted configuration; version zero if there is none.
     pub head: Head,
-    /// Its files.
+    /// Files of that configuration.
     pub folder: Folder,
     row: HeadRow,
     row_version: u64,
 }
 
 impl Stores {
-    /// Makes clients for a table and an object store, `ip:port` each.
+    /// Creates clients for a table and an object store, each given as `ip:port`.
     pub fn new(table: &str, objects: &str) -> Self {
         Self {
             table: Table::new(table),
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Reads the configuration in force.
+    /// Reads the newest accepted configuration.
     pub async fn current(&self) -> Result<Current, ApplyError> {
         let Versioned {
             version,
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Reads the files of an accepted version that is still in the history.
+    /// Reads the files of an accepted version that is still in the head row's history.
     pub async fn folder_at_version(
         &self,
         current: &Current,
@@ -159,7 +161,8 @@
         self.read_folder(&accepted.hash).await
     }
 
-    /// Applies `mine`, begun from `base_version`; merges with what came since.
+    /// Applies `mine`, which was derived from `base_version`, and merges it with the
+    /// changes accepted since then.
     pub async fn apply(
         &self,
         mine: &Folder,
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Merges a change with what was accepted since it was begun.
+    /// Merges a change with the changes accepted since its base version.
     async fn merge(
         &self,
         mine: &Folder,
@@ -206,7 +209,7 @@
         Ok(merged)
     }
 
-    /// Commits a head row; none if another change was accepted first.
+    /// Commits a head row; returns `None` if another change was accepted first.
     async fn commit(
         &self,
         row: &HeadRow,
@@ -238,7 +241,7 @@
         })
     }
 
-    /// Reads the files of a body.
+    /// Reads the files of the configuration body with the given hash.
     async fn read_folder(&self, hash: &str) -> Result<Folder, ApplyError> {
         let body = self.objects.get(hash).await.map_err(unavailable)?;
         let body = body.ok_or_else(|| ApplyError::StoreUnavailable {
@@ -250,7 +253,7 @@
     }
 }
 
-/// Checks merged declarations as a whole.
+/// Validates the merged declarations as a whole.
 fn check_merged(merged: &Folder, version: u64) -> Result<(), ApplyError> {
     let fault = |code, faults| {
         Err(ApplyError::MergedFaults {
@@ -280,7 +283,8 @@
     }
 }
 
-/// Turns a store's error into one that says that nothing was accepted.
+/// Converts a store error for operations before the commit, when nothing can have
+/// been accepted.
 #[expect(clippy::needless_pass_by_value, reason = "used with map_err")]
 fn unavailable(error: StoreError) -> ApplyError {
     ApplyError::StoreUnavailable {
@@ -288,7 +292,7 @@
     }
 }
 
-/// Lists file names.
+/// Joins file names with commas.
 fn join_names(files: &BTreeSet<String>) -> String {
     files
         .iter()
--- a/crates/cranereach-entry/src/config_sync.rs
+++ b/crates/cranereach-entry/src/config_sync.rs
@@ -1,7 +1,8 @@
-//! Keeps the configuration in force: reads the head, fetches bodies, adopts.
+//! Keeps the configuration up to date: reads heads, fetches bodies, activates them.
 //!
-//! A head comes from the table, read slowly with jitter, or from a peer's
-//! digest. Its body comes from a peer that holds it, else from the object store.
+//! A new head is learned from the table, which is polled slowly with jitter, or
+//! from a peer's digest. Its body is fetched from a peer that has it, otherwise
+//! from the object store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,13 +24,14 @@
 use cranereach_wire::head_row::HEAD_KEY;
 use cranereach_wire::head_row::HeadRow;
 
-/// Part by which a pause is varied, so that instances don't read in step.
+/// Width of the random variation of a pause, as a fraction of the pause (here
+/// ±15 %). It keeps instances from polling in lockstep.
 const JITTER_RANGE: f64 = 0.3;
 
-/// Pause before a body that could not be fetched is tried again, in ms.
+/// Pause before a failed fetch of a body is retried, in milliseconds.
 const FETCH_RETRY_MS: u64 = 300;
 
-/// Runs until the process ends.
+/// Synchronizes the configuration until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let objects = Objects::new(&shared.settings.platform.objects);
     loop {
@@ -52,7 +54,7 @@
     }
 }
 
-/// Reads the head row and takes its head.
+/// Reads the head row and records its head.
 async fn read_head(shared: &Shared) {
     match shared.table.read::<HeadRow>(HEAD_KEY).await {
         Ok(row) => {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Fetches the body of a head that isn't in force yet, and adopts it.
+/// Fetches and activates the body of a newer head, if one is known.
 async fn fetch_missing(shared: &Shared, objects: &Objects) {
     let Some(head) = shared.config().missing().cloned() else {
         return;
@@ -81,7 +83,7 @@
     adopt(shared, &head, body);
 }
 
-/// Puts a body in force if its head is newer than the one held.
+/// Activates a body if its hash matches and its head is newer than the active one.
 fn adopt(shared: &Shared, head: &Head, body: Bytes) {
     if content_hash(&body) != head.hash {
         return;
@@ -93,7 +95,8 @@
             return;
         }
     };
-    // The lock is held over both steps, so that no older version can follow.
+    // The lock is held until the snapshot is set, so that an older version can't
+    // overwrite a newer one.
     let mut config = shared.config();
     if config.adopt(head) {
         *lock(&shared.held_body) = HeldBody {
@@ -105,7 +108,7 @@
     }
 }
 
-/// Reads a body into what the data path uses.
+/// Parses and resolves a body into the snapshot that the data path uses.
 fn resolve(body: &Bytes, version: u64) -> Result<Snapshot, String> {
     let folder: Folder = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let declared = folder.declarations().map_err(|error| error.to_string())?;
@@ -118,7 +121,7 @@
     })
 }
 
-/// Varies a pause.
+/// Returns a pause with random jitter, in milliseconds.
 pub fn jittered(pause_ms: u64) -> u64 {
     let factor = 1.0 + JITTER_RANGE * (rand::random::<f64>() - 0.5);
     (pause_ms as f64 * factor) as u64
--- a/crates/cranereach-entry/src/control_actor/calls.rs
+++ b/crates/cranereach-entry/src/control_actor/calls.rs
@@ -1,4 +1,4 @@
-//! The control actor's calls to the table and to workers, each in its own task.
+//! Calls of the control actor to the table and to workers, each in its own task.
 
 use std::sync::Arc;
 
@@ -18,7 +18,9 @@
 use cranereach_core::lease::LeaseWrite;
 use cranereach_core::ledger::OrderKind;
 
-/// Sends a message without waiting; mailboxes have no bound, so none is lost.
+/// Sends a message to an actor without waiting for it to be handled.
+///
+/// Mailboxes are unbounded, so no message is lost.
 pub(crate) fn tell<A, M>(address: &Address<A>, message: M)
 where
     A: Handler<M, Return = ()>,
@@ -28,7 +30,7 @@
 }
 
 impl ControlActor {
-    /// Runs a call and brings its end back to the actor.
+    /// Runs a call in its own task and sends its result, if any, back to the actor.
     fn spawn_call(&self, call: impl Future<Output = Option<CallCompleted>> + Send + 'static) {
         let own_address = self.own_address.clone();
         tokio::spawn(async move {
@@ -38,7 +40,7 @@
         });
     }
 
-    /// Polls the workers of a cell.
+    /// Requests a load report from each worker of a cell.
     pub(super) fn poll(&self, id: &CellId) {
         let Some(cell) = self.cells.get(id) else {
             return;
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Reads a cell's lease row if that is due.
+    /// Reads a cell's lease row if the read interval has passed.
     pub(super) fn read_lease(&mut self, now_ms: u64, id: &CellId) {
         let Some(cell) = self.cells.get_mut(id) else {
             return;
@@ -118,7 +120,10 @@
         });
     }
 
-    /// Sends an order, if the lease still allows it at that moment.
+    /// Sends an order to its worker.
+    ///
+    /// Workers that don't check fences can't reject an order of a former holder, so
+    /// such an order isn't sent once the lease has expired.
     pub(super) fn send_order(&self, id: &CellId, order: Order) {
         let Some(client) = self.clients.get(&order.worker).map(Arc::clone) else {
             return;
@@ -156,12 +161,12 @@
     }
 }
 
-/// Key of a cell's lease row.
+/// Returns the table key of a cell's lease row.
 fn lease_key(id: &CellId) -> String {
     format!("lease-{}", id.to_string().replace('/', "-"))
 }
 
-/// Key of a cell's intents row.
+/// Returns the table key of a cell's intents row.
 fn intents_key(id: &CellId) -> String {
     format!("intents-{}", id.to_string().replace('/', "-"))
 }
--- a/crates/cranereach-entry/src/control_actor/cell_assignment.rs
+++ b/crates/cranereach-entry/src/control_actor/cell_assignment.rs
@@ -1,4 +1,4 @@
-//! Sorts the listed workers into cells and keeps a client for each.
+//! Assigns the listed workers to cells and keeps a client for each worker.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 use cranereach_wire::platform::Role;
 
 impl ControlActor {
-    /// Sorts the listed workers into cells.
+    /// Assigns the listed workers to cells and drops cells and clients that are no
+    /// longer listed.
     pub(super) fn assign_cells(&mut self) {
         let snapshot = self.shared.snapshot();
         let listed = self.shared.listed();
@@ -64,7 +65,7 @@
         self.update_cells(members);
     }
 
-    /// Keeps a client for a worker's address.
+    /// Creates a client for a worker if there is none for its present address.
     fn ensure_client(&mut self, instance: &ListedInstance) {
         let id = worker_id(instance);
         let is_known = self
@@ -77,7 +78,9 @@
         }
     }
 
-    /// Makes missing cells and tells all which workers they have.
+    /// Creates missing cells and updates the worker list of every cell.
+    ///
+    /// A cell whose pool's `checks_fences` has changed is created anew.
     fn update_cells(&mut self, members: HashMap<CellId, Vec<WorkerId>>) {
         let snapshot = self.shared.snapshot();
         let engine_cells = members.keys().filter(|cell| {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Returns the options of a cell: its part of the weight store's limits.
+    /// Returns the options of a cell, with its share of the weight store's limits.
     fn cell_options(&self, engine_cells_count: usize) -> ControlOptions {
         let settings = &self.shared.settings;
         let cells_count = engine_cells_count.max(1);
--- a/crates/cranereach-entry/src/control_actor/demand.rs
+++ b/crates/cranereach-entry/src/control_actor/demand.rs
@@ -1,4 +1,4 @@
-//! Demand over all instances of the group, as the digests tell it.
+//! Aggregates demand over all entry instances of the group, from their digests.
 
 use std::collections::HashMap;
 
@@ -14,10 +14,10 @@
 use cranereach_core::residency::split::cell_place;
 use cranereach_core::snapshot::Snapshot;
 
-/// Age at which a peer's demand no longer counts, in milliseconds.
+/// Age at which a peer's demand is discarded, in milliseconds.
 const PEER_DEMAND_EXPIRY_MS: u64 = 3_000;
 
-/// Demand of one target over all instances.
+/// Demand for one target, summed over all instances.
 #[derive(Clone, Copy, Debug, Default)]
 struct TotalDemand {
     concurrent_count: f64,
@@ -25,7 +25,7 @@
     oldest_wait_ms: u64,
 }
 
-/// What a peer said of a target, and when.
+/// Demand for one target as last received from a peer.
 #[derive(Clone, Debug)]
 struct PeerDemand {
     demand: TargetDemand,
@@ -41,7 +41,7 @@
 }
 
 impl DemandTracker {
-    /// Takes this instance's own demand.
+    /// Replaces this instance's own demand and discards expired demand of peers.
     pub(super) fn set_own(&mut self, now_ms: u64, digest: DispatchDigest) {
         self.own = digest
             .demand
@@ -59,7 +59,7 @@
         self.peers.retain(|_, by_peer| !by_peer.is_empty());
     }
 
-    /// Takes a peer's demand for a target.
+    /// Records a peer's demand for a target.
     pub(super) fn record_peer(&mut self, now_ms: u64, sender: &InstanceId, demand: TargetDemand) {
         if demand.waiting_count > 0 || demand.concurrent_count > 0.1 {
             self.record_use(&demand.target, now_ms);
@@ -74,7 +74,8 @@
         );
     }
 
-    /// Returns the targets of a cell's pool with their demand and standing.
+    /// Returns the targets of a cell's pool, with their demand and replica counts, as
+    /// input for the residency plan.
     pub(super) fn targets(
         &self,
         now_ms: u64,
@@ -126,7 +127,7 @@
             .collect()
     }
 
-    /// Adds up the demand for a target.
+    /// Sums the demand of this instance and its peers for a target.
     fn total(&self, now_ms: u64, target: &TargetName) -> TotalDemand {
         let is_fresh = |entry: &&PeerDemand| {
             now_ms.saturating_sub(entry.received_at_ms) < PEER_DEMAND_EXPIRY_MS
@@ -147,15 +148,16 @@
         total
     }
 
-    /// Records when a target was asked for.
+    /// Records when a target was last requested.
     fn record_use(&mut self, target: &TargetName, at_ms: u64) {
         let used_at_ms = self.used_at_ms.entry(target.clone()).or_default();
         *used_at_ms = at_ms.max(*used_at_ms);
     }
 }
 
-/// Returns the memory that one more replica needs, its base included if that is
-/// nowhere, in bytes.
+/// Returns the memory that one more replica needs, in bytes.
+///
+/// Includes the base model if no worker holds it.
 fn needed_bytes(snapshot: &Snapshot, model: &Model, residents: &Residents) -> u64 {
     let has_base = model
         .base
--- a/crates/cranereach-entry/src/control_actor/messages.rs
+++ b/crates/cranereach-entry/src/control_actor/messages.rs
@@ -12,47 +12,47 @@
 use cranereach_wire::peer::DigestPart;
 use cranereach_wire::upstream::EngineLoad;
 
-/// The platform's list or the configuration has changed.
+/// Signals that the instance list was read or the configuration may have changed.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChanged;
 
-/// Time has passed.
+/// Triggers the periodic work on all cells.
 #[derive(Clone, Copy, Debug)]
 pub struct Tick;
 
-/// Parts of a peer's digest.
+/// Delivers the parts of a peer's digest.
 #[derive(Clone, Debug)]
 pub struct PeerDigestReceived {
-    /// The peer.
+    /// Peer that sent the digest.
     pub sender: InstanceId,
-    /// What it says.
+    /// Parts of the digest.
     pub parts: Vec<DigestPart>,
 }
 
-/// Asks for this actor's parts of the digest.
+/// Requests the parts that this actor contributes to the instance's digest.
 #[derive(Clone, Copy, Debug)]
 pub struct CollectDigestParts;
 
-/// Asks what operators see of control.
+/// Requests the state of all cells for the status page.
 #[derive(Clone, Copy, Debug)]
 pub struct GetCellViews;
 
-/// What operators see of one cell.
+/// State of one cell on the status page.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct CellView {
-    /// The cell.
+    /// Id of the cell.
     pub cell: String,
-    /// Holder in the table, as last read.
+    /// Lease holder, as last read from the table.
     pub holder: Option<String>,
-    /// Whether this instance orders the cell.
+    /// Whether this instance holds the lease and sends orders.
     pub is_acting: bool,
-    /// Loads and unloads ordered from here.
+    /// Loads and unloads ordered by this instance.
     pub moves_count: u64,
-    /// Worst case of each worker's memory, in bytes.
+    /// Upper bound of each worker's memory use, in bytes.
     pub committed_bytes: Vec<(String, u64)>,
 }
 
-/// A read or write of a row, or a call to a worker, ended.
+/// Result of a row read or write, or of a call to a worker.
 #[derive(Debug)]
 pub(super) enum CallCompleted {
     LeaseRead(CellId, Result<Versioned<LeaseRow>, StoreError>),
--- a/crates/cranereach-entry/src/control_actor/mod.rs
+++ b/crates/cranereach-entry/src/control_actor/mod.rs
@@ -1,8 +1,9 @@
-//! The actor that controls cells: leases, polls, plans, orders.
+//! The actor that controls cells: it holds leases, polls workers and sends orders.
 //!
-//! The decisions are the kernel's ([`CellControl`]); the actor reads and writes
-//! rows, polls workers and sends orders, each in a task that reports back. What
-//! it knows of demand is in [`demand`], its calls to others in [`calls`].
+//! [`CellControl`] makes the decisions, without any I/O. The actor reads and
+//! writes rows, polls workers and sends orders, each in a task that sends its
+//! result back as a message. [`demand`] aggregates demand over all instances;
+//! [`calls`] holds the calls to the table and to workers.
 
 mod calls;
 mod cell_assignment;
@@ -48,26 +49,27 @@
 use cranereach_wire::peer::DigestPart;
 use cranereach_wire::upstream::EngineLoad;
 
-/// Time between two looks at all cells, in milliseconds.
+/// Time between two ticks over all cells, in milliseconds.
 pub const TICK_INTERVAL_MS: u64 = 200;
 
 /// Time between two reads of a lease row, in milliseconds.
 const LEASE_READ_INTERVAL_MS: u64 = 2_000;
 
-/// Age at which a report polled here is no longer told to peers, in ms.
+/// Age at which a report polled by this instance is no longer sent to peers, in ms.
 const POLLED_REPORT_EXPIRY_MS: u64 = 1_000;
 
-/// Instances that watch a cell's lease row: the owner and one successor.
+/// Number of instances that read a cell's lease row: the rendezvous owner and one
+/// successor.
 const WATCHER_COUNT: usize = 2;
 
-/// A worker's report as polled here.
+/// A worker's report, polled by this instance.
 #[derive(Debug)]
 struct PolledReport {
     report: WorkerReport,
     polled_at_ms: u64,
 }
 
-/// One cell with what only the runtime needs.
+/// A cell's control state and the runtime state around it.
 #[derive(Debug)]
 struct Cell {
     control: CellControl,
@@ -77,11 +79,12 @@
     intents_version: u64,
 }
 
-/// The actor.
+/// Actor that controls the cells of all pools.
 #[derive(Debug, xtra::Actor)]
 pub struct ControlActor {
     shared: Arc<Shared>,
     own_address: WeakAddress<Self>,
+    /// Id under which this boot of the instance holds leases.
     lease_id: InstanceId,
     cells: HashMap<CellId, Cell>,
     clients: HashMap<WorkerId, Arc<EngineControl>>,
@@ -91,9 +94,9 @@
 }
 
 impl ControlActor {
-    /// Makes the actor.
+    /// Creates the actor; `own_address` is where the results of its calls are sent.
     pub fn new(shared: Arc<Shared>, own_address: WeakAddress<Self>) -> Self {
-        // A boot is a new holder: what an earlier one believed is not carried on.
+        // Each boot is a new lease holder: what an earlier boot assumed isn't carried over.
         let lease_id = InstanceId::from(format!("{}#{:x}", shared.own_id(), shared.boot_id));
         Self {
             shared,
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Looks at every cell.
+    /// Polls workers, reads leases and ticks the control of every cell, where this
+    /// instance's rank for the cell calls for it.
     fn tick_cells(&mut self) {
         let now_ms = self.shared.now_ms();
         self.residents.remove_expired(now_ms);
@@ -149,7 +153,7 @@
         self.shared.metrics.cells_held.set(held_count as i64);
     }
 
-    /// Ticks one cell and carries out what it wants.
+    /// Ticks one cell and executes the resulting actions.
     fn tick_cell(&mut self, now_ms: u64, id: &CellId, is_owner: bool, live: &[InstanceId]) {
         let snapshot = self.shared.snapshot();
         let targets = self.demand.targets(now_ms, &snapshot, id, &self.residents);
@@ -171,7 +175,7 @@
         self.execute_actions(id, actions);
     }
 
-    /// Carries out what a cell wants.
+    /// Executes the actions that a cell's control returned.
     fn execute_actions(&mut self, id: &CellId, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Takes a worker's report.
+    /// Records a worker's polled report and passes it to the dispatcher and the cell.
     fn record_poll(&mut self, id: &CellId, worker: &WorkerId, load: &EngineLoad) {
         let now_ms = self.shared.now_ms();
         let resident = load
@@ -234,7 +238,7 @@
         self.execute_actions(id, actions);
     }
 
-    /// Takes the end of a call.
+    /// Handles the result of a call.
     fn handle_completed(&mut self, completed: CallCompleted) {
         let now_ms = self.shared.now_ms();
         match completed {
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Sends the orders whose intents are recorded.
+    /// Sends the orders whose intents have been recorded.
     fn handle_intents_written(
         &mut self,
         now_ms: u64,
@@ -289,7 +293,8 @@
         }
         let orders = cell.control.intents_recorded(now_ms, written.is_ok());
         if written.is_err() {
-            // Another wrote the row, or ours may stand: read it before the next.
+            // Another instance wrote the row, or our write may have taken effect although
+            // its answer was lost: the row must be read before the next write.
             cell.control.intents_lost();
         }
         for order in orders {
@@ -297,14 +302,14 @@
         }
     }
 
-    /// Does something with a cell that still exists.
+    /// Applies a change to a cell if it still exists.
     fn with_cell(&mut self, id: &CellId, change: impl FnOnce(&mut Cell)) {
         if let Some(cell) = self.cells.get_mut(id) {
             change(cell);
         }
     }
 
-    /// Takes what a peer says of a cell's epoch.
+    /// Records a cell's epoch received from a peer.
     fn heard_epoch(&mut self, id: &CellId, epoch: Epoch) {
         let now_ms = self.shared.now_ms();
         self.with_cell(id, |cell| {
@@ -313,7 +318,7 @@
     }
 }
 
-/// Whether a holder's identity is a boot of an instance.
+/// Whether a lease holder's id belongs to a boot of the given instance.
 fn is_boot_of(holder: &InstanceId, instance: &InstanceId) -> bool {
     holder.as_str().split('#').next() == Some(instance.as_str())
 }
@@ -370,7 +375,7 @@
         let mut parts: Vec<_> = acting
             .map(|(id, epoch)| DigestPart::Epoch(id.clone(), epoch))
             .collect();
-        // A worker that no longer answers here is no longer spoken for.
+        // Reports of workers that no longer answer this instance are left out.
         let now_ms = self.shared.now_ms();
         let is_fresh = |polled: &&PolledReport| {
             now_ms.saturating_sub(polled.polled_at_ms) < POLLED_REPORT_EXPIRY_MS
--- a/crates/cranereach-entry/src/control_actor/residents.rs
+++ b/crates/cranereach-entry/src/control_actor/residents.rs
@@ -1,4 +1,5 @@
-//! Which cell holds which target, from reports polled here and told by peers.
+//! Tracks which cells hold which targets, from reports polled by this instance or
+//! received from peers.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -9,17 +10,17 @@
 use cranereach_core::names::TargetName;
 use cranereach_core::names::WorkerId;
 
-/// What each worker holds, and in which cell it is.
+/// Resident targets and cell of each worker.
 #[derive(Debug, Default)]
 pub(super) struct Residents {
     cells: HashMap<WorkerId, CellId>,
     held: HashMap<WorkerId, Held>,
 }
 
-/// Time after which a worker that nobody speaks of holds nothing, in ms.
+/// Age at which a worker's last report is discarded, in milliseconds.
 const REPORT_EXPIRY_MS: u64 = 4_500;
 
-/// What one worker holds.
+/// Resident targets and free memory of one worker, as last reported.
 #[derive(Debug, Default)]
 struct Held {
     targets: HashSet<TargetName>,
@@ -28,19 +29,19 @@
 }
 
 impl Residents {
-    /// Forgets workers of which nobody has spoken for too long.
+    /// Removes workers without a recent report.
     pub(super) fn remove_expired(&mut self, now_ms: u64) {
         self.held
             .retain(|_, held| now_ms.saturating_sub(held.reported_at_ms) < REPORT_EXPIRY_MS);
     }
 
-    /// Takes which worker is in which cell.
+    /// Replaces the assignment of workers to cells and drops unassigned workers.
     pub(super) fn set_cells(&mut self, cells: HashMap<WorkerId, CellId>) {
         self.held.retain(|worker, _| cells.contains_key(worker));
         self.cells = cells;
     }
 
-    /// Takes a worker's report; a worker that leaves holds nothing any more.
+    /// Records a worker's report; a leaving worker counts as holding nothing.
     pub(super) fn record_report(&mut self, now_ms: u64, report: &WorkerReport) {
         let held = if report.is_leaving {
             Held {
@@ -57,7 +58,7 @@
         self.held.insert(report.worker.clone(), held);
     }
 
-    /// Returns the most memory that is free on one worker of each cell, in bytes.
+    /// Returns, for each cell, the largest free memory on a single worker, in bytes.
     pub(super) fn free_bytes(&self) -> HashMap<&CellId, u64> {
         let mut free: HashMap<&CellId, u64> = HashMap::new();
         for (worker, held) in &self.held {
@@ -69,7 +70,7 @@
         free
     }
 
-    /// Returns the cells of a pool, in order.
+    /// Returns the cells of a pool, sorted.
     pub(super) fn cells_of(&self, pool: &PoolName) -> Vec<CellId> {
         let mut cells: Vec<CellId> = self
             .cells
@@ -82,7 +83,7 @@
         cells
     }
 
-    /// Returns how many workers of each cell hold a target.
+    /// Returns, for each cell that has any, the number of workers that hold a target.
     pub(super) fn replicas(&self, target: &TargetName) -> HashMap<&CellId, usize> {
         let mut replicas = HashMap::new();
         for (worker, held) in &self.held {
--- a/crates/cranereach-entry/src/discovery.rs
+++ b/crates/cranereach-entry/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list and tells every part what is on it.
+//! Polls the platform's instance list and distributes it to the other components.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 use cranereach_wire::platform::ListedInstance;
 use cranereach_wire::platform::Role;
 
-/// Slots of a worker until it has reported.
+/// Slot count assumed for a worker until its first report.
 const SLOTS_BEFORE_REPORT: u32 = 4;
 
-/// Runs until the process ends.
+/// Polls the instance list until the process ends.
 pub async fn run(shared: Arc<Shared>, control: Address<ControlActor>) {
     let list = InstanceList::new(&shared.settings.platform.instances);
     loop {
@@ -34,7 +34,7 @@
             Ok(listed) => publish(&shared, &control, listed).await,
             Err(error) => {
                 warn!(shared.log, "can't read the list of instances"; "error" => error.to_string());
-                // The pools of the configuration may have changed all the same.
+                // Publish the last list again: the configured pools may have changed.
                 let listed = shared.listed().as_ref().clone();
                 publish(&shared, &control, listed).await;
             }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Tells every part what the list says.
+/// Passes the instance list to membership, the upstreams and both actors.
 async fn publish(shared: &Shared, control: &Address<ControlActor>, listed: Vec<ListedInstance>) {
     let entries = listed
         .iter()
@@ -65,12 +65,12 @@
         .filter_map(|instance| listed_worker(&snapshot, instance))
         .collect();
     shared.set_instance_list(listed);
-    // Neither actor ends before this task does.
+    // Both actors outlive this task, so sending can't fail.
     let _sent = shared.dispatcher.send(WorkersListed(known_workers)).await;
     let _sent = control.send(ListChanged).await;
 }
 
-/// Returns a worker as the dispatcher takes it; none of an undeclared pool.
+/// Converts a listed worker for the dispatcher; `None` if its pool isn't declared.
 fn listed_worker(snapshot: &Snapshot, instance: &ListedInstance) -> Option<ListedWorker> {
     if instance.role != Role::Worker {
         return None;
@@ -86,12 +86,12 @@
     })
 }
 
-/// Returns the identity of a listed worker.
+/// Returns the id of a listed worker.
 pub fn worker_id(instance: &ListedInstance) -> WorkerId {
     WorkerId::from(instance.id.as_str())
 }
 
-/// Returns the peers on a list, this instance left out.
+/// Returns the listed entry instances, except this one.
 pub fn peers(shared: &Shared) -> Vec<PeerAddress> {
     let own = shared.own_id();
     let listed = shared.listed();
--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the dispatcher and answers who waits for it.
+//! The actor that owns the dispatcher and replies to the requests waiting for it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,51 +23,51 @@
 use cranereach_core::names::WorkerId;
 use cranereach_wire::peer::DigestPart;
 
-/// Where a request goes.
+/// Decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Routed {
-    /// To this worker.
+    /// Send it to this worker.
     Send(WorkerId),
-    /// Back to the caller with this code.
+    /// Reject it with this result code.
     Refuse {
-        /// Why.
+        /// Result code of the rejection.
         code: ResultCode,
-        /// When a repeat is worth it, in milliseconds from now.
+        /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// A request arrives.
+/// Asks for a worker for a request.
 #[derive(Debug)]
 pub struct Arrive {
     /// The request.
     pub waiting: Waiting,
-    /// Whether an earlier attempt did not succeed.
+    /// Whether an earlier attempt of the request failed.
     pub is_again: bool,
-    /// Who waits for the route.
+    /// Receives the decision.
     pub reply: oneshot::Sender<Routed>,
 }
 
-/// An attempt at an upstream ended.
+/// Reports the end of an attempt at an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct End {
     /// The request.
     pub request: RequestId,
-    /// What it cost, in tokens.
+    /// Actual cost, in tokens.
     pub cost_tokens: f64,
-    /// Whether the answer came whole.
+    /// Whether the answer was received completely.
     pub whole: bool,
 }
 
-/// The caller of a waiting request left.
+/// Reports that the caller of a waiting request has disconnected.
 #[derive(Clone, Copy, Debug)]
 pub struct Left(pub RequestId);
 
-/// A worker could not be reached.
+/// Reports that a worker could not be reached.
 #[derive(Clone, Debug)]
 pub struct Avoid(pub WorkerId);
 
-/// A worker refused a target as not resident.
+/// Reports that a worker refused a request because the target isn't resident on it.
 #[derive(Clone, Debug)]
 pub struct NotResident {
     /// The worker.
@@ -76,53 +76,53 @@
     pub target: TargetName,
 }
 
-/// The platform's list of workers.
+/// Delivers the workers on the platform's instance list.
 #[derive(Clone, Debug)]
 pub struct WorkersListed(pub Vec<ListedWorker>);
 
-/// Reports of workers polled here.
+/// Delivers reports of workers polled by this instance.
 #[derive(Clone, Debug)]
 pub struct WorkerReports(pub Vec<WorkerReport>);
 
-/// Parts of a peer's digest.
+/// Delivers the parts of a peer's digest.
 #[derive(Clone, Debug)]
 pub struct PeerParts {
-    /// The peer.
+    /// Peer that sent the digest.
     pub sender: InstanceId,
-    /// What it says.
+    /// Parts of the digest.
     pub parts: Vec<DigestPart>,
 }
 
-/// A load took this long, in milliseconds.
+/// Reports how long a load took, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadTook(pub u64);
 
-/// Time has passed.
+/// Triggers the periodic work of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Tick;
 
-/// Asks for what goes into this instance's digest.
+/// Requests the dispatcher's contribution to this instance's digest.
 #[derive(Clone, Copy, Debug)]
 pub struct CollectDigest;
 
-/// What goes into this instance's digest.
+/// The dispatcher's contribution to this instance's digest.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchDigest {
-    /// Requests at each worker.
+    /// Requests that this instance has outstanding at each worker.
     pub outstanding: Vec<(WorkerId, u32)>,
     /// Demand per target.
     pub demand: Vec<TargetDemand>,
-    /// When each target was last asked for.
+    /// Time at which each target was last requested.
     pub used_at_ms: Vec<(TargetName, u64)>,
     /// Total cost served per account, in tokens.
     pub served: Vec<(AccountName, f64)>,
-    /// Requests that wait.
+    /// Requests waiting in the queues.
     pub waiting_count: usize,
-    /// Requests at upstreams.
+    /// Requests running at upstreams.
     pub running_count: usize,
 }
 
-/// The actor.
+/// Actor that owns the dispatcher.
 #[derive(Debug, xtra::Actor)]
 pub struct DispatchActor {
     shared: Arc<Shared>,
@@ -133,7 +133,7 @@
 }
 
 impl DispatchActor {
-    /// Makes the actor.
+    /// Creates the actor.
     pub fn new(shared: Arc<Shared>, options: DispatchOptions) -> Self {
         Self {
             shared,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Carries out what the kernel decided.
+    /// Executes the actions of the dispatcher: replies to the waiting requests.
     fn execute_actions(&mut self) {
         while let Some(action) = self.actions.pop() {
             let (request, routed) = match action {
@@ -165,7 +165,7 @@
                 continue;
             };
             if let Err(Routed::Send(_)) = reply.send(routed) {
-                // The caller left meanwhile: the slot goes to the next.
+                // The caller has disconnected in the meantime: free the slot.
                 let now_ms = self.shared.now_ms();
                 self.dispatcher
                     .ended(now_ms, request, 0.0, false, &mut self.actions);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Takes one part of a peer's digest.
+    /// Applies one part of a peer's digest.
     fn apply_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
         match part {
             DigestPart::Outstanding(worker, count) => {
@@ -192,7 +192,9 @@
         }
     }
 
-    /// Charges an account for what a peer served since its last word.
+    /// Charges an account for the tokens that a peer has served since its last digest.
+    ///
+    /// Digests carry running totals, so the first one from a peer charges nothing.
     fn record_peer_served(
         &mut self,
         sender: &InstanceId,
@@ -249,7 +251,7 @@
     async fn handle(&mut self, message: Left, _ctx: &mut Context<Self>) {
         self.replies.remove(&message.0);
         if !self.dispatcher.left(message.0) {
-            // It was sent in the same moment: give the slot back.
+            // The request was sent at the same moment: free the slot.
             let now_ms = self.shared.now_ms();
             self.dispatcher
                 .ended(now_ms, message.0, 0.0, false, &mut self.actions);
--- a/crates/cranereach-entry/src/entry.rs
+++ b/crates/cranereach-entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry instance put together: start, planned stop, end.
+//! An entry instance as a whole: start, graceful shutdown, termination.
 
 use std::io;
 use std::net::SocketAddr;
@@ -36,38 +36,38 @@
 use cranereach_http::server;
 use cranereach_http::server::ServeOptions;
 
-/// Time between two looks at waiting requests, in milliseconds.
+/// Time between two ticks of the dispatcher, in milliseconds.
 const DISPATCH_TICK_INTERVAL_MS: u64 = 20;
 
-/// Time between two looks at a planned stop, in milliseconds.
+/// Time between two checks of a graceful shutdown's progress, in milliseconds.
 const DRAIN_CHECK_INTERVAL_MS: u64 = 50;
 
-/// Tries to find one port number that is free for both UDP and TCP.
+/// Attempts to find a port number that is free for both UDP and TCP.
 const PORT_ATTEMPTS: u32 = 32;
 
-/// Why an instance could not start.
+/// Reason why an instance could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address could not be listened on.
+    /// Binding a listen address failed.
     #[error("can't listen on {address} ({key}): {source}")]
     Listen {
-        /// Key in settings.
+        /// Settings key of the address.
         key: &'static str,
-        /// Address.
+        /// Address that could not be bound.
         address: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Addresses that an instance listens on.
+/// Addresses on which an instance listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Addresses {
-    /// Callers.
+    /// Callers' API.
     pub callers: SocketAddr,
-    /// Operators, health and metrics.
+    /// Operators' API, health and metrics.
     pub operators: SocketAddr,
-    /// Peers, UDP and TCP.
+    /// Peer traffic, UDP and TCP.
     pub peers: SocketAddr,
 }
 
@@ -126,17 +126,18 @@
         })
     }
 
-    /// Returns the addresses that the instance listens on.
+    /// Returns the addresses on which the instance listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Returns what all parts share.
+    /// Returns the state shared by all components.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops as planned: unready first, then finishes what is in flight.
+    /// Shuts down gracefully: reports not ready first, then completes the requests in
+    /// flight.
     pub async fn drain(mut self) {
         self.shared.request_drain();
         info!(self.shared.log, "stopping"; "in_flight" => self.shared.in_flight_count());
@@ -151,19 +152,21 @@
         self.tasks.shutdown().await;
     }
 
-    /// Ends at once, as a crash would.
+    /// Terminates immediately, as a crash would.
     pub async fn kill(mut self) {
         self.server_task.abort();
         self.tasks.shutdown().await;
     }
 
-    /// Whether the limit of a planned stop, if one is set, has passed.
+    /// Whether the time limit of a graceful shutdown is set and has passed.
     fn is_drain_limit_reached(&self) -> bool {
         self.shared.settings.drain.limit_ms.is_some() && self.shared.phase() == Phase::Done
     }
 }
 
-/// Returns the options of the dispatcher; settings are checked before.
+/// Returns the options of the dispatcher.
+///
+/// Unknown policy names have been rejected by [`Settings::check`] before.
 fn dispatch_options(shared: &Shared) -> DispatchOptions {
     let policy = &shared.settings.policy;
     DispatchOptions {
@@ -184,14 +187,14 @@
     tasks.spawn(async move {
         loop {
             sleep_ms(control_actor::TICK_INTERVAL_MS).await;
-            // The next look waits for this one: a slow one isn't piled upon.
+            // The next tick waits for this one, so that ticks don't pile up when one is slow.
             let _done = ticked.send(control_actor::Tick).await;
         }
     });
     control
 }
 
-/// Starts everything that runs beside the callers' path.
+/// Starts the background tasks.
 fn start_background(
     shared: &Arc<Shared>,
     control: &Address<ControlActor>,
@@ -222,7 +225,7 @@
     });
 }
 
-/// Listens on an address.
+/// Binds a TCP listener.
 async fn listen(key: &'static str, address: &str) -> Result<TcpListener, StartError> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|source| StartError::Listen {
@@ -232,7 +235,10 @@
     })
 }
 
-/// Listens on one port by TCP and UDP.
+/// Binds TCP and UDP on the same port.
+///
+/// With port 0, the port that the system chooses for TCP may be taken for UDP; then
+/// another one is tried.
 async fn bind_peers(address: &str) -> Result<(TcpListener, UdpSocket), StartError> {
     let key = "listen.peers";
     let mut attempts = 0;
@@ -254,7 +260,7 @@
     }
 }
 
-/// Returns the address that a listener got.
+/// Returns the local address of a listener.
 fn local_address(key: &'static str, listener: &TcpListener) -> Result<SocketAddr, StartError> {
     listener.local_addr().map_err(|source| StartError::Listen {
         key,
@@ -263,7 +269,7 @@
     })
 }
 
-/// Waits.
+/// Sleeps for a number of milliseconds.
 async fn sleep_ms(pause_ms: u64) {
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
--- a/crates/cranereach-entry/src/lib.rs
+++ b/crates/cranereach-entry/src/lib.rs
@@ -1,11 +1,13 @@
-//! Runtime of an entry instance: sockets, actors, clients of the platform.
+//! Runtime of an entry instance: sockets, actors and platform clients.
 //!
-//! [`entry::Entry`] puts the parts together. A caller's request runs through
-//! [`callers`]: authenticate, admit at the [`dispatch_actor`], exchange with an
-//! upstream of [`upstream`], pass the answer on. Beside that path
-//! [`config_sync`] keeps the configuration in force, [`control_actor`] holds
-//! leases and orders workers, and [`peers`] exchanges digests. The adapters of
-//! the platform are in [`platform`], one module per interface.
+//! [`entry::Entry`] assembles and starts the components. A caller's request is
+//! handled in [`callers`]: it is authenticated, admitted by the
+//! [`dispatch_actor`], sent to an upstream through [`upstream`], and the answer
+//! is forwarded to the caller. In the background, [`config_sync`] keeps the
+//! configuration up to date, [`control_actor`] holds cell leases and sends
+//! orders to workers, and [`peers`] exchanges digests with the other entry
+//! instances. [`platform`] holds the platform adapters, one module per
+//! interface.
 
 pub mod apply;
 pub mod callers;
--- a/crates/cranereach-entry/src/log.rs
+++ b/crates/cranereach-entry/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs: JSON lines on standard error, written by a thread of their own.
+//! Logging: JSON lines on standard error, written by a dedicated thread.
 
 use std::io;
 use std::sync::Mutex;
@@ -10,10 +10,11 @@
 
 use crate::settings::LogLevel;
 
-/// Lines that may wait for the writer; more are dropped and counted.
+/// Capacity of the queue to the writer thread, in lines; further lines are
+/// dropped and counted.
 const QUEUE_LINES: usize = 4_096;
 
-/// Makes the logger of a process.
+/// Creates the logger of a process.
 ///
 /// ```
 /// use cranereach_entry::settings::LogLevel;
--- a/crates/cranereach-entry/src/metrics.rs
+++ b/crates/cranereach-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one entry instance, in the format of `prometheus`.
+//! Metrics of one entry instance, exported in the Prometheus text format.
 
 use prometheus::Encoder;
 use prometheus::HistogramOpts;
@@ -10,12 +10,12 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Edges of the time histograms, in seconds.
+/// Bucket bounds of the time histograms, in seconds.
 const TIME_BUCKETS_S: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
 ];
 
-/// All metrics, registered with one registry.
+/// All metrics of an instance, registered with one registry.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -23,44 +23,44 @@
     pub first_token_seconds: HistogramVec,
     /// Time between tokens, by account and class.
     pub between_tokens_seconds: HistogramVec,
-    /// Time to the whole answer, by account and class.
+    /// Time to the complete answer, by account and class.
     pub whole_answer_seconds: HistogramVec,
     /// Time in the queue, by account and class.
     pub queue_wait_seconds: HistogramVec,
-    /// Answers by account and code.
+    /// Answers, by account and result code.
     pub answers_total: IntCounterVec,
-    /// Tokens passed on, by account.
+    /// Tokens forwarded to callers, by account.
     pub tokens_total: IntCounterVec,
-    /// Attempts after the first.
+    /// Attempts after the first one of a request.
     pub retries_total: IntCounter,
     /// Loads and unloads ordered, by kind.
     pub moves_total: IntCounterVec,
-    /// Answers that belonged to no request of ours.
+    /// Upstream answers that match no request of this instance.
     pub foreign_answers_total: IntCounter,
     /// Peer messages dropped, by reason.
     pub peer_dropped_total: IntCounterVec,
-    /// Peer bytes sent.
+    /// Bytes of digests sent to peers.
     pub peer_sent_bytes_total: IntCounter,
-    /// Requests that wait.
+    /// Requests waiting in the queues.
     pub queue_waiting: IntGauge,
-    /// Requests at upstreams.
+    /// Requests running at upstreams.
     pub upstream_running: IntGauge,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub config_version: IntGauge,
     /// Cells whose lease this instance holds.
     pub cells_held: IntGauge,
-    /// Targets resident on workers that this instance knows of.
+    /// Targets that are resident on at least one known worker.
     pub resident_targets: IntGauge,
     /// Whether this instance is ready, 0 or 1.
     pub is_ready: IntGauge,
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Panics
     ///
-    /// If two metrics had the same name, which the source rules out.
+    /// Panics if a metric name is invalid or used twice; all names are constants.
     ///
     /// ```
     /// let metrics = cranereach_entry::metrics::Metrics::new();
@@ -129,10 +129,10 @@
         }
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the text format.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory doesn't fail.
+        // Writing to a vector can't fail.
         let _written = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8_lossy(&text).into_owned()
     }
@@ -144,12 +144,12 @@
     }
 }
 
-/// Adds our prefix to a name.
+/// Returns metric options with the common name prefix.
 fn options(name: &str, help: &str) -> Opts {
     Opts::new(format!("cranereach_{name}"), help)
 }
 
-/// Makes a histogram by account and class.
+/// Creates and registers a histogram by account and class.
 fn histogram(registry: &Registry, name: &str, help: &str) -> HistogramVec {
     let options = HistogramOpts::from(options(name, help)).buckets(TIME_BUCKETS_S.to_vec());
     let metric =
@@ -160,7 +160,7 @@
     metric
 }
 
-/// Makes counters by labels.
+/// Creates and registers a counter with labels.
 fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let metric =
         IntCounterVec::new(options(name, help), labels).expect("names are constants of ours");
@@ -170,7 +170,7 @@
     metric
 }
 
-/// Makes one counter.
+/// Creates and registers a counter without labels.
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let metric = IntCounter::with_opts(options(name, help)).expect("names are constants of ours");
     registry
@@ -179,7 +179,7 @@
     metric
 }
 
-/// Makes one gauge.
+/// Creates and registers a gauge.
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     let metric = IntGauge::with_opts(options(name, help)).expect("names are constants of ours");
     registry
--- a/crates/cranereach-entry/src/operators.rs
+++ b/crates/cranereach-entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: health, metrics, status.
+//! The operators' API: health, metrics and status.
 
 use std::sync::Arc;
 
@@ -20,10 +20,10 @@
 use cranereach_http::body;
 use cranereach_http::server::Closed;
 
-/// An answer to an operator.
+/// Response to an operator.
 type Answer = Response<Full<Bytes>>;
 
-/// Answers one request of an operator, the balancer or a metrics reader.
+/// Answers a request of an operator, the load balancer or a metrics scraper.
 pub async fn answer(
     shared: Arc<Shared>,
     control: Address<ControlActor>,
@@ -39,7 +39,8 @@
     })
 }
 
-/// Says whether the balancer should send callers here, and why not.
+/// Answers whether the load balancer should send callers to this instance, with the
+/// phase and configuration version that readiness depends on.
 fn ready(shared: &Shared) -> Answer {
     let is_ready = shared.is_ready();
     let phase = phase_name(shared.phase());
@@ -51,7 +52,7 @@
     )
 }
 
-/// Says what this instance knows and does.
+/// Answers with the state of this instance.
 async fn status(shared: &Shared, control: &Address<ControlActor>) -> Answer {
     let digest = shared
         .dispatcher
@@ -89,16 +90,18 @@
 }
 
 /// Whether a request carries the operators' token.
+///
+/// Without a configured token no request does.
 fn is_operator(shared: &Shared, request: &Request<Incoming>) -> bool {
     let Some(token) = &shared.settings.operators.token else {
         return false;
     };
-    // Hashes compare in constant time.
+    // BLAKE3 hashes are compared in constant time, so timing doesn't leak the token.
     bearer(request.headers())
         .is_some_and(|given| blake3::hash(given.as_bytes()) == blake3::hash(token.as_bytes()))
 }
 
-/// Makes an error answer.
+/// Creates the response for a result code.
 fn error(code: ResultCode) -> Answer {
     let row = code.row();
     body::json(
@@ -107,7 +110,7 @@
     )
 }
 
-/// Returns the name of a phase.
+/// Returns the external name of a phase.
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Serving => "serving",
--- a/crates/cranereach-entry/src/peers/bodies.rs
+++ b/crates/cranereach-entry/src/peers/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of configurations over TCP, from whoever holds them.
+//! Serves configuration bodies to peers and fetches them from peers, over TCP.
 
 use std::io;
 use std::sync::Arc;
@@ -21,13 +21,13 @@
 use cranereach_wire::peer::open;
 use cranereach_wire::peer::seal;
 
-/// Time for one exchange with a peer, in milliseconds.
+/// Time limit of one exchange with a peer, in milliseconds.
 const EXCHANGE_TIMEOUT_MS: u64 = 1_000;
 
-/// Peers asked before the object store is.
+/// Number of peers asked before falling back to the object store.
 const MAX_PEERS_ASKED: usize = 3;
 
-/// Answers peers until the process ends.
+/// Serves peers until the process ends.
 pub async fn run(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _peer)) = listener.accept().await else {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Fetches a body from the peers; none if none of them gives it.
+/// Fetches a body from peers, live ones first; `None` if no peer asked has it.
 pub async fn fetch(shared: &Shared, hash: &str) -> Option<Bytes> {
     let mut peers = discovery::peers(shared);
     let live = shared.membership().live(shared.now_ms());
@@ -64,7 +64,8 @@
     None
 }
 
-/// Asks one peer for a body.
+/// Requests a body from one peer; `None` if it doesn't have the body or the hash
+/// doesn't match.
 async fn request_body(
     shared: &Shared,
     peer: &PeerAddress,
@@ -82,7 +83,7 @@
         .filter(|body| content_hash(body) == hash))
 }
 
-/// Answers one peer.
+/// Answers one request of a peer.
 async fn serve_body(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
     let sealed = read_frame(&mut stream).await?;
     let PeerRequest::Body { hash } = open(&shared.peer_key, &sealed).map_err(io::Error::other)?;
@@ -95,20 +96,21 @@
     .await
 }
 
-/// Writes a message with its length before it.
+/// Writes a message, prefixed with its length.
 async fn write_frame(stream: &mut TcpStream, sealed: &[u8]) -> io::Result<()> {
     stream.write_u32(sealed.len() as u32).await?;
     stream.write_all(sealed).await?;
     stream.flush().await
 }
 
-/// Reads a message with its length before it.
+/// Reads a length-prefixed message.
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await? as usize;
     if length > MESSAGE_MAX_BYTES {
         return Err(io::Error::other("the message is too large"));
     }
-    // Memory grows with what arrives, not with what the length claims.
+    // The buffer grows with the data received; a peer can't make this instance allocate
+    // memory by merely announcing a large length.
     let mut sealed = Vec::new();
     stream.take(length as u64).read_to_end(&mut sealed).await?;
     if sealed.len() < length {
--- a/crates/cranereach-entry/src/peers/digests.rs
+++ b/crates/cranereach-entry/src/peers/digests.rs
@@ -1,4 +1,5 @@
-//! Digests: what this instance knows, told to its peers five times a second.
+//! Sends this instance's state to its peers as digests, by default five times a
+//! second, and receives theirs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +39,7 @@
         for digest in &digests {
             let sealed = seal(&shared.peer_key, digest);
             for peer in peers.iter().take(INSTANCES_MAX) {
-                // A lost datagram is followed by the next one.
+                // Errors are ignored: the next digest makes up for a lost datagram.
                 let sent = socket.send_to(&sealed, peer.address).await.unwrap_or(0);
                 shared.metrics.peer_sent_bytes_total.inc_by(sent as u64);
             }
@@ -66,7 +67,7 @@
     }
 }
 
-/// Collects what this instance has to say.
+/// Collects the parts of this instance's digest.
 async fn collect_parts(shared: &Shared, control: &Address<ControlActor>) -> Vec<DigestPart> {
     let mut parts = vec![DigestPart::Head(shared.config().held().clone())];
     if shared.phase() != Phase::Serving {
@@ -91,7 +92,8 @@
     parts
 }
 
-/// Tells every part what a peer said.
+/// Applies a peer's digest: updates membership and the configuration's head, and
+/// passes the parts to both actors.
 async fn apply_digest(shared: &Shared, control: &Address<ControlActor>, digest: Digest) {
     let now_ms = shared.now_ms();
     shared.membership().heard(now_ms, &digest.sender);
@@ -111,7 +113,7 @@
         sender: digest.sender.clone(),
         parts: digest.parts.clone(),
     };
-    // Neither actor ends before this task does.
+    // Both actors outlive this task, so sending can't fail.
     let _sent = control.send(received).await;
     let _sent = shared
         .dispatcher
@@ -122,7 +124,7 @@
         .await;
 }
 
-/// Counts a dropped message.
+/// Counts a dropped message, by reason.
 fn count_dropped(shared: &Shared, reason: &str) {
     shared
         .metrics
--- a/crates/cranereach-entry/src/peers/mod.rs
+++ b/crates/cranereach-entry/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Entry instances among themselves: digests by UDP, bodies by TCP.
+//! Communication between entry instances: digests over UDP, configuration bodies
+//! over TCP.
 
 pub mod bodies;
 pub mod digests;
--- a/crates/cranereach-entry/src/platform/mod.rs
+++ b/crates/cranereach-entry/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! Adapters of the platform's interfaces, one thin module each.
+//! Adapters to the platform's interfaces, one thin module each.
 //!
-//! An interface given later is met by changing its module only.
+//! If an interface of the platform changes, only its module has to change.
 
 pub mod list;
 pub mod objects;
@@ -10,25 +10,25 @@
 
 use cranereach_http::client::CallError;
 
-/// Time for a platform's answer, in milliseconds.
+/// Time limit for an answer of the platform, in milliseconds.
 pub const ANSWER_WITHIN_MS: u64 = 1_500;
 
-/// How a store failed.
+/// Error of a call to a store of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// It did not act.
+    /// The store did not perform the operation.
     #[error("the store did not act: {detail}")]
     NotDone {
-        /// What was seen.
+        /// Cause of the error.
         detail: String,
     },
-    /// It may have acted: the answer was lost.
+    /// The store may have performed the operation: no valid answer was received.
     #[error("the store may have acted: {detail}")]
     Unknown {
-        /// What was seen.
+        /// Cause of the error.
         detail: String,
     },
-    /// A condition of the transaction did not hold.
+    /// The row's version differed from the expected one, so nothing was written.
     #[error("the row has changed")]
     Conflict,
 }
@@ -43,7 +43,8 @@
     }
 }
 
-/// Error of an answer whose status says that the store did not act.
+/// Returns the error for an answer whose status shows that the store did not perform
+/// the operation.
 fn unexpected_status(status: u16) -> StoreError {
     StoreError::NotDone {
         detail: format!("status {status}"),
--- a/crates/cranereach-entry/src/platform/objects.rs
+++ b/crates/cranereach-entry/src/platform/objects.rs
@@ -1,4 +1,5 @@
-//! Adapter of the object store; objects are named by their hash.
+//! Adapter to the object store, which is content-addressed: objects are named by
+//! their hash.
 
 use bytes::Bytes;
 
@@ -14,14 +15,15 @@
 }
 
 impl Objects {
-    /// Makes a client for `ip:port`.
+    /// Creates a client for a server at `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
             client: JsonClient::new(address),
         }
     }
 
-    /// Reads the body of a hash; none if it isn't there or doesn't fit.
+    /// Reads the body with the given hash; `None` if it is missing or its content doesn't
+    /// match the hash.
     pub async fn get(&self, hash: &str) -> Result<Option<Bytes>, StoreError> {
         let answer = self
             .client
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Writes a body under its hash and returns the hash; may be repeated.
+    /// Writes a body under its hash and returns the hash. The operation is idempotent.
     pub async fn put(&self, body: &Bytes) -> Result<String, StoreError> {
         let hash = content_hash(body);
         let answer = self
@@ -49,7 +51,7 @@
     }
 }
 
-/// Returns the name of a body: its BLAKE3 hash in hex.
+/// Returns the BLAKE3 hash of a body in hex, which names it in the store.
 ///
 /// ```
 /// assert_eq!(cranereach_entry::platform::objects::content_hash(b"x").len(), 64);
--- a/crates/cranereach-entry/src/platform/table.rs
+++ b/crates/cranereach-entry/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! Adapter of the transactional table service.
+//! Adapter to the transactional table service.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -18,17 +18,17 @@
     client: JsonClient,
 }
 
-/// A typed row with its version; version zero means that there is none.
+/// Typed row with its version; version zero means that the row doesn't exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// Version.
+    /// Version of the row.
     pub version: u64,
-    /// Content; the default if there is no row.
+    /// Content of the row; the default value if it doesn't exist.
     pub value: T,
 }
 
 impl Table {
-    /// Makes a client for `ip:port`.
+    /// Creates a client for a server at `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
             client: JsonClient::new(address),
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Sets a row if its version still stands; returns the new version.
+    /// Writes a row if its version equals `expected_version` (compare-and-set); returns
+    /// the new version.
     pub async fn write<T: Serialize>(
         &self,
         key: &str,
--- a/crates/cranereach-entry/src/settings.rs
+++ b/crates/cranereach-entry/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of an entry instance: one typed struct per section.
 //!
-//! Every default stands here. `docs/settings.sample.jsonc` documents all of
-//! them, and a test loads it.
+//! All defaults are defined in this module. `docs/settings.sample.jsonc` documents
+//! every setting, and a test loads it.
 
 use std::fs;
 use std::path::Path;
@@ -24,54 +24,54 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where this instance is.
+    /// Identity and location of this instance.
     pub instance: InstanceSettings,
-    /// Addresses to listen on.
+    /// Listen addresses.
     #[serde(default)]
     pub listen: ListenSettings,
-    /// Where the platform is.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What the entry instances share.
+    /// Communication between entry instances.
     pub peers: PeerSettings,
     /// Operators' access.
     #[serde(default)]
     pub operators: OperatorSettings,
-    /// Limits against bad input.
+    /// Limits on input and connections.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Which plug-ins decide.
+    /// Choice of policies.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// What the weight store allows.
+    /// Limits of the weight store.
     #[serde(default)]
     pub weight_store: WeightStoreSettings,
-    /// Planned stop.
+    /// Graceful shutdown.
     #[serde(default)]
     pub drain: DrainSettings,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Who and where this instance is.
+/// Identity and location of this instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// Identity, as on the platform's list.
+    /// Id of the instance, as on the platform's instance list.
     pub id: InstanceId,
-    /// Failure domain.
+    /// Failure domain in which the instance runs.
     pub failure_domain: FailureDomain,
 }
 
-/// Addresses to listen on; port 0 lets the system choose.
+/// Listen addresses; with port 0 the system chooses a port.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers, HTTP/1.1 and HTTP/2.
+    /// Callers' API, HTTP/1.1 and HTTP/2.
     pub callers: String,
-    /// Operators, health and metrics.
+    /// Operators' API, health and metrics.
     pub operators: String,
-    /// Peers, UDP and TCP on the same port.
+    /// Peer traffic, UDP and TCP on the same port.
     pub peers: String,
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// Where the platform is, each `ip:port`.
+/// Addresses of the platform's services, each as `ip:port`, and polling intervals.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
@@ -94,34 +94,34 @@
     pub table: String,
     /// Object store.
     pub objects: String,
-    /// List of instances.
+    /// Instance list.
     pub instances: String,
-    /// Time between two reads of the configuration's head, in milliseconds.
+    /// Polling interval of the configuration's head, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub head_every_ms: u64,
-    /// Time between two reads of the list, in milliseconds.
+    /// Polling interval of the instance list, in milliseconds.
     #[serde(default = "default_list_ms")]
     pub list_every_ms: u64,
 }
 
-/// Reads of the head: one in 2 s per instance.
+/// Default polling interval of the head: each instance reads it every 2 s.
 fn default_poll_ms() -> u64 {
     2_000
 }
 
-/// Reads of the list: one a second per instance.
+/// Default polling interval of the list: each instance reads it every second.
 fn default_list_ms() -> u64 {
     1_000
 }
 
-/// What the entry instances share.
+/// Communication between entry instances.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Secret that seals messages between instances.
+    /// Secret from which the key that seals messages between instances is derived.
     #[serde(default)]
     pub secret: Option<String>,
-    /// File that holds the secret, in its place.
+    /// File that holds the secret; replaces `secret`.
     #[serde(default)]
     pub secret_file: Option<PathBuf>,
     /// Time between two digests, in milliseconds.
@@ -129,7 +129,7 @@
     pub digest_every_ms: u64,
 }
 
-/// Five digests a second.
+/// Default digest interval: five digests per second.
 fn default_digest_ms() -> u64 {
     200
 }
@@ -138,25 +138,26 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Bearer token for `/status`; without one `/status` is closed.
+    /// Bearer token for `/status`; without one, all requests to `/status` are rejected.
     pub token: Option<String>,
-    /// File that holds the token, in its place.
+    /// File that holds the token; replaces `token`.
     pub token_file: Option<PathBuf>,
 }
 
-/// Limits against bad input.
+/// Limits on input and connections.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Largest body of a model call, and of a kept plain call, in bytes.
+    /// Maximum body size of a model call, and of a plain call whose body is buffered, in
+    /// bytes.
     pub body_max_bytes: usize,
-    /// Time for a body to arrive, in milliseconds.
+    /// Time limit for receiving a body, in milliseconds.
     pub body_within_ms: u64,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub header_max_bytes: usize,
-    /// Time for a head to arrive, in milliseconds.
+    /// Time limit for receiving a request's head, in milliseconds.
     pub header_within_ms: u64,
-    /// Time to connect to an upstream, in milliseconds.
+    /// Time limit for connecting to an upstream, in milliseconds.
     pub connect_within_ms: u64,
 }
 
@@ -172,21 +173,21 @@
     }
 }
 
-/// Which plug-ins decide.
+/// Choice of policies, by name, and their parameters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicySettings {
-    /// Order within a class.
+    /// Policy that orders the requests of a class.
     pub order: String,
-    /// Choice of a worker.
+    /// Policy that chooses a worker for a request.
     pub route: String,
-    /// Choice of what is resident.
+    /// Policy that plans which targets are resident on which workers.
     pub residency: String,
-    /// Whether to refuse at once what can't start in time.
+    /// Whether a request that is not expected to start in time is rejected immediately.
     pub refuses_early: bool,
-    /// Worth of one more request running at once.
+    /// Value of one more concurrently running request in the residency plan.
     pub attainment_weight: f64,
-    /// Price of one load or unload.
+    /// Cost of one load or unload in the residency plan.
     pub move_weight: f64,
 }
 
@@ -204,13 +205,13 @@
     }
 }
 
-/// What the weight store allows the whole deployment.
+/// Limits of the weight store, for the whole deployment.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightStoreSettings {
-    /// Loads that may begin per second.
+    /// Maximum number of loads started per second.
     pub loads_per_s: f64,
-    /// Loads at once.
+    /// Maximum number of concurrent loads.
     pub loads_at_once_count: u32,
 }
 
@@ -223,19 +224,20 @@
     }
 }
 
-/// Planned stop.
+/// Graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DrainSettings {
-    /// Time after which a stop cuts what is left, in milliseconds; off if null.
+    /// Time after which a shutdown cuts off the requests still in flight, in
+    /// milliseconds; no limit if null.
     pub limit_ms: Option<u64>,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Least level that is written.
+    /// Lowest level that is written.
     pub level: LogLevel,
 }
 
@@ -251,36 +253,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Nothing.
+    /// Nothing is logged.
     Off,
-    /// What needs a person.
+    /// Conditions that need an operator's attention.
     Warning,
-    /// One line per request, and changes of state.
+    /// One line per request, and state changes.
     Info,
     /// Everything.
     Debug,
 }
 
-/// Why settings can't be used.
+/// Reason why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read or understood.
+    /// The file can't be read or parsed.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A value is outside what is valid.
+    /// A value is invalid.
     #[error("{}: {key}: {detail}", path.display())]
     Value {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Key, with its section.
+        /// Key, qualified with its section.
         key: &'static str,
-        /// What is wrong and what would be valid.
+        /// Description of the fault and of the valid values.
         detail: String,
     },
 }
 
 impl Settings {
-    /// Reads and checks a file, and the secret files that it names.
+    /// Reads and checks a settings file, including the secret files it refers to.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let mut settings: Self = jsonc::read_file(path)?;
         let folder = path.parent().unwrap_or(Path::new("."));
@@ -302,7 +304,7 @@
         Ok(settings)
     }
 
-    /// Checks values that their types don't.
+    /// Checks the constraints that the types of the values don't express.
     pub fn check(&self, path: &Path) -> Result<(), SettingsError> {
         let fault = |key, detail| {
             Err(SettingsError::Value {
@@ -357,7 +359,7 @@
     }
 }
 
-/// Reads a secret from its file, if one is named.
+/// Replaces a secret with the content of its file, if a file is configured.
 fn read_secret_file(
     settings_path: &Path,
     folder: &Path,
@@ -376,7 +378,7 @@
     Ok(())
 }
 
-/// Says what would have been valid.
+/// Returns the error detail for an unknown policy name, with the valid names.
 fn invalid_choice(given: &str, valid: &[&str]) -> String {
     let mut valid = valid.to_vec();
     valid.sort_unstable();
--- a/crates/cranereach-entry/src/shared.rs
+++ b/crates/cranereach-entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of an entry instance share.
+//! State shared by all components of an entry instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,25 +34,25 @@
 use cranereach_wire::peer::PeerKey;
 use cranereach_wire::platform::ListedInstance;
 
-/// A peer on the platform's list.
+/// A peer on the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// Its identity.
+    /// Id of the peer.
     pub id: InstanceId,
-    /// Its peers' port, UDP and TCP.
+    /// Address for peer traffic, UDP and TCP.
     pub address: SocketAddr,
 }
 
-/// Body of the configuration in force, for peers that lack it.
+/// Body of the active configuration, kept for peers that don't have it yet.
 #[derive(Clone, Debug, Default)]
 pub struct HeldBody {
-    /// BLAKE3 of the body, in hex.
+    /// BLAKE3 hash of the body, in hex.
     pub hash: String,
-    /// The body.
+    /// Content of the body.
     pub body: Bytes,
 }
 
-/// What all parts share.
+/// State shared by all components.
 #[derive(Debug)]
 pub struct Shared {
     /// Settings of the process.
@@ -63,23 +63,23 @@
     pub log: Logger,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Number of this boot.
+    /// Number of this boot; higher than that of earlier boots.
     pub boot_id: u64,
-    /// Secret of the peers.
+    /// Key that seals messages between peers.
     pub peer_key: PeerKey,
-    /// Connections to upstreams.
+    /// Connection pools of the upstreams.
     pub upstreams: Upstreams,
     /// Client of the table.
     pub table: Table,
-    /// Admission, order and route.
+    /// Address of the dispatch actor, which admits, orders and routes requests.
     pub dispatcher: Address<DispatchActor>,
-    /// Wakes the synchronization of the configuration.
+    /// Wakes the configuration synchronization when the body of a newer head is missing.
     pub config_body_missing: Notify,
-    /// Wakes the listeners of a planned stop.
+    /// Notified when a graceful shutdown is requested.
     pub drain_requested: Notify,
-    /// Retry budget towards all upstreams.
+    /// Retry budget for requests to upstreams.
     pub retry_budget: Mutex<RetryBudget>,
-    /// Body of the configuration in force.
+    /// Body of the active configuration.
     pub held_body: Mutex<HeldBody>,
     membership: Mutex<Membership>,
     listed: RwLock<Arc<Vec<ListedInstance>>>,
@@ -90,7 +90,7 @@
     request_count: AtomicU64,
 }
 
-/// Counts a request as in flight until dropped.
+/// Guard that counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight {
     shared: Arc<Shared>,
@@ -102,13 +102,13 @@
     }
 }
 
-/// Locks a mutex, also after a panic elsewhere.
+/// Locks a mutex, ignoring poisoning by a panic in another thread.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
-    /// Makes the shared part of an instance.
+    /// Creates the shared state of an instance.
     pub fn new(settings: Settings, log: Logger, dispatcher: Address<DispatchActor>) -> Self {
         let clock = Clock::start();
         let secret = settings.peers.secret.clone().unwrap_or_default();
@@ -136,22 +136,22 @@
         }
     }
 
-    /// Returns this instance's identity.
+    /// Returns the id of this instance.
     pub fn own_id(&self) -> &InstanceId {
         &self.settings.instance.id
     }
 
-    /// Returns now, in milliseconds since the start.
+    /// Returns the current time, in milliseconds since the start of the process.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         Arc::clone(&self.snapshot.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Puts a configuration in force.
+    /// Replaces the active configuration.
     pub fn set_snapshot(&self, snapshot: Snapshot) {
         self.metrics.config_version.set(snapshot.version as i64);
         *self
@@ -160,27 +160,28 @@
             .unwrap_or_else(PoisonError::into_inner) = Arc::new(snapshot);
     }
 
-    /// Returns the platform's list as last read.
+    /// Returns the platform's instance list, as last read.
     pub fn listed(&self) -> Arc<Vec<ListedInstance>> {
         Arc::clone(&self.listed.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes the platform's list.
+    /// Replaces the platform's instance list.
     pub fn set_instance_list(&self, listed: Vec<ListedInstance>) {
         *self.listed.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(listed);
     }
 
-    /// Returns what is known of the other instances.
+    /// Locks and returns the membership view of the other entry instances.
     pub fn membership(&self) -> MutexGuard<'_, Membership> {
         lock(&self.membership)
     }
 
-    /// Returns what is known of the configuration's version.
+    /// Locks and returns the state of the configuration's version.
     pub fn config(&self) -> MutexGuard<'_, ConfigState> {
         lock(&self.config)
     }
 
-    /// Whether this instance can know that its configuration is in force.
+    /// Whether this instance has recent enough confirmation that its configuration is
+    /// the current one.
     pub fn may_serve(&self) -> bool {
         let now_ms = self.now_ms();
         let membership = self.membership();
@@ -190,26 +191,27 @@
         self.config().may_serve(now_ms, listed_count, heard_count)
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers to this instance; also updates the
+    /// metric.
     pub fn is_ready(&self) -> bool {
         let is_ready = self.phase() == Phase::Serving && self.may_serve();
         self.metrics.is_ready.set(i64::from(is_ready));
         is_ready
     }
 
-    /// Asks for a planned stop; asking again changes nothing.
+    /// Requests a graceful shutdown; further requests have no effect.
     pub fn request_drain(&self) {
         lock(&self.drain).ask(self.now_ms());
         self.drain_requested.notify_waiters();
     }
 
-    /// Returns the phase of a planned stop.
+    /// Returns the phase of the graceful shutdown.
     pub fn phase(&self) -> Phase {
         let in_flight_count = self.in_flight_count.load(Ordering::Acquire);
         lock(&self.drain).phase(self.now_ms(), in_flight_count, self.settings.drain.limit_ms)
     }
 
-    /// Returns how many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight_count.load(Ordering::Acquire)
     }
@@ -222,12 +224,12 @@
         }
     }
 
-    /// Returns a new identity for a request.
+    /// Returns a new request id, unique within this boot.
     pub fn next_request(&self) -> RequestId {
         RequestId(self.request_count.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// Returns the name of a request, unique over instances and boots.
+    /// Returns the external name of a request, unique across instances and boots.
     pub fn request_name(&self, request: RequestId) -> String {
         format!("{}-{:x}-{:x}", self.own_id(), self.boot_id, request.0)
     }
