--- a/crates/cranereach-entry/src/apply.rs
+++ b/crates/cranereach-entry/src/apply.rs
@@ -45,14 +45,14 @@
         files: BTreeSet<String>,
     },
     /// A store was unavailable, and the change was not accepted.
-    #[error("nothing was accepted: {detail}")]
+    #[error("store unavailable, no change was accepted: {detail}")]
     StoreUnavailable {
         /// Cause, as reported by the store.
         detail: String,
     },
     /// The commit was sent, but its outcome could not be read.
     #[error(
-        "change {change_id} may have been accepted: {detail}; run `cranereach status --change {change_id}` when the table is back"
+        "change {change_id} may have been accepted: {detail}; run `cranereach status --change {change_id}` once the table is reachable again"
     )]
     AcceptanceUnknown {
         /// Id of the change.
@@ -61,7 +61,7 @@
         detail: String,
     },
     /// The merged declarations are invalid.
-    #[error("together with version {version} the declarations have faults: {faults}")]
+    #[error("the declarations are invalid when merged with version {version}: {faults}")]
     MergedFaults {
         /// Version that the change was merged with.
         version: u64,
@@ -155,7 +155,9 @@
             .find(|accepted| accepted.version == version);
         let Some(accepted) = accepted else {
             return Err(ApplyError::StoreUnavailable {
-                detail: format!("version {version} is too old to merge with; pull first"),
+                detail: format!(
+                    "version {version} is no longer in the history and can't be merged with; pull first"
+                ),
             });
         };
         self.read_folder(&accepted.hash).await
@@ -245,7 +247,7 @@
     async fn read_folder(&self, hash: &str) -> Result<Folder, ApplyError> {
         let body = self.objects.get(hash).await.map_err(unavailable)?;
         let body = body.ok_or_else(|| ApplyError::StoreUnavailable {
-            detail: format!("the object store lacks body {hash}"),
+            detail: format!("object {hash} is missing from the object store"),
         })?;
         serde_json::from_slice(&body).map_err(|error| ApplyError::StoreUnavailable {
             detail: error.to_string(),
--- a/crates/cranereach-entry/src/config_sync.rs
+++ b/crates/cranereach-entry/src/config_sync.rs
@@ -62,7 +62,7 @@
             shared.config().read_table(shared.now_ms(), &head);
         }
         Err(error) => {
-            warn!(shared.log, "can't read the configuration's head"; "error" => error.to_string());
+            warn!(shared.log, "failed to read the configuration head"; "error" => error.to_string());
         }
     }
 }
@@ -77,7 +77,7 @@
         None => objects.get(&head.hash).await.ok().flatten(),
     };
     let Some(body) = body else {
-        warn!(shared.log, "can't fetch a configuration"; "version" => head.version);
+        warn!(shared.log, "failed to fetch the configuration body"; "version" => head.version);
         return;
     };
     adopt(shared, &head, body);
@@ -91,7 +91,7 @@
     let snapshot = match resolve(&body, head.version) {
         Ok(snapshot) => snapshot,
         Err(detail) => {
-            error!(shared.log, "an accepted configuration can't be used"; "version" => head.version, "error" => detail);
+            error!(shared.log, "accepted configuration is invalid"; "version" => head.version, "error" => detail);
             return;
         }
     };
--- a/crates/cranereach-entry/src/control_actor/calls.rs
+++ b/crates/cranereach-entry/src/control_actor/calls.rs
@@ -152,8 +152,8 @@
             OrderKind::Seal => {}
         }
         self.spawn_call(async move {
-            let is_lease_expired = send_deadline_ms.is_some_and(|at_ms| shared.now_ms() >= at_ms);
-            let end = if is_lease_expired { OrderEnd::NeverSent } else { client.order(&order).await };
+            let is_expired = send_deadline_ms.is_some_and(|at_ms| shared.now_ms() >= at_ms);
+            let end = if is_expired { OrderEnd::NeverSent } else { client.order(&order).await };
             info!(shared.log, "order"; "cell" => id.to_string(), "worker" => order.worker.as_str(),
                 "kind" => format!("{:?}", order.kind), "target" => order.target.as_str(), "end" => format!("{end:?}"));
             Some(CallCompleted::Ordered(id, order.worker, order.fence, end))
--- a/crates/cranereach-entry/src/control_actor/mod.rs
+++ b/crates/cranereach-entry/src/control_actor/mod.rs
@@ -110,8 +110,11 @@
         }
     }
 
-    /// Polls workers, reads leases and ticks the control of every cell, where this
-    /// instance's rank for the cell calls for it.
+    /// Polls workers, reads leases and ticks the control of the cells.
+    ///
+    /// The workers of a cell are polled by its rendezvous owner and by a lease holder
+    /// that is still acting. For engine cells, the first [`WATCHER_COUNT`] instances by
+    /// rank and an acting holder also read the lease row.
     fn tick_cells(&mut self) {
         let now_ms = self.shared.now_ms();
         self.residents.remove_expired(now_ms);
--- a/crates/cranereach-entry/src/discovery.rs
+++ b/crates/cranereach-entry/src/discovery.rs
@@ -33,7 +33,7 @@
         match list.read().await {
             Ok(listed) => publish(&shared, &control, listed).await,
             Err(error) => {
-                warn!(shared.log, "can't read the list of instances"; "error" => error.to_string());
+                warn!(shared.log, "failed to read the instance list"; "error" => error.to_string());
                 // Publish the last list again: the configured pools may have changed.
                 let listed = shared.listed().as_ref().clone();
                 publish(&shared, &control, listed).await;
--- a/crates/cranereach-entry/src/metrics.rs
+++ b/crates/cranereach-entry/src/metrics.rs
@@ -152,38 +152,40 @@
 /// Creates and registers a histogram by account and class.
 fn histogram(registry: &Registry, name: &str, help: &str) -> HistogramVec {
     let options = HistogramOpts::from(options(name, help)).buckets(TIME_BUCKETS_S.to_vec());
-    let metric =
-        HistogramVec::new(options, &["account", "class"]).expect("names are constants of ours");
+    let metric = HistogramVec::new(options, &["account", "class"])
+        .expect("metric names are valid constants");
     registry
         .register(Box::new(metric.clone()))
-        .expect("each name is registered once");
+        .expect("each metric name is registered once");
     metric
 }
 
 /// Creates and registers a counter with labels.
 fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let metric =
-        IntCounterVec::new(options(name, help), labels).expect("names are constants of ours");
+        IntCounterVec::new(options(name, help), labels).expect("metric names are valid constants");
     registry
         .register(Box::new(metric.clone()))
-        .expect("each name is registered once");
+        .expect("each metric name is registered once");
     metric
 }
 
 /// Creates and registers a counter without labels.
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
-    let metric = IntCounter::with_opts(options(name, help)).expect("names are constants of ours");
+    let metric =
+        IntCounter::with_opts(options(name, help)).expect("metric names are valid constants");
     registry
         .register(Box::new(metric.clone()))
-        .expect("each name is registered once");
+        .expect("each metric name is registered once");
     metric
 }
 
 /// Creates and registers a gauge.
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
-    let metric = IntGauge::with_opts(options(name, help)).expect("names are constants of ours");
+    let metric =
+        IntGauge::with_opts(options(name, help)).expect("metric names are valid constants");
     registry
         .register(Box::new(metric.clone()))
-        .expect("each name is registered once");
+        .expect("each metric name is registered once");
     metric
 }
--- a/crates/cranereach-entry/src/peers/bodies.rs
+++ b/crates/cranereach-entry/src/peers/bodies.rs
@@ -107,7 +107,7 @@
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await? as usize;
     if length > MESSAGE_MAX_BYTES {
-        return Err(io::Error::other("the message is too large"));
+        return Err(io::Error::other("peer message exceeds the maximum size"));
     }
     // The buffer grows with the data received; a peer can't make this instance allocate
     // memory by merely announcing a large length.
--- a/crates/cranereach-entry/src/platform/mod.rs
+++ b/crates/cranereach-entry/src/platform/mod.rs
@@ -17,19 +17,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// The store did not perform the operation.
-    #[error("the store did not act: {detail}")]
+    #[error("the store did not perform the operation: {detail}")]
     NotDone {
         /// Cause of the error.
         detail: String,
     },
     /// The store may have performed the operation: no valid answer was received.
-    #[error("the store may have acted: {detail}")]
+    #[error("the store may have performed the operation: {detail}")]
     Unknown {
         /// Cause of the error.
         detail: String,
     },
     /// The row's version differed from the expected one, so nothing was written.
-    #[error("the row has changed")]
+    #[error("the row's version has changed")]
     Conflict,
 }
 
@@ -47,6 +47,6 @@
 /// the operation.
 fn unexpected_status(status: u16) -> StoreError {
     StoreError::NotDone {
-        detail: format!("status {status}"),
+        detail: format!("HTTP status {status}"),
     }
 }
--- a/crates/cranereach-entry/src/settings.rs
+++ b/crates/cranereach-entry/src/settings.rs
@@ -316,7 +316,8 @@
         if self.peers.secret.as_deref().unwrap_or_default().is_empty() {
             return fault(
                 "peers.secret",
-                "give a secret, or secret_file with a path to one".to_owned(),
+                "must not be empty; set it, or secret_file to the path of a file that holds it"
+                    .to_owned(),
             );
         }
         if order::find(&self.policy.order).is_none() {
@@ -344,7 +345,7 @@
         {
             return fault(
                 "policy.attainment_weight, policy.move_weight",
-                "give numbers that aren't negative".to_owned(),
+                "must be finite numbers that aren't negative".to_owned(),
             );
         }
         Ok(())
@@ -382,5 +383,8 @@
 fn invalid_choice(given: &str, valid: &[&str]) -> String {
     let mut valid = valid.to_vec();
     valid.sort_unstable();
-    format!("{given:?} is not one of {}", valid.join(", "))
+    format!(
+        "unknown policy {given:?}; expected one of {}",
+        valid.join(", ")
+    )
 }
