--- a/crates/cranereach-entry/src/control_actor/calls.rs
+++ b/crates/cranereach-entry/src/control_actor/calls.rs
@@ -8,7 +8,7 @@
 use xtra::Address;
 use xtra::Handler;
 
-use super::CallCompleted;
+use super::CallEnd;
 use super::ControlActor;
 use super::LEASE_READ_INTERVAL_MS;
 use cranereach_core::cell::CellId;
@@ -31,11 +31,11 @@
 
 impl ControlActor {
     /// Runs a call in its own task and sends its result, if any, back to the actor.
-    fn spawn_call(&self, call: impl Future<Output = Option<CallCompleted>> + Send + 'static) {
+    fn spawn_call(&self, call: impl Future<Output = Option<CallEnd>> + Send + 'static) {
         let own_address = self.own_address.clone();
         tokio::spawn(async move {
-            if let (Some(completed), Some(address)) = (call.await, own_address.try_upgrade()) {
-                tell(&address, completed);
+            if let (Some(end), Some(address)) = (call.await, own_address.try_upgrade()) {
+                tell(&address, end);
             }
         });
     }
@@ -55,7 +55,7 @@
                     .report()
                     .await
                     .ok()
-                    .map(|load| CallCompleted::Polled(id, worker, load))
+                    .map(|load| CallEnd::Polled(id, worker, load))
             });
         }
     }
@@ -76,7 +76,7 @@
         let id = id.clone();
         self.spawn_call(async move {
             let row = shared.table.read(&lease_key(&id)).await;
-            Some(CallCompleted::LeaseRead(id, row))
+            Some(CallEnd::LeaseRead(id, row))
         });
     }
 
@@ -90,7 +90,7 @@
                 .table
                 .write(&lease_key(&id), write.expected_version, &write.row)
                 .await;
-            Some(CallCompleted::LeaseWritten(id, write.row, written))
+            Some(CallEnd::LeaseWritten(id, write.row, written))
         });
     }
 
@@ -100,7 +100,7 @@
         let id = id.clone();
         self.spawn_call(async move {
             let row = shared.table.read::<IntentRow>(&intents_key(&id)).await;
-            Some(CallCompleted::IntentsRead(id, row))
+            Some(CallEnd::IntentsRead(id, row))
         });
     }
 
@@ -116,7 +116,7 @@
                 .table
                 .write(&intents_key(&id), expected_version, &row)
                 .await;
-            Some(CallCompleted::IntentsWritten(id, written))
+            Some(CallEnd::IntentsWritten(id, written))
         });
     }
 
@@ -156,7 +156,7 @@
             let end = if is_expired { OrderEnd::NeverSent } else { client.order(&order).await };
             info!(shared.log, "order"; "cell" => id.to_string(), "worker" => order.worker.as_str(),
                 "kind" => format!("{:?}", order.kind), "target" => order.target.as_str(), "end" => format!("{end:?}"));
-            Some(CallCompleted::Ordered(id, order.worker, order.fence, end))
+            Some(CallEnd::Ordered(id, order.worker, order.fence, end))
         });
     }
 }
--- a/crates/cranereach-entry/src/control_actor/demand.rs
+++ b/crates/cranereach-entry/src/control_actor/demand.rs
@@ -59,8 +59,8 @@
         self.peers.retain(|_, by_peer| !by_peer.is_empty());
     }
 
-    /// Records a peer's demand for a target.
-    pub(super) fn record_peer(&mut self, now_ms: u64, sender: &InstanceId, demand: TargetDemand) {
+    /// Replaces a peer's demand for a target.
+    pub(super) fn set_peer(&mut self, now_ms: u64, sender: &InstanceId, demand: TargetDemand) {
         if demand.waiting_count > 0 || demand.concurrent_count > 0.1 {
             self.record_use(&demand.target, now_ms);
         }
--- a/crates/cranereach-entry/src/control_actor/messages.rs
+++ b/crates/cranereach-entry/src/control_actor/messages.rs
@@ -54,7 +54,7 @@
 
 /// Result of a row read or write, or of a call to a worker.
 #[derive(Debug)]
-pub(super) enum CallCompleted {
+pub(super) enum CallEnd {
     LeaseRead(CellId, Result<Versioned<LeaseRow>, StoreError>),
     LeaseWritten(CellId, LeaseRow, Result<u64, StoreError>),
     IntentsRead(CellId, Result<Versioned<IntentRow>, StoreError>),
--- a/crates/cranereach-entry/src/control_actor/mod.rs
+++ b/crates/cranereach-entry/src/control_actor/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`CellControl`] makes the decisions, without any I/O. The actor reads and
 //! writes rows, polls workers and sends orders, each in a task that sends its
-//! result back as a message. [`demand`] aggregates demand over all instances;
-//! [`calls`] holds the calls to the table and to workers.
+//! result back as a message. `demand` aggregates demand over all instances;
+//! `calls` holds the calls to the table and to workers.
 
 mod calls;
 mod cell_assignment;
@@ -20,7 +20,7 @@
 
 pub(crate) use self::calls::tell;
 use self::demand::DemandTracker;
-use self::messages::CallCompleted;
+use self::messages::CallEnd;
 pub use self::messages::CellView;
 pub use self::messages::CollectDigestParts;
 pub use self::messages::GetCellViews;
@@ -242,52 +242,45 @@
     }
 
     /// Handles the result of a call.
-    fn handle_completed(&mut self, completed: CallCompleted) {
+    fn handle_end(&mut self, call_end: CallEnd) {
         let now_ms = self.shared.now_ms();
-        match completed {
-            CallCompleted::Polled(id, worker, load) => self.record_poll(&id, &worker, &load),
-            CallCompleted::LeaseRead(id, Ok(row)) => self.with_cell(&id, |cell| {
+        match call_end {
+            CallEnd::Polled(id, worker, load) => self.record_poll(&id, &worker, &load),
+            CallEnd::LeaseRead(id, Ok(row)) => self.with_cell(&id, |cell| {
                 cell.control
                     .lease_mut()
                     .read(now_ms, row.version, &row.value);
             }),
-            CallCompleted::LeaseWritten(id, row, Ok(version)) => self.with_cell(&id, |cell| {
+            CallEnd::LeaseWritten(id, row, Ok(version)) => self.with_cell(&id, |cell| {
                 cell.control.lease_mut().applied(now_ms, version, &row);
             }),
-            CallCompleted::LeaseWritten(
+            CallEnd::LeaseWritten(
                 id,
                 row,
                 Err(StoreError::Conflict | StoreError::NotDone { .. }),
             ) => {
                 self.with_cell(&id, |cell| cell.control.lease_mut().refused(&row));
             }
-            CallCompleted::IntentsRead(id, Ok(row)) => self.with_cell(&id, |cell| {
+            CallEnd::IntentsRead(id, Ok(row)) => self.with_cell(&id, |cell| {
                 cell.intents_version = row.version;
                 cell.control.intents_read(now_ms, &row.value);
             }),
-            CallCompleted::IntentsRead(id, Err(_)) => {
+            CallEnd::IntentsRead(id, Err(_)) => {
                 self.with_cell(&id, |cell| cell.control.intents_unread());
             }
-            CallCompleted::IntentsWritten(id, written) => {
-                self.handle_intents_written(now_ms, &id, &written)
-            }
-            CallCompleted::Ordered(id, worker, fence, end) => {
+            CallEnd::IntentsWritten(id, written) => self.on_intents_written(now_ms, &id, &written),
+            CallEnd::Ordered(id, worker, fence, end) => {
                 self.with_cell(&id, |cell| {
                     cell.control.order_ended(now_ms, &worker, fence, end);
                 });
             }
-            CallCompleted::LeaseRead(_, Err(_))
-            | CallCompleted::LeaseWritten(_, _, Err(StoreError::Unknown { .. })) => {}
+            CallEnd::LeaseRead(_, Err(_))
+            | CallEnd::LeaseWritten(_, _, Err(StoreError::Unknown { .. })) => {}
         }
     }
 
     /// Sends the orders whose intents have been recorded.
-    fn handle_intents_written(
-        &mut self,
-        now_ms: u64,
-        id: &CellId,
-        written: &Result<u64, StoreError>,
-    ) {
+    fn on_intents_written(&mut self, now_ms: u64, id: &CellId, written: &Result<u64, StoreError>) {
         let Some(cell) = self.cells.get_mut(id) else {
             return;
         };
@@ -352,9 +345,7 @@
         let now_ms = self.shared.now_ms();
         for part in message.parts {
             match part {
-                DigestPart::Demand(demand) => {
-                    self.demand.record_peer(now_ms, &message.sender, demand)
-                }
+                DigestPart::Demand(demand) => self.demand.set_peer(now_ms, &message.sender, demand),
                 DigestPart::Report(report) => self.residents.record_report(now_ms, &report),
                 DigestPart::Epoch(cell, epoch) => self.heard_epoch(&cell, epoch),
                 _ => {}
@@ -409,10 +400,10 @@
     }
 }
 
-impl Handler<CallCompleted> for ControlActor {
+impl Handler<CallEnd> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: CallCompleted, _ctx: &mut Context<Self>) {
-        self.handle_completed(message);
+    async fn handle(&mut self, message: CallEnd, _ctx: &mut Context<Self>) {
+        self.handle_end(message);
     }
 }
--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, xtra::Actor)]
 pub struct DispatchActor {
     shared: Arc<Shared>,
-    dispatcher: Dispatcher,
+    inner: Dispatcher,
     replies: HashMap<RequestId, oneshot::Sender<Routed>>,
     peers_served: HashMap<(InstanceId, AccountName), f64>,
     actions: Vec<Action>,
@@ -137,7 +137,7 @@
     pub fn new(shared: Arc<Shared>, options: DispatchOptions) -> Self {
         Self {
             shared,
-            dispatcher: Dispatcher::new(options),
+            inner: Dispatcher::new(options),
             replies: HashMap::new(),
             peers_served: HashMap::new(),
             actions: Vec::new(),
@@ -167,7 +167,7 @@
             if let Err(Routed::Send(_)) = reply.send(routed) {
                 // The caller has disconnected in the meantime: free the slot.
                 let now_ms = self.shared.now_ms();
-                self.dispatcher
+                self.inner
                     .ended(now_ms, request, 0.0, false, &mut self.actions);
             }
         }
@@ -177,11 +177,9 @@
     fn apply_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
         match part {
             DigestPart::Outstanding(worker, count) => {
-                self.dispatcher.note_peer(now_ms, sender, &worker, count);
-            }
-            DigestPart::Report(report) => {
-                self.dispatcher.reported(now_ms, &report, &mut self.actions)
+                self.inner.note_peer(now_ms, sender, &worker, count);
             }
+            DigestPart::Report(report) => self.inner.reported(now_ms, &report, &mut self.actions),
             DigestPart::Served(account, total_tokens) => {
                 self.record_peer_served(sender, &account, total_tokens);
             }
@@ -206,8 +204,8 @@
             .insert((sender.clone(), account.clone()), total_tokens);
         let added_tokens = total_tokens - known.unwrap_or(total_tokens);
         if added_tokens > 0.0 {
-            let share = self.dispatcher.queues().share_of(account).unwrap_or(1.0);
-            self.dispatcher.peer_served(account, added_tokens, share);
+            let share = self.inner.queues().share_of(account).unwrap_or(1.0);
+            self.inner.peer_served(account, added_tokens, share);
         }
     }
 }
@@ -219,10 +217,10 @@
         let now_ms = self.shared.now_ms();
         self.replies.insert(message.waiting.request, message.reply);
         if message.is_again {
-            self.dispatcher
+            self.inner
                 .arrive_again(now_ms, message.waiting, &mut self.actions);
         } else {
-            self.dispatcher
+            self.inner
                 .arrive(now_ms, message.waiting, &mut self.actions);
         }
         self.execute_actions();
@@ -234,7 +232,7 @@
 
     async fn handle(&mut self, message: End, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.dispatcher.ended(
+        self.inner.ended(
             now_ms,
             message.request,
             message.cost_tokens,
@@ -250,10 +248,10 @@
 
     async fn handle(&mut self, message: Left, _ctx: &mut Context<Self>) {
         self.replies.remove(&message.0);
-        if !self.dispatcher.left(message.0) {
+        if !self.inner.left(message.0) {
             // The request was sent at the same moment: free the slot.
             let now_ms = self.shared.now_ms();
-            self.dispatcher
+            self.inner
                 .ended(now_ms, message.0, 0.0, false, &mut self.actions);
             self.execute_actions();
         }
@@ -265,7 +263,7 @@
 
     async fn handle(&mut self, message: Avoid, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.dispatcher.workers_mut().avoid(now_ms, &message.0);
+        self.inner.workers_mut().avoid(now_ms, &message.0);
     }
 }
 
@@ -273,7 +271,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: NotResident, _ctx: &mut Context<Self>) {
-        self.dispatcher
+        self.inner
             .workers_mut()
             .not_resident(&message.worker, &message.target);
     }
@@ -283,7 +281,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: WorkersListed, _ctx: &mut Context<Self>) {
-        self.dispatcher.workers_mut().list(message.0);
+        self.inner.workers_mut().list(message.0);
     }
 }
 
@@ -293,7 +291,7 @@
     async fn handle(&mut self, message: WorkerReports, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         for report in &message.0 {
-            self.dispatcher.reported(now_ms, report, &mut self.actions);
+            self.inner.reported(now_ms, report, &mut self.actions);
         }
         self.execute_actions();
     }
@@ -315,7 +313,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: LoadTook, _ctx: &mut Context<Self>) {
-        self.dispatcher.load_took(message.0);
+        self.inner.load_took(message.0);
     }
 }
 
@@ -324,18 +322,18 @@
 
     async fn handle(&mut self, _message: Tick, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.dispatcher.tick(now_ms, &mut self.actions);
+        self.inner.tick(now_ms, &mut self.actions);
         self.execute_actions();
         let metrics = &self.shared.metrics;
         metrics
             .queue_waiting
-            .set(self.dispatcher.queues().waiting_count() as i64);
+            .set(self.inner.queues().waiting_count() as i64);
         metrics
             .upstream_running
-            .set(self.dispatcher.running_count() as i64);
+            .set(self.inner.running_count() as i64);
         metrics
             .resident_targets
-            .set(self.dispatcher.workers().target_count() as i64);
+            .set(self.inner.workers().target_count() as i64);
     }
 }
 
@@ -349,17 +347,17 @@
     ) -> DispatchDigest {
         let now_ms = self.shared.now_ms();
         DispatchDigest {
-            outstanding: self.dispatcher.workers().own_outstanding(),
-            demand: self.dispatcher.demand(now_ms),
-            used_at_ms: self.dispatcher.used().collect(),
+            outstanding: self.inner.workers().own_outstanding(),
+            demand: self.inner.demand(now_ms),
+            used_at_ms: self.inner.used().collect(),
             served: self
-                .dispatcher
+                .inner
                 .served_tokens()
                 .iter()
                 .map(|(account, tokens)| (account.clone(), *tokens))
                 .collect(),
-            waiting_count: self.dispatcher.queues().waiting_count(),
-            running_count: self.dispatcher.running_count(),
+            waiting_count: self.inner.queues().waiting_count(),
+            running_count: self.inner.running_count(),
         }
     }
 }
--- a/crates/cranereach-entry/src/settings.rs
+++ b/crates/cranereach-entry/src/settings.rs
@@ -36,7 +36,7 @@
     /// Operators' access.
     #[serde(default)]
     pub operators: OperatorSettings,
-    /// Limits on input and connections.
+    /// Limits that protect against bad input.
     #[serde(default)]
     pub limits: LimitSettings,
     /// Choice of policies.
@@ -144,7 +144,7 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// Limits on input and connections.
+/// Limits that protect against bad input.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
