--- a/crates/cranereach-entry/src/apply.rs
+++ b/crates/cranereach-entry/src/apply.rs
@@ -30,7 +30,7 @@
 /// Pause between two such attempts, in milliseconds.
 const COMMIT_RETRY_PAUSE_MS: u64 = 500;
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted, or may not have been.
 #[derive(Debug, Error)]
 pub enum ApplyError {
     /// Another change to the same files was accepted first.
@@ -44,10 +44,10 @@
         /// Files that both changes modify.
         files: BTreeSet<String>,
     },
-    /// A store was unavailable, and the change was not accepted.
-    #[error("store unavailable, no change was accepted: {detail}")]
+    /// The stores could not be read or written as needed; the change was not accepted.
+    #[error("no change was accepted: {detail}")]
     StoreUnavailable {
-        /// Cause, as reported by the store.
+        /// Cause of the failure.
         detail: String,
     },
     /// The commit was sent, but its outcome could not be read.
@@ -57,7 +57,7 @@
     AcceptanceUnknown {
         /// Id of the change.
         change_id: String,
-        /// Cause, as reported by the store.
+        /// Cause of the failure.
         detail: String,
     },
     /// The merged declarations are invalid.
