--- a/crates/cranereach-entry/src/control_actor/calls.rs
+++ b/crates/cranereach-entry/src/control_actor/calls.rs
@@ -1,4 +1,4 @@
-//! The control actor's calls to the table and to workers, each in its own task.
+//! Calls of the control actor to the table and to workers, each in its own task.
 
 use std::sync::Arc;
 
@@ -8,9 +8,9 @@
 use xtra::Address;
 use xtra::Handler;
 
+use super::CallEnd;
 use super::ControlActor;
-use super::Ended;
-use super::LEASE_READ_EVERY_MS;
+use super::LEASE_READ_INTERVAL_MS;
 use cranereach_core::cell::CellId;
 use cranereach_core::control::IntentRow;
 use cranereach_core::control::Order;
@@ -18,7 +18,9 @@
 use cranereach_core::lease::LeaseWrite;
 use cranereach_core::ledger::OrderKind;
 
-/// Sends a message without waiting; mailboxes have no bound, so none is lost.
+/// Sends a message to an actor without waiting for it to be handled.
+///
+/// Mailboxes are unbounded, so no message is lost.
 pub(crate) fn tell<A, M>(address: &Address<A>, message: M)
 where
     A: Handler<M, Return = ()>,
@@ -28,17 +30,17 @@
 }
 
 impl ControlActor {
-    /// Runs a call and brings its end back to the actor.
-    fn call(&self, calling: impl Future<Output = Option<Ended>> + Send + 'static) {
-        let own = self.own.clone();
+    /// Runs a call in its own task and sends its result, if any, back to the actor.
+    fn spawn_call(&self, call: impl Future<Output = Option<CallEnd>> + Send + 'static) {
+        let own_address = self.own_address.clone();
         tokio::spawn(async move {
-            if let (Some(ended), Some(address)) = (calling.await, own.try_upgrade()) {
-                tell(&address, ended);
+            if let (Some(end), Some(address)) = (call.await, own_address.try_upgrade()) {
+                tell(&address, end);
             }
         });
     }
 
-    /// Polls the workers of a cell.
+    /// Requests a load report from each worker of a cell.
     pub(super) fn poll(&self, id: &CellId) {
         let Some(cell) = self.cells.get(id) else {
             return;
@@ -48,33 +50,33 @@
                 continue;
             };
             let (id, worker) = (id.clone(), worker.clone());
-            self.call(async move {
+            self.spawn_call(async move {
                 client
                     .report()
                     .await
                     .ok()
-                    .map(|load| Ended::Polled(id, worker, load))
+                    .map(|load| CallEnd::Polled(id, worker, load))
             });
         }
     }
 
-    /// Reads a cell's lease row if that is due.
+    /// Reads a cell's lease row if the read interval has passed.
     pub(super) fn read_lease(&mut self, now_ms: u64, id: &CellId) {
         let Some(cell) = self.cells.get_mut(id) else {
             return;
         };
         let is_due = cell
             .lease_read_at_ms
-            .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) >= LEASE_READ_EVERY_MS);
+            .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) >= LEASE_READ_INTERVAL_MS);
         if !is_due {
             return;
         }
         cell.lease_read_at_ms = Some(now_ms);
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
-        self.call(async move {
+        self.spawn_call(async move {
             let row = shared.table.read(&lease_key(&id)).await;
-            Some(Ended::LeaseRead(id, row))
+            Some(CallEnd::LeaseRead(id, row))
         });
     }
 
@@ -83,12 +85,12 @@
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
         debug!(shared.log, "lease write"; "cell" => id.to_string(), "epoch" => write.row.epoch_major);
-        self.call(async move {
+        self.spawn_call(async move {
             let written = shared
                 .table
                 .write(&lease_key(&id), write.expected_version, &write.row)
                 .await;
-            Some(Ended::LeaseWritten(id, write.row, written))
+            Some(CallEnd::LeaseWritten(id, write.row, written))
         });
     }
 
@@ -96,9 +98,9 @@
     pub(super) fn read_intents(&self, id: &CellId) {
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
-        self.call(async move {
+        self.spawn_call(async move {
             let row = shared.table.read::<IntentRow>(&intents_key(&id)).await;
-            Some(Ended::IntentsRead(id, row))
+            Some(CallEnd::IntentsRead(id, row))
         });
     }
 
@@ -109,16 +111,19 @@
         };
         let shared = Arc::clone(&self.shared);
         let id = id.clone();
-        self.call(async move {
+        self.spawn_call(async move {
             let written = shared
                 .table
                 .write(&intents_key(&id), expected_version, &row)
                 .await;
-            Some(Ended::IntentsWritten(id, written))
+            Some(CallEnd::IntentsWritten(id, written))
         });
     }
 
-    /// Sends an order, if the lease still allows it at that moment.
+    /// Sends an order to its worker.
+    ///
+    /// Workers that don't check fences can't reject an order of a former holder, so
+    /// such an order isn't sent once the lease has expired.
     pub(super) fn send_order(&self, id: &CellId, order: Order) {
         let Some(client) = self.clients.get(&order.worker).map(Arc::clone) else {
             return;
@@ -126,7 +131,7 @@
         let Some(cell) = self.cells.get(id) else {
             return;
         };
-        let not_after_ms = if cell.control.checks_fences() {
+        let send_deadline_ms = if cell.control.checks_fences() {
             None
         } else {
             cell.control.lease().expires_at_ms()
@@ -146,22 +151,22 @@
                 .inc(),
             OrderKind::Seal => {}
         }
-        self.call(async move {
-            let is_late = not_after_ms.is_some_and(|at_ms| shared.now_ms() >= at_ms);
-            let end = if is_late { OrderEnd::NeverSent } else { client.order(&order).await };
+        self.spawn_call(async move {
+            let is_expired = send_deadline_ms.is_some_and(|at_ms| shared.now_ms() >= at_ms);
+            let end = if is_expired { OrderEnd::NeverSent } else { client.order(&order).await };
             info!(shared.log, "order"; "cell" => id.to_string(), "worker" => order.worker.as_str(),
                 "kind" => format!("{:?}", order.kind), "target" => order.target.as_str(), "end" => format!("{end:?}"));
-            Some(Ended::Ordered(id, order.worker, order.fence, end))
+            Some(CallEnd::Ordered(id, order.worker, order.fence, end))
         });
     }
 }
 
-/// Key of a cell's lease row.
+/// Returns the table key of a cell's lease row.
 fn lease_key(id: &CellId) -> String {
     format!("lease-{}", id.to_string().replace('/', "-"))
 }
 
-/// Key of a cell's intents row.
+/// Returns the table key of a cell's intents row.
 fn intents_key(id: &CellId) -> String {
     format!("intents-{}", id.to_string().replace('/', "-"))
 }
--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the dispatcher and answers who waits for it.
+//! The actor that owns the dispatcher and replies to the requests waiting for it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,51 +23,51 @@
 use cranereach_core::names::WorkerId;
 use cranereach_wire::peer::DigestPart;
 
-/// Where a request goes.
+/// Decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Routed {
-    /// To this worker.
+    /// Send it to this worker.
     Send(WorkerId),
-    /// Back to the caller with this code.
+    /// Reject it with this result code.
     Refuse {
-        /// Why.
+        /// Result code of the rejection.
         code: ResultCode,
-        /// When a repeat is worth it, in milliseconds from now.
+        /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// A request arrives.
+/// Asks for a worker for a request.
 #[derive(Debug)]
 pub struct Arrive {
     /// The request.
     pub waiting: Waiting,
-    /// Whether an earlier attempt did not succeed.
+    /// Whether an earlier attempt of the request failed.
     pub is_again: bool,
-    /// Who waits for the route.
+    /// Receives the decision.
     pub reply: oneshot::Sender<Routed>,
 }
 
-/// An attempt at an upstream ended.
+/// Reports the end of an attempt at an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct End {
     /// The request.
     pub request: RequestId,
-    /// What it cost, in tokens.
+    /// Actual cost, in tokens.
     pub cost_tokens: f64,
-    /// Whether the answer came whole.
+    /// Whether the answer was received completely.
     pub whole: bool,
 }
 
-/// The caller of a waiting request left.
+/// Reports that the caller of a waiting request has disconnected.
 #[derive(Clone, Copy, Debug)]
 pub struct Left(pub RequestId);
 
-/// A worker could not be reached.
+/// Reports that a worker could not be reached.
 #[derive(Clone, Debug)]
 pub struct Avoid(pub WorkerId);
 
-/// A worker refused a target as not resident.
+/// Reports that a worker refused a request because the target isn't resident on it.
 #[derive(Clone, Debug)]
 pub struct NotResident {
     /// The worker.
@@ -76,76 +76,76 @@
     pub target: TargetName,
 }
 
-/// The platform's list of workers.
+/// Delivers the workers on the platform's instance list.
 #[derive(Clone, Debug)]
-pub struct Listed(pub Vec<ListedWorker>);
+pub struct WorkersListed(pub Vec<ListedWorker>);
 
-/// Reports of workers polled here.
+/// Delivers reports of workers polled by this instance.
 #[derive(Clone, Debug)]
-pub struct Reports(pub Vec<WorkerReport>);
+pub struct WorkerReports(pub Vec<WorkerReport>);
 
-/// Parts of a peer's digest.
+/// Delivers the parts of a peer's digest.
 #[derive(Clone, Debug)]
 pub struct PeerParts {
-    /// The peer.
+    /// Peer that sent the digest.
     pub sender: InstanceId,
-    /// What it says.
+    /// Parts of the digest.
     pub parts: Vec<DigestPart>,
 }
 
-/// A load took this long, in milliseconds.
+/// Reports how long a load took, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadCompleted(pub u64);
 
-/// Time has passed.
+/// Triggers the periodic work of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Tick;
 
-/// Asks for what goes into this instance's digest.
+/// Requests the dispatcher's contribution to this instance's digest.
 #[derive(Clone, Copy, Debug)]
-pub struct TakeDigest;
+pub struct CollectDigest;
 
-/// What goes into this instance's digest.
+/// The dispatcher's contribution to this instance's digest.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchDigest {
-    /// Requests at each worker.
+    /// Requests that this instance has outstanding at each worker.
     pub outstanding: Vec<(WorkerId, u32)>,
     /// Demand per target.
     pub demand: Vec<TargetDemand>,
-    /// When each target was last asked for.
+    /// Time at which each target was last requested.
     pub used_at_ms: Vec<(TargetName, u64)>,
     /// Total cost served per account, in tokens.
     pub served: Vec<(AccountName, f64)>,
-    /// Requests that wait.
+    /// Requests waiting in the queues.
     pub waiting_count: usize,
-    /// Requests at upstreams.
+    /// Requests running at upstreams.
     pub running_count: usize,
 }
 
-/// The actor.
+/// Actor that owns the dispatcher.
 #[derive(Debug, xtra::Actor)]
 pub struct DispatchActor {
     shared: Arc<Shared>,
-    kernel: Dispatcher,
+    inner: Dispatcher,
     replies: HashMap<RequestId, oneshot::Sender<Routed>>,
     peers_served: HashMap<(InstanceId, AccountName), f64>,
     actions: Vec<Action>,
 }
 
 impl DispatchActor {
-    /// Makes the actor.
+    /// Creates the actor.
     pub fn new(shared: Arc<Shared>, options: DispatchOptions) -> Self {
         Self {
             shared,
-            kernel: Dispatcher::new(options),
+            inner: Dispatcher::new(options),
             replies: HashMap::new(),
             peers_served: HashMap::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Carries out what the kernel decided.
-    fn carry_out(&mut self) {
+    /// Executes the actions of the dispatcher: replies to the waiting requests.
+    fn execute_actions(&mut self) {
         while let Some(action) = self.actions.pop() {
             let (request, routed) = match action {
                 Action::Send { request, worker } => (request, Routed::Send(worker)),
@@ -165,23 +165,23 @@
                 continue;
             };
             if let Err(Routed::Send(_)) = reply.send(routed) {
-                // The caller left meanwhile: the slot goes to the next.
+                // The caller has disconnected in the meantime: free the slot.
                 let now_ms = self.shared.now_ms();
-                self.kernel
+                self.inner
                     .ended(now_ms, request, 0.0, false, &mut self.actions);
             }
         }
     }
 
-    /// Takes one part of a peer's digest.
-    fn take_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
+    /// Applies one part of a peer's digest.
+    fn apply_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
         match part {
             DigestPart::Outstanding(worker, count) => {
-                self.kernel.note_peer(now_ms, sender, &worker, count);
+                self.inner.note_peer(now_ms, sender, &worker, count);
             }
-            DigestPart::Report(report) => self.kernel.reported(now_ms, &report, &mut self.actions),
+            DigestPart::Report(report) => self.inner.reported(now_ms, &report, &mut self.actions),
             DigestPart::Served(account, total_tokens) => {
-                self.peer_served(sender, &account, total_tokens);
+                self.record_peer_served(sender, &account, total_tokens);
             }
             DigestPart::Head(_)
             | DigestPart::Demand(_)
@@ -190,15 +190,22 @@
         }
     }
 
-    /// Charges an account for what a peer served since its last word.
-    fn peer_served(&mut self, sender: &InstanceId, account: &AccountName, total_tokens: f64) {
+    /// Charges an account for the tokens that a peer has served since its last digest.
+    ///
+    /// Digests carry running totals, so the first one from a peer charges nothing.
+    fn record_peer_served(
+        &mut self,
+        sender: &InstanceId,
+        account: &AccountName,
+        total_tokens: f64,
+    ) {
         let known = self
             .peers_served
             .insert((sender.clone(), account.clone()), total_tokens);
         let added_tokens = total_tokens - known.unwrap_or(total_tokens);
         if added_tokens > 0.0 {
-            let share = self.kernel.queues().share_of(account).unwrap_or(1.0);
-            self.kernel.peer_served(account, added_tokens, share);
+            let share = self.inner.queues().share_of(account).unwrap_or(1.0);
+            self.inner.peer_served(account, added_tokens, share);
         }
     }
 }
@@ -210,13 +217,13 @@
         let now_ms = self.shared.now_ms();
         self.replies.insert(message.waiting.request, message.reply);
         if message.is_again {
-            self.kernel
+            self.inner
                 .requeue(now_ms, message.waiting, &mut self.actions);
         } else {
-            self.kernel
+            self.inner
                 .arrive(now_ms, message.waiting, &mut self.actions);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -225,14 +232,14 @@
 
     async fn handle(&mut self, message: End, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.kernel.ended(
+        self.inner.ended(
             now_ms,
             message.request,
             message.cost_tokens,
             message.whole,
             &mut self.actions,
         );
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -241,12 +248,12 @@
 
     async fn handle(&mut self, message: Left, _ctx: &mut Context<Self>) {
         self.replies.remove(&message.0);
-        if !self.kernel.left(message.0) {
-            // It was sent in the same moment: give the slot back.
+        if !self.inner.left(message.0) {
+            // The request was sent at the same moment: free the slot.
             let now_ms = self.shared.now_ms();
-            self.kernel
+            self.inner
                 .ended(now_ms, message.0, 0.0, false, &mut self.actions);
-            self.carry_out();
+            self.execute_actions();
         }
     }
 }
@@ -256,7 +263,7 @@
 
     async fn handle(&mut self, message: Avoid, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.kernel.workers_mut().avoid(now_ms, &message.0);
+        self.inner.workers_mut().avoid(now_ms, &message.0);
     }
 }
 
@@ -264,29 +271,29 @@
     type Return = ();
 
     async fn handle(&mut self, message: NotResident, _ctx: &mut Context<Self>) {
-        self.kernel
+        self.inner
             .workers_mut()
             .not_resident(&message.worker, &message.target);
     }
 }
 
-impl Handler<Listed> for DispatchActor {
+impl Handler<WorkersListed> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Listed, _ctx: &mut Context<Self>) {
-        self.kernel.workers_mut().list(message.0);
+    async fn handle(&mut self, message: WorkersListed, _ctx: &mut Context<Self>) {
+        self.inner.workers_mut().list(message.0);
     }
 }
 
-impl Handler<Reports> for DispatchActor {
+impl Handler<WorkerReports> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Reports, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: WorkerReports, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         for report in &message.0 {
-            self.kernel.reported(now_ms, report, &mut self.actions);
+            self.inner.reported(now_ms, report, &mut self.actions);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -296,9 +303,9 @@
     async fn handle(&mut self, message: PeerParts, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         for part in message.parts {
-            self.take_part(now_ms, &message.sender, part);
+            self.apply_part(now_ms, &message.sender, part);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 }
 
@@ -306,7 +313,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: LoadCompleted, _ctx: &mut Context<Self>) {
-        self.kernel.record_load_time(message.0);
+        self.inner.record_load_time(message.0);
     }
 }
 
@@ -315,38 +322,42 @@
 
     async fn handle(&mut self, _message: Tick, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
-        self.kernel.tick(now_ms, &mut self.actions);
-        self.carry_out();
+        self.inner.tick(now_ms, &mut self.actions);
+        self.execute_actions();
         let metrics = &self.shared.metrics;
         metrics
             .queue_waiting
-            .set(self.kernel.queues().waiting_count() as i64);
+            .set(self.inner.queues().waiting_count() as i64);
         metrics
             .upstream_running
-            .set(self.kernel.running_count() as i64);
+            .set(self.inner.running_count() as i64);
         metrics
             .resident_targets
-            .set(self.kernel.workers().target_count() as i64);
+            .set(self.inner.workers().target_count() as i64);
     }
 }
 
-impl Handler<TakeDigest> for DispatchActor {
+impl Handler<CollectDigest> for DispatchActor {
     type Return = DispatchDigest;
 
-    async fn handle(&mut self, _message: TakeDigest, _ctx: &mut Context<Self>) -> DispatchDigest {
+    async fn handle(
+        &mut self,
+        _message: CollectDigest,
+        _ctx: &mut Context<Self>,
+    ) -> DispatchDigest {
         let now_ms = self.shared.now_ms();
         DispatchDigest {
-            outstanding: self.kernel.workers().own_outstanding(),
-            demand: self.kernel.demand(now_ms),
-            used_at_ms: self.kernel.used().collect(),
+            outstanding: self.inner.workers().own_outstanding(),
+            demand: self.inner.demand(now_ms),
+            used_at_ms: self.inner.used().collect(),
             served: self
-                .kernel
+                .inner
                 .served_tokens()
                 .iter()
                 .map(|(account, tokens)| (account.clone(), *tokens))
                 .collect(),
-            waiting_count: self.kernel.queues().waiting_count(),
-            running_count: self.kernel.running_count(),
+            waiting_count: self.inner.queues().waiting_count(),
+            running_count: self.inner.running_count(),
         }
     }
 }
--- a/crates/cranereach-entry/src/platform/table.rs
+++ b/crates/cranereach-entry/src/platform/table.rs
@@ -1,11 +1,11 @@
-//! Adapter of the transactional table service.
+//! Adapter to the transactional table service.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use super::ANSWER_WITHIN_MS;
 use super::StoreError;
-use super::refused;
+use super::unexpected_status;
 use cranereach_http::client::JsonClient;
 use cranereach_wire::platform::Committed;
 use cranereach_wire::platform::TableRow;
@@ -18,17 +18,17 @@
     client: JsonClient,
 }
 
-/// A typed row with its version; version zero means that there is none.
+/// Typed row with its version; version zero means that the row doesn't exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// Version.
+    /// Version of the row.
     pub version: u64,
-    /// Content; the default if there is no row.
+    /// Content of the row; the default value if it doesn't exist.
     pub value: T,
 }
 
 impl Table {
-    /// Makes a client for `ip:port`.
+    /// Creates a client for a server at `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
             client: JsonClient::new(address),
@@ -60,11 +60,12 @@
                 version: 0,
                 value: T::default(),
             }),
-            status => Err(refused(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
-    /// Sets a row if its version still stands; returns the new version.
+    /// Writes a row if its version equals `expected_version` (compare-and-set); returns
+    /// the new version.
     pub async fn write<T: Serialize>(
         &self,
         key: &str,
@@ -96,7 +97,7 @@
                     .unwrap_or(expected_version + 1))
             }
             409 => Err(StoreError::Conflict),
-            status => Err(refused(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 }
