--- a/crates/cranereach-fleet/src/lib.rs
+++ b/crates/cranereach-fleet/src/lib.rs
@@ -11,10 +11,11 @@
 //!
 //! Choice of a worker:
 //! - [`roster`]: all known workers, and the choice of one for a request
-//! - [`worker`], [`wanted`]: a worker and a request, as the choice sees them
+//! - [`worker`], [`routing_request`]: a worker and a request, as the choice sees them
 //! - [`no_worker`]: why no worker was found
-//! - [`load`], [`health`], [`pace`], [`stay`], [`service_time`], [`prefixes`]: estimates of a
-//!   worker's load, health, prefill time, slot times, service times and prefix cache
+//! - [`load`], [`health`], [`prefill_cost`], [`slot_times`], [`service_time`], [`prefixes`]:
+//!   estimates of a worker's load, health, prefill time, slot times, service times and prefix
+//!   cache
 //! - [`topology`]: failure domains, regions and distances
 //! - [`regions`]: regions in which a request may be served
 //! - [`evacuation`]: failure domains that get no requests
@@ -28,10 +29,10 @@
 //!
 //! Coordination between instances:
 //! - [`membership`]: which instances are alive, and which of them owns a worker
-//! - [`ways`]: round-trip times to other instances
+//! - [`round_trips`]: round-trip times to other instances
 //! - [`owned`]: what an owner knows of its workers' requests
-//! - [`pauses`], [`reading_plan`], [`pausing`]: how long prefill pauses streams, when prompts are
-//!   sent to keep the pauses short, and at which workers that is needed
+//! - [`pause_prediction`], [`prefill_schedule`], [`pause_monitor`]: how long prefill pauses
+//!   streams, when prompts are sent to keep the pauses short, and at which workers that is needed
 //!
 //! Data from the store:
 //! - [`store_position`]: order of everything that is read from the store
@@ -42,13 +43,13 @@
 //! - [`key`]: short keys of names
 //!
 //! Model placement:
-//! - [`tenure`]: the lease that lets this instance send load orders to workers
+//! - [`lease_state`]: the lease that lets this instance send load orders to workers
 //! - [`demand`]: request rates by model
 //! - [`placement`], [`pressure`]: which load or unload comes next
 //! - [`ledger`]: orders that are open
 //!
 //! ```
-//! use cranereach_fleet::tenure::LeaseState;
+//! use cranereach_fleet::lease_state::LeaseState;
 //!
 //! assert!(!LeaseState::new("entry-1", 3_000).may_order(0));
 //! ```
@@ -65,6 +66,7 @@
 pub mod freshness;
 pub mod health;
 pub mod key;
+pub mod lease_state;
 pub mod ledger;
 pub mod limits;
 pub mod listing;
@@ -74,27 +76,26 @@
 pub mod no_worker;
 pub mod outage_pace;
 pub mod owned;
-pub mod pace;
-pub mod pauses;
-pub mod pausing;
+pub mod pause_monitor;
+pub mod pause_prediction;
 pub mod placement;
+pub mod prefill_cost;
+pub mod prefill_schedule;
 pub mod prefixes;
 pub mod pressure;
 pub mod proof;
 pub mod purpose;
 pub mod quarantine;
-pub mod reading_plan;
 pub mod regions;
 pub mod rest;
 pub mod retry_window;
 pub mod roster;
+pub mod round_trips;
+pub mod routing_request;
 pub mod send_grants;
 pub mod service_time;
 pub mod shortage;
-pub mod stay;
+pub mod slot_times;
 pub mod store_position;
-pub mod tenure;
 pub mod topology;
-pub mod wanted;
-pub mod ways;
 pub mod worker;
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -19,11 +19,11 @@
 use crate::health::Health;
 use crate::load::Load;
 use crate::load::RANK_COUNT;
-use crate::pauses::Place;
-use crate::pausing::PauseMonitor;
+use crate::pause_monitor::PauseMonitor;
+use crate::pause_prediction::Place;
+use crate::prefill_schedule::PrefillSchedule;
 use crate::prefixes::CachedPrefixes;
 use crate::prefixes::PromptPart;
-use crate::reading_plan::PrefillSchedule;
 
 /// Time beyond the multiple of the prediction after which a request no longer counts as waiting, in
 /// milliseconds: the message that its prompt was prefilled must have been lost.
--- a/crates/cranereach-fleet/src/pausing.rs
+++ b/crates/cranereach-fleet/src/pause_monitor.rs
@@ -1,7 +1,7 @@
 //! Detects workers whose streams pause for too long, from how their answers ended.
 //!
 //! Where events are short, or a step prefills little, prompts need no scheduling. So prompts are
-//! scheduled (see [`crate::reading_plan`]) only at workers whose streams paused, and for a while
+//! scheduled (see [`crate::prefill_schedule`]) only at workers whose streams paused, and for a while
 //! after, since streams don't pause while the schedule is in effect.
 
 /// Share of answers with too long a pause from which a worker's prompts are scheduled.
@@ -21,7 +21,7 @@
 /// Answers of one worker, and whether its prompts are scheduled.
 ///
 /// ```
-/// use cranereach_fleet::pausing::PauseMonitor;
+/// use cranereach_fleet::pause_monitor::PauseMonitor;
 ///
 /// let mut monitor = PauseMonitor::default();
 /// assert!(!monitor.needs_scheduling(1_000));
--- a/crates/cranereach-fleet/src/pauses.rs
+++ b/crates/cranereach-fleet/src/pause_prediction.rs
@@ -100,9 +100,9 @@
 /// arrive as listed, in order of time.
 ///
 /// ```
-/// use cranereach_fleet::pauses::Arrival;
-/// use cranereach_fleet::pauses::StepTiming;
-/// use cranereach_fleet::pauses::longest_ms;
+/// use cranereach_fleet::pause_prediction::Arrival;
+/// use cranereach_fleet::pause_prediction::StepTiming;
+/// use cranereach_fleet::pause_prediction::longest_ms;
 ///
 /// let stepping = StepTiming { event_steps: 3, step_ms: 10.0, chunk_ms: 200.0 };
 /// let prompt = |at_ms| Arrival { at_ms, reading_ms: 100.0, read_at_ms: None };
--- a/crates/cranereach-fleet/src/pace.rs
+++ b/crates/cranereach-fleet/src/prefill_cost.rs
@@ -111,7 +111,7 @@
     /// number of its prompt tokens that the worker had not cached.
     ///
     /// ```
-    /// use cranereach_fleet::pace::PrefillCosts;
+    /// use cranereach_fleet::prefill_cost::PrefillCosts;
     ///
     /// let mut paces = PrefillCosts::default();
     /// paces.learn("m1", 1_000, 20.0);
--- a/crates/cranereach-fleet/src/reading_plan.rs
+++ b/crates/cranereach-fleet/src/prefill_schedule.rs
@@ -5,10 +5,10 @@
 //! scheduled, and gives each new prompt the earliest time at which no stream pauses for too
 //! long because of it. Reading a prompt means its prefill.
 
-use crate::pauses;
-use crate::pauses::Arrival;
-use crate::pauses::Place;
-use crate::pauses::StepTiming;
+use crate::pause_prediction;
+use crate::pause_prediction::Arrival;
+use crate::pause_prediction::Place;
+use crate::pause_prediction::StepTiming;
 
 /// Time of a decode step without any prefill, in milliseconds: large models take 10 to 13
 /// ms per token.
@@ -73,7 +73,7 @@
         );
         Place {
             at_ms,
-            pause_ms: pauses::longest_ms(&self.stepping(), &arrivals, at_ms),
+            pause_ms: pause_prediction::longest_ms(&self.stepping(), &arrivals, at_ms),
         }
     }
 
@@ -90,7 +90,7 @@
         let stepping = self.stepping();
         let arrivals: Vec<Arrival> = self.planned.iter().map(|prompt| prompt.arrival).collect();
         let limit_ms = self.gap_aim_ms * PAUSE_BUDGET_SHARE;
-        pauses::place(&stepping, &arrivals, now_ms, reading_ms, limit_ms)
+        pause_prediction::place(&stepping, &arrivals, now_ms, reading_ms, limit_ms)
     }
 
     /// Records a prompt that reaches the worker at a given time.
--- a/crates/cranereach-fleet/src/roster/candidates.rs
+++ b/crates/cranereach-fleet/src/roster/candidates.rs
@@ -14,8 +14,8 @@
 use super::ScoredWorker;
 use crate::configuration::Engine;
 use crate::no_worker::NoWorker;
+use crate::routing_request::Wanted;
 use crate::topology::Distance;
-use crate::wanted::Wanted;
 use crate::worker::EJECTED_PENALTY_MS;
 
 /// Least gain over the best near worker, in milliseconds and by distance, for a farther worker to
--- a/crates/cranereach-fleet/src/roster/holders.rs
+++ b/crates/cranereach-fleet/src/roster/holders.rs
@@ -13,7 +13,7 @@
 use super::score_workers;
 use crate::configuration::Engine;
 use crate::no_worker::NoWorker;
-use crate::wanted::Wanted;
+use crate::routing_request::Wanted;
 use crate::worker::Worker;
 use crate::worker::WorkerRecord;
 
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use super::Roster;
+use crate::routing_request::Wanted;
 use crate::store_position::StorePosition;
-use crate::wanted::Wanted;
 use crate::worker::Worker;
 
 impl Roster {
--- a/crates/cranereach-fleet/src/roster/scoring.rs
+++ b/crates/cranereach-fleet/src/roster/scoring.rs
@@ -10,7 +10,7 @@
 use crate::evacuation::Evacuations;
 use crate::no_worker::NoWorker;
 use crate::quarantine::ALONE_FROM_COUNT;
-use crate::wanted::Wanted;
+use crate::routing_request::Wanted;
 use crate::worker::Estimate;
 use crate::worker::Worker;
 
--- a/crates/cranereach-fleet/src/ways.rs
+++ b/crates/cranereach-fleet/src/round_trips.rs
@@ -53,7 +53,7 @@
 ///
 /// ```
 /// use cranereach_fleet::topology::Distance;
-/// use cranereach_fleet::ways::RoundTrips;
+/// use cranereach_fleet::round_trips::RoundTrips;
 ///
 /// let mut ways = RoundTrips::default();
 /// for _answer in 0..20 {
@@ -121,7 +121,7 @@
     ///
     /// ```
     /// use cranereach_fleet::topology::Distance;
-    /// use cranereach_fleet::ways::RoundTrips;
+    /// use cranereach_fleet::round_trips::RoundTrips;
     ///
     /// let mut ways = RoundTrips::default();
     /// ways.answered(Distance::OwnDomain, 1.0);
--- a/crates/cranereach-fleet/src/wanted.rs
+++ b/crates/cranereach-fleet/src/routing_request.rs
@@ -36,7 +36,7 @@
     /// Failure domains and regions, as seen from this instance.
     pub topology: &'a Topology,
     /// Extra delay until the request begins at a worker of each distance, in milliseconds;
-    /// see [`crate::ways::RoundTrips::crossings_ms`].
+    /// see [`crate::round_trips::RoundTrips::crossings_ms`].
     pub crossings_ms: [f64; 3],
     /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
--- a/crates/cranereach-fleet/src/stay.rs
+++ b/crates/cranereach-fleet/src/slot_times.rs
@@ -46,7 +46,7 @@
 /// Expected slot times by model.
 ///
 /// ```
-/// use cranereach_fleet::stay::SlotTimes;
+/// use cranereach_fleet::slot_times::SlotTimes;
 ///
 /// let mut stays = SlotTimes::default();
 /// for _answer in 0..100 {
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -26,10 +26,10 @@
 use crate::owned::Standing;
 use crate::prefixes::CachedPrefixes;
 use crate::rest::Rest;
+use crate::routing_request::Wanted;
 use crate::send_grants::AskPause;
 use crate::store_position::StorePosition;
 use crate::topology::Distance;
-use crate::wanted::Wanted;
 
 /// Age up to which an owner's report is used, in milliseconds: as long as a choice based on it
 /// takes, with a margin for a busy processor.
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -4,8 +4,8 @@
 use super::Worker;
 use crate::named_limit::LimitReport;
 use crate::named_limit::Said;
+use crate::routing_request::Wanted;
 use crate::send_grants::AskPause;
-use crate::wanted::Wanted;
 
 impl Worker {
     /// Whether a request may be sent to the worker as far as grants go, be it after asking its
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -14,9 +14,9 @@
 use cranereach_fleet::load::Load;
 use cranereach_fleet::owned::Standing;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::routing_request::Wanted;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Topology;
-use cranereach_fleet::wanted::Wanted;
 
 /// Returns the position of a version of a store that has never come back from a copy.
 fn at(version: u64) -> StorePosition {
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -10,13 +10,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+use cranereach_fleet::lease_state::EndedTerm;
+use cranereach_fleet::lease_state::LeaseRow;
+use cranereach_fleet::lease_state::LeaseState;
+use cranereach_fleet::lease_state::MARGIN_MS;
+use cranereach_fleet::lease_state::Step;
+use cranereach_fleet::lease_state::TERM_MS;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::tenure::EndedTerm;
-use cranereach_fleet::tenure::LeaseRow;
-use cranereach_fleet::tenure::LeaseState;
-use cranereach_fleet::tenure::MARGIN_MS;
-use cranereach_fleet::tenure::Step;
-use cranereach_fleet::tenure::TERM_MS;
 
 /// Returns the position of a version of a store that has never come back from a copy.
 fn at(version: u64) -> StorePosition {
--- a/crates/cranereach-fleet/tests/own_words/world.rs
+++ b/crates/cranereach-fleet/tests/own_words/world.rs
@@ -16,8 +16,8 @@
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::routing_request::Wanted;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::wanted::Wanted;
 use cranereach_fleet::worker::WorkerRecord;
 
 /// Length of a step of the simulation, in milliseconds.
--- a/crates/cranereach-fleet/tests/paces.rs
+++ b/crates/cranereach-fleet/tests/paces.rs
@@ -1,7 +1,7 @@
 //! How fast prompts are read, and what a request takes besides.
 
-use cranereach_fleet::pace::PrefillCost;
-use cranereach_fleet::pace::PrefillCosts;
+use cranereach_fleet::prefill_cost::PrefillCost;
+use cranereach_fleet::prefill_cost::PrefillCosts;
 
 /// Teaches prompts of several lengths that take a fixed time and one a token.
 fn taught(fixed_ms: f64, token_ms: f64) -> PrefillCost {
--- a/crates/cranereach-fleet/tests/pauses.rs
+++ b/crates/cranereach-fleet/tests/pauses.rs
@@ -4,10 +4,10 @@
 
 use proptest::prelude::*;
 
-use cranereach_fleet::pauses::Arrival;
-use cranereach_fleet::pauses::StepTiming;
-use cranereach_fleet::pauses::longest_ms;
-use cranereach_fleet::pauses::place;
+use cranereach_fleet::pause_prediction::Arrival;
+use cranereach_fleet::pause_prediction::StepTiming;
+use cranereach_fleet::pause_prediction::longest_ms;
+use cranereach_fleet::pause_prediction::place;
 
 /// A worker that makes an event of three tokens in 30 ms when it reads nothing.
 const STEPPING: StepTiming = StepTiming {
--- a/crates/cranereach-fleet/tests/reading_plan.rs
+++ b/crates/cranereach-fleet/tests/reading_plan.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::float_cmp, reason = "times are whole milliseconds here")]
 
-use cranereach_fleet::reading_plan::PrefillSchedule;
+use cranereach_fleet::prefill_schedule::PrefillSchedule;
 
 /// A plan of a worker whose streams may pause for 400 ms, three tokens an event.
 fn plan() -> PrefillSchedule {
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -16,8 +16,8 @@
 use cranereach_fleet::rest::read;
 use cranereach_fleet::roster::Barred;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::routing_request::Wanted;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::wanted::Wanted;
 
 /// Returns the position of a version of a store that has never come back from a copy.
 fn at(version: u64) -> StorePosition {
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -17,8 +17,8 @@
 use cranereach_fleet::owned::Standing;
 use cranereach_fleet::prefixes::chain;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::routing_request::Wanted;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::wanted::Wanted;
 use cranereach_fleet::worker::WorkerRecord;
 
 /// Returns the position of a version of a store that has never come back from a copy.
--- a/crates/cranereach-fleet/tests/stays.rs
+++ b/crates/cranereach-fleet/tests/stays.rs
@@ -1,6 +1,6 @@
 //! How long answers are expected to stay.
 
-use cranereach_fleet::stay::SlotTimes;
+use cranereach_fleet::slot_times::SlotTimes;
 
 #[test]
 fn a_model_is_learned_by_its_answers_and_others_lean_on_all() {
--- a/crates/cranereach-fleet/tests/ways.rs
+++ b/crates/cranereach-fleet/tests/ways.rs
@@ -1,7 +1,7 @@
 //! How long answers are waited for, by distance.
 
+use cranereach_fleet::round_trips::RoundTrips;
 use cranereach_fleet::topology::Distance;
-use cranereach_fleet::ways::RoundTrips;
 
 #[test]
 fn an_answer_from_another_region_is_waited_for_before_and_after_its_way_is_known() {
--- a/crates/cranereach-fleet/tests/workers/mod.rs
+++ b/crates/cranereach-fleet/tests/workers/mod.rs
@@ -5,8 +5,8 @@
 use std::sync::LazyLock;
 
 use cranereach_fleet::regions::AllowedRegions;
+use cranereach_fleet::routing_request::Wanted;
 use cranereach_fleet::topology::Topology;
-use cranereach_fleet::wanted::Wanted;
 use cranereach_fleet::worker::HeldModel;
 use cranereach_fleet::worker::WorkerRecord;
 
--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -11,10 +11,10 @@
 use crate::store::StoreError;
 use crate::store_pace;
 use cranereach_fleet::key::worker_key;
+use cranereach_fleet::lease_state::LeaseRow;
+use cranereach_fleet::lease_state::LeaseState;
+use cranereach_fleet::lease_state::Step;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::tenure::LeaseRow;
-use cranereach_fleet::tenure::LeaseState;
-use cranereach_fleet::tenure::Step;
 
 /// Table of the lease rows.
 const TABLE: &str = "cranereach_leases";
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -26,12 +26,12 @@
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::key::worker_key;
+use cranereach_fleet::lease_state::LeaseState;
 use cranereach_fleet::ledger::Ledger;
 use cranereach_fleet::placement::Plan;
 use cranereach_fleet::placement::WorkerView;
 use cranereach_fleet::pressure::Pressure;
 use cranereach_fleet::pressure::WantedModel;
-use cranereach_fleet::tenure::LeaseState;
 
 /// Time between two rounds of the control loop, in milliseconds.
 const ROUND_INTERVAL_MS: u64 = 100;
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -20,7 +20,7 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::roster::Choice;
-use cranereach_fleet::wanted::Wanted;
+use cranereach_fleet::routing_request::Wanted;
 
 /// Time to wait for the lease holder to say when a model is expected to be loaded, in
 /// milliseconds. Demand is reported after 20 ms at most, and the holder answers at once.
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -11,8 +11,8 @@
 use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::quarantine::ALONE_FROM_COUNT;
 use cranereach_fleet::roster::Choice;
+use cranereach_fleet::routing_request::Wanted;
 use cranereach_fleet::topology::Distance;
-use cranereach_fleet::wanted::Wanted;
 
 /// Counts a request as in flight at a worker. Dropping it ends the count and reports the outcome
 /// to the worker's owner.
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -11,7 +11,7 @@
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
-use cranereach_fleet::pace::PrefillCost;
+use cranereach_fleet::prefill_cost::PrefillCost;
 
 /// Records the demand of a call, so that its model is loaded where it is needed.
 pub fn note_demand(node: &Node, call: &Call) {
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -45,23 +45,23 @@
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::fingerprint::FingerprintKey;
 use cranereach_fleet::freshness::Freshness;
+use cranereach_fleet::lease_state::EndedTerm;
 use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::listing::Listing;
 use cranereach_fleet::owned::OwnedWorkers;
-use cranereach_fleet::pace::PrefillCosts;
+use cranereach_fleet::prefill_cost::PrefillCosts;
 use cranereach_fleet::proof::Proof;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::retry_window::RetryWindow;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::round_trips::RoundTrips;
 use cranereach_fleet::send_grants::SendGrants;
 use cranereach_fleet::service_time::ServiceTimes;
 use cranereach_fleet::shortage::Shortages;
-use cranereach_fleet::stay::SlotTimes;
+use cranereach_fleet::slot_times::SlotTimes;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::tenure::EndedTerm;
 use cranereach_fleet::topology::Topology;
-use cranereach_fleet::ways::RoundTrips;
 use cranereach_http::clock::Clock;
 
 /// Changes that this instance's orders have made at workers, to be gossiped to peers.
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -17,10 +17,10 @@
 use crate::store_failures::StoreFailures;
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::key::worker_key;
+use cranereach_fleet::lease_state::EndedTerm;
 use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::tenure::EndedTerm;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
 
