--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -16,7 +16,7 @@
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Tolerance;
-use cranereach_fleet::limits::Wanted;
+use cranereach_fleet::limits::UnitRequest;
 use cranereach_fleet::regions::AllowedRegions;
 
 /// What a deployment tolerates; any will do.
@@ -96,7 +96,7 @@
 /// Time to grant units.
 fn grant_us(count: usize) -> f64 {
     let mut owned = OwnedLimits::default();
-    let wanted = Wanted {
+    let wanted = UnitRequest {
         least: COST,
         most: COST,
     };
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -15,8 +15,8 @@
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::fingerprint::Content;
 use cranereach_fleet::fingerprint::FingerprintKey;
+use cranereach_fleet::membership::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::membership::Membership;
-use cranereach_fleet::membership::TOLD_MAX_COUNT;
 use cranereach_fleet::owned::OwnedWorkers;
 use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::purpose::Purpose;
@@ -24,7 +24,7 @@
 use cranereach_fleet::quarantine::RequestMark;
 use cranereach_fleet::regions::AllowedRegions;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
@@ -120,7 +120,7 @@
 fn members(count: usize) -> Membership {
     let mut members = Membership::new(address(0), DomainTag::default(), &[]);
     for number in 1..count {
-        members.saw(1_000, address(number), DomainTag::default(), false);
+        members.heard_from(1_000, address(number), DomainTag::default(), false);
     }
     members
 }
@@ -166,7 +166,7 @@
     };
     let topology = Topology::default();
     let regions = AllowedRegions::Any;
-    let wanted = Wanted {
+    let wanted = RoutingRequest {
         event_tokens: 3,
         service: "models",
         model: Some(("m0", None)),
@@ -179,7 +179,7 @@
         rank: 0,
         held_tokens: 2_500,
         topology: &topology,
-        crossings_ms: [0.0; 3],
+        extra_start_delays_ms: [0.0; 3],
         regions: &regions,
         end_count: 0,
         must_avoid_grants: false,
@@ -238,11 +238,11 @@
 fn merge_us(count: usize) -> f64 {
     let mut members = members(count);
     let news = members.sample(1_000, &mut rand::rng());
-    let news = &news[..news.len().min(TOLD_MAX_COUNT)];
+    let news = &news[..news.len().min(GOSSIPED_MAX_COUNT)];
     let mut now_ms = 1_000;
     time_us(|| {
         now_ms += 1;
-        black_box(members.told(now_ms, news));
+        black_box(members.merge(now_ms, news));
     })
 }
 
@@ -307,9 +307,9 @@
             ends_within_ms: u32::MAX,
             ..SentRequest::default()
         };
-        owned.begun(0, WORKER, (1, number as u64), opening, &[]);
+        owned.request_started(0, WORKER, (1, number as u64), opening, &[]);
     }
     time_us(|| {
-        black_box(owned.standing(1, WORKER, &[1, 2, 3], 100.0));
+        black_box(owned.status(1, WORKER, &[1, 2, 3], 100.0));
     })
 }
--- a/crates/cranereach-fleet/src/accounts.rs
+++ b/crates/cranereach-fleet/src/accounts.rs
@@ -32,10 +32,10 @@
     /// Each request counts as one.
     Requests,
     /// The tokens that a request specifies, prompt and answer together; a request without a
-    /// token count costs `unnamed_tokens`.
+    /// token count costs `default_tokens`.
     Tokens {
         /// Tokens charged for a request that specifies none.
-        unnamed_tokens: f64,
+        default_tokens: f64,
     },
 }
 
@@ -44,7 +44,7 @@
     pub fn smallest_cost(self) -> f64 {
         match self {
             Self::Requests => 1.0,
-            Self::Tokens { unnamed_tokens } => unnamed_tokens.max(1.0),
+            Self::Tokens { default_tokens } => default_tokens.max(1.0),
         }
     }
 }
@@ -89,8 +89,8 @@
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
-            LimitUnit::Tokens { unnamed_tokens } => {
-                tokens.map_or(unnamed_tokens, |tokens| tokens as f64)
+            LimitUnit::Tokens { default_tokens } => {
+                tokens.map_or(default_tokens, |tokens| tokens as f64)
             }
         }
     }
@@ -232,6 +232,6 @@
 fn is_valid_unit(unit: LimitUnit) -> bool {
     match unit {
         LimitUnit::Requests => true,
-        LimitUnit::Tokens { unnamed_tokens } => (0.0..=LIMIT_MAX_TOKENS).contains(&unnamed_tokens),
+        LimitUnit::Tokens { default_tokens } => (0.0..=LIMIT_MAX_TOKENS).contains(&default_tokens),
     }
 }
--- a/crates/cranereach-fleet/src/admission.rs
+++ b/crates/cranereach-fleet/src/admission.rs
@@ -45,8 +45,16 @@
 /// use cranereach_fleet::admission::Admission;
 /// use cranereach_fleet::admission::Verdict;
 ///
-/// let urgent = Admission { aim_ms: 800.0, urgent_aim_ms: None, is_whole: false };
-/// let patient = Admission { aim_ms: 6_000.0, urgent_aim_ms: Some(800.0), is_whole: false };
+/// let urgent = Admission {
+///     latency_target_ms: 800.0,
+///     urgent_latency_target_ms: None,
+///     is_whole: false,
+/// };
+/// let patient = Admission {
+///     latency_target_ms: 6_000.0,
+///     urgent_latency_target_ms: Some(800.0),
+///     is_whole: false,
+/// };
 /// assert_eq!(urgent.judge(850.0, 0.0), Verdict::Send);
 /// assert_eq!(patient.judge(850.0, 0.0), Verdict::RecheckAfter(200.0));
 /// assert_eq!(patient.judge(850.0, 1_500.0), Verdict::Send);
@@ -55,10 +63,10 @@
 pub struct Admission {
     /// Latency target of the call, in milliseconds: until its answer begins, or is complete if
     /// `is_whole`.
-    pub aim_ms: f64,
+    pub latency_target_ms: f64,
     /// Shortest latency target among the more urgent routes of its service, in milliseconds; none
     /// if there are none.
-    pub urgent_aim_ms: Option<f64>,
+    pub urgent_latency_target_ms: Option<f64>,
     /// Whether the call is answered as a whole, so that the target applies to the complete answer.
     pub is_whole: bool,
 }
@@ -67,15 +75,17 @@
     /// Decides on a call by the predicted time until its answer begins (or is complete if
     /// `is_whole`) and the time that it has waited, both in milliseconds.
     pub fn judge(&self, begins_in_ms: f64, waited_ms: f64) -> Verdict {
-        let Some(urgent_aim_ms) = self.urgent_aim_ms.filter(|_| !self.is_whole) else {
+        let Some(urgent_latency_target_ms) =
+            self.urgent_latency_target_ms.filter(|_| !self.is_whole)
+        else {
             return self.judge_without_headroom(begins_in_ms);
         };
-        let latest_begin_ms = self.aim_ms * HEADROOM_LIMIT_SHARE - waited_ms;
+        let latest_begin_ms = self.latency_target_ms * HEADROOM_LIMIT_SHARE - waited_ms;
         if begins_in_ms > latest_begin_ms {
             return Verdict::Refuse;
         }
-        let excess_ms = begins_in_ms - urgent_aim_ms * HEADROOM_LIMIT_SHARE;
-        if excess_ms <= 0.0 || waited_ms >= self.aim_ms * MAX_WAIT_SHARE {
+        let excess_ms = begins_in_ms - urgent_latency_target_ms * HEADROOM_LIMIT_SHARE;
+        if excess_ms <= 0.0 || waited_ms >= self.latency_target_ms * MAX_WAIT_SHARE {
             return Verdict::Send;
         }
         Verdict::RecheckAfter(excess_ms.clamp(RECHECK_BOUNDS_MS.0, RECHECK_BOUNDS_MS.1))
@@ -88,7 +98,7 @@
         } else {
             BEGIN_LIMIT_SHARE
         };
-        if begins_in_ms <= self.aim_ms * limit_share {
+        if begins_in_ms <= self.latency_target_ms * limit_share {
             Verdict::Send
         } else {
             Verdict::Refuse
--- a/crates/cranereach-fleet/src/configuration.rs
+++ b/crates/cranereach-fleet/src/configuration.rs
@@ -43,7 +43,7 @@
     /// Timeout from the receipt of a request to the end of its answer, in milliseconds.
     pub timeout_ms: u64,
     /// Latency target, in milliseconds: an answer within it counts as in time.
-    pub aim_ms: u64,
+    pub latency_target_ms: u64,
     /// Target for the pause between two pieces of a stream, in milliseconds: a stream with
     /// longer pauses doesn't count as in time.
     pub gap_aim_ms: Option<u64>,
@@ -199,8 +199,8 @@
                 let latency_targets_ms = latency_targets_ms
                     .entry(Arc::clone(&target.service))
                     .or_default();
-                if !latency_targets_ms.contains(&(route.priority, route.aim_ms)) {
-                    latency_targets_ms.push((route.priority, route.aim_ms));
+                if !latency_targets_ms.contains(&(route.priority, route.latency_target_ms)) {
+                    latency_targets_ms.push((route.priority, route.latency_target_ms));
                 }
                 let Some(gap_aim_ms) = route.gap_aim_ms else {
                     continue;
@@ -248,10 +248,12 @@
 
     /// Returns the shortest latency target among the routes to a service that are more
     /// urgent than a rank, in milliseconds; none if there are no such routes.
-    pub fn urgent_aim_ms(&self, service: &str, rank: u8) -> Option<u64> {
+    pub fn urgent_latency_target_ms(&self, service: &str, rank: u8) -> Option<u64> {
         let latency_targets_ms = self.latency_targets_ms.get(service)?.iter();
         let urgent = latency_targets_ms.filter(|(other, _)| *other < rank);
-        urgent.map(|(_, aim_ms)| *aim_ms).min()
+        urgent
+            .map(|(_, latency_target_ms)| *latency_target_ms)
+            .min()
     }
 
     /// Counts the routes.
--- a/crates/cranereach-fleet/src/demand.rs
+++ b/crates/cranereach-fleet/src/demand.rs
@@ -20,7 +20,7 @@
 
 impl Demand {
     /// Adds a request, given the worker time that it takes, in milliseconds.
-    pub fn asked(&mut self, now_ms: u64, key: ModelKey, work_ms: f64) {
+    pub fn record_request(&mut self, now_ms: u64, key: ModelKey, work_ms: f64) {
         self.decay(now_ms);
         let added_per_s = work_ms * std::f64::consts::LN_2 * 1_000.0 / HALF_LIFE_MS;
         *self.rates.entry(key).or_default() += added_per_s;
--- a/crates/cranereach-fleet/src/evacuation.rs
+++ b/crates/cranereach-fleet/src/evacuation.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
     /// Domains whose evacuation was requested.
-    pub begun: Vec<u64>,
+    pub requested: Vec<u64>,
     /// Domains whose evacuation was withdrawn.
     pub ended: Vec<u64>,
 }
@@ -103,7 +103,7 @@
 /// let list = known.list().clone().changed(7, StorePosition::new(1, 40), false);
 /// // At 9,800 the domain was proven not to be on the list; the bound is 5,000.
 /// known.take(10_000, list, Some(9_800), 5_000);
-/// assert!(known.is_asked(7) && known.may_send(13_000, 7));
+/// assert!(known.is_listed(7) && known.may_send(13_000, 7));
 /// assert!(!known.may_send(13_300, 7));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -138,7 +138,7 @@
             // time.
             if !self.list.contains(*domain) {
                 self.stop_at_ms.insert(*domain, stop_at_ms);
-                change.begun.push(*domain);
+                change.requested.push(*domain);
             }
         }
         for (domain, _) in &self.list.domains {
@@ -157,7 +157,7 @@
     }
 
     /// Whether a domain is on the current list.
-    pub fn is_asked(&self, domain: u64) -> bool {
+    pub fn is_listed(&self, domain: u64) -> bool {
         self.list.contains(domain)
     }
 
--- a/crates/cranereach-fleet/src/fingerprint.rs
+++ b/crates/cranereach-fleet/src/fingerprint.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns the key by which instances are ranked for this fingerprint.
-    pub fn purpose(&self) -> u64 {
+    pub fn ranking_key(&self) -> u64 {
         u64::from_le_bytes(self.0.first_chunk().copied().unwrap_or_default())
     }
 }
--- a/crates/cranereach-fleet/src/health.rs
+++ b/crates/cranereach-fleet/src/health.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records that peers could not reach the worker.
-    pub fn told_unreachable(&mut self, now_ms: u64) {
+    pub fn note_reported_unreachable(&mut self, now_ms: u64) {
         if !self.is_unreachable(now_ms) {
             self.next_reconnect_ms = now_ms;
         }
@@ -137,7 +137,7 @@
     }
 
     /// Whether the worker is ejected or unreachable, so that calls should go elsewhere.
-    pub fn is_aside(&self, now_ms: u64) -> bool {
+    pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.ejected_until_ms || self.is_unreachable(now_ms)
     }
 
--- a/crates/cranereach-fleet/src/key.rs
+++ b/crates/cranereach-fleet/src/key.rs
@@ -7,6 +7,6 @@
 }
 
 /// Returns the key of an incarnation of a worker: one run of its process, by the time of its start.
-pub fn start_key(id: &str, started_unix_ms: u64) -> u64 {
+pub fn incarnation_key(id: &str, started_unix_ms: u64) -> u64 {
     worker_key(&format!("{id} {started_unix_ms}"))
 }
--- a/crates/cranereach-fleet/src/ledger.rs
+++ b/crates/cranereach-fleet/src/ledger.rs
@@ -16,8 +16,8 @@
 use self::places::apply;
 use self::places::is_done;
 use crate::demand::ModelKey;
+use crate::placement::ModelReplica;
 use crate::placement::Order;
-use crate::placement::Place;
 use crate::store_position::StorePosition;
 
 /// Time after which an unanswered order is sent again, in milliseconds.
@@ -58,7 +58,7 @@
     /// Whether an order is in progress.
     pub is_busy: bool,
     /// Models that it holds, with their adapters.
-    pub places: Vec<Place>,
+    pub places: Vec<ModelReplica>,
 }
 
 /// Outcome of an order to a worker.
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     sequence: u64,
-    places: Vec<Place>,
+    places: Vec<ModelReplica>,
     copies: Vec<u16>,
     is_serving: bool,
     phase: Phase,
@@ -139,7 +139,7 @@
     /// Start time of this run of the worker, in milliseconds of Unix time; zero if not given.
     pub started_unix_ms: u64,
     /// Models that it holds; the row does not say at which sequence number.
-    pub places: Vec<Place>,
+    pub places: Vec<ModelReplica>,
     /// Models that it loads cheaply.
     pub copies: Vec<u16>,
     /// Whether it accepts requests.
--- a/crates/cranereach-fleet/src/ledger/views.rs
+++ b/crates/cranereach-fleet/src/ledger/views.rs
@@ -53,24 +53,24 @@
 
     /// Returns the models that are being loaded, and when each should be available, in
     /// milliseconds: the earliest time if several workers load it.
-    pub fn coming(&self, now_ms: u64) -> HashMap<u16, u64> {
-        let mut coming: HashMap<u16, u64> = HashMap::new();
+    pub fn loading(&self, now_ms: u64) -> HashMap<u16, u64> {
+        let mut loading: HashMap<u16, u64> = HashMap::new();
         for entry in self.entries.values() {
             let busy = matches!(entry.phase, Phase::Busy { .. });
             let open = entry.open.filter(|_| busy);
             if let Some(Order::Load(model)) = open.map(|open| open.order) {
                 let at_ms = entry.load_due_at_ms.max(now_ms);
-                let first_ms = coming.entry(model).or_insert(at_ms);
+                let first_ms = loading.entry(model).or_insert(at_ms);
                 *first_ms = at_ms.min(*first_ms);
             }
         }
-        coming
+        loading
     }
 
     /// Returns the models that are being unloaded.
-    pub fn going(&self) -> impl Iterator<Item = (&Arc<str>, u16)> {
+    pub fn unloading(&self) -> impl Iterator<Item = (&Arc<str>, u16)> {
         self.entries.iter().flat_map(|(id, entry)| {
-            let places = entry.places.iter().filter(|place| place.is_going);
+            let places = entry.places.iter().filter(|place| place.is_unloading);
             places.map(move |place| (id, place.model))
         })
     }
--- a/crates/cranereach-fleet/src/limits.rs
+++ b/crates/cranereach-fleet/src/limits.rs
@@ -67,11 +67,11 @@
 impl Tolerance {
     /// Returns how much usage within one window may exceed a limit, in units.
     pub fn excess(&self, limit: Limit) -> f64 {
-        self.excess_share * self.whole(limit) + self.allowance
+        self.excess_share * self.units_per_window(limit) + self.allowance
     }
 
     /// Returns what a limit allows within one window, in units.
-    pub fn whole(&self, limit: Limit) -> f64 {
+    pub fn units_per_window(&self, limit: Limit) -> f64 {
         limit.rate_per_s * self.window_s + limit.burst
     }
 
@@ -93,7 +93,8 @@
         let overlap = limit.rate_per_s * OVERLAP_S;
         let tolerated = self.excess(limit) * OVERLAP_SHARE;
         let count = (overlap / tolerated.max(f64::MIN_POSITIVE)).ceil();
-        let fitting = self.whole(limit) / (limit.smallest_cost.max(1.0) * PART_MIN_REQUEST_COUNT);
+        let fitting =
+            self.units_per_window(limit) / (limit.smallest_cost.max(1.0) * PART_MIN_REQUEST_COUNT);
         let count = count.min(fitting).min(f64::from(PART_MAX_COUNT));
         (count as u32).max(1)
     }
@@ -117,7 +118,7 @@
 
 /// What an owner is asked for, in units.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wanted {
+pub struct UnitRequest {
     /// Minimum that is of use to the caller.
     pub least: f64,
     /// Maximum that the caller accepts.
@@ -141,7 +142,7 @@
     /// An owner must be asked for the rest; the units already held are set aside for the request.
     Ask {
         /// Units to ask for.
-        wanted: Wanted,
+        wanted: UnitRequest,
         /// Units set aside; given back if the request does not run.
         held: f64,
     },
@@ -184,7 +185,7 @@
         cost: f64,
     ) -> Decision {
         let usage = self.account_usage(now_ms, account, limit);
-        if cost > tolerance.whole(limit) {
+        if cost > tolerance.units_per_window(limit) {
             return Decision::Beyond((tolerance.window_s * 1_000.0) as u64);
         }
         if usage.balance >= cost {
@@ -200,7 +201,7 @@
         let least = cost - held;
         let most = least + usage.prefetch_units(now_ms, tolerance);
         Decision::Ask {
-            wanted: Wanted { least, most },
+            wanted: UnitRequest { least, most },
             held,
         }
     }
--- a/crates/cranereach-fleet/src/limits/owned.rs
+++ b/crates/cranereach-fleet/src/limits/owned.rs
@@ -6,7 +6,7 @@
 use super::IDLE_EXPIRY_MS;
 use super::PartKey;
 use super::Tolerance;
-use super::Wanted;
+use super::UnitRequest;
 use crate::accounts::Limit;
 use cranereach_core::token_bucket::TokenBucket;
 
@@ -77,7 +77,7 @@
         key: PartKey,
         limit: Limit,
         tolerance: &Tolerance,
-        wanted: Wanted,
+        wanted: UnitRequest,
         ownership: Ownership,
     ) -> Grant {
         if self.parts.len() >= OWNED_MAX_COUNT {
--- a/crates/cranereach-fleet/src/membership.rs
+++ b/crates/cranereach-fleet/src/membership.rs
@@ -39,7 +39,7 @@
 
 /// Maximum number of members in one message; further entries of a received message are
 /// ignored.
-pub const TOLD_MAX_COUNT: usize = 48;
+pub const GOSSIPED_MAX_COUNT: usize = 48;
 
 /// Consecutive unanswered requests after which a member is skipped when an owner is chosen:
 /// a single one may be due to a lost datagram.
@@ -48,7 +48,7 @@
 /// Time for which such a member is skipped, in milliseconds.
 const OWNER_SKIP_MS: u64 = 2_000;
 
-/// Time between two calls of [`Membership::look`] from which on the process counts as
+/// Time between two calls of [`Membership::refresh`] from which on the process counts as
 /// stalled, in milliseconds: four digest rounds, since it is called before each of them.
 /// Other instances take over from one that is silent for longer.
 const STALL_THRESHOLD_MS: u64 = 1_000;
@@ -98,7 +98,7 @@
 /// let other = Ipv4Addr::new(10, 0, 0, 2);
 /// let domain = DomainTag::of("a");
 /// let mut members = Membership::new(own, domain, &[]);
-/// members.saw(1_000, other, domain, false);
+/// members.heard_from(1_000, other, domain, false);
 /// assert_eq!(members.alive(1_100).collect::<Vec<_>>(), [other]);
 /// assert_eq!(members.alive(60_000).count(), 0);
 /// ```
@@ -120,7 +120,7 @@
     /// When this instance last heard only a minority, or detected that it had stalled, in
     /// milliseconds.
     last_isolated_ms: u64,
-    /// When [`Membership::look`] was last called, in milliseconds.
+    /// When [`Membership::refresh`] was last called, in milliseconds.
     last_refresh_ms: u64,
     known: HashMap<Ipv4Addr, Member>,
 }
@@ -146,7 +146,13 @@
     }
 
     /// Records a message received from the member itself.
-    pub fn saw(&mut self, now_ms: u64, address: Ipv4Addr, domain: DomainTag, is_leaving: bool) {
+    pub fn heard_from(
+        &mut self,
+        now_ms: u64,
+        address: Ipv4Addr,
+        domain: DomainTag,
+        is_leaving: bool,
+    ) {
         let update = MemberUpdate {
             address,
             domain,
@@ -158,15 +164,15 @@
 
     /// Merges the entries of a received message; returns how many were ignored because the
     /// message had too many.
-    pub fn told(&mut self, now_ms: u64, updates: &[MemberUpdate]) -> usize {
-        for update in updates.iter().take(TOLD_MAX_COUNT) {
+    pub fn merge(&mut self, now_ms: u64, updates: &[MemberUpdate]) -> usize {
+        for update in updates.iter().take(GOSSIPED_MAX_COUNT) {
             let last_seen_ms =
                 now_ms.saturating_sub(u64::from(update.age_ms) + TRANSIT_ALLOWANCE_MS);
             if now_ms < last_seen_ms + self.liveness_timeout_ms() {
                 self.note(now_ms, last_seen_ms, update);
             }
         }
-        updates.len().saturating_sub(TOLD_MAX_COUNT)
+        updates.len().saturating_sub(GOSSIPED_MAX_COUNT)
     }
 
     /// Records when a member was last heard from, unless a later time is known.
@@ -257,7 +263,7 @@
 
     /// Picks a random sample of member entries for the next message.
     pub fn sample<R: Rng>(&self, now_ms: u64, rng: &mut R) -> Vec<MemberUpdate> {
-        self.updates(now_ms).sample(rng, TOLD_MAX_COUNT)
+        self.updates(now_ms).sample(rng, GOSSIPED_MAX_COUNT)
     }
 
     /// Lists the entries of all members heard from within the liveness timeout.
@@ -285,15 +291,15 @@
         let (near, far): (Vec<MemberUpdate>, Vec<MemberUpdate>) = self
             .updates(now_ms)
             .partition(|update| update.domain == domain);
-        let mut chosen = near.into_iter().sample(rng, TOLD_MAX_COUNT);
-        let left_count = TOLD_MAX_COUNT - chosen.len();
+        let mut chosen = near.into_iter().sample(rng, GOSSIPED_MAX_COUNT);
+        let left_count = GOSSIPED_MAX_COUNT - chosen.len();
         chosen.extend(far.into_iter().sample(rng, left_count));
         chosen
     }
 
     /// Updates the time since when the set of live members is unchanged, and detects stalls
     /// of this process and isolation from the majority; called before each digest round.
-    pub fn look(&mut self, now_ms: u64) {
+    pub fn refresh(&mut self, now_ms: u64) {
         let alive = self.alive(now_ms).map(|address| weight(0, address));
         let sum = alive.fold(0, u64::wrapping_add);
         if sum != self.alive_hash_sum {
@@ -341,7 +347,7 @@
     }
 
     /// Records that a member answered a request.
-    pub fn answered(&mut self, address: Ipv4Addr) {
+    pub fn reply_received(&mut self, address: Ipv4Addr) {
         if let Some(member) = self.known.get_mut(&address) {
             member.missed_reply_count = 0;
         }
@@ -349,7 +355,7 @@
 
     /// Records that a member did not answer a request; after several in a row it is skipped
     /// as an owner for a while.
-    pub fn missed(&mut self, now_ms: u64, address: Ipv4Addr) {
+    pub fn reply_missed(&mut self, now_ms: u64, address: Ipv4Addr) {
         let Some(member) = self.known.get_mut(&address) else {
             return;
         };
--- a/crates/cranereach-fleet/src/named_limit.rs
+++ b/crates/cranereach-fleet/src/named_limit.rs
@@ -7,7 +7,7 @@
 //! the tighter limit had been received; one that tightens the limit counts at once.
 //!
 //! A limit ends with a successful answer that names none, with a peer's report that there
-//! is none, when nothing has named it for [`LAPSES_AFTER_MS`], when the worker restarts,
+//! is none, when nothing has named it for [`LIMIT_EXPIRES_AFTER_MS`], when the worker restarts,
 //! and when its row is removed.
 
 use serde::Deserialize;
@@ -16,7 +16,7 @@
 /// Time after which a limit that is no longer named expires, in milliseconds: six requests
 /// at the lowest rate that any worker gets ([`MIN_RATE_PER_S`]). A worker that receives
 /// requests names its limit again long before.
-pub const LAPSES_AFTER_MS: u64 = 60_000;
+pub const LIMIT_EXPIRES_AFTER_MS: u64 = 60_000;
 
 /// Minimum rate of requests to any worker, in requests per second, whatever limit it names:
 /// without an answer it could not report its recovery. One request in ten seconds is within
@@ -35,7 +35,7 @@
 
 /// What one answer says about a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Said {
+pub enum NamedRate {
     /// No limit is named.
     Nothing,
     /// A limit in requests per second.
@@ -47,21 +47,21 @@
 /// Parses the header values of an answer; returns the lowest of the valid ones.
 ///
 /// ```
-/// use cranereach_fleet::named_limit::Said;
+/// use cranereach_fleet::named_limit::NamedRate;
 /// use cranereach_fleet::named_limit::read;
 ///
-/// assert_eq!(read([].into_iter()), Said::Nothing);
-/// assert_eq!(read([&b"1.2"[..]].into_iter()), Said::Limit(1.2));
-/// assert_eq!(read([&b"-1"[..]].into_iter()), Said::Unreadable);
+/// assert_eq!(read([].into_iter()), NamedRate::Nothing);
+/// assert_eq!(read([&b"1.2"[..]].into_iter()), NamedRate::Limit(1.2));
+/// assert_eq!(read([&b"-1"[..]].into_iter()), NamedRate::Unreadable);
 /// ```
-pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
-    let mut said = Said::Nothing;
+pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> NamedRate {
+    let mut said = NamedRate::Nothing;
     for value in values {
         said = match (said, parse_rate(value)) {
-            (Said::Limit(known), Some(rate)) => Said::Limit(rate.min(known)),
-            (Said::Limit(known), None) => Said::Limit(known),
-            (Said::Nothing | Said::Unreadable, Some(rate)) => Said::Limit(rate),
-            (Said::Nothing | Said::Unreadable, None) => Said::Unreadable,
+            (NamedRate::Limit(known), Some(rate)) => NamedRate::Limit(rate.min(known)),
+            (NamedRate::Limit(known), None) => NamedRate::Limit(known),
+            (NamedRate::Nothing | NamedRate::Unreadable, Some(rate)) => NamedRate::Limit(rate),
+            (NamedRate::Nothing | NamedRate::Unreadable, None) => NamedRate::Unreadable,
         };
     }
     said
@@ -106,15 +106,15 @@
 ///
 /// ```
 /// use cranereach_fleet::named_limit::NamedLimit;
-/// use cranereach_fleet::named_limit::Said;
+/// use cranereach_fleet::named_limit::NamedRate;
 ///
 /// let mut limit = NamedLimit::default();
-/// limit.heard(Said::Limit(1.2), true, 900, 1_000);
+/// limit.observe(NamedRate::Limit(1.2), true, 900, 1_000);
 /// assert_eq!(limit.rate_per_s(1_500), Some(1.2));
 /// // Sent before the limit was received: this answer may be older than it.
-/// limit.heard(Said::Nothing, true, 950, 1_100);
+/// limit.observe(NamedRate::Nothing, true, 950, 1_100);
 /// assert_eq!(limit.rate_per_s(1_500), Some(1.2));
-/// limit.heard(Said::Nothing, true, 1_200, 1_300);
+/// limit.observe(NamedRate::Nothing, true, 1_200, 1_300);
 /// assert_eq!(limit.rate_per_s(1_500), None);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -127,23 +127,23 @@
     /// Records what the answer to a request sent at `asked_ms` says; returns whether the
     /// rate in force changes. `may_end` tells whether such an answer ends a limit by naming
     /// none.
-    pub fn heard(&mut self, said: Said, may_end: bool, asked_ms: u64, now_ms: u64) -> bool {
+    pub fn observe(&mut self, said: NamedRate, may_end: bool, asked_ms: u64, now_ms: u64) -> bool {
         let rate_per_s = match said {
-            Said::Limit(rate) if rate < UNLIMITED_RATE_PER_S => Some(rate),
-            Said::Limit(_) => None,
-            Said::Nothing if may_end => None,
-            Said::Nothing | Said::Unreadable => return false,
+            NamedRate::Limit(rate) if rate < UNLIMITED_RATE_PER_S => Some(rate),
+            NamedRate::Limit(_) => None,
+            NamedRate::Nothing if may_end => None,
+            NamedRate::Nothing | NamedRate::Unreadable => return false,
         };
         let report = KnownLimit {
             rate_per_s,
             asked_ms,
             heard_ms: now_ms,
         };
-        self.take(now_ms, report)
+        self.keep_newer(now_ms, report)
     }
 
     /// Merges another instance's report; returns whether the rate in force changes.
-    pub fn told(&mut self, now_ms: u64, received: &LimitReport) -> bool {
+    pub fn merge(&mut self, now_ms: u64, received: &LimitReport) -> bool {
         let is_rate = |rate: f64| (0.0..UNLIMITED_RATE_PER_S).contains(&rate);
         if !received.rate_per_s.is_none_or(is_rate) {
             return false;
@@ -154,12 +154,12 @@
             asked_ms: ago(received.asked_age_ms),
             heard_ms: ago(received.heard_age_ms),
         };
-        self.take(now_ms, report)
+        self.keep_newer(now_ms, report)
     }
 
     /// Keeps the newer of the known and the given report; returns whether the rate in force
     /// changes.
-    fn take(&mut self, now_ms: u64, report: KnownLimit) -> bool {
+    fn keep_newer(&mut self, now_ms: u64, report: KnownLimit) -> bool {
         let before = self.rate_per_s(now_ms);
         let is_newer = match &self.newest {
             // Most workers never name a limit, so nothing is stored for them.
@@ -170,7 +170,7 @@
             Some(known) => {
                 let is_tighter = report.effective_per_s() < known.effective_per_s();
                 let is_asked_later = report.asked_ms >= known.heard_ms;
-                let has_expired = now_ms >= known.heard_ms + LAPSES_AFTER_MS;
+                let has_expired = now_ms >= known.heard_ms + LIMIT_EXPIRES_AFTER_MS;
                 is_asked_later || has_expired || (is_tighter && report.heard_ms > known.asked_ms)
             }
         };
@@ -188,7 +188,7 @@
     /// has ended.
     pub fn rate_per_s(&self, now_ms: u64) -> Option<f64> {
         let newest = self.newest.as_ref();
-        let fresh = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS);
+        let fresh = newest.filter(|report| now_ms < report.heard_ms + LIMIT_EXPIRES_AFTER_MS);
         fresh.and_then(|report| report.rate_per_s)
     }
 
@@ -198,10 +198,10 @@
     }
 
     /// Returns the report for other instances, with the key of the worker's start; none if
-    /// no limit, nor its end, was reported within [`LAPSES_AFTER_MS`].
-    pub fn word(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitReport> {
+    /// no limit, nor its end, was reported within [`LIMIT_EXPIRES_AFTER_MS`].
+    pub fn report(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitReport> {
         let newest = self.newest.as_ref();
-        let report = newest.filter(|report| now_ms < report.heard_ms + LAPSES_AFTER_MS)?;
+        let report = newest.filter(|report| now_ms < report.heard_ms + LIMIT_EXPIRES_AFTER_MS)?;
         let age_ms = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
         Some(LimitReport {
             start: start(),
--- a/crates/cranereach-fleet/src/outage_pace.rs
+++ b/crates/cranereach-fleet/src/outage_pace.rs
@@ -20,14 +20,14 @@
 /// check.
 ///
 /// ```
-/// use cranereach_fleet::outage_pace::tries_now;
+/// use cranereach_fleet::outage_pace::should_probe;
 ///
 /// // In a fleet of any size, some 1.2 instances probe within 100 ms.
-/// assert!(tries_now(1_000, 100, 0.001));
-/// assert!(!tries_now(1_000, 100, 0.002));
-/// assert!(!tries_now(10_000, 100, 0.001));
+/// assert!(should_probe(1_000, 100, 0.001));
+/// assert!(!should_probe(1_000, 100, 0.002));
+/// assert!(!should_probe(10_000, 100, 0.001));
 /// ```
-pub fn tries_now(instance_count: usize, since_check_ms: u64, chance: f64) -> bool {
+pub fn should_probe(instance_count: usize, since_check_ms: u64, chance: f64) -> bool {
     let mean_pause_ms =
         (instance_count as f64 * 1_000.0 / OTHERS_CALLS_PER_S).max(MEAN_PAUSE_MIN_MS);
     chance < since_check_ms as f64 / mean_pause_ms
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -20,7 +20,7 @@
 use crate::load::Load;
 use crate::load::RANK_COUNT;
 use crate::pause_monitor::PauseMonitor;
-use crate::pause_prediction::Place;
+use crate::pause_prediction::ScheduledSend;
 use crate::prefill_schedule::PrefillSchedule;
 use crate::prefixes::CachedPrefixes;
 use crate::prefixes::PromptPart;
@@ -126,13 +126,13 @@
 
 /// State of a worker as reported by its owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct WorkerStatus {
     /// Load of the open requests at the worker.
     pub load: Load,
     /// Number of leading parts of the prompt that are probably in its prefix cache.
     pub kept_part_count: usize,
     /// Ratio of the actual to the predicted time to first token, at least one.
-    pub pace_ratio: f64,
+    pub slowdown_ratio: f64,
     /// Share of recent calls that failed.
     pub failed_share: f64,
     /// Whether calls should go to other workers for now.
@@ -179,7 +179,7 @@
     open: HashMap<Ticket, OpenRequest>,
     kept: CachedPrefixes,
     health: Health,
-    pace_ratio: f64,
+    slowdown_ratio: f64,
     slowdown_updated_at_ms: u64,
     pause_monitor: PauseMonitor,
     plan: PrefillSchedule,
@@ -192,7 +192,7 @@
             open: HashMap::new(),
             kept: CachedPrefixes::default(),
             health: Health::default(),
-            pace_ratio: 1.0,
+            slowdown_ratio: 1.0,
             slowdown_updated_at_ms: 0,
             pause_monitor: PauseMonitor::default(),
             plan: PrefillSchedule::default(),
@@ -209,8 +209,8 @@
 ///
 /// let mut owned = OwnedWorkers::default();
 /// let opening = SentRequest { unread_ms: 100.0, ends_within_ms: 5_000, ..SentRequest::default() };
-/// owned.begun(1_000, 7, (1, 1), opening, &[]);
-/// assert_eq!(owned.standing(1_010, 7, &[], 100.0).load.open_count, 1);
+/// owned.request_started(1_000, 7, (1, 1), opening, &[]);
+/// assert_eq!(owned.status(1_010, 7, &[], 100.0).load.open_count, 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OwnedWorkers {
@@ -219,28 +219,28 @@
 
 impl OwnedWorkers {
     /// Returns the state of a worker for a prompt with the given parts and prefill time.
-    pub fn standing(
+    pub fn status(
         &mut self,
         now_ms: u64,
         worker: u64,
         parts: &[u64],
         reading_ms: f64,
-    ) -> Standing {
+    ) -> WorkerStatus {
         let Some(state) = self.worker_entry(now_ms, worker) else {
-            return Standing {
-                pace_ratio: 1.0,
-                ..Standing::default()
+            return WorkerStatus {
+                slowdown_ratio: 1.0,
+                ..WorkerStatus::default()
             };
         };
         let load = state.load(now_ms);
         let place = state.schedule(now_ms, reading_ms);
-        Standing {
+        WorkerStatus {
             load,
             send_in_ms: place.at_ms - now_ms as f64,
             kept_part_count: state.kept.kept_part_count(parts),
-            pace_ratio: state.pace_ratio(now_ms),
+            slowdown_ratio: state.slowdown_ratio(now_ms),
             failed_share: state.health.failed_share(),
-            is_aside: state.health.is_aside(now_ms),
+            is_aside: state.health.is_ejected(now_ms),
             has_suspect: state.open.values().any(|open| open.request.runs_alone),
             pause_ms: place.pause_ms,
         }
@@ -254,14 +254,14 @@
 
     /// Returns the state of a worker for a call that may be retried at another worker: now and
     /// then, one such call is let through to a worker that calls should avoid, to probe it.
-    pub fn standing_for_repeatable(
+    pub fn status_for_repeatable(
         &mut self,
         now_ms: u64,
         worker: u64,
         parts: &[u64],
         reading_ms: f64,
-    ) -> Standing {
-        let mut standing = self.standing(now_ms, worker, parts, reading_ms);
+    ) -> WorkerStatus {
+        let mut standing = self.status(now_ms, worker, parts, reading_ms);
         if let (true, Some(state)) = (standing.is_aside, self.by_key.get_mut(&worker)) {
             standing.is_aside = !state.health.may_probe_ejected(now_ms);
         }
@@ -269,7 +269,7 @@
     }
 
     /// Records that a request is being sent to a worker.
-    pub fn begun(
+    pub fn request_started(
         &mut self,
         now_ms: u64,
         worker: u64,
@@ -289,8 +289,8 @@
         let reading_ms = f64::from(request.unread_ms);
         state
             .plan
-            .allow(f64::from(request.gap_aim_ms), request.event_tokens);
-        let scaled_ms = reading_ms * state.pace_ratio(now_ms);
+            .set_limits(f64::from(request.gap_aim_ms), request.event_tokens);
+        let scaled_ms = reading_ms * state.slowdown_ratio(now_ms);
         let send_delay_ms = f64::from(request.send_in_ms);
         let at_ms = now_ms as f64 + send_delay_ms;
         state.plan.sent(now_ms, ticket, at_ms, scaled_ms);
@@ -308,7 +308,7 @@
     }
 
     /// Records that a worker prefilled a request's prompt, and the time that it took.
-    pub fn read(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
+    pub fn prompt_prefilled(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
         let Some(state) = self.worker_entry(now_ms, worker) else {
             return;
         };
@@ -322,7 +322,7 @@
     }
 
     /// Records that a request at a worker has ended.
-    pub fn ended(&mut self, now_ms: u64, worker: u64, ticket: Ticket, outcome: Outcome) {
+    pub fn request_ended(&mut self, now_ms: u64, worker: u64, ticket: Ticket, outcome: Outcome) {
         let Some(state) = self.worker_entry(now_ms, worker) else {
             return;
         };
@@ -381,10 +381,10 @@
     }
 
     /// Returns when a prompt is to be sent: at once unless the worker's streams pause for too long.
-    fn schedule(&self, now_ms: u64, reading_ms: f64) -> Place {
-        let scaled_ms = reading_ms * self.pace_ratio(now_ms);
+    fn schedule(&self, now_ms: u64, reading_ms: f64) -> ScheduledSend {
+        let scaled_ms = reading_ms * self.slowdown_ratio(now_ms);
         if self.pause_monitor.needs_scheduling(now_ms) {
-            self.plan.place(now_ms, scaled_ms)
+            self.plan.find_send_time(now_ms, scaled_ms)
         } else {
             self.plan.at_once(now_ms, scaled_ms)
         }
@@ -394,16 +394,17 @@
     fn record_slowdown(&mut self, now_ms: u64, predicted_ms: f64, took_ms: f64) {
         let allowed_ms = predicted_ms + SLOWDOWN_SLACK_MS;
         let ratio = (took_ms / allowed_ms).clamp(SLOWDOWN_RATIO_BOUNDS.0, SLOWDOWN_RATIO_BOUNDS.1);
-        let before = self.pace_ratio(now_ms);
-        self.pace_ratio = before * SLOWDOWN_DECAY_FACTOR + ratio * (1.0 - SLOWDOWN_DECAY_FACTOR);
+        let before = self.slowdown_ratio(now_ms);
+        self.slowdown_ratio =
+            before * SLOWDOWN_DECAY_FACTOR + ratio * (1.0 - SLOWDOWN_DECAY_FACTOR);
         self.slowdown_updated_at_ms = now_ms;
     }
 
     /// Returns the ratio of the actual to the predicted time to first token, decayed towards one; a
     /// worker that is faster than predicted counts as one.
-    fn pace_ratio(&self, now_ms: u64) -> f64 {
+    fn slowdown_ratio(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.slowdown_updated_at_ms) as f64;
         let kept = 0.5_f64.powf(passed_ms / SLOWDOWN_HALF_LIFE_MS);
-        1.0 + (self.pace_ratio - 1.0).max(0.0) * kept
+        1.0 + (self.slowdown_ratio - 1.0).max(0.0) * kept
     }
 }
--- a/crates/cranereach-fleet/src/pause_monitor.rs
+++ b/crates/cranereach-fleet/src/pause_monitor.rs
@@ -1,8 +1,8 @@
 //! Detects workers whose streams pause for too long, from how their answers ended.
 //!
 //! Where events are short, or a step prefills little, prompts need no scheduling. So prompts are
-//! scheduled (see [`crate::prefill_schedule`]) only at workers whose streams paused, and for a while
-//! after, since streams don't pause while the schedule is in effect.
+//! scheduled (see [`crate::prefill_schedule`]) only at workers whose streams paused, and for a
+//! while after, since streams don't pause while the schedule is in effect.
 
 /// Share of answers with too long a pause from which a worker's prompts are scheduled.
 const PAUSED_SHARE_THRESHOLD: f64 = 0.03;
--- a/crates/cranereach-fleet/src/pause_prediction.rs
+++ b/crates/cranereach-fleet/src/pause_prediction.rs
@@ -30,7 +30,7 @@
 
 /// When a prompt is to be sent, and the pause that results.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct ScheduledSend {
     /// Time to send it, in milliseconds.
     pub at_ms: f64,
     /// Longest predicted pause from then on, in milliseconds.
@@ -127,13 +127,13 @@
 /// than a limit; if there is none, the time with the shortest pause of those tried.
 ///
 /// A prompt that exceeds the limit by itself is placed where it doesn't overlap with others.
-pub fn place(
+pub fn find_send_time(
     stepping: &StepTiming,
     arrivals: &[Arrival],
     now_ms: f64,
     reading_ms: f64,
     limit_ms: f64,
-) -> Place {
+) -> ScheduledSend {
     let alone_ms = reading_ms.min(stepping.chunk_ms * stepping.event_steps as f64)
         + stepping.step_ms * stepping.event_steps as f64;
     let allowed_ms = limit_ms.max(alone_ms + stepping.step_ms);
@@ -141,7 +141,7 @@
     let candidates = candidates.flat_map(|step| [step.starts_ms, step.ends_ms]);
     let candidates = candidates.filter(|at_ms| *at_ms > now_ms);
     let mut with_prompt = arrivals.to_vec();
-    let mut best: Option<Place> = None;
+    let mut best: Option<ScheduledSend> = None;
     let mut last_tried_ms = f64::NEG_INFINITY;
     for at_ms in std::iter::once(now_ms)
         .chain(candidates)
@@ -163,13 +163,13 @@
         let pause_ms = longest_ms(stepping, &with_prompt, at_ms);
         with_prompt.remove(index);
         if pause_ms <= allowed_ms {
-            return Place { at_ms, pause_ms };
+            return ScheduledSend { at_ms, pause_ms };
         }
         if best.is_none_or(|best| pause_ms < best.pause_ms) {
-            best = Some(Place { at_ms, pause_ms });
+            best = Some(ScheduledSend { at_ms, pause_ms });
         }
     }
-    best.unwrap_or(Place {
+    best.unwrap_or(ScheduledSend {
         at_ms: now_ms,
         pause_ms: allowed_ms,
     })
--- a/crates/cranereach-fleet/src/placement.rs
+++ b/crates/cranereach-fleet/src/placement.rs
@@ -36,21 +36,21 @@
 
 /// A model on a worker, in any state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct ModelReplica {
     /// Index of the model in the declared list.
     pub model: u16,
     /// Its adapters on the worker, numbered from one.
     pub adapters: Vec<u16>,
     /// Whether it is being unloaded.
-    pub is_going: bool,
+    pub is_unloading: bool,
     /// Whether it is still being loaded.
-    pub is_coming: bool,
+    pub is_loading: bool,
 }
 
-impl Place {
+impl ModelReplica {
     /// Whether the model is served there.
     pub fn is_ready(&self) -> bool {
-        !self.is_going && !self.is_coming
+        !self.is_unloading && !self.is_loading
     }
 }
 
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkerView {
     /// Models on the worker, including those being loaded or unloaded.
-    pub places: Vec<Place>,
+    pub places: Vec<ModelReplica>,
     /// Whether an order may be sent to the worker now.
     pub is_free: bool,
     /// Whether the worker takes requests, that is, is neither leaving nor failing.
@@ -134,12 +134,12 @@
         let unloading_count = self
             .workers
             .iter()
-            .filter(|worker| is_going(worker))
+            .filter(|worker| is_unloading(worker))
             .count();
         let may_swap = unloading_count < (self.workers.len() / 3).max(2);
         let mut best_order: Option<(f64, Planned)> = None;
         for (index, worker) in self.workers.iter().enumerate() {
-            if !worker.is_free || !worker.carries_demand() || is_going(worker) {
+            if !worker.is_free || !worker.carries_demand() || is_unloading(worker) {
                 continue;
             }
             let used_mb = self.used_mb(worker);
@@ -280,14 +280,14 @@
 /// Returns the model that is cheapest to unload from a worker, with the cost; models being loaded
 /// don't count.
 fn cheapest_unload(index: usize, worker: &WorkerView, pressure: &Pressure) -> Option<(f64, u16)> {
-    let ready = worker.places.iter().filter(|place| !place.is_coming);
+    let ready = worker.places.iter().filter(|place| !place.is_loading);
     let losses = ready.map(|place| (pressure.loss(usize::from(place.model), index), place.model));
     losses.min_by(|left, right| left.0.total_cmp(&right.0))
 }
 
 /// Whether a worker is unloading a model.
-fn is_going(worker: &WorkerView) -> bool {
-    worker.places.iter().any(|place| place.is_going)
+fn is_unloading(worker: &WorkerView) -> bool {
+    worker.places.iter().any(|place| place.is_unloading)
 }
 
 /// Whether a worker holds a model in any state.
--- a/crates/cranereach-fleet/src/prefill_schedule.rs
+++ b/crates/cranereach-fleet/src/prefill_schedule.rs
@@ -7,7 +7,7 @@
 
 use crate::pause_prediction;
 use crate::pause_prediction::Arrival;
-use crate::pause_prediction::Place;
+use crate::pause_prediction::ScheduledSend;
 use crate::pause_prediction::StepTiming;
 
 /// Time of a decode step without any prefill, in milliseconds: large models take 10 to 13
@@ -47,16 +47,16 @@
 impl PrefillSchedule {
     /// Sets what the worker's streams allow: the longest pause in milliseconds (zero for no
     /// limit) and the number of tokens per event.
-    pub fn allow(&mut self, gap_aim_ms: f64, event_tokens: u32) {
+    pub fn set_limits(&mut self, gap_aim_ms: f64, event_tokens: u32) {
         self.gap_aim_ms = gap_aim_ms;
         self.event_steps = event_tokens.max(1) as usize;
     }
 
     /// Returns the longest pause that results if a prompt is sent immediately.
-    pub fn at_once(&self, now_ms: u64, reading_ms: f64) -> Place {
+    pub fn at_once(&self, now_ms: u64, reading_ms: f64) -> ScheduledSend {
         let at_ms = now_ms as f64;
         if self.gap_aim_ms <= 0.0 {
-            return Place {
+            return ScheduledSend {
                 at_ms,
                 pause_ms: 0.0,
             };
@@ -71,7 +71,7 @@
                 read_at_ms: None,
             },
         );
-        Place {
+        ScheduledSend {
             at_ms,
             pause_ms: pause_prediction::longest_ms(&self.stepping(), &arrivals, at_ms),
         }
@@ -79,10 +79,10 @@
 
     /// Returns the earliest suitable time for a prompt with the given prefill time; now if
     /// pauses are not limited.
-    pub fn place(&self, now_ms: u64, reading_ms: f64) -> Place {
+    pub fn find_send_time(&self, now_ms: u64, reading_ms: f64) -> ScheduledSend {
         let now_ms = now_ms as f64;
         if self.gap_aim_ms <= 0.0 || reading_ms < NEGLIGIBLE_READING_MS {
-            return Place {
+            return ScheduledSend {
                 at_ms: now_ms,
                 pause_ms: 0.0,
             };
@@ -90,7 +90,7 @@
         let stepping = self.stepping();
         let arrivals: Vec<Arrival> = self.planned.iter().map(|prompt| prompt.arrival).collect();
         let limit_ms = self.gap_aim_ms * PAUSE_BUDGET_SHARE;
-        pause_prediction::place(&stepping, &arrivals, now_ms, reading_ms, limit_ms)
+        pause_prediction::find_send_time(&stepping, &arrivals, now_ms, reading_ms, limit_ms)
     }
 
     /// Records a prompt that reaches the worker at a given time.
--- a/crates/cranereach-fleet/src/prefixes.rs
+++ b/crates/cranereach-fleet/src/prefixes.rs
@@ -17,12 +17,12 @@
 /// Hashes the parts of a prompt; each hash also covers all parts before it.
 ///
 /// ```
-/// use cranereach_fleet::prefixes::chain;
+/// use cranereach_fleet::prefixes::hash_parts;
 ///
-/// let parts = chain("m1", &[("a", 10), ("b", 20)]);
+/// let parts = hash_parts("m1", &[("a", 10), ("b", 20)]);
 /// assert_ne!(parts[0].chain, parts[1].chain);
 /// ```
-pub fn chain(model: &str, parts: &[(&str, u32)]) -> Vec<PromptPart> {
+pub fn hash_parts(model: &str, parts: &[(&str, u32)]) -> Vec<PromptPart> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(model.as_bytes());
     let mut chained = Vec::with_capacity(parts.len());
@@ -47,7 +47,7 @@
 
 impl CachedPrefixes {
     /// Returns how many leading tokens of a prompt are probably cached and need no prefill.
-    pub fn kept_tokens(&self, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
         let kept = parts
             .iter()
             .take_while(|part| self.used_at_ms.contains_key(&part.chain));
--- a/crates/cranereach-fleet/src/pressure.rs
+++ b/crates/cranereach-fleet/src/pressure.rs
@@ -53,7 +53,7 @@
     /// Number of replicas that serve requests.
     pub ready_count: usize,
     /// Number of replicas being loaded.
-    pub coming_count: usize,
+    pub loading_count: usize,
     /// Lowest utilization among the workers that serve it; infinite if there is none.
     pub level: f64,
 }
@@ -82,14 +82,14 @@
             .enumerate()
             .filter(|(_, view)| view.carries_demand());
         for (index, worker) in carrying {
-            for place in worker.places.iter().filter(|place| !place.is_going) {
+            for place in worker.places.iter().filter(|place| !place.is_unloading) {
                 let Some(of_model) = replicas.get_mut(usize::from(place.model)) else {
                     continue;
                 };
                 of_model.push(Replica {
                     worker: index,
                     share: 0.0,
-                    is_ready: !place.is_coming,
+                    is_ready: !place.is_loading,
                 });
             }
         }
@@ -153,7 +153,7 @@
                 model,
                 demand: *demand,
                 ready_count: replicas.iter().filter(|replica| replica.is_ready).count(),
-                coming_count: replicas.iter().filter(|replica| !replica.is_ready).count(),
+                loading_count: replicas.iter().filter(|replica| !replica.is_ready).count(),
                 level: replicas
                     .iter()
                     .filter(|replica| replica.is_ready)
--- a/crates/cranereach-fleet/src/proof.rs
+++ b/crates/cranereach-fleet/src/proof.rs
@@ -52,10 +52,10 @@
 /// use cranereach_fleet::proof::Proof;
 ///
 /// let mut watcher = Proof::new(1, 3_000);
-/// watcher.in_force(7);
+/// watcher.record_version(7);
 /// watcher.read(0, 1_000);
 /// let mut other = Proof::new(2, 3_000);
-/// other.in_force(7);
+/// other.record_version(7);
 /// let answer = watcher.answer(1_200, other.question(90_000));
 /// // The proof counts from the time of the query, however late the answer arrives.
 /// assert!(other.take(&answer));
@@ -92,7 +92,7 @@
 
     /// Records the version in force. A moment at which nothing newer than an earlier version
     /// existed counts for this version as well.
-    pub fn in_force(&mut self, version: u64) {
+    pub fn record_version(&mut self, version: u64) {
         self.version = version.max(self.version);
     }
 
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -27,11 +27,11 @@
 use std::collections::BTreeMap;
 
 pub use self::gossip::Change;
+pub use self::gossip::GOSSIPED_MAX_COUNT;
 pub use self::gossip::GossipedEnd;
 pub use self::gossip::SuspectUpdate;
-pub use self::gossip::TOLD_MAX_COUNT;
-pub use self::local::Listed;
-pub use self::local::Seen;
+pub use self::local::LocalObservations;
+pub use self::local::SuspectReport;
 use crate::fingerprint::Fingerprint;
 
 /// Consecutive ends from which on a request is sent to no worker; two may be a coincidence.
@@ -104,7 +104,7 @@
     /// Time of the last change of this entry on this instance, in milliseconds.
     changed_at_ms: i64,
     /// What this instance itself has observed.
-    seen: Seen,
+    seen: LocalObservations,
 }
 
 /// Evidence against a request.
--- a/crates/cranereach-fleet/src/quarantine/gossip.rs
+++ b/crates/cranereach-fleet/src/quarantine/gossip.rs
@@ -13,7 +13,7 @@
 use crate::fingerprint::Fingerprint;
 
 /// Maximum number of requests in one digest: 1.5 KB, however many are known.
-pub const TOLD_MAX_COUNT: usize = 16;
+pub const GOSSIPED_MAX_COUNT: usize = 16;
 
 /// Maximum number of them that are chosen because they changed recently, so that instances that
 /// have just started hear of the others too.
@@ -125,7 +125,7 @@
 
 impl Quarantine {
     /// Applies an update from another instance.
-    pub fn take(&mut self, now_ms: i64, update: &SuspectUpdate) -> Change {
+    pub fn merge(&mut self, now_ms: i64, update: &SuspectUpdate) -> Change {
         let mark = update.mark();
         let before = self.suspicion(mark);
         let is_known = self.suspects.contains_key(&mark);
@@ -154,7 +154,7 @@
 
     /// Returns the quarantined requests to store, given those already stored: first the ones known
     /// here, most recently requested first, then stored ones that have not been cleared.
-    pub fn lasting(
+    pub fn select_for_storage(
         &self,
         now_ms: i64,
         kept: &[SuspectUpdate],
@@ -175,7 +175,7 @@
 
     /// Chooses the content of the next digest: recent changes first, then persistent entries
     /// and surplus recent ones in random order, then single ends, newest first.
-    pub fn news<R: Rng>(&self, now_ms: i64, rng: &mut R) -> Vec<SuspectUpdate> {
+    pub fn select_for_digest<R: Rng>(&self, now_ms: i64, rng: &mut R) -> Vec<SuspectUpdate> {
         let mut recent = Vec::new();
         let mut persistent = Vec::new();
         let mut single = Vec::new();
@@ -195,7 +195,7 @@
         persistent.extend(recent.drain(recent.len().min(RECENT_MAX_COUNT)..));
         persistent.shuffle(rng);
         let selected = recent.into_iter().chain(persistent).chain(single);
-        let selected = selected.take(TOLD_MAX_COUNT);
+        let selected = selected.take(GOSSIPED_MAX_COUNT);
         selected
             .map(|(_, mark, suspect)| SuspectUpdate::from_suspect(now_ms, *mark, suspect))
             .collect()
--- a/crates/cranereach-fleet/src/quarantine/local.rs
+++ b/crates/cranereach-fleet/src/quarantine/local.rs
@@ -11,7 +11,7 @@
 
 /// What this instance itself has observed of a request, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct LocalObservations {
     /// Route of the request.
     pub route: Arc<str>,
     /// Client account as labeled in metrics; empty if there is none.
@@ -24,7 +24,7 @@
 
 /// A request as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct SuspectReport {
     /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
     /// Evidence against the request.
@@ -32,7 +32,7 @@
     /// Ends of workers that ran it.
     pub ends: Vec<WorkerEnd>,
     /// What this instance has observed.
-    pub seen: Seen,
+    pub seen: LocalObservations,
 }
 
 impl Quarantine {
@@ -47,7 +47,7 @@
 
     /// Records route and account of a known request and, if given, a worker that ended while
     /// running it for this instance.
-    pub fn note(
+    pub fn record_observation(
         &mut self,
         mark: RequestMark,
         route: &Arc<str>,
@@ -76,12 +76,12 @@
     }
 
     /// Lists the requests with evidence against them.
-    pub fn list(&self) -> impl Iterator<Item = Listed> {
+    pub fn list(&self) -> impl Iterator<Item = SuspectReport> {
         let listed = self
             .suspects
             .iter()
             .filter(|(_, suspect)| !suspect.ends.is_empty());
-        listed.map(|(mark, suspect)| Listed {
+        listed.map(|(mark, suspect)| SuspectReport {
             fingerprint: mark.fingerprint,
             suspicion: suspect.suspicion(),
             ends: suspect.ends.clone(),
--- a/crates/cranereach-fleet/src/rest.rs
+++ b/crates/cranereach-fleet/src/rest.rs
@@ -24,7 +24,7 @@
 
 /// What one answer says about a rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum RestRequest {
     /// No rest is requested.
     Nothing,
     /// A rest of this many milliseconds is requested.
@@ -37,15 +37,15 @@
 /// ones.
 ///
 /// ```
-/// use cranereach_fleet::rest::Said;
+/// use cranereach_fleet::rest::RestRequest;
 /// use cranereach_fleet::rest::read;
 ///
-/// assert_eq!(read([].into_iter()), Said::Nothing);
-/// assert_eq!(read([&b"1.5"[..]].into_iter()), Said::For(1_500));
-/// assert_eq!(read([&b"0"[..]].into_iter()), Said::Nothing);
-/// assert_eq!(read([&b"-1"[..]].into_iter()), Said::Unreadable);
+/// assert_eq!(read([].into_iter()), RestRequest::Nothing);
+/// assert_eq!(read([&b"1.5"[..]].into_iter()), RestRequest::For(1_500));
+/// assert_eq!(read([&b"0"[..]].into_iter()), RestRequest::Nothing);
+/// assert_eq!(read([&b"-1"[..]].into_iter()), RestRequest::Unreadable);
 /// ```
-pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
+pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> RestRequest {
     let mut longest_ms = None;
     let mut has_invalid = false;
     for value in values {
@@ -54,10 +54,10 @@
         longest_ms = longest_ms.max(for_ms);
     }
     match longest_ms {
-        Some(0) => Said::Nothing,
-        Some(for_ms) => Said::For(for_ms),
-        None if has_invalid => Said::Unreadable,
-        None => Said::Nothing,
+        Some(0) => RestRequest::Nothing,
+        Some(for_ms) => RestRequest::For(for_ms),
+        None if has_invalid => RestRequest::Unreadable,
+        None => RestRequest::Nothing,
     }
 }
 
@@ -77,13 +77,13 @@
 /// use cranereach_fleet::rest::Rest;
 ///
 /// let mut rest = Rest::default();
-/// assert!(rest.asked(1_000, 3_000));
+/// assert!(rest.requested(1_000, 3_000));
 /// assert!(!rest.may_send(3_999, 0));
 /// assert!(rest.may_send(4_000, 0));
 /// // A single request is sent first.
 /// rest.sent(4_000);
 /// assert!(!rest.may_send(4_010, 0));
-/// rest.taken(4_000);
+/// rest.accepted(4_000);
 /// assert!(rest.may_send(4_010, 0));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -99,7 +99,7 @@
 impl Rest {
     /// Records that the worker requested a rest; returns whether this extends the known
     /// rest.
-    pub fn asked(&mut self, now_ms: u64, for_ms: u64) -> bool {
+    pub fn requested(&mut self, now_ms: u64, for_ms: u64) -> bool {
         let until_ms = now_ms + for_ms;
         if until_ms <= self.until_ms {
             return false;
@@ -143,7 +143,7 @@
     /// Records that the worker accepted a request sent at a given time; returns whether
     /// this ends the trial, so that others may follow. A request sent before the end of the
     /// rest proves nothing.
-    pub fn taken(&mut self, sent_ms: u64) -> bool {
+    pub fn accepted(&mut self, sent_ms: u64) -> bool {
         let has_ended = self.is_on_trial && sent_ms >= self.until_ms;
         self.is_on_trial &= !has_ended;
         has_ended
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -29,7 +29,7 @@
 use crate::key::worker_key;
 use crate::load::Load;
 use crate::no_worker::NoWorker;
-use crate::routing_request::Wanted;
+use crate::routing_request::RoutingRequest;
 use crate::store_position::StorePosition;
 use crate::worker::EJECTED_PENALTY_MS;
 use crate::worker::Worker;
@@ -54,7 +54,7 @@
     fn from_worker(worker: &Worker) -> Self {
         Self {
             position: worker.position,
-            incarnation: Some(worker.record.start_key()),
+            incarnation: Some(worker.record.incarnation_key()),
             was_leaving: worker.record.is_leaving,
         }
     }
@@ -130,10 +130,11 @@
             if known.record.started_unix_ms != record.started_unix_ms {
                 if let Some(departure) = known.departure {
                     self.unlisted_departures
-                        .keep(known.record.start_key(), departure);
+                        .keep(known.record.incarnation_key(), departure);
                 }
                 if known.position.era == position.era {
-                    let (incarnation, next) = (known.record.start_key(), record.start_key());
+                    let (incarnation, next) =
+                        (known.record.incarnation_key(), record.incarnation_key());
                     eras::note_superseded(&mut self.superseded, incarnation, next);
                 }
                 // A new incarnation starts empty: nothing learned about the one before applies to
@@ -141,7 +142,9 @@
                 let leaves_at = known.leaves_at;
                 *known = Worker::new(position, record);
                 known.leaves_at = leaves_at;
-                known.departure = self.unlisted_departures.take(|| known.record.start_key());
+                known.departure = self
+                    .unlisted_departures
+                    .take(|| known.record.incarnation_key());
                 return true;
             }
             let has_changed = known.record != record;
@@ -162,17 +165,19 @@
         let id = Arc::clone(&record.id);
         let tombstone = self.last_tombstone(&id);
         if let Some(incarnation) = tombstone.incarnation
-            && incarnation != record.start_key()
+            && incarnation != record.incarnation_key()
             && tombstone.position.era == position.era
         {
-            eras::note_superseded(&mut self.superseded, incarnation, record.start_key());
+            eras::note_superseded(&mut self.superseded, incarnation, record.incarnation_key());
         }
         self.by_key.insert(worker_key(&id), Arc::clone(&id));
         self.holders.add(&record);
         let ids = self.by_service.entry(Arc::clone(&record.service));
         ids.or_default().push(Arc::clone(&id));
         let mut worker = Worker::new(position, record);
-        worker.departure = self.unlisted_departures.take(|| worker.record.start_key());
+        worker.departure = self
+            .unlisted_departures
+            .take(|| worker.record.incarnation_key());
         self.workers.insert(id, worker);
         true
     }
@@ -201,7 +206,7 @@
         if let Some(departure) = removed.departure {
             // The row may come back.
             self.unlisted_departures
-                .keep(removed.record.start_key(), departure);
+                .keep(removed.record.incarnation_key(), departure);
         }
         self.by_key.remove(&worker_key(id));
         self.holders.remove(&removed.record);
@@ -276,7 +281,7 @@
     pub fn choose<R: Rng>(
         &self,
         now_ms: u64,
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Choice, NoWorker> {
@@ -290,7 +295,7 @@
         &self,
         now_ms: u64,
         among: &[Arc<str>],
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Choice, NoWorker> {
--- a/crates/cranereach-fleet/src/roster/candidates.rs
+++ b/crates/cranereach-fleet/src/roster/candidates.rs
@@ -14,7 +14,7 @@
 use super::ScoredWorker;
 use crate::configuration::Engine;
 use crate::no_worker::NoWorker;
-use crate::routing_request::Wanted;
+use crate::routing_request::RoutingRequest;
 use crate::topology::Distance;
 use crate::worker::EJECTED_PENALTY_MS;
 
@@ -32,7 +32,7 @@
     pub fn candidates<R: Rng>(
         &self,
         now_ms: u64,
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         count: usize,
         rng: &mut R,
@@ -59,7 +59,7 @@
         &self,
         now_ms: u64,
         asked: &[Arc<str>],
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         count: usize,
         rng: &mut R,
@@ -85,7 +85,7 @@
 }
 
 /// Returns the distance from this instance to a worker.
-fn distance(wanted: &Wanted<'_>, candidate: &ScoredWorker<'_>) -> Distance {
+fn distance(wanted: &RoutingRequest<'_>, candidate: &ScoredWorker<'_>) -> Distance {
     wanted
         .topology
         .distance(&candidate.worker.record.failure_domain)
--- a/crates/cranereach-fleet/src/roster/departures.rs
+++ b/crates/cranereach-fleet/src/roster/departures.rs
@@ -4,7 +4,7 @@
 use crate::departure::Departure;
 use crate::departure::DepartureNews;
 use crate::departure::DepartureSource;
-use crate::key::start_key;
+use crate::key::incarnation_key;
 use crate::key::worker_key;
 use crate::purpose::Purpose;
 use crate::store_position::StorePosition;
@@ -88,7 +88,7 @@
             return worker.note_departure(departure);
         }
         self.unlisted_departures
-            .keep(start_key(id, started_unix_ms), departure)
+            .keep(incarnation_key(id, started_unix_ms), departure)
     }
 
     /// Takes another instance's report that an incarnation of a worker is leaving; false if that is
@@ -99,7 +99,7 @@
             reporter: DepartureSource::Peer,
         };
         if let Some(worker) = self.by_key_mut(news.worker)
-            && worker.record.start_key() == news.start
+            && worker.record.incarnation_key() == news.start
         {
             return worker.note_departure(departure);
         }
--- a/crates/cranereach-fleet/src/roster/holders.rs
+++ b/crates/cranereach-fleet/src/roster/holders.rs
@@ -13,7 +13,7 @@
 use super::score_workers;
 use crate::configuration::Engine;
 use crate::no_worker::NoWorker;
-use crate::routing_request::Wanted;
+use crate::routing_request::RoutingRequest;
 use crate::worker::Worker;
 use crate::worker::WorkerRecord;
 
@@ -78,7 +78,7 @@
     pub(super) fn score_all<R: Rng>(
         &self,
         now_ms: u64,
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Vec<ScoredWorker<'_>>, NoWorker> {
@@ -99,7 +99,7 @@
     }
 
     /// Returns why none of the workers that don't list a model can take a request for it.
-    fn reason_without_model(&self, wanted: &Wanted<'_>, model: &str) -> NoWorker {
+    fn reason_without_model(&self, wanted: &RoutingRequest<'_>, model: &str) -> NoWorker {
         let mut others = self.of_service(wanted.service).filter(|worker| {
             let mut held = worker.record.models.iter();
             !worker.is_leaving() && held.all(|held| held.name.as_ref() != model)
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use super::Roster;
-use crate::routing_request::Wanted;
+use crate::routing_request::RoutingRequest;
 use crate::store_position::StorePosition;
 use crate::worker::Worker;
 
@@ -53,14 +53,18 @@
     pub fn is_cold(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| {
-            worker.coldness.is_cold(now_ms) || self.evacuations.is_asked(worker.domain_key)
+            worker.coldness.is_cold(now_ms) || self.evacuations.is_listed(worker.domain_key)
         })
     }
 
     /// Returns two times, in milliseconds, for workers that have what a request needs but may be
     /// sent nothing for now: the earliest at which one's owner may be asked for a grant, and the
     /// earliest at which one needs no grant. None if there is no such worker.
-    pub fn free_from_ms(&self, now_ms: u64, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
+    pub fn next_ask_and_free_ms(
+        &self,
+        now_ms: u64,
+        wanted: &RoutingRequest<'_>,
+    ) -> Option<(u64, u64)> {
         let is_blocked = |worker: &&Worker| {
             let may_send = worker.rest.may_send(now_ms, wanted.rank)
                 && worker.ask_pause.may_ask(now_ms, wanted.rank);
@@ -97,6 +101,6 @@
     /// Whether the failure domain of a worker is being evacuated.
     pub fn is_evacuated(&self, id: &str) -> bool {
         let worker = self.workers.get(id);
-        worker.is_some_and(|worker| self.evacuations.is_asked(worker.domain_key))
+        worker.is_some_and(|worker| self.evacuations.is_listed(worker.domain_key))
     }
 }
--- a/crates/cranereach-fleet/src/roster/scoring.rs
+++ b/crates/cranereach-fleet/src/roster/scoring.rs
@@ -10,7 +10,7 @@
 use crate::evacuation::Evacuations;
 use crate::no_worker::NoWorker;
 use crate::quarantine::ALONE_FROM_COUNT;
-use crate::routing_request::Wanted;
+use crate::routing_request::RoutingRequest;
 use crate::worker::Estimate;
 use crate::worker::Worker;
 
@@ -34,7 +34,7 @@
     now_ms: u64,
     workers: impl Iterator<Item = &'a Worker>,
     evacuations: &Evacuations,
-    wanted: &Wanted<'_>,
+    wanted: &RoutingRequest<'_>,
     engine: Option<&Engine>,
     rng: &mut R,
 ) -> Result<Vec<ScoredWorker<'a>>, NoWorker> {
@@ -85,7 +85,7 @@
             continue;
         }
         let mut estimate = worker.estimate(now_ms, wanted, engine);
-        if evacuations.is_asked(worker.domain_key) {
+        if evacuations.is_listed(worker.domain_key) {
             estimate.cost_ms += EVACUATED_PENALTY_MS;
         }
         if worker.coldness.is_cold(now_ms) {
--- a/crates/cranereach-fleet/src/round_trips.rs
+++ b/crates/cranereach-fleet/src/round_trips.rs
@@ -55,12 +55,12 @@
 /// use cranereach_fleet::topology::Distance;
 /// use cranereach_fleet::round_trips::RoundTrips;
 ///
-/// let mut ways = RoundTrips::default();
+/// let mut round_trips = RoundTrips::default();
 /// for _answer in 0..20 {
-///     ways.answered(Distance::OtherRegion, 17.0);
+///     round_trips.reply_received(Distance::OtherRegion, 17.0);
 /// }
-/// assert!((17..40).contains(&ways.wait_ms(Distance::OtherRegion)));
-/// assert_eq!(ways.wait_ms(Distance::OwnDomain), 20);
+/// assert!((17..40).contains(&round_trips.wait_ms(Distance::OtherRegion)));
+/// assert_eq!(round_trips.wait_ms(Distance::OwnDomain), 20);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct RoundTrips {
@@ -82,7 +82,7 @@
 
 impl RoundTrips {
     /// Records the time that a reply took, in milliseconds.
-    pub fn answered(&mut self, distance: Distance, took_ms: f64) {
+    pub fn reply_received(&mut self, distance: Distance, took_ms: f64) {
         let estimate = &mut self.estimates[distance as usize];
         estimate.missed_reply_count = 0;
         if !estimate.is_measured {
@@ -98,7 +98,7 @@
     }
 
     /// Records that no reply came before the timeout.
-    pub fn missed(&mut self, distance: Distance) {
+    pub fn reply_missed(&mut self, distance: Distance) {
         let estimate = &mut self.estimates[distance as usize];
         estimate.missed_reply_count += 1;
         if estimate.missed_reply_count >= MISSED_REPLY_LIMIT {
@@ -123,13 +123,13 @@
     /// use cranereach_fleet::topology::Distance;
     /// use cranereach_fleet::round_trips::RoundTrips;
     ///
-    /// let mut ways = RoundTrips::default();
-    /// ways.answered(Distance::OwnDomain, 1.0);
-    /// ways.answered(Distance::OtherRegion, 17.0);
-    /// assert_eq!(ways.crossings_ms()[0], 0.0);
-    /// assert_eq!(ways.crossings_ms()[2], 32.0);
+    /// let mut round_trips = RoundTrips::default();
+    /// round_trips.reply_received(Distance::OwnDomain, 1.0);
+    /// round_trips.reply_received(Distance::OtherRegion, 17.0);
+    /// assert_eq!(round_trips.extra_start_delays_ms()[0], 0.0);
+    /// assert_eq!(round_trips.extra_start_delays_ms()[2], 32.0);
     /// ```
-    pub fn crossings_ms(&self) -> [f64; 3] {
+    pub fn extra_start_delays_ms(&self) -> [f64; 3] {
         let near_ms = self.round_trip_ms(Distance::OwnDomain);
         let extra_ms = |distance| ROUND_TRIPS_PER_CALL * (self.round_trip_ms(distance) - near_ms);
         Distance::ALL.map(|distance| extra_ms(distance).max(0.0))
--- a/crates/cranereach-fleet/src/routing_request.rs
+++ b/crates/cranereach-fleet/src/routing_request.rs
@@ -9,7 +9,7 @@
 
 /// A request for which a worker is being chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct RoutingRequest<'a> {
     /// Service.
     pub service: &'a str,
     /// Model and adapter; none for plain services.
@@ -36,8 +36,8 @@
     /// Failure domains and regions, as seen from this instance.
     pub topology: &'a Topology,
     /// Extra delay until the request begins at a worker of each distance, in milliseconds;
-    /// see [`crate::round_trips::RoundTrips::crossings_ms`].
-    pub crossings_ms: [f64; 3],
+    /// see [`crate::round_trips::RoundTrips::extra_start_delays_ms`].
+    pub extra_start_delays_ms: [f64; 3],
     /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
     /// Number of workers that terminated in a row while running an equal request.
@@ -49,7 +49,7 @@
     pub tried: &'a [Arc<str>],
 }
 
-impl Wanted<'_> {
+impl RoutingRequest<'_> {
     /// Whether the request may be served in the region of a worker.
     pub fn may_be_served_at(&self, record: &WorkerRecord) -> bool {
         let region = self.topology.region_of(&record.failure_domain);
--- a/crates/cranereach-fleet/src/topology.rs
+++ b/crates/cranereach-fleet/src/topology.rs
@@ -238,7 +238,7 @@
     /// Returns the distance of the failure domain with a tag; [`Distance::OtherRegion`] if
     /// the table doesn't list it.
     pub fn distance_to(&self, domain: DomainTag) -> Distance {
-        self.around(&self.own_domain).distance(domain)
+        self.proximity_of(&self.own_domain).distance(domain)
     }
 
     /// Returns the distances as seen from a failure domain.
@@ -253,12 +253,12 @@
     /// let listed = [("a", "north"), ("b", "south"), ("c", "south")];
     /// let listed = listed.map(|(domain, region)| (domain.to_owned(), region.to_owned()));
     /// let topology = Topology::new("a", "north", &BTreeMap::from(listed)).unwrap();
-    /// let around = topology.around("b");
-    /// assert_eq!(around.distance(DomainTag::of("b")), Distance::OwnDomain);
-    /// assert_eq!(around.distance(DomainTag::of("c")), Distance::OwnRegion);
-    /// assert_eq!(around.distance(DomainTag::of("a")), Distance::OtherRegion);
+    /// let proximity = topology.proximity_of("b");
+    /// assert_eq!(proximity.distance(DomainTag::of("b")), Distance::OwnDomain);
+    /// assert_eq!(proximity.distance(DomainTag::of("c")), Distance::OwnRegion);
+    /// assert_eq!(proximity.distance(DomainTag::of("a")), Distance::OtherRegion);
     /// ```
-    pub fn around(&self, domain: &str) -> Proximity<'_> {
+    pub fn proximity_of(&self, domain: &str) -> Proximity<'_> {
         let region = self.region_of(domain);
         let tags = region.and_then(|region| self.tags_by_region.get(region));
         Proximity {
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -23,10 +23,10 @@
 use crate::load::ReportedLoad;
 use crate::named_limit::NamedLimit;
 use crate::no_worker::NoWorker;
-use crate::owned::Standing;
+use crate::owned::WorkerStatus;
 use crate::prefixes::CachedPrefixes;
 use crate::rest::Rest;
-use crate::routing_request::Wanted;
+use crate::routing_request::RoutingRequest;
 use crate::send_grants::AskPause;
 use crate::store_position::StorePosition;
 use crate::topology::Distance;
@@ -72,8 +72,8 @@
 /// Cost added to a worker in another failure domain on top of the network time, in milliseconds.
 const OTHER_DOMAIN_PENALTY_MS: f64 = 15.0;
 
-/// Cost added to a worker that is ejected by its health (`is_aside`), in milliseconds: it outweighs
-/// load, distance and failures. Costs from here on are those of workers to be avoided.
+/// Cost added to a worker that is ejected by its health (`is_ejected`), in milliseconds: it
+/// outweighs load, distance and failures. Costs from here on are those of workers to be avoided.
 pub(crate) const EJECTED_PENALTY_MS: f64 = 100_000.0;
 
 /// One worker as this instance sees it.
@@ -105,7 +105,7 @@
     /// Load from the requests that this instance sent.
     pub(crate) own_load: Load,
     /// Last report of the worker's owner, and when it came, in milliseconds.
-    standing: Option<(u64, Standing)>,
+    standing: Option<(u64, WorkerStatus)>,
     /// When each peer last reported the worker as unreachable, in milliseconds.
     unreachable_at_ms: HashMap<u32, u64>,
     /// Load that the worker reported last, and when, in milliseconds.
@@ -166,7 +166,7 @@
     }
 
     /// Notes a request that is sent to the worker, with the time to prefill its prompt.
-    pub fn began(&mut self, now_ms: u64, wanted: &Wanted<'_>, unread_ms: f64) {
+    pub fn began(&mut self, now_ms: u64, wanted: &RoutingRequest<'_>, unread_ms: f64) {
         let rank = wanted.rank.min(RANK_COUNT - 1);
         self.health.tried(now_ms);
         self.own_load.open_count += 1;
@@ -200,12 +200,12 @@
 
     /// Takes a peer's report that it can't reach the worker. A single peer may be cut off itself,
     /// so it counts only when several report it.
-    pub fn told_unreachable(&mut self, now_ms: u64, peer: u32) {
+    pub fn note_reported_unreachable(&mut self, now_ms: u64, peer: u32) {
         self.unreachable_at_ms
             .retain(|_, at_ms| now_ms < *at_ms + UNREACHABLE_WINDOW_MS);
         self.unreachable_at_ms.insert(peer, now_ms);
         if self.unreachable_at_ms.len() >= UNREACHABLE_PEER_COUNT {
-            self.health.told_unreachable(now_ms);
+            self.health.note_reported_unreachable(now_ms);
         }
     }
 
@@ -232,12 +232,12 @@
     }
 
     /// Takes a report of the worker's owner.
-    pub fn set_standing(&mut self, now_ms: u64, standing: Standing) {
+    pub fn set_standing(&mut self, now_ms: u64, standing: WorkerStatus) {
         self.standing = Some((now_ms, standing));
     }
 
     /// Returns the last report of the worker's owner, if it is fresh.
-    pub fn standing(&self, now_ms: u64) -> Option<&Standing> {
+    pub fn standing(&self, now_ms: u64) -> Option<&WorkerStatus> {
         let standing = self.standing.as_ref();
         let fresh = standing.filter(|(at_ms, _)| now_ms < at_ms + STANDING_MAX_AGE_MS);
         fresh.map(|(_, standing)| standing)
@@ -311,7 +311,7 @@
     pub(crate) fn estimate(
         &self,
         now_ms: u64,
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
     ) -> Estimate {
         let load = self.load(now_ms);
@@ -323,9 +323,9 @@
         let open_count = load.open_count.max(reported.0 + reported.1);
         let standing = self.standing(now_ms);
         let cached_tokens = self
-            .cached_tokens(standing, wanted)
+            .estimated_cached_tokens(standing, wanted)
             .min(wanted.prompt_tokens);
-        let token_ms = wanted.token_ms * standing.map_or(1.0, |standing| standing.pace_ratio);
+        let token_ms = wanted.token_ms * standing.map_or(1.0, |standing| standing.slowdown_ratio);
         let unread_tokens = wanted.prompt_tokens - cached_tokens;
         let slot_count = engine.map_or(self.record.slot_count, |engine| engine.slot_count);
         // Workers without an engine serve calls in order of arrival, whatever their rank.
@@ -371,8 +371,12 @@
     }
 
     /// Returns how many tokens of the prompt the worker probably has in its prefix cache.
-    fn cached_tokens(&self, standing: Option<&Standing>, wanted: &Wanted<'_>) -> u32 {
-        let own_tokens = self.cached_prefixes.kept_tokens(wanted.parts);
+    fn estimated_cached_tokens(
+        &self,
+        standing: Option<&WorkerStatus>,
+        wanted: &RoutingRequest<'_>,
+    ) -> u32 {
+        let own_tokens = self.cached_prefixes.cached_tokens(wanted.parts);
         let owner_part_count = standing.map_or(0, |standing| standing.kept_part_count);
         let owner_tokens = wanted
             .parts
@@ -384,16 +388,16 @@
     }
 
     /// Adds to a cost the penalties for distance, health and earlier attempts.
-    fn add_penalties(&self, now_ms: u64, wanted: &Wanted<'_>, cost_ms: f64) -> f64 {
+    fn add_penalties(&self, now_ms: u64, wanted: &RoutingRequest<'_>, cost_ms: f64) -> f64 {
         let mut cost_ms = cost_ms;
         let distance = wanted.topology.distance(&self.record.failure_domain);
         if distance != Distance::OwnDomain {
-            cost_ms += OTHER_DOMAIN_PENALTY_MS + wanted.crossings_ms[distance as usize];
+            cost_ms += OTHER_DOMAIN_PENALTY_MS + wanted.extra_start_delays_ms[distance as usize];
         }
         let standing = self.standing(now_ms);
         let owner_failed_share = standing.map_or(0.0, |standing| standing.failed_share);
         cost_ms *= 1.0 + 6.0 * self.health.failed_share().max(owner_failed_share);
-        if self.health.is_aside(now_ms) || standing.is_some_and(|standing| standing.is_aside) {
+        if self.health.is_ejected(now_ms) || standing.is_some_and(|standing| standing.is_aside) {
             cost_ms = cost_ms * 20.0 + EJECTED_PENALTY_MS;
         }
         if wanted.tried.contains(&self.record.id) {
--- a/crates/cranereach-fleet/src/worker/leaving.rs
+++ b/crates/cranereach-fleet/src/worker/leaving.rs
@@ -16,7 +16,7 @@
         let reported = self
             .departure
             .filter(|known| known.reporter != DepartureSource::Copy);
-        reported.map(|_| self.record.start_key())
+        reported.map(|_| self.record.incarnation_key())
     }
 
     /// Takes a report that the worker is leaving; false if that is known.
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -3,14 +3,14 @@
 
 use super::Worker;
 use crate::named_limit::LimitReport;
-use crate::named_limit::Said;
-use crate::routing_request::Wanted;
+use crate::named_limit::NamedRate;
+use crate::routing_request::RoutingRequest;
 use crate::send_grants::AskPause;
 
 impl Worker {
     /// Whether a request may be sent to the worker as far as grants go, be it after asking its
     /// owner for one.
-    pub(crate) fn may_ask(&self, now_ms: u64, wanted: &Wanted<'_>) -> bool {
+    pub(crate) fn may_ask(&self, now_ms: u64, wanted: &RoutingRequest<'_>) -> bool {
         let was_refused_cold = self.coldness.is_cold(now_ms) && self.ask_pause.was_refused();
         let needs_grant = was_refused_cold || self.limit.rate_per_s(now_ms).is_some();
         self.ask_pause.may_ask(now_ms, wanted.rank) && !(needs_grant && wanted.must_avoid_grants)
@@ -18,19 +18,19 @@
 
     /// Returns what peers are told of the worker's limit, if it named one recently.
     pub fn limit_word(&self, now_ms: u64) -> Option<LimitReport> {
-        self.limit.word(now_ms, || self.record.start_key())
+        self.limit.report(now_ms, || self.record.incarnation_key())
     }
 
     /// Takes what an answer of the worker says of its limit; returns whether the rate in force has
-    /// changed. See [`crate::named_limit::NamedLimit::heard`].
+    /// changed. See [`crate::named_limit::NamedLimit::observe`].
     pub fn note_limit_answered(
         &mut self,
-        said: Said,
+        said: NamedRate,
         may_end: bool,
         asked_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let has_changed = self.limit.heard(said, may_end, asked_ms, now_ms);
+        let has_changed = self.limit.observe(said, may_end, asked_ms, now_ms);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
@@ -40,7 +40,8 @@
     /// Takes another instance's report of the worker's limit; one about another incarnation of it
     /// is ignored. Returns whether the rate in force has changed.
     pub fn note_limit_reported(&mut self, now_ms: u64, word: &LimitReport) -> bool {
-        let has_changed = word.start == self.record.start_key() && self.limit.told(now_ms, word);
+        let has_changed =
+            word.start == self.record.incarnation_key() && self.limit.merge(now_ms, word);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
--- a/crates/cranereach-fleet/src/worker/record.rs
+++ b/crates/cranereach-fleet/src/worker/record.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::key::start_key;
+use crate::key::incarnation_key;
 
 /// A model that a worker holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 impl WorkerRecord {
     /// Returns the key of this incarnation of the worker.
-    pub fn start_key(&self) -> u64 {
-        start_key(&self.id, self.started_unix_ms)
+    pub fn incarnation_key(&self) -> u64 {
+        incarnation_key(&self.id, self.started_unix_ms)
     }
 }
--- a/crates/cranereach-fleet/tests/accounts.rs
+++ b/crates/cranereach-fleet/tests/accounts.rs
@@ -93,7 +93,7 @@
     assert_eq!((plain.cost(None), plain.cost(Some(5_000))), (1.0, 1.0));
     let by_tokens = Account {
         unit: LimitUnit::Tokens {
-            unnamed_tokens: 200.0,
+            default_tokens: 200.0,
         },
         ..plain
     };
--- a/crates/cranereach-fleet/tests/admission.rs
+++ b/crates/cranereach-fleet/tests/admission.rs
@@ -10,13 +10,13 @@
 const READING_MS: f64 = 94.0;
 
 const URGENT: Admission = Admission {
-    aim_ms: AIM_MS,
-    urgent_aim_ms: None,
+    latency_target_ms: AIM_MS,
+    urgent_latency_target_ms: None,
     is_whole: false,
 };
 
 const ORDINARY: Admission = Admission {
-    urgent_aim_ms: Some(AIM_MS),
+    urgent_latency_target_ms: Some(AIM_MS),
     ..URGENT
 };
 
@@ -52,8 +52,8 @@
     assert_eq!(urgent_in_vain_count(ORDINARY), 0);
     // Were all admitted alike, most urgent ones would be late.
     let alike = Admission {
-        urgent_aim_ms: None,
-        aim_ms: AIM_MS + 1.0,
+        urgent_latency_target_ms: None,
+        latency_target_ms: AIM_MS + 1.0,
         ..ORDINARY
     };
     assert!(urgent_in_vain_count(alike) > 20);
@@ -62,7 +62,7 @@
 #[test]
 fn who_has_time_waits_and_is_sent_while_still_in_time() {
     let patient = Admission {
-        aim_ms: 6_000.0,
+        latency_target_ms: 6_000.0,
         ..ORDINARY
     };
     assert_eq!(patient.judge(640.0, 0.0), Verdict::Send);
@@ -78,8 +78,8 @@
 #[test]
 fn an_answer_that_is_passed_on_whole_is_admitted_by_its_end() {
     let whole = Admission {
-        aim_ms: 300.0,
-        urgent_aim_ms: None,
+        latency_target_ms: 300.0,
+        urgent_latency_target_ms: None,
         is_whole: true,
     };
     assert_eq!(whole.judge(210.0, 0.0), Verdict::Send);
--- a/crates/cranereach-fleet/tests/asked.rs
+++ b/crates/cranereach-fleet/tests/asked.rs
@@ -5,8 +5,8 @@
 use cranereach_fleet::ledger::Ledger;
 use cranereach_fleet::ledger::WorkerRow;
 use cranereach_fleet::ledger::WorkerState;
+use cranereach_fleet::placement::ModelReplica;
 use cranereach_fleet::placement::Order;
-use cranereach_fleet::placement::Place;
 use cranereach_fleet::store_position::StorePosition;
 
 #[test]
@@ -16,9 +16,9 @@
         .map(|number| Arc::from(format!("w-{number:05}")))
         .collect();
     let holds = |model: u16| {
-        vec![Place {
+        vec![ModelReplica {
             model,
-            ..Place::default()
+            ..ModelReplica::default()
         }]
     };
     for id in &ids {
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -12,9 +12,9 @@
 use self::workers::wanted;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::load::Load;
-use cranereach_fleet::owned::Standing;
+use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Topology;
 
@@ -57,24 +57,27 @@
 }
 
 /// A request of an instance that knows the table.
-fn request<'a>(topology: &'a Topology, model: Option<(&'a str, Option<&'a str>)>) -> Wanted<'a> {
-    Wanted {
+fn request<'a>(
+    topology: &'a Topology,
+    model: Option<(&'a str, Option<&'a str>)>,
+) -> RoutingRequest<'a> {
+    RoutingRequest {
         topology,
         ..wanted(model)
     }
 }
 
 /// An owner's word that so much is to be read before.
-fn busy(unread_ms: f64) -> Standing {
-    Standing {
+fn busy(unread_ms: f64) -> WorkerStatus {
+    WorkerStatus {
         load: Load {
             open_count: 1,
             waiting_count: [1, 0, 0],
             unread_ms: [unread_ms, 0.0, 0.0],
             ..Load::default()
         },
-        pace_ratio: 1.0,
-        ..Standing::default()
+        slowdown_ratio: 1.0,
+        ..WorkerStatus::default()
     }
 }
 
@@ -138,7 +141,7 @@
     assert_eq!(names(&asked), ["x1", "x2"]);
     // One that failed is left alone while others, however far, are well.
     let mut roster = self::roster(&[("z1", "z"), ("x1", "x")]);
-    let put_aside = Standing {
+    let put_aside = WorkerStatus {
         is_aside: true,
         ..busy(0.0)
     };
@@ -164,8 +167,8 @@
 #[test]
 fn a_worker_overseas_is_weighed_by_the_way_there_and_one_next_door_is_not() {
     let topology = topology();
-    let request = Wanted {
-        crossings_ms: [0.0, 4.0, 60.0],
+    let request = RoutingRequest {
+        extra_start_delays_ms: [0.0, 4.0, 60.0],
         ..request(&topology, Some(("m", None)))
     };
     let engine = Some(&engine());
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -15,13 +15,13 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::load::Load;
 use cranereach_fleet::no_worker::NoWorker;
-use cranereach_fleet::owned::Standing;
+use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::prefixes::PromptPart;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::quarantine::ALONE_FROM_COUNT;
 use cranereach_fleet::roster::Barred;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Returns the position of a version of a store that has never come back from a copy.
@@ -70,14 +70,14 @@
         let choice = roster.choose_among(now_ms, &among, &wanted, Some(&engine), &mut rng);
         choice.unwrap().id.to_string()
     };
-    let busy = Standing {
+    let busy = WorkerStatus {
         load: Load {
             open_count: 3,
             unread_ms: [0.0, 400.0, 0.0],
             ..Load::default()
         },
-        pace_ratio: 1.0,
-        ..Standing::default()
+        slowdown_ratio: 1.0,
+        ..WorkerStatus::default()
     };
     roster.get_mut("b").unwrap().began(0, &wanted, 400.0);
     assert_eq!(chosen(&roster, 900), "a");
@@ -85,7 +85,7 @@
     assert_eq!(chosen(&roster, 1_010), "b");
     // Old words say nothing, and one that is to be left alone is not preferred.
     assert_eq!(chosen(&roster, 2_000), "a");
-    let aside = Standing {
+    let aside = WorkerStatus {
         is_aside: true,
         ..busy
     };
@@ -101,14 +101,14 @@
     }
     let mut choose = |end_count: usize, suspects: [bool; 2]| {
         for (id, has_suspect) in ["a", "b"].into_iter().zip(suspects) {
-            let standing = Standing {
-                pace_ratio: 1.0,
+            let standing = WorkerStatus {
+                slowdown_ratio: 1.0,
                 has_suspect,
-                ..Standing::default()
+                ..WorkerStatus::default()
             };
             roster.get_mut(id).unwrap().set_standing(1_000, standing);
         }
-        let request = Wanted {
+        let request = RoutingRequest {
             end_count,
             ..wanted(None)
         };
@@ -135,12 +135,12 @@
             open_count,
             ..Load::default()
         };
-        let standing = Standing {
-            pace_ratio: 1.0,
+        let standing = WorkerStatus {
+            slowdown_ratio: 1.0,
             load,
             // The busy one has read most of the prompt before.
             kept_part_count: usize::from(id == "busy"),
-            ..Standing::default()
+            ..WorkerStatus::default()
         };
         roster.get_mut(id).unwrap().set_standing(1_000, standing);
     }
@@ -149,7 +149,7 @@
         tokens: 1_000,
     }];
     let choose = |end_count: usize| {
-        let request = Wanted {
+        let request = RoutingRequest {
             end_count,
             parts: &parts,
             ..wanted(Some(("m", None)))
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -11,7 +11,7 @@
 use cranereach_fleet::departure::DepartureSource;
 use cranereach_fleet::departure::Said;
 use cranereach_fleet::departure::read;
-use cranereach_fleet::key::start_key;
+use cranereach_fleet::key::incarnation_key;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::purpose::Purpose;
@@ -104,7 +104,7 @@
     roster.put(at(5), start("w", 100));
     let news = |id: &str, started_unix_ms| DepartureNews {
         worker: worker_key(id),
-        start: start_key(id, started_unix_ms),
+        start: incarnation_key(id, started_unix_ms),
     };
     assert!(roster.note_leaving_reported(1_000, &news("w", 200)));
     assert!(!roster.get("w").unwrap().is_leaving());
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -10,7 +10,7 @@
 use self::workers::record;
 use self::workers::wanted;
 use cranereach_fleet::departure::DepartureNews;
-use cranereach_fleet::key::start_key;
+use cranereach_fleet::key::incarnation_key;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Barred;
@@ -70,7 +70,7 @@
     let told = roster.enter_era(RESTORED_MS, 2);
     let news = DepartureNews {
         worker: worker_key("w"),
-        start: start_key("w", 100),
+        start: incarnation_key("w", 100),
     };
     assert_eq!(told, [news], "others hear of it who never had that row");
     assert_eq!(roster.enter_era(RESTORED_MS, 2), [], "once");
--- a/crates/cranereach-fleet/tests/evacuations.rs
+++ b/crates/cranereach-fleet/tests/evacuations.rs
@@ -368,7 +368,7 @@
                 _ => {}
             }
         }
-        let stopped = world.instances.iter().filter(|of| !of.known.is_asked(1));
+        let stopped = world.instances.iter().filter(|of| !of.known.is_listed(1));
         assert!(stopped.count() >= count - 2, "the withdrawal is known");
     }
 }
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -9,7 +9,7 @@
 
 use self::workers::record;
 use self::workers::wanted;
-use cranereach_fleet::owned::Standing;
+use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::roster::Choice;
 use cranereach_fleet::roster::Roster;
 use cranereach_fleet::store_position::StorePosition;
@@ -24,10 +24,10 @@
 fn choice(now_ms: u64, send_in_ms: f64) -> Choice {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[]));
-    let standing = Standing {
-        pace_ratio: 1.0,
+    let standing = WorkerStatus {
+        slowdown_ratio: 1.0,
         send_in_ms,
-        ..Standing::default()
+        ..WorkerStatus::default()
     };
     roster.get_mut("a").unwrap().set_standing(1_000, standing);
     let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/cranereach-fleet/tests/limits/fleet.rs
+++ b/crates/cranereach-fleet/tests/limits/fleet.rs
@@ -16,7 +16,7 @@
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Tolerance;
-use cranereach_fleet::limits::Wanted;
+use cranereach_fleet::limits::UnitRequest;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::topology::DomainTag;
 
@@ -154,10 +154,10 @@
                 let was_up = sign_ms >= self.instances[other].started_ms;
                 if other != number && was_up && self.is_up(other) {
                     let members = &mut self.instances[number].members;
-                    members.saw(sign_ms, address(other), DomainTag::default(), false);
+                    members.heard_from(sign_ms, address(other), DomainTag::default(), false);
                 }
             }
-            self.instances[number].members.look(self.now_ms);
+            self.instances[number].members.refresh(self.now_ms);
         }
     }
 
@@ -240,7 +240,7 @@
     }
 
     /// Asks owners as the gateway does.
-    pub fn ask(&mut self, number: usize, wanted: Wanted) -> Option<Grant> {
+    pub fn ask(&mut self, number: usize, wanted: UnitRequest) -> Option<Grant> {
         let part_count = TOLERANCE.part_count(self.limit);
         let first: u32 = self.rng.random();
         let mut refusal = None;
@@ -260,10 +260,12 @@
             self.counts.asked += 1;
             let is_busy = self.now_ms < self.instances[owner_number].busy_until_ms;
             if is_busy || !self.is_up(owner_number) {
-                self.instances[number].members.missed(self.now_ms, owner);
+                self.instances[number]
+                    .members
+                    .reply_missed(self.now_ms, owner);
                 continue;
             }
-            self.instances[number].members.answered(owner);
+            self.instances[number].members.reply_received(owner);
             let ownership = self.ownership(owner_number, key);
             let asked = &mut self.instances[owner_number];
             let grant =
@@ -325,6 +327,6 @@
 
     /// Returns the most that was run within a window, as a share of what is tolerated.
     pub fn most_share(&self) -> f64 {
-        self.most / (TOLERANCE.whole(self.limit) + TOLERANCE.excess(self.limit))
+        self.most / (TOLERANCE.units_per_window(self.limit) + TOLERANCE.excess(self.limit))
     }
 }
--- a/crates/cranereach-fleet/tests/limits/main.rs
+++ b/crates/cranereach-fleet/tests/limits/main.rs
@@ -9,7 +9,7 @@
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
-use cranereach_fleet::limits::Wanted;
+use cranereach_fleet::limits::UnitRequest;
 
 use crate::fleet::ACCOUNT;
 use crate::fleet::Fleet;
@@ -29,7 +29,7 @@
         fleet.demand(8.0 * rate_per_s, 20_000);
         let share = fleet.most_share();
         assert!(share <= 1.0, "{count} instances, {rate_per_s}: {share}");
-        let of_limit = fleet.most / TOLERANCE.whole(fleet.limit);
+        let of_limit = fleet.most / TOLERANCE.units_per_window(fleet.limit);
         assert!(
             of_limit >= 0.9,
             "{count} instances, {rate_per_s}: {of_limit}"
@@ -242,7 +242,7 @@
         account: ACCOUNT,
         part: 0,
     };
-    let wanted = Wanted {
+    let wanted = UnitRequest {
         least: 5_000.0,
         most: 5_000.0,
     };
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -9,10 +9,10 @@
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 
+use cranereach_fleet::membership::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::membership::MEMBER_MAX_COUNT;
 use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::membership::Membership;
-use cranereach_fleet::membership::TOLD_MAX_COUNT;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
 
@@ -89,8 +89,8 @@
         }
         let delay_ms = self.rng.random_range(0..50);
         let of = &mut self.members[recipient];
-        of.saw(self.now_ms, address(sender), domain(sender), false);
-        of.told(self.now_ms + delay_ms, news);
+        of.heard_from(self.now_ms, address(sender), domain(sender), false);
+        of.merge(self.now_ms + delay_ms, news);
     }
 
     /// Rounds until a share of the instances that are up think as told of a member.
@@ -188,7 +188,7 @@
     let topology = topology();
     let number_of = |address: Ipv4Addr| (u32::from(address) - u32::from(self::address(0))) as usize;
     for (place, (name, _)) in DOMAINS.iter().enumerate() {
-        let around = topology.around(name);
+        let around = topology.proximity_of(name);
         let mut key_counts = [0; 60];
         for key in 0..120_u64 {
             let owner = fleet.members[0].owner_near(fleet.now_ms, key, &around);
@@ -209,7 +209,7 @@
         fleet.round();
     }
     for key in 0..120 {
-        let owner = fleet.members[0].owner_near(fleet.now_ms, key, &topology.around("c"));
+        let owner = fleet.members[0].owner_near(fleet.now_ms, key, &topology.proximity_of("c"));
         assert_eq!(number_of(owner) % DOMAINS.len(), 3, "{key}");
     }
     // Then the other one, too: whoever lives.
@@ -219,7 +219,7 @@
     for _round in 0..within_ms / ROUND_MS {
         fleet.round();
     }
-    for around in [topology.around("c"), topology.around("nowhere")] {
+    for around in [topology.proximity_of("c"), topology.proximity_of("nowhere")] {
         let owners: HashSet<Ipv4Addr> = (0..120)
             .map(|key| fleet.members[0].owner_near(fleet.now_ms, key, &around))
             .collect();
@@ -237,11 +237,11 @@
         age_ms,
         is_leaving: false,
     };
-    members.told(10_000, &[news(domain(1), 500)]);
+    members.merge(10_000, &[news(domain(1), 500)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(1)));
     // Its address has been taken by an instance elsewhere.
-    members.saw(11_000, address(1), domain(2), false);
-    members.told(11_100, &[news(domain(1), 1_600)]);
+    members.heard_from(11_000, address(1), domain(2), false);
+    members.merge(11_100, &[news(domain(1), 1_600)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(2)));
     let told = members.sample(11_200, &mut rand::rng());
     assert_eq!(told[0].domain, domain(2));
@@ -251,20 +251,20 @@
 fn an_owner_that_does_not_answer_is_passed_over_for_a_while() {
     let mut members = Membership::new(address(0), domain(0), &[]);
     for number in 1..10 {
-        members.saw(1_000, address(number), domain(number), false);
+        members.heard_from(1_000, address(number), domain(number), false);
     }
     let key = (0..1_000).find(|key| members.owner(1_000, *key) != address(0));
     let key = key.unwrap();
     let first = members.owner(1_000, key);
-    members.missed(1_000, first);
+    members.reply_missed(1_000, first);
     assert_eq!(members.owner(1_000, key), first, "one answer may get lost");
-    members.answered(first);
-    members.missed(1_000, first);
+    members.reply_received(first);
+    members.reply_missed(1_000, first);
     assert_eq!(members.owner(1_000, key), first);
-    members.missed(1_000, first);
+    members.reply_missed(1_000, first);
     assert_ne!(members.owner(1_000, key), first);
     assert_eq!(members.owner(3_100, key), first);
-    members.saw(1_200, first, domain(0), true);
+    members.heard_from(1_200, first, domain(0), true);
     assert_ne!(members.owner(1_200, key), first, "it is stopping");
 }
 
@@ -284,7 +284,7 @@
                 age_ms,
                 is_leaving: false,
             };
-            prop_assert_eq!(members.told(now_ms, &[news]), 0);
+            prop_assert_eq!(members.merge(now_ms, &[news]), 0);
         }
         let later_ms = now_ms + 1_000;
         let within_ms = members.liveness_timeout_ms();
@@ -312,10 +312,10 @@
             })
             .collect()
     };
-    assert_eq!(members.told(0, &news(10_000)), 10_000 - TOLD_MAX_COUNT);
-    assert_eq!(members.known_count(), TOLD_MAX_COUNT + 1);
+    assert_eq!(members.merge(0, &news(10_000)), 10_000 - GOSSIPED_MAX_COUNT);
+    assert_eq!(members.known_count(), GOSSIPED_MAX_COUNT + 1);
     for number in 0..2 * MEMBER_MAX_COUNT {
-        members.saw(0, address(number), domain(number), false);
+        members.heard_from(0, address(number), domain(number), false);
     }
     assert!(members.known_count() <= MEMBER_MAX_COUNT + 1);
 }
--- a/crates/cranereach-fleet/tests/named_limits/reading.rs
+++ b/crates/cranereach-fleet/tests/named_limits/reading.rs
@@ -3,16 +3,16 @@
 use proptest::prelude::*;
 
 use cranereach_fleet::named_limit::NamedLimit;
-use cranereach_fleet::named_limit::Said;
+use cranereach_fleet::named_limit::NamedRate;
 use cranereach_fleet::named_limit::read;
 
-fn of(values: &[&str]) -> Said {
+fn of(values: &[&str]) -> NamedRate {
     read(values.iter().map(|value| value.as_bytes()))
 }
 
 #[test]
 fn each_kind_of_value_has_a_meaning() {
-    assert_eq!(of(&[]), Said::Nothing);
+    assert_eq!(of(&[]), NamedRate::Nothing);
     for (text, rate) in [
         ("1.2", 1.2),
         (" 1.2 ", 1.2),
@@ -22,7 +22,7 @@
         ("1e300", 1e300),
         ("0.000001", 0.000_001),
     ] {
-        assert_eq!(of(&[text]), Said::Limit(rate), "{text}");
+        assert_eq!(of(&[text]), NamedRate::Limit(rate), "{text}");
     }
     let long = "1".repeat(64);
     for text in [
@@ -40,34 +40,34 @@
         "1e999",
         long.as_str(),
     ] {
-        assert_eq!(of(&[text]), Said::Unreadable, "{text}");
+        assert_eq!(of(&[text]), NamedRate::Unreadable, "{text}");
     }
-    assert_eq!(read([&[0xff, 0x31][..]].into_iter()), Said::Unreadable);
+    assert_eq!(read([&[0xff, 0x31][..]].into_iter()), NamedRate::Unreadable);
     // Twice: the lowest that can be read.
-    assert_eq!(of(&["3", "2"]), Said::Limit(2.0));
-    assert_eq!(of(&["2", "3"]), Said::Limit(2.0));
-    assert_eq!(of(&["nan", "3"]), Said::Limit(3.0));
-    assert_eq!(of(&["3", "nan"]), Said::Limit(3.0));
-    assert_eq!(of(&["nan", "x"]), Said::Unreadable);
+    assert_eq!(of(&["3", "2"]), NamedRate::Limit(2.0));
+    assert_eq!(of(&["2", "3"]), NamedRate::Limit(2.0));
+    assert_eq!(of(&["nan", "3"]), NamedRate::Limit(3.0));
+    assert_eq!(of(&["3", "nan"]), NamedRate::Limit(3.0));
+    assert_eq!(of(&["nan", "x"]), NamedRate::Unreadable);
 }
 
 #[test]
 fn what_cannot_be_read_neither_begins_nor_ends_a_limit() {
     let mut limit = NamedLimit::default();
-    assert!(!limit.heard(Said::Unreadable, true, 1_000, 1_100));
+    assert!(!limit.observe(NamedRate::Unreadable, true, 1_000, 1_100));
     assert_eq!(limit.rate_per_s(1_200), None);
-    assert!(limit.heard(Said::Limit(2.0), true, 1_200, 1_300));
-    assert!(!limit.heard(Said::Unreadable, true, 1_400, 1_500));
+    assert!(limit.observe(NamedRate::Limit(2.0), true, 1_200, 1_300));
+    assert!(!limit.observe(NamedRate::Unreadable, true, 1_400, 1_500));
     assert_eq!(limit.rate_per_s(1_600), Some(2.0));
 }
 
 #[test]
 fn a_rate_beyond_all_measure_is_no_limit() {
     let mut limit = NamedLimit::default();
-    assert!(!limit.heard(of(&["1e300"]), true, 1_000, 1_100));
+    assert!(!limit.observe(of(&["1e300"]), true, 1_000, 1_100));
     assert_eq!(limit.rate_per_s(1_200), None);
-    limit.heard(Said::Limit(2.0), true, 1_200, 1_300);
-    assert!(limit.heard(of(&["1e300"]), true, 1_400, 1_500));
+    limit.observe(NamedRate::Limit(2.0), true, 1_200, 1_300);
+    assert!(limit.observe(of(&["1e300"]), true, 1_400, 1_500));
     assert_eq!(limit.rate_per_s(1_600), None);
 }
 
@@ -77,9 +77,9 @@
         values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..4),
     ) {
         match read(values.iter().map(Vec::as_slice)) {
-            Said::Nothing => prop_assert!(values.is_empty()),
-            Said::Limit(rate) => prop_assert!(rate.is_finite() && rate >= 0.0),
-            Said::Unreadable => prop_assert!(!values.is_empty()),
+            NamedRate::Nothing => prop_assert!(values.is_empty()),
+            NamedRate::Limit(rate) => prop_assert!(rate.is_finite() && rate >= 0.0),
+            NamedRate::Unreadable => prop_assert!(!values.is_empty()),
         }
     }
 }
--- a/crates/cranereach-fleet/tests/named_limits/words.rs
+++ b/crates/cranereach-fleet/tests/named_limits/words.rs
@@ -2,10 +2,10 @@
 
 use proptest::prelude::*;
 
-use cranereach_fleet::named_limit::LAPSES_AFTER_MS;
+use cranereach_fleet::named_limit::LIMIT_EXPIRES_AFTER_MS;
 use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::named_limit::NamedLimit;
-use cranereach_fleet::named_limit::Said;
+use cranereach_fleet::named_limit::NamedRate;
 
 /// Start of the worker.
 const START: u64 = 5;
@@ -13,18 +13,18 @@
 /// A limit heard at a time, to a request sent 50 ms before.
 fn named(rate: f64, at_ms: u64) -> NamedLimit {
     let mut limit = NamedLimit::default();
-    limit.heard(Said::Limit(rate), true, at_ms - 50, at_ms);
+    limit.observe(NamedRate::Limit(rate), true, at_ms - 50, at_ms);
     limit
 }
 
 #[test]
 fn a_tighter_word_counts_at_once_a_looser_one_only_if_it_was_asked_for_later() {
     let mut limit = named(10.0, 1_000);
-    assert!(limit.heard(Said::Limit(2.0), true, 900, 1_010));
+    assert!(limit.observe(NamedRate::Limit(2.0), true, 900, 1_010));
     // Its answer may have been made before the other.
-    assert!(!limit.heard(Said::Limit(10.0), true, 1_005, 1_020));
+    assert!(!limit.observe(NamedRate::Limit(10.0), true, 1_005, 1_020));
     assert_eq!(limit.rate_per_s(1_030), Some(2.0));
-    assert!(limit.heard(Said::Limit(10.0), true, 1_011, 1_100));
+    assert!(limit.observe(NamedRate::Limit(10.0), true, 1_011, 1_100));
     assert_eq!(limit.rate_per_s(1_100), Some(10.0));
 }
 
@@ -33,31 +33,34 @@
     // An answer of success that names none, to a request sent after the limit was heard.
     let mut limit = named(2.0, 1_000);
     assert!(
-        !limit.heard(Said::Nothing, false, 1_500, 1_600),
+        !limit.observe(NamedRate::Nothing, false, 1_500, 1_600),
         "a failure"
     );
-    assert!(!limit.heard(Said::Nothing, true, 999, 1_600), "sent before");
-    assert!(limit.heard(Said::Nothing, true, 1_500, 1_600));
+    assert!(
+        !limit.observe(NamedRate::Nothing, true, 999, 1_600),
+        "sent before"
+    );
+    assert!(limit.observe(NamedRate::Nothing, true, 1_500, 1_600));
     assert_eq!(limit.rate_per_s(1_600), None);
     // No word for a bounded time.
     let limit = named(2.0, 1_000);
-    assert_eq!(limit.rate_per_s(999 + LAPSES_AFTER_MS), Some(2.0));
-    assert_eq!(limit.rate_per_s(1_000 + LAPSES_AFTER_MS), None);
+    assert_eq!(limit.rate_per_s(999 + LIMIT_EXPIRES_AFTER_MS), Some(2.0));
+    assert_eq!(limit.rate_per_s(1_000 + LIMIT_EXPIRES_AFTER_MS), None);
     // Another instance's word of its end.
     let mut limit = named(2.0, 1_000);
     let mut other = named(2.0, 1_000);
-    other.heard(Said::Nothing, true, 1_500, 1_600);
-    assert!(limit.told(1_610, &other.word(1_605, || START).unwrap()));
+    other.observe(NamedRate::Nothing, true, 1_500, 1_600);
+    assert!(limit.merge(1_610, &other.report(1_605, || START).unwrap()));
     assert_eq!(limit.rate_per_s(1_610), None);
 }
 
 #[test]
 fn a_worker_that_never_named_one_is_not_spoken_of() {
     let mut limit = NamedLimit::default();
-    limit.heard(Said::Nothing, true, 900, 1_000);
-    assert_eq!(limit.word(1_000, || START), None);
+    limit.observe(NamedRate::Nothing, true, 900, 1_000);
+    assert_eq!(limit.report(1_000, || START), None);
     assert_eq!(
-        named(2.0, 1_000).word(1_000 + LAPSES_AFTER_MS, || START),
+        named(2.0, 1_000).report(1_000 + LIMIT_EXPIRES_AFTER_MS, || START),
         None
     );
 }
@@ -65,15 +68,15 @@
 #[test]
 fn an_old_word_does_not_bring_back_what_has_ended() {
     let old = named(2.0, 1_000);
-    let told = old.word(1_000, || START).unwrap();
+    let told = old.report(1_000, || START).unwrap();
     let mut limit = named(2.0, 1_000);
-    limit.heard(Said::Nothing, true, 1_500, 1_600);
+    limit.observe(NamedRate::Nothing, true, 1_500, 1_600);
     let late = LimitReport {
         asked_age_ms: 1_050,
         heard_age_ms: 1_000,
         ..told
     };
-    assert!(!limit.told(2_000, &late));
+    assert!(!limit.merge(2_000, &late));
     assert_eq!(limit.rate_per_s(2_000), None);
 }
 
@@ -82,12 +85,12 @@
     let mut first = named(2.0, 1_000);
     let mut second = NamedLimit::default();
     let mut now_ms = 1_000;
-    while now_ms < 1_000 + 2 * LAPSES_AFTER_MS {
-        if let Some(word) = first.word(now_ms, || START) {
-            second.told(now_ms + 10, &word);
+    while now_ms < 1_000 + 2 * LIMIT_EXPIRES_AFTER_MS {
+        if let Some(word) = first.report(now_ms, || START) {
+            second.merge(now_ms + 10, &word);
         }
-        if let Some(word) = second.word(now_ms + 10, || START) {
-            first.told(now_ms + 20, &word);
+        if let Some(word) = second.report(now_ms + 10, || START) {
+            first.merge(now_ms + 20, &word);
         }
         now_ms += 20;
     }
@@ -105,7 +108,7 @@
             asked_age_ms: 0,
             heard_age_ms: 0,
         };
-        assert!(!limit.told(5_000, &word), "{rate}");
+        assert!(!limit.merge(5_000, &word), "{rate}");
         assert_eq!(limit.rate_per_s(5_000), Some(2.0));
     }
 }
@@ -138,8 +141,8 @@
         let mut is_settled = false;
         let mut tightest_since_ms = 0;
         for (heard_ms, asked_ms, figure) in answers {
-            let said = figure.map_or(Said::Nothing, Said::Limit);
-            limit.heard(said, true, asked_ms, heard_ms);
+            let said = figure.map_or(NamedRate::Nothing, NamedRate::Limit);
+            limit.observe(said, true, asked_ms, heard_ms);
             // All answers made before the last change have come 200 ms after it.
             is_settled |= asked_ms >= last_ms + 200 && asked_ms >= tightest_since_ms;
             if asked_ms < last_ms {
--- a/crates/cranereach-fleet/tests/orders.rs
+++ b/crates/cranereach-fleet/tests/orders.rs
@@ -16,9 +16,9 @@
 use cranereach_fleet::ledger::OrderEnd;
 use cranereach_fleet::ledger::WorkerRow;
 use cranereach_fleet::ledger::WorkerState;
+use cranereach_fleet::placement::ModelReplica;
 use cranereach_fleet::placement::ModelSize;
 use cranereach_fleet::placement::Order;
-use cranereach_fleet::placement::Place;
 use cranereach_fleet::placement::Plan;
 use cranereach_fleet::store_position::StorePosition;
 
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct Worker {
     sequence: u64,
-    places: Vec<Place>,
+    places: Vec<ModelReplica>,
     under_way: Option<(u64, Order)>,
     late: Vec<(u64, OpenOrder)>,
     /// State some time ago, as reports show it.
@@ -118,9 +118,9 @@
         if let Some((_, order)) = self.under_way.filter(|(at_ms, _)| *at_ms <= now_ms) {
             self.under_way = None;
             match order {
-                Order::Load(model) => self.places.push(Place {
+                Order::Load(model) => self.places.push(ModelReplica {
                     model,
-                    ..Place::default()
+                    ..ModelReplica::default()
                 }),
                 Order::Unload(model) => self.places.retain(|place| place.model != model),
                 Order::LoadAdapter(_) | Order::UnloadAdapter(_) => {}
@@ -344,10 +344,10 @@
             id: &id,
             position: StorePosition::new(0, 1),
             started_unix_ms: 0,
-            places: vec![Place {
+            places: vec![ModelReplica {
                 model: 2,
                 adapters: vec![1],
-                ..Place::default()
+                ..ModelReplica::default()
             }],
             copies: Vec::new(),
             is_serving: true,
@@ -355,10 +355,10 @@
     );
     ledger.reports_due(0);
     let state = WorkerState {
-        places: vec![Place {
+        places: vec![ModelReplica {
             model: 2,
             adapters: vec![1],
-            ..Place::default()
+            ..ModelReplica::default()
         }],
         ..WorkerState::default()
     };
--- a/crates/cranereach-fleet/tests/outage_pace.rs
+++ b/crates/cranereach-fleet/tests/outage_pace.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use cranereach_fleet::outage_pace::tries_now;
+use cranereach_fleet::outage_pace::should_probe;
 
 const LOOK_EVERY_MS: u64 = 100;
 
@@ -20,7 +20,7 @@
     loop {
         at_ms += LOOK_EVERY_MS;
         for _instance in 0..instance_count {
-            if tries_now(instance_count, LOOK_EVERY_MS, rng.random()) {
+            if should_probe(instance_count, LOOK_EVERY_MS, rng.random()) {
                 try_count += 1;
                 if rng.random::<f64>() >= TURNED_AWAY_SHARE {
                     return (at_ms, try_count);
@@ -50,7 +50,8 @@
     for instance_count in [5, 78, 984, 3_300] {
         let looks = 200;
         let draws = instance_count * looks;
-        let tries = (0..draws).filter(|_| tries_now(instance_count, LOOK_EVERY_MS, rng.random()));
+        let tries =
+            (0..draws).filter(|_| should_probe(instance_count, LOOK_EVERY_MS, rng.random()));
         let per_s = tries.count() as f64 * 1_000.0 / (looks as u64 * LOOK_EVERY_MS) as f64;
         assert!(per_s <= 14.0, "{instance_count}: {per_s}");
     }
--- a/crates/cranereach-fleet/tests/own_words/world.rs
+++ b/crates/cranereach-fleet/tests/own_words/world.rs
@@ -16,7 +16,7 @@
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
@@ -133,8 +133,8 @@
     format!("w{worker}")
 }
 
-fn wanted_of(rank: usize) -> Wanted<'static> {
-    Wanted {
+fn wanted_of(rank: usize) -> RoutingRequest<'static> {
+    RoutingRequest {
         rank,
         ..wanted(None)
     }
--- a/crates/cranereach-fleet/tests/own_words/world/messages.rs
+++ b/crates/cranereach-fleet/tests/own_words/world/messages.rs
@@ -120,9 +120,9 @@
                 if mutant == Mutant::RestCutShort {
                     worker.rest = Rest::default();
                 }
-                worker.rest.asked(now_ms, rest_ms);
+                worker.rest.requested(now_ms, rest_ms);
             } else if words.is_taken {
-                worker.rest.taken(call.sent_ms);
+                worker.rest.accepted(call.sent_ms);
             }
         }
         if words.leaves {
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -31,53 +31,53 @@
 #[test]
 fn requests_of_all_instances_count_from_send_to_end() {
     let mut owned = OwnedWorkers::default();
-    owned.begun(0, WORKER, (1, 1), opening(80.0), &[]);
+    owned.request_started(0, WORKER, (1, 1), opening(80.0), &[]);
     // The same number from another instance is another request.
-    owned.begun(1, WORKER, (2, 1), opening(40.0), &[]);
-    let load = owned.standing(2, WORKER, &[], 0.0).load;
+    owned.request_started(1, WORKER, (2, 1), opening(40.0), &[]);
+    let load = owned.status(2, WORKER, &[], 0.0).load;
     assert_eq!((load.open_count, load.waiting_count), (2, [0, 2, 0]));
     assert!((load.unread_ms[1] - 120.0).abs() < 0.01);
-    owned.read(80, WORKER, (1, 1), 80.0);
-    let load = owned.standing(81, WORKER, &[], 0.0).load;
+    owned.prompt_prefilled(80, WORKER, (1, 1), 80.0);
+    let load = owned.status(81, WORKER, &[], 0.0).load;
     assert_eq!((load.open_count, load.waiting_count), (2, [0, 1, 0]));
-    owned.ended(500, WORKER, (1, 1), Outcome::Whole);
-    owned.ended(500, WORKER, (2, 1), Outcome::Neutral);
-    assert_eq!(owned.standing(501, WORKER, &[], 0.0).load.open_count, 0);
+    owned.request_ended(500, WORKER, (1, 1), Outcome::Whole);
+    owned.request_ended(500, WORKER, (2, 1), Outcome::Neutral);
+    assert_eq!(owned.status(501, WORKER, &[], 0.0).load.open_count, 0);
     // A word for the second time, or without the first, does no harm.
-    owned.ended(502, WORKER, (2, 1), Outcome::Neutral);
-    owned.read(502, WORKER, (9, 9), 80.0);
-    assert_eq!(owned.standing(503, WORKER, &[], 0.0).load.open_count, 0);
+    owned.request_ended(502, WORKER, (2, 1), Outcome::Neutral);
+    owned.prompt_prefilled(502, WORKER, (9, 9), 80.0);
+    assert_eq!(owned.status(503, WORKER, &[], 0.0).load.open_count, 0);
 }
 
 #[test]
 fn lost_words_age_out() {
     let mut owned = OwnedWorkers::default();
-    owned.begun(0, WORKER, (1, 1), opening(100.0), &[]);
+    owned.request_started(0, WORKER, (1, 1), opening(100.0), &[]);
     assert_eq!(
-        owned.standing(1_399, WORKER, &[], 0.0).load.waiting_count[1],
+        owned.status(1_399, WORKER, &[], 0.0).load.waiting_count[1],
         1
     );
     assert_eq!(
-        owned.standing(1_400, WORKER, &[], 0.0).load.waiting_count[1],
+        owned.status(1_400, WORKER, &[], 0.0).load.waiting_count[1],
         0
     );
-    assert_eq!(owned.standing(9_999, WORKER, &[], 0.0).load.open_count, 1);
-    assert_eq!(owned.standing(10_000, WORKER, &[], 0.0).load.open_count, 0);
+    assert_eq!(owned.status(9_999, WORKER, &[], 0.0).load.open_count, 1);
+    assert_eq!(owned.status(10_000, WORKER, &[], 0.0).load.open_count, 0);
 }
 
 #[test]
 fn parts_that_any_instance_sent_count_as_kept() {
     let mut owned = OwnedWorkers::default();
     let sent = [part(1), part(2)];
-    owned.begun(0, WORKER, (1, 1), opening(80.0), &sent);
+    owned.request_started(0, WORKER, (1, 1), opening(80.0), &sent);
     let kept = |owned: &mut OwnedWorkers, chains: &[u64]| {
-        owned.standing(1, WORKER, chains, 0.0).kept_part_count
+        owned.status(1, WORKER, chains, 0.0).kept_part_count
     };
     assert_eq!(kept(&mut owned, &[1, 2, 3]), 2);
     assert_eq!(kept(&mut owned, &[2]), 1);
     assert_eq!(kept(&mut owned, &[3, 1]), 0);
     assert_eq!(
-        owned.standing(1, 8, &[1], 0.0).kept_part_count,
+        owned.status(1, 8, &[1], 0.0).kept_part_count,
         0,
         "another worker"
     );
@@ -87,24 +87,24 @@
 fn a_slow_worker_is_known_by_a_few_answers_and_tried_again() {
     let mut owned = OwnedWorkers::default();
     let answer = |owned: &mut OwnedWorkers, at_ms: u64, peer: u32, took_ms: f64| {
-        owned.begun(at_ms, WORKER, (peer, at_ms), opening(100.0), &[]);
+        owned.request_started(at_ms, WORKER, (peer, at_ms), opening(100.0), &[]);
         let read_ms = at_ms + took_ms as u64;
-        owned.read(read_ms, WORKER, (peer, at_ms), took_ms);
-        owned.ended(read_ms, WORKER, (peer, at_ms), Outcome::Whole);
+        owned.prompt_prefilled(read_ms, WORKER, (peer, at_ms), took_ms);
+        owned.request_ended(read_ms, WORKER, (peer, at_ms), Outcome::Whole);
     };
     for round in 0..5 {
         answer(&mut owned, round * 200, round as u32, 100.0);
     }
-    assert!(owned.standing(1_000, WORKER, &[], 0.0).pace_ratio < 1.05);
+    assert!(owned.status(1_000, WORKER, &[], 0.0).slowdown_ratio < 1.05);
     // One answer alone condemns nobody; some do.
     answer(&mut owned, 1_000, 9, 1_300.0);
-    assert!(owned.standing(2_300, WORKER, &[], 0.0).pace_ratio < 4.0);
+    assert!(owned.status(2_300, WORKER, &[], 0.0).slowdown_ratio < 4.0);
     for round in 0..4 {
         answer(&mut owned, 2_300 + round * 10, round as u32, 1_300.0);
     }
-    assert!(owned.standing(3_600, WORKER, &[], 0.0).pace_ratio > 4.0);
+    assert!(owned.status(3_600, WORKER, &[], 0.0).slowdown_ratio > 4.0);
     // Without news the evidence fades.
-    assert!(owned.standing(40_000, WORKER, &[], 0.0).pace_ratio < 1.05);
+    assert!(owned.status(40_000, WORKER, &[], 0.0).slowdown_ratio < 1.05);
 }
 
 #[test]
@@ -112,23 +112,23 @@
     let mut owned = OwnedWorkers::default();
     let give_up = |owned: &mut OwnedWorkers, after_ms: u64| {
         for peer in 0..3 {
-            owned.begun(0, WORKER, (peer, after_ms), opening(80.0), &[]);
+            owned.request_started(0, WORKER, (peer, after_ms), opening(80.0), &[]);
         }
         for peer in 0..3 {
-            owned.ended(after_ms, WORKER, (peer, after_ms), Outcome::Neutral);
+            owned.request_ended(after_ms, WORKER, (peer, after_ms), Outcome::Neutral);
         }
-        owned.standing(after_ms, WORKER, &[], 0.0).is_aside
+        owned.status(after_ms, WORKER, &[], 0.0).is_aside
     };
     assert!(!give_up(&mut owned, 900), "callers leave as they like");
     assert!(give_up(&mut owned, 4_900));
     // One that began is the caller's affair.
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
-        owned.begun(0, WORKER, (peer, 1), opening(80.0), &[]);
-        owned.read(80, WORKER, (peer, 1), 80.0);
-        owned.ended(9_000, WORKER, (peer, 1), Outcome::Neutral);
+        owned.request_started(0, WORKER, (peer, 1), opening(80.0), &[]);
+        owned.prompt_prefilled(80, WORKER, (peer, 1), 80.0);
+        owned.request_ended(9_000, WORKER, (peer, 1), Outcome::Neutral);
     }
-    assert!(!owned.standing(9_000, WORKER, &[], 0.0).is_aside);
+    assert!(!owned.status(9_000, WORKER, &[], 0.0).is_aside);
 }
 
 #[test]
@@ -137,8 +137,8 @@
     let mut ticket = 0;
     let mut call = |owned: &mut OwnedWorkers, now_ms: u64, outcome: Outcome| {
         ticket += 1;
-        owned.begun(now_ms, WORKER, (1, ticket), opening(0.0), &[]);
-        owned.ended(now_ms + 10, WORKER, (1, ticket), outcome);
+        owned.request_started(now_ms, WORKER, (1, ticket), opening(0.0), &[]);
+        owned.request_ended(now_ms + 10, WORKER, (1, ticket), outcome);
     };
     // Each time it is put aside for longer: four times here, the last for 4.8 s.
     let mut now_ms = 0;
@@ -153,7 +153,7 @@
     }
     let may_go = |owned: &mut OwnedWorkers, now_ms: u64| {
         !owned
-            .standing_for_repeatable(now_ms, WORKER, &[], 0.0)
+            .status_for_repeatable(now_ms, WORKER, &[], 0.0)
             .is_aside
     };
     // Calls that may not be repeated go elsewhere all the while; others one by one.
@@ -164,10 +164,10 @@
     assert!(may_go(&mut owned, now_ms + 600));
     for number in 0..3 {
         let at_ms = now_ms + 600 + number * 200;
-        assert!(owned.standing(at_ms, WORKER, &[], 0.0).is_aside, "{number}");
+        assert!(owned.status(at_ms, WORKER, &[], 0.0).is_aside, "{number}");
         call(&mut owned, at_ms, Outcome::Whole);
     }
-    assert!(!owned.standing(now_ms + 1_100, WORKER, &[], 0.0).is_aside);
+    assert!(!owned.status(now_ms + 1_100, WORKER, &[], 0.0).is_aside);
 }
 
 /// A prompt of a service whose streams may pause for 500 ms.
@@ -183,24 +183,24 @@
 fn answer(owned: &mut OwnedWorkers, now_ms: u64, whole_count: u64, paused_count: u64) {
     for number in 0..whole_count + paused_count {
         let ticket = (9, 1_000 + number);
-        owned.begun(now_ms, WORKER, ticket, streamed(1.0), &[]);
+        owned.request_started(now_ms, WORKER, ticket, streamed(1.0), &[]);
         let outcome = if number < paused_count {
             Outcome::Paused
         } else {
             Outcome::Whole
         };
-        owned.ended(now_ms, WORKER, ticket, outcome);
+        owned.request_ended(now_ms, WORKER, ticket, outcome);
     }
 }
 
 /// Sends a prompt when it is to be sent, and returns when that was.
 fn send(owned: &mut OwnedWorkers, now_ms: u64, number: u64) -> u64 {
-    let standing = owned.standing(now_ms, WORKER, &[], 100.0);
+    let standing = owned.status(now_ms, WORKER, &[], 100.0);
     let sent = SentRequest {
         send_in_ms: standing.send_in_ms as u32,
         ..streamed(100.0)
     };
-    owned.begun(now_ms, WORKER, (1, number), sent, &[]);
+    owned.request_started(now_ms, WORKER, (1, number), sent, &[]);
     now_ms + standing.send_in_ms as u64
 }
 
@@ -226,7 +226,7 @@
     let mut owned = OwnedWorkers::default();
     send(&mut owned, 5_000, 1);
     // Predicted also where nothing is held back yet.
-    let standing = owned.standing(5_000, WORKER, &[], 400.0);
+    let standing = owned.status(5_000, WORKER, &[], 400.0);
     assert!(standing.send_in_ms <= 0.0);
     assert!(standing.pause_ms > 400.0, "{}", standing.pause_ms);
 }
@@ -248,13 +248,13 @@
 fn failures_at_several_instances_put_a_worker_aside() {
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
-        owned.begun(0, WORKER, (peer, 1), opening(80.0), &[]);
-        assert!(!owned.standing(1, WORKER, &[], 0.0).is_aside);
-        owned.ended(1, WORKER, (peer, 1), Outcome::Failed);
+        owned.request_started(0, WORKER, (peer, 1), opening(80.0), &[]);
+        assert!(!owned.status(1, WORKER, &[], 0.0).is_aside);
+        owned.request_ended(1, WORKER, (peer, 1), Outcome::Failed);
     }
-    let standing = owned.standing(2, WORKER, &[], 0.0);
+    let standing = owned.status(2, WORKER, &[], 0.0);
     assert!(standing.is_aside && standing.failed_share > 0.3);
-    assert!(!owned.standing(30_000, WORKER, &[], 0.0).is_aside);
+    assert!(!owned.status(30_000, WORKER, &[], 0.0).is_aside);
 }
 
 proptest! {
@@ -268,31 +268,31 @@
             now_ms += number;
             let ticket = (peer, number);
             match kind {
-                0 => owned.begun(now_ms, worker, ticket, opening(value), &[part(number)]),
-                1 => owned.read(now_ms, worker, ticket, f64::from(value)),
-                2 => owned.ended(now_ms, worker, ticket, Outcome::Failed),
-                _ => owned.ended(now_ms, worker, ticket, Outcome::Whole),
+                0 => owned.request_started(now_ms, worker, ticket, opening(value), &[part(number)]),
+                1 => owned.prompt_prefilled(now_ms, worker, ticket, f64::from(value)),
+                2 => owned.request_ended(now_ms, worker, ticket, Outcome::Failed),
+                _ => owned.request_ended(now_ms, worker, ticket, Outcome::Whole),
             }
-            let standing = owned.standing(now_ms, worker, &[number], f64::from(value));
+            let standing = owned.status(now_ms, worker, &[number], f64::from(value));
             prop_assert!(standing.load.open_count <= 18);
-            prop_assert!((1.0..=20.0).contains(&standing.pace_ratio));
+            prop_assert!((1.0..=20.0).contains(&standing.slowdown_ratio));
             prop_assert!(standing.load.unread_ms.iter().all(|unread_ms| *unread_ms >= 0.0));
         }
-        prop_assert_eq!(owned.standing(now_ms + 20_000, 0, &[], 0.0).load.open_count, 0);
+        prop_assert_eq!(owned.status(now_ms + 20_000, 0, &[], 0.0).load.open_count, 0);
     }
 }
 
 #[test]
 fn an_owner_says_whether_a_request_runs_there_that_runs_alone() {
     let mut owned = OwnedWorkers::default();
-    owned.begun(1_000, WORKER, (1, 1), opening(10.0), &[]);
-    assert!(!owned.standing(1_010, WORKER, &[], 0.0).has_suspect);
+    owned.request_started(1_000, WORKER, (1, 1), opening(10.0), &[]);
+    assert!(!owned.status(1_010, WORKER, &[], 0.0).has_suspect);
     let alone = SentRequest {
         runs_alone: true,
         ..opening(10.0)
     };
-    owned.begun(1_020, WORKER, (2, 2), alone, &[]);
-    assert!(owned.standing(1_030, WORKER, &[], 0.0).has_suspect);
-    owned.ended(1_040, WORKER, (2, 2), Outcome::Whole);
-    assert!(!owned.standing(1_050, WORKER, &[], 0.0).has_suspect);
+    owned.request_started(1_020, WORKER, (2, 2), alone, &[]);
+    assert!(owned.status(1_030, WORKER, &[], 0.0).has_suspect);
+    owned.request_ended(1_040, WORKER, (2, 2), Outcome::Whole);
+    assert!(!owned.status(1_050, WORKER, &[], 0.0).has_suspect);
 }
--- a/crates/cranereach-fleet/tests/pauses.rs
+++ b/crates/cranereach-fleet/tests/pauses.rs
@@ -6,8 +6,8 @@
 
 use cranereach_fleet::pause_prediction::Arrival;
 use cranereach_fleet::pause_prediction::StepTiming;
+use cranereach_fleet::pause_prediction::find_send_time;
 use cranereach_fleet::pause_prediction::longest_ms;
-use cranereach_fleet::pause_prediction::place;
 
 /// A worker that makes an event of three tokens in 30 ms when it reads nothing.
 const STEPPING: StepTiming = StepTiming {
@@ -63,10 +63,10 @@
 #[test]
 fn a_prompt_that_is_long_by_itself_meets_no_other() {
     let arrivals = [prompt(0.0, 100.0)];
-    let found = place(&STEPPING, &arrivals, 0.0, 400.0, 300.0);
+    let found = find_send_time(&STEPPING, &arrivals, 0.0, 400.0, 300.0);
     assert!(found.at_ms >= 110.0, "{found:?}");
     assert!(found.pause_ms <= 440.0, "{found:?}");
-    let at_once = place(&STEPPING, &[], 0.0, 400.0, 300.0);
+    let at_once = find_send_time(&STEPPING, &[], 0.0, 400.0, 300.0);
     assert_eq!(at_once.at_ms, 0.0);
 }
 
@@ -94,7 +94,7 @@
         let mut now_ms = 0.0;
         for (passed_ms, reading_ms) in prompts {
             now_ms += passed_ms;
-            let found = place(&STEPPING, &arrivals, now_ms, reading_ms, 300.0);
+            let found = find_send_time(&STEPPING, &arrivals, now_ms, reading_ms, 300.0);
             prop_assert!(found.at_ms >= now_ms);
             let index = arrivals.partition_point(|arrival| arrival.at_ms <= found.at_ms);
             arrivals.insert(index, prompt(found.at_ms, reading_ms));
--- a/crates/cranereach-fleet/tests/placing.rs
+++ b/crates/cranereach-fleet/tests/placing.rs
@@ -7,29 +7,29 @@
 use rand::rngs::StdRng;
 
 use cranereach_fleet::demand::ModelKey;
+use cranereach_fleet::placement::ModelReplica;
 use cranereach_fleet::placement::ModelSize;
 use cranereach_fleet::placement::Order;
-use cranereach_fleet::placement::Place;
 use cranereach_fleet::placement::Plan;
 use cranereach_fleet::placement::Planned;
 use cranereach_fleet::placement::WorkerView;
 
-fn place(model: u16) -> Place {
-    Place {
+fn place(model: u16) -> ModelReplica {
+    ModelReplica {
         model,
-        ..Place::default()
+        ..ModelReplica::default()
     }
 }
 
-fn coming(model: u16) -> Place {
-    Place {
+fn coming(model: u16) -> ModelReplica {
+    ModelReplica {
         model,
-        is_coming: true,
-        ..Place::default()
+        is_loading: true,
+        ..ModelReplica::default()
     }
 }
 
-fn worker(places: &[Place]) -> WorkerView {
+fn worker(places: &[ModelReplica]) -> WorkerView {
     WorkerView {
         places: places.to_vec(),
         is_free: true,
@@ -106,7 +106,7 @@
     assert_eq!(next(&workers, &demand, true), None);
     // Once it is ready, one of the two may go.
     let mut loaded = workers;
-    loaded[1].places[0].is_coming = false;
+    loaded[1].places[0].is_loading = false;
     let planned = next(&loaded, &demand, true).unwrap();
     assert_eq!(planned.order, Order::Unload(7));
 }
@@ -119,10 +119,10 @@
 
 #[test]
 fn an_adapter_goes_to_a_ready_replica_with_a_free_slot() {
-    let full = Place {
+    let full = ModelReplica {
         model: 0,
         adapters: vec![1, 2],
-        ..Place::default()
+        ..ModelReplica::default()
     };
     let workers = [
         worker(std::slice::from_ref(&full)),
@@ -225,8 +225,8 @@
                 let first = rng.random_range(0..8_u16);
                 let mut places = vec![place(first), place((first + 1) % 8)];
                 places[0].adapters = (1..=4).filter(|_| rng.random_bool(0.2)).take(1).collect();
-                places[0].is_coming = rng.random_bool(0.1);
-                places[1].is_going = rng.random_bool(0.1);
+                places[0].is_loading = rng.random_bool(0.1);
+                places[1].is_unloading = rng.random_bool(0.1);
                 WorkerView {
                     is_free: rng.random_bool(0.7),
                     is_serving: rng.random_bool(0.9),
--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -198,7 +198,7 @@
                 Parcel::Answer(answer) => {
                     // A newer version is fetched from the peer.
                     instance.version = instance.version.max(answer.version);
-                    instance.proof.in_force(instance.version);
+                    instance.proof.record_version(instance.version);
                     instance.proof.enter_era(now_ms, answer.era);
                     instance.proof.take(&answer);
                 }
@@ -209,7 +209,7 @@
                     version,
                 } if boot == instance.boot => {
                     instance.version = instance.version.max(version);
-                    instance.proof.in_force(instance.version);
+                    instance.proof.record_version(instance.version);
                     instance.proof.enter_era(now_ms, era);
                     instance.proof.read(era, begun_ms);
                 }
@@ -391,7 +391,7 @@
 #[test]
 fn an_answer_of_another_era_proves_nothing() {
     let mut proof = Proof::new(1, CHANGE_MS);
-    proof.in_force(7);
+    proof.record_version(7);
     proof.read(1, 1_000);
     assert_eq!(proof.age_ms(1_000), None);
     proof.enter_era(1_000, 1);
@@ -433,7 +433,7 @@
 #[test]
 fn an_answer_counts_only_for_the_start_that_asked_and_for_what_is_in_force() {
     let mut proof = Proof::new(1, CHANGE_MS);
-    proof.in_force(7);
+    proof.record_version(7);
     proof.evacuations_known(StorePosition::new(0, 3));
     let question = proof.question(10_000);
     let answer = |boot: u64, version: u64, age_ms: Option<u64>| ProofAnswer {
--- a/crates/cranereach-fleet/tests/quarantine/fleet.rs
+++ b/crates/cranereach-fleet/tests/quarantine/fleet.rs
@@ -316,7 +316,7 @@
             return;
         };
         for place in 0..COUNTED_BY_COUNT {
-            let first = mark.fingerprint.purpose() as usize % self.instances.len();
+            let first = mark.fingerprint.ranking_key() as usize % self.instances.len();
             self.pass(
                 (first + place) % self.instances.len(),
                 std::slice::from_ref(&news),
@@ -327,7 +327,7 @@
     fn pass(&mut self, to: usize, news: &[SuspectUpdate]) {
         if !self.rng.random_bool(LOST_SHARE) {
             for of in news {
-                self.instances[to].take(self.now_ms, of);
+                self.instances[to].merge(self.now_ms, of);
             }
         }
     }
@@ -336,7 +336,7 @@
         let others: Vec<usize> = (0..self.instances.len()).collect();
         for reporter in 0..self.instances.len() {
             self.instances[reporter].forget(self.now_ms);
-            let news = self.instances[reporter].news(self.now_ms, &mut self.rng);
+            let news = self.instances[reporter].select_for_digest(self.now_ms, &mut self.rng);
             self.outcome.told_most = self.outcome.told_most.max(news.len());
             let chosen: Vec<usize> = others
                 .sample(&mut self.rng, FAN_OUT_COUNT)
--- a/crates/cranereach-fleet/tests/quarantine/joining.rs
+++ b/crates/cranereach-fleet/tests/quarantine/joining.rs
@@ -10,11 +10,11 @@
 use super::fleet::mark;
 use cranereach_fleet::quarantine::Change;
 use cranereach_fleet::quarantine::END_MAX_COUNT;
+use cranereach_fleet::quarantine::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::quarantine::SUSPECT_MAX_COUNT;
 use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::quarantine::Suspicion;
-use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
 const QUARANTINED: Suspicion = Suspicion {
     end_count: END_MAX_COUNT,
@@ -39,16 +39,16 @@
 fn ends_that_three_instances_saw_add_up() {
     let mut counting = Quarantine::default();
     for worker in 1..=2 {
-        counting.take(9_000, &news(&seen([worker]), 9_000));
+        counting.merge(9_000, &news(&seen([worker]), 9_000));
         assert!(!counting.suspicion(mark(1)).is_quarantined);
     }
     // The third came under a try whose sender knew of the others.
     let mut third = Quarantine::default();
-    third.take(9_000, &news(&counting, 9_000));
+    third.merge(9_000, &news(&counting, 9_000));
     third.ended(9_500, mark(1), 3, true);
     assert_eq!(third.suspicion(mark(1)), QUARANTINED);
     assert_eq!(
-        counting.take(9_600, &news(&third, 9_600)),
+        counting.merge(9_600, &news(&third, 9_600)),
         Change::Suspicion
     );
     assert_eq!(counting.suspicion(mark(1)), QUARANTINED);
@@ -60,7 +60,7 @@
     let told = news(&instance, 1_000);
     // Also where it was told by someone who stood still meanwhile.
     for now_ms in [1_000, 1_010, 3_000, 9_000] {
-        assert_eq!(instance.take(now_ms, &told), Change::None);
+        assert_eq!(instance.merge(now_ms, &told), Change::None);
     }
     assert_eq!(instance.suspicion(mark(1)).end_count, 1);
 }
@@ -91,7 +91,7 @@
         other.ended(1_000, mark(1), worker, false);
     }
     assert_eq!(
-        other.take(2_100, &news(&instance, 2_100)),
+        other.merge(2_100, &news(&instance, 2_100)),
         Change::Suspicion
     );
     assert!(other.suspicion(mark(1)).is_quarantined);
@@ -110,7 +110,7 @@
         let now_ms = 1_100 + round as i64 * 50;
         let told = news(&instances[round % 2], now_ms);
         // On its way for a while, so that what it tells of looks younger.
-        let change = instances[(round + 1) % 2].take(now_ms + 40, &told);
+        let change = instances[(round + 1) % 2].merge(now_ms + 40, &told);
         assert_eq!(change, Change::None, "round {round}");
     }
 }
@@ -119,17 +119,17 @@
 fn a_whole_answer_ends_the_suspicion_wherever_it_is_told() {
     let mut instance = seen([1, 2, 3]);
     let mut other = Quarantine::default();
-    other.take(5_000, &news(&instance, 5_000));
+    other.merge(5_000, &news(&instance, 5_000));
     assert_eq!(other.suspicion(mark(1)), QUARANTINED);
     instance.clear(6_000, mark(1));
     assert_eq!(
-        other.take(6_100, &news(&instance, 6_100)),
+        other.merge(6_100, &news(&instance, 6_100)),
         Change::Suspicion
     );
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
     // Who was cut off meanwhile doesn't bring it back.
     let behind = news(&seen([1, 2, 3]), 5_000);
-    other.take(5_500, &behind);
+    other.merge(5_500, &behind);
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
 }
 
@@ -143,8 +143,8 @@
     assert_eq!(instance.suspicion(mark(1)), QUARANTINED);
     let newest = mark(3 * SUSPECT_MAX_COUNT as u64 + 1);
     assert_eq!(instance.suspicion(newest).end_count, 1);
-    let told = instance.news(23_000, &mut StdRng::seed_from_u64(1));
-    assert_eq!(told.len(), TOLD_MAX_COUNT);
+    let told = instance.select_for_digest(23_000, &mut StdRng::seed_from_u64(1));
+    assert_eq!(told.len(), GOSSIPED_MAX_COUNT);
     assert_eq!(
         told[0].fingerprint,
         mark(1).fingerprint,
@@ -174,7 +174,7 @@
 fn what_is_kept_loses_only_what_was_cleared() {
     let quarantined = seen([1, 2, 3]);
     let kept = [news(&quarantined, 5_000)];
-    let known = |of: &Quarantine| of.lasting(9_000, &kept, 64).len();
+    let known = |of: &Quarantine| of.select_for_storage(9_000, &kept, 64).len();
     // Neither who hasn't heard of it nor who knows of fewer ends takes it out.
     assert_eq!(known(&Quarantine::default()), 1);
     assert_eq!(known(&seen([4])), 1);
@@ -220,12 +220,12 @@
         let mut forward = Quarantine::default();
         let mut shuffled = Quarantine::default();
         for news in &told {
-            forward.take(60_000, news);
+            forward.merge(60_000, news);
         }
         for place in order {
             if let Some(news) = told.get(place) {
-                shuffled.take(60_000, news);
-                shuffled.take(60_000, news);
+                shuffled.merge(60_000, news);
+                shuffled.merge(60_000, news);
             }
         }
         assert_eq!(forward.suspicion(mark(1)), shuffled.suspicion(mark(1)));
--- a/crates/cranereach-fleet/tests/regions.rs
+++ b/crates/cranereach-fleet/tests/regions.rs
@@ -14,7 +14,7 @@
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::regions::AllowedRegions;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Topology;
 use cranereach_fleet::worker::WorkerRecord;
@@ -30,7 +30,7 @@
     let domains = domains.map(|(domain, region)| (domain.to_owned(), region.to_owned()));
     let topology = Topology::new("z", "north", &BTreeMap::from(domains)).unwrap();
     let south = AllowedRegions::only(["south"]);
-    let bound = Wanted {
+    let bound = RoutingRequest {
         topology: &topology,
         regions: &south,
         ..wanted(None)
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -11,12 +11,12 @@
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::rest::REST_MAX_MS;
 use cranereach_fleet::rest::Rest;
-use cranereach_fleet::rest::Said;
+use cranereach_fleet::rest::RestRequest;
 use cranereach_fleet::rest::TRIAL_INTERVAL_MS;
 use cranereach_fleet::rest::read;
 use cranereach_fleet::roster::Barred;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Returns the position of a version of a store that has never come back from a copy.
@@ -27,16 +27,16 @@
 #[test]
 fn each_value_has_a_meaning() {
     let said = |values: &[&[u8]]| read(values.iter().copied());
-    assert_eq!(said(&[]), Said::Nothing);
-    assert_eq!(said(&[b"3"]), Said::For(3_000));
-    assert_eq!(said(&[b" 0.25 "]), Said::For(250));
-    assert_eq!(said(&[b"0.0001"]), Said::For(1), "rounded up");
-    assert_eq!(said(&[b"0"]), Said::Nothing);
-    assert_eq!(said(&[b"-0"]), Said::Nothing);
-    assert_eq!(said(&[b"1", b"2"]), Said::For(2_000), "the longest");
-    assert_eq!(said(&[b"soon", b"2"]), Said::For(2_000));
+    assert_eq!(said(&[]), RestRequest::Nothing);
+    assert_eq!(said(&[b"3"]), RestRequest::For(3_000));
+    assert_eq!(said(&[b" 0.25 "]), RestRequest::For(250));
+    assert_eq!(said(&[b"0.0001"]), RestRequest::For(1), "rounded up");
+    assert_eq!(said(&[b"0"]), RestRequest::Nothing);
+    assert_eq!(said(&[b"-0"]), RestRequest::Nothing);
+    assert_eq!(said(&[b"1", b"2"]), RestRequest::For(2_000), "the longest");
+    assert_eq!(said(&[b"soon", b"2"]), RestRequest::For(2_000));
     for far in [&b"1e300"[..], b"3601", b"99999999999999999999"] {
-        assert_eq!(said(&[far]), Said::For(REST_MAX_MS), "{far:?}");
+        assert_eq!(said(&[far]), RestRequest::For(REST_MAX_MS), "{far:?}");
     }
     let unreadable: [&[u8]; 8] = [
         b"",
@@ -49,18 +49,18 @@
         b"\xff",
     ];
     for value in unreadable {
-        assert_eq!(said(&[value]), Said::Unreadable, "{value:?}");
+        assert_eq!(said(&[value]), RestRequest::Unreadable, "{value:?}");
     }
-    assert_eq!(said(&[&[b'1'; 4_000]]), Said::Unreadable);
+    assert_eq!(said(&[&[b'1'; 4_000]]), RestRequest::Unreadable);
 }
 
 #[test]
 fn the_latest_end_holds() {
     let mut rest = Rest::default();
-    assert!(rest.asked(1_000, 3_000));
-    assert!(!rest.asked(2_000, 500), "a shorter one doesn't shorten");
+    assert!(rest.requested(1_000, 3_000));
+    assert!(!rest.requested(2_000, 500), "a shorter one doesn't shorten");
     assert!(rest.is_resting(3_999));
-    assert!(rest.asked(3_500, 2_000), "a later end");
+    assert!(rest.requested(3_500, 2_000), "a later end");
     assert_eq!(rest.span_ms(5_499), Some((1_000, 5_500)));
     assert_eq!(rest.span_ms(5_500), None);
 }
@@ -68,20 +68,20 @@
 #[test]
 fn an_answer_to_an_older_request_ends_nothing() {
     let mut rest = Rest::default();
-    rest.asked(1_000, 3_000);
-    assert!(!rest.taken(900));
-    assert!(!rest.taken(3_999));
+    rest.requested(1_000, 3_000);
+    assert!(!rest.accepted(900));
+    assert!(!rest.accepted(3_999));
     assert!(!rest.may_send(3_999, 0) && rest.is_resting(3_999));
     rest.sent(4_000);
-    assert!(rest.taken(4_000));
-    assert!(!rest.taken(4_000), "it was over");
+    assert!(rest.accepted(4_000));
+    assert!(!rest.accepted(4_000), "it was over");
     assert_eq!(rest.may_send_from_ms(2), 0);
 }
 
 #[test]
 fn at_its_end_one_request_goes_first_the_most_urgent_before_others() {
     let mut rest = Rest::default();
-    rest.asked(1_000, 3_000);
+    rest.requested(1_000, 3_000);
     assert!(rest.may_send(4_000, 0));
     assert!(!rest.may_send(4_000, 1) && !rest.may_send(4_000, 2));
     assert!(rest.may_send(4_060, 1) && rest.may_send(4_060, 2));
@@ -89,11 +89,11 @@
     assert!(!rest.may_send(4_061, 0));
     assert!(rest.may_send(4_060 + TRIAL_INTERVAL_MS, 0), "no answer yet");
     // It asks for rest once more.
-    rest.asked(4_070, 1_000);
+    rest.requested(4_070, 1_000);
     assert!(!rest.may_send(5_069, 0) && rest.may_send(5_070, 0));
 }
 
-fn choose(roster: &Roster, now_ms: u64, wanted: &Wanted<'_>) -> Result<String, NoWorker> {
+fn choose(roster: &Roster, now_ms: u64, wanted: &RoutingRequest<'_>) -> Result<String, NoWorker> {
     let mut rng = SmallRng::seed_from_u64(1);
     let choice = roster.choose(now_ms, wanted, None, &mut rng);
     choice.map(|choice| choice.id.to_string())
@@ -107,15 +107,15 @@
     }
     roster.put(at(5), record("c", &[]));
     let wanted = wanted(Some(("m", None)));
-    roster.get_mut("a").unwrap().rest.asked(1_000, 3_000);
+    roster.get_mut("a").unwrap().rest.requested(1_000, 3_000);
     assert_eq!(choose(&roster, 1_000, &wanted).as_deref(), Ok("b"));
-    roster.get_mut("b").unwrap().rest.asked(1_000, 2_000);
+    roster.get_mut("b").unwrap().rest.requested(1_000, 2_000);
     assert_eq!(choose(&roster, 1_000, &wanted), Err(NoWorker::Resting));
-    let free = roster.free_from_ms(1_000, &wanted);
+    let free = roster.next_ask_and_free_ms(1_000, &wanted);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(3_000 + 25), "by rank");
     // One that leaves is no hope.
     roster.note_leaving_announced(1_500, "b", 0);
-    let free = roster.free_from_ms(1_500, &wanted);
+    let free = roster.next_ask_and_free_ms(1_500, &wanted);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(4_000 + 25));
     let barred = |now_ms, purpose| roster.barred(now_ms, "a", purpose, 1);
     for purpose in [Purpose::Call, Purpose::Order, Purpose::Report] {
@@ -130,7 +130,7 @@
 fn a_new_start_rests_for_nobody() {
     let mut roster = Roster::default();
     roster.put(at(5), record("a", &[]));
-    roster.get_mut("a").unwrap().rest.asked(1_000, 60_000);
+    roster.get_mut("a").unwrap().rest.requested(1_000, 60_000);
     roster.put(at(6), record("a", &[]));
     assert!(roster.is_resting(2_000, "a"), "a newer row changes nothing");
     let mut next = record("a", &[]);
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -14,10 +14,10 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::load::Load;
 use cranereach_fleet::no_worker::NoWorker;
-use cranereach_fleet::owned::Standing;
-use cranereach_fleet::prefixes::chain;
+use cranereach_fleet::owned::WorkerStatus;
+use cranereach_fleet::prefixes::hash_parts;
 use cranereach_fleet::roster::Roster;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
@@ -38,7 +38,7 @@
     }
 }
 
-fn choose(roster: &Roster, now_ms: u64, wanted: &Wanted<'_>) -> Result<String, NoWorker> {
+fn choose(roster: &Roster, now_ms: u64, wanted: &RoutingRequest<'_>) -> Result<String, NoWorker> {
     let mut rng = SmallRng::seed_from_u64(1);
     let choice = roster.choose(now_ms, wanted, None, &mut rng);
     choice.map(|choice| choice.id.to_string())
@@ -174,10 +174,10 @@
         held_tokens: 9_000.0,
         ..Load::default()
     };
-    let standing = |load: Load| Standing {
+    let standing = |load: Load| WorkerStatus {
         load,
-        pace_ratio: 1.0,
-        ..Standing::default()
+        slowdown_ratio: 1.0,
+        ..WorkerStatus::default()
     };
     roster.get_mut("b").unwrap().set_standing(0, standing(load));
     assert_eq!(choose(&roster, 1, &request).as_deref(), Ok("a"));
@@ -203,9 +203,9 @@
     for now_ms in 0..3 {
         roster.get_mut("a").unwrap().health.failed(now_ms);
     }
-    assert!(roster.get("a").unwrap().health.is_aside(100));
+    assert!(roster.get("a").unwrap().health.is_ejected(100));
     assert_eq!(choose(&roster, 100, &wanted(None)).as_deref(), Ok("b"));
-    assert!(!roster.get("a").unwrap().health.is_aside(20_000));
+    assert!(!roster.get("a").unwrap().health.is_ejected(20_000));
     // Alone, it is better than none.
     roster.remove(at(3), "b");
     assert_eq!(choose(&roster, 100, &wanted(None)).as_deref(), Ok("a"));
@@ -240,10 +240,10 @@
 fn what_several_peers_say_of_a_worker_counts_and_is_not_passed_on() {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[]));
-    let is_aside = |roster: &Roster, now_ms| roster.get("a").unwrap().health.is_aside(now_ms);
+    let is_aside = |roster: &Roster, now_ms| roster.get("a").unwrap().health.is_ejected(now_ms);
     let tell = |roster: &mut Roster, now_ms, peer| {
         let worker = roster.by_key_mut(worker_key("a")).unwrap();
-        worker.told_unreachable(now_ms, peer);
+        worker.note_reported_unreachable(now_ms, peer);
     };
     tell(&mut roster, 0, 7);
     tell(&mut roster, 100, 7);
@@ -262,7 +262,7 @@
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[("m", &[])]));
     roster.put(at(2), record("b", &[("m", &[])]));
-    let parts = chain("m", &[("shared", 600), ("own", 400)]);
+    let parts = hash_parts("m", &[("shared", 600), ("own", 400)]);
     let mut request = wanted(Some(("m", None)));
     request.parts = &parts;
     let worker = roster.get_mut("b").unwrap();
@@ -325,7 +325,7 @@
     worker.ended(1_100, 100.0);
     worker.ended(1_100, 100.0);
     worker.began(0, &request, 2.0);
-    let chosen = |roster: &Roster, request: &Wanted<'_>| {
+    let chosen = |roster: &Roster, request: &RoutingRequest<'_>| {
         let mut rng = SmallRng::seed_from_u64(5);
         let choice = roster.choose(0, request, Some(&engine), &mut rng).unwrap();
         choice.id.to_string()
@@ -362,7 +362,7 @@
     roster.get_mut("a").unwrap().began(0, &request, 400.0);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut begins_in_ms = |rank: usize| {
-        let request = Wanted { rank, ..request };
+        let request = RoutingRequest { rank, ..request };
         let choice = roster.choose(0, &request, None, &mut rng).unwrap();
         choice.begins_in_ms
     };
@@ -384,10 +384,10 @@
         worker.health.failed(0);
     }
     worker.note_adapter_loaded(0, "m1", "a2");
-    assert!(worker.health.is_aside(10));
+    assert!(worker.health.is_ejected(10));
     assert!(roster.put(at(2), started(2_000, &[("m1", &["a1"])])));
     let worker = roster.get("a").unwrap();
-    assert!(!worker.health.is_aside(10));
+    assert!(!worker.health.is_ejected(10));
     let of_adapter = wanted(Some(("m1", Some("a2"))));
     assert_eq!(choose(&roster, 10, &of_adapter), Err(NoWorker::NoAdapter));
     // A row of the same start changes nothing of that.
--- a/crates/cranereach-fleet/tests/routes.rs
+++ b/crates/cranereach-fleet/tests/routes.rs
@@ -26,7 +26,7 @@
         is_resumable: false,
         gap_aim_ms: None,
         timeout_ms: 1_000,
-        aim_ms: 100,
+        latency_target_ms: 100,
         attempt_max_count: 1,
         priority: 0,
         is_anonymous: false,
--- a/crates/cranereach-fleet/tests/sends/cold.rs
+++ b/crates/cranereach-fleet/tests/sends/cold.rs
@@ -64,7 +64,7 @@
 fn an_instance_that_is_cut_off_grants_nothing() {
     let seeds = [address(0), address(1), address(2)];
     let mut lone = Membership::new(address(0), DomainTag::default(), &seeds);
-    lone.look(1_000);
+    lone.refresh(1_000);
     let ownership = Ownership::of(&lone, 60_000, WORKER, 60_000);
     let share = 1.0 / 3.0;
     let for_ms = 59_000;
--- a/crates/cranereach-fleet/tests/sends/fleet.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet.rs
@@ -18,7 +18,7 @@
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::named_limit::NamedLimit;
-use cranereach_fleet::named_limit::Said;
+use cranereach_fleet::named_limit::NamedRate;
 use cranereach_fleet::send_grants::AskPause;
 use cranereach_fleet::send_grants::Ownership;
 use cranereach_fleet::send_grants::SendAnswer;
@@ -209,10 +209,10 @@
                 let was_up = sign_ms >= of.started_ms.max(of.frozen_until_ms);
                 if other != number && was_up && heard[number] && heard[other] {
                     let members = &mut self.instances[number].members;
-                    members.saw(sign_ms, address(other), DomainTag::default(), false);
+                    members.heard_from(sign_ms, address(other), DomainTag::default(), false);
                 }
             }
-            self.instances[number].members.look(self.now_ms);
+            self.instances[number].members.refresh(self.now_ms);
         }
     }
 
@@ -239,7 +239,7 @@
 
     /// What an instance tells of the worker's limit.
     fn word(&self, number: usize) -> Option<LimitReport> {
-        self.instances[number].limit.word(self.now_ms, || START)
+        self.instances[number].limit.report(self.now_ms, || START)
     }
 
     /// The instance that tells all others how the worker stands: one that lives, other
@@ -293,7 +293,7 @@
         let is_judged = self.is_judged(number, at_ms);
         self.arrivals.push(Arrival { at_ms, is_judged });
         if let Regime::Names(names) = &self.regime {
-            let said = names(at_ms).map_or(Said::Nothing, Said::Limit);
+            let said = names(at_ms).map_or(NamedRate::Nothing, NamedRate::Limit);
             let back_ms = self.rng.random_range(20..ANSWER_MAX_MS);
             let answer = Parcel::Answered {
                 start_ms: self.instances[number].started_ms,
--- a/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
@@ -5,7 +5,7 @@
 use super::Mutant;
 use super::World;
 use cranereach_fleet::named_limit::LimitReport;
-use cranereach_fleet::named_limit::Said;
+use cranereach_fleet::named_limit::NamedRate;
 use cranereach_fleet::send_grants::AskPause;
 use cranereach_fleet::send_grants::GRANT_VALID_MS;
 use cranereach_fleet::send_grants::SendAnswer;
@@ -28,7 +28,7 @@
     Answered {
         start_ms: u64,
         sent_ms: u64,
-        said: Said,
+        said: NamedRate,
     },
     /// What an instance tells whoever is asked how the worker stands.
     Told(LimitReport),
@@ -126,7 +126,7 @@
     pub(super) fn told(&mut self, number: usize, word: Option<LimitReport>) {
         let of = &mut self.instances[number];
         if let Some(word) = word
-            && of.limit.told(self.now_ms, &word)
+            && of.limit.merge(self.now_ms, &word)
         {
             of.pause = AskPause::default();
         }
@@ -134,16 +134,16 @@
 
     /// An instance hears the worker's answer, and tells whoever is asked how it stands and
     /// the owner of its grants.
-    fn heard(&mut self, number: usize, sent_ms: u64, said: Said) {
+    fn heard(&mut self, number: usize, sent_ms: u64, said: NamedRate) {
         let now_ms = self.now_ms;
         let of = &mut self.instances[number];
-        if matches!(said, Said::Limit(_)) {
+        if matches!(said, NamedRate::Limit(_)) {
             of.told_ms.get_or_insert(now_ms);
         }
         if self.mutant == Mutant::Deaf {
             return;
         }
-        let has_changed = of.limit.heard(said, true, sent_ms, now_ms);
+        let has_changed = of.limit.observe(said, true, sent_ms, now_ms);
         if has_changed {
             of.pause = AskPause::default();
             if let (Some(word), true) = (self.word(number), self.is_heard(number)) {
--- a/crates/cranereach-fleet/tests/sends/grants.rs
+++ b/crates/cranereach-fleet/tests/sends/grants.rs
@@ -88,7 +88,7 @@
     let probe = Membership::new(Ipv4Addr::new(10, 9, 9, 9), DomainTag::default(), &all);
     let mut seen = probe;
     for each in &all {
-        seen.saw(1_000, *each, DomainTag::default(), false);
+        seen.heard_from(1_000, *each, DomainTag::default(), false);
     }
     let order = seen.first(1_000, WORKER, count);
     (order[0], order)
@@ -102,13 +102,13 @@
     let mut members = Membership::new(own, DomainTag::default(), &[]);
     let now_ms = 100_000;
     for other in &others {
-        members.saw(now_ms, *other, DomainTag::default(), false);
+        members.heard_from(now_ms, *other, DomainTag::default(), false);
     }
-    members.look(now_ms);
+    members.refresh(now_ms);
     let of = |members: &Membership, at_ms: u64| Ownership::of(members, at_ms, WORKER, 90_000);
     let look_on = |members: &mut Membership, from_ms: u64, to_ms: u64| {
         for at_ms in (from_ms..=to_ms).step_by(250) {
-            members.look(at_ms);
+            members.refresh(at_ms);
         }
     };
     assert_eq!(
@@ -117,27 +117,27 @@
         "another one comes first"
     );
     // The first one leaves: this one takes over, and is new for a while.
-    members.saw(now_ms + 10, others[0], DomainTag::default(), true);
+    members.heard_from(now_ms + 10, others[0], DomainTag::default(), true);
     assert_eq!(of(&members, now_ms + 20), Ownership::New);
     for other in &others[1..] {
-        members.saw(now_ms + 2_600, *other, DomainTag::default(), false);
+        members.heard_from(now_ms + 2_600, *other, DomainTag::default(), false);
     }
     look_on(&mut members, now_ms, now_ms + 2_600);
     assert_eq!(of(&members, now_ms + 2_600), Ownership::Settled);
     // One that comes after it leaves: nothing changes for the worker.
-    members.saw(now_ms + 2_650, others[5], DomainTag::default(), true);
-    members.look(now_ms + 2_660);
+    members.heard_from(now_ms + 2_650, others[5], DomainTag::default(), true);
+    members.refresh(now_ms + 2_660);
     assert_eq!(of(&members, now_ms + 2_700), Ownership::Settled);
     // It stands still, and hears at once what has waited: others may have taken over.
     assert_eq!(of(&members, now_ms + 3_700), Ownership::New);
     for other in &others[1..] {
-        members.saw(now_ms + 6_000, *other, DomainTag::default(), false);
+        members.heard_from(now_ms + 6_000, *other, DomainTag::default(), false);
     }
-    members.look(now_ms + 6_000);
+    members.refresh(now_ms + 6_000);
     assert_eq!(of(&members, now_ms + 6_100), Ownership::New);
     look_on(&mut members, now_ms + 6_000, now_ms + 8_500);
     for other in &others[1..] {
-        members.saw(now_ms + 8_500, *other, DomainTag::default(), false);
+        members.heard_from(now_ms + 8_500, *other, DomainTag::default(), false);
     }
     assert_eq!(of(&members, now_ms + 8_600), Ownership::Settled);
 }
--- a/crates/cranereach-fleet/tests/workers/mod.rs
+++ b/crates/cranereach-fleet/tests/workers/mod.rs
@@ -5,7 +5,7 @@
 use std::sync::LazyLock;
 
 use cranereach_fleet::regions::AllowedRegions;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::topology::Topology;
 use cranereach_fleet::worker::HeldModel;
 use cranereach_fleet::worker::WorkerRecord;
@@ -37,8 +37,8 @@
     }
 }
 
-pub fn wanted<'a>(model: Option<(&'a str, Option<&'a str>)>) -> Wanted<'a> {
-    Wanted {
+pub fn wanted<'a>(model: Option<(&'a str, Option<&'a str>)>) -> RoutingRequest<'a> {
+    RoutingRequest {
         service: "s",
         model,
         parts: &[],
@@ -51,7 +51,7 @@
         rank: 1,
         held_tokens: 1_100,
         topology: &TOPOLOGY,
-        crossings_ms: [0.0; 3],
+        extra_start_delays_ms: [0.0; 3],
         regions: &ANY_REGION,
         end_count: 0,
         must_avoid_grants: false,
--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -173,7 +173,7 @@
     // The instance that is to read first may be just the one that the store rejects.
     let is_own_turn = is_proven || is_left_to_others || should_read_first(node, now_ms);
     let is_due = now_ms >= due_ms && is_own_turn;
-    is_due && (!is_left_to_others || store_pace::tries_now(node, POLL_INTERVAL_MS))
+    is_due && (!is_left_to_others || store_pace::should_probe(node, POLL_INTERVAL_MS))
 }
 
 /// Returns whether an instance that has no proof yet is to read the store itself, instead of
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -305,11 +305,11 @@
                 let WantedModel {
                     demand,
                     ready_count,
-                    coming_count,
+                    loading_count,
                     level,
                     ..
                 } = candidate;
-                format!("{name} {demand:.2} {ready_count}+{coming_count} {level:.2}")
+                format!("{name} {demand:.2} {ready_count}+{loading_count} {level:.2}")
             })
             .collect();
         info!(node.log, "plan"; "service" => self.service.as_ref(),
@@ -331,12 +331,10 @@
         let mut announced = Announced {
             adapters: self.unlisted_adapters(node, engine),
             withheld: Vec::new(),
-            coming: self.ledger.coming(node.now_ms()),
+            coming: self.ledger.loading(node.now_ms()),
         };
-        let unloading = self.ledger.going();
-        announced.withheld = unloading
-            .map(|(id, model)| (worker_key(id), model))
-            .collect();
+        let unloads = self.ledger.unloading();
+        announced.withheld = unloads.map(|(id, model)| (worker_key(id), model)).collect();
         let now_ms = node.now_ms();
         news::apply_orders(node, now_ms, &announced.adapters, &announced.withheld);
         news::notify_placed(node, worker_key(&self.service), &announced.adapters);
--- a/crates/cranereach-gateway/src/controller/view.rs
+++ b/crates/cranereach-gateway/src/controller/view.rs
@@ -10,8 +10,8 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::ledger::Ledger;
 use cranereach_fleet::ledger::WorkerRow;
+use cranereach_fleet::placement::ModelReplica;
 use cranereach_fleet::placement::ModelSize;
-use cranereach_fleet::placement::Place;
 use cranereach_fleet::placement::WorkerView;
 use cranereach_fleet::worker::HeldModel;
 
@@ -22,16 +22,16 @@
 }
 
 /// Returns the models and adapters that a worker holds, as numbers. Unknown ones are left out.
-pub fn places(engine: &Engine, models: &[HeldModel]) -> Vec<Place> {
+pub fn places(engine: &Engine, models: &[HeldModel]) -> Vec<ModelReplica> {
     models
         .iter()
         .filter_map(|held| {
             let adapters = held.adapters.iter();
-            Some(Place {
+            Some(ModelReplica {
                 model: engine.model_index(&held.name)?,
                 adapters: adapters.filter_map(|name| adapter_number(name)).collect(),
-                is_going: false,
-                is_coming: false,
+                is_unloading: false,
+                is_loading: false,
             })
         })
         .collect()
@@ -44,7 +44,7 @@
     ledger.retain(|id| roster.get(id).is_some());
     for worker in roster.of_service(service) {
         let record = &worker.record;
-        let is_serving = !worker.is_leaving() && !worker.health.is_aside(now_ms);
+        let is_serving = !worker.is_leaving() && !worker.health.is_ejected(now_ms);
         if ledger.knows(&record.id, worker.position, is_serving) {
             // Skips unchanged rows: resolving the names of their models would dominate the cost
             // of a round.
--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -106,7 +106,7 @@
         return;
     };
     lock(&node.proof).evacuations_known(list.position);
-    for (domains, is_asked) in [(&change.begun, true), (&change.ended, false)] {
+    for (domains, is_asked) in [(&change.requested, true), (&change.ended, false)] {
         for domain in domains {
             let name = node.topology.domain_by_key(*domain);
             let name = name.map_or_else(|| format!("{domain:016x}"), ToString::to_string);
--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -23,7 +23,7 @@
     let start = node
         .roster()
         .get(worker)
-        .map(|known| known.record.start_key());
+        .map(|known| known.record.incarnation_key());
     let node = Arc::clone(node);
     let call = Arc::clone(call);
     let worker = Arc::clone(worker);
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -20,7 +20,7 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::roster::Choice;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 
 /// Time to wait for the lease holder to say when a model is expected to be loaded, in
 /// milliseconds. Demand is reported after 20 ms at most, and the holder answers at once.
@@ -127,26 +127,29 @@
 
     /// Returns the time until which the call waits for what it lacks, in milliseconds. It waits
     /// for a model only if that is expected early enough to answer within the latency target.
-    fn wait_until_ms(&self, why: NoWorker, wanted: &Wanted<'_>) -> u64 {
+    fn wait_until_ms(&self, why: NoWorker, wanted: &RoutingRequest<'_>) -> u64 {
         let received_ms = self.call.received_ms;
-        let aim_at_ms = received_ms + self.call.route.aim_ms;
+        let aim_at_ms = received_ms + self.call.route.latency_target_ms;
         match why {
             NoWorker::None | NoWorker::Leaving | NoWorker::NotAllowed | NoWorker::Unreachable => {
                 received_ms
             }
             NoWorker::Cold | NoWorker::Limited | NoWorker::Resting => {
-                let latest_ms =
-                    received_ms + (self.call.route.aim_ms as f64 * GRANT_WAIT_SHARE) as u64;
-                let ask_at_ms = self.free_from_ms(wanted).map(|(ask_at_ms, _)| ask_at_ms);
+                let latest_ms = received_ms
+                    + (self.call.route.latency_target_ms as f64 * GRANT_WAIT_SHARE) as u64;
+                let ask_at_ms = self
+                    .next_ask_and_free_ms(wanted)
+                    .map(|(ask_at_ms, _)| ask_at_ms);
                 ask_at_ms
                     .filter(|at_ms| *at_ms <= latest_ms)
                     .map_or(received_ms, |_| latest_ms)
             }
             NoWorker::NoAdapter => {
-                received_ms + (self.call.route.aim_ms as f64 * ADAPTER_WAIT_SHARE) as u64
+                received_ms + (self.call.route.latency_target_ms as f64 * ADAPTER_WAIT_SHARE) as u64
             }
             NoWorker::NotAlone => {
-                received_ms + (self.call.route.aim_ms as f64 * ISOLATION_WAIT_SHARE) as u64
+                received_ms
+                    + (self.call.route.latency_target_ms as f64 * ISOLATION_WAIT_SHARE) as u64
             }
             NoWorker::NoModel | NoWorker::Evacuated => {
                 match workload::load_expectation(self.node, self.call) {
@@ -174,15 +177,15 @@
     /// Returns when asking for a grant is first worthwhile among the workers that currently
     /// accept no more calls, and when one of them can be used without a grant, both in
     /// milliseconds.
-    fn free_from_ms(&self, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
+    fn next_ask_and_free_ms(&self, wanted: &RoutingRequest<'_>) -> Option<(u64, u64)> {
         let now_ms = self.node.now_ms();
-        self.node.roster().free_from_ms(now_ms, wanted)
+        self.node.roster().next_ask_and_free_ms(now_ms, wanted)
     }
 
     /// Returns the Retry-After of a call whose workers accept no more calls for now, in
     /// milliseconds.
-    fn free_after_ms(&self, wanted: &Wanted<'_>) -> u64 {
-        let may_send_from_ms = self.free_from_ms(wanted).map(|(_, at_ms)| at_ms);
+    fn free_after_ms(&self, wanted: &RoutingRequest<'_>) -> u64 {
+        let may_send_from_ms = self.next_ask_and_free_ms(wanted).map(|(_, at_ms)| at_ms);
         let after_ms = may_send_from_ms.map_or(0, |at_ms| at_ms.saturating_sub(self.node.now_ms()));
         after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
@@ -196,7 +199,7 @@
     /// Chooses among a few candidates by the current state that their owners report.
     async fn choose_by_owners(
         &self,
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         engine: Option<&Engine>,
     ) -> Result<Choice, NoWorker> {
         let node = self.node;
@@ -224,7 +227,7 @@
     }
 
     /// Asks the owners of some workers for the state of these workers.
-    async fn ask_owners(&self, wanted: &Wanted<'_>, workers: &[Arc<str>]) {
+    async fn ask_owners(&self, wanted: &RoutingRequest<'_>, workers: &[Arc<str>]) {
         if workers.is_empty() {
             return;
         }
@@ -257,10 +260,12 @@
         if is_idle || self.may_have_run {
             return Ok(None);
         }
-        let aim_ms = call.route.aim_ms as f64;
+        let latency_target_ms = call.route.latency_target_ms as f64;
         let admission = Admission {
-            aim_ms,
-            urgent_aim_ms: call.urgent_aim_ms.map(|urgent_ms| urgent_ms as f64),
+            latency_target_ms,
+            urgent_latency_target_ms: call
+                .urgent_latency_target_ms
+                .map(|urgent_ms| urgent_ms as f64),
             is_whole,
         };
         let waited_ms = self.node.now_ms().saturating_sub(call.received_ms) as f64;
@@ -271,16 +276,16 @@
         }
         let detail = format!("predicted to begin in {:.0} ms", choice.begins_in_ms);
         let mut refusal = self.refusal(ResultCode::DeadlineUnreachable, &detail);
-        refusal.retry_after_ms = (choice.begins_in_ms - aim_ms / 2.0).max(0.0) as u64;
+        refusal.retry_after_ms = (choice.begins_in_ms - latency_target_ms / 2.0).max(0.0) as u64;
         refusal.shortage_key = Some(self.model_shortage_key());
         Err(refusal)
     }
 
     /// Returns the requirements of the call for the choice of a worker.
-    pub(super) fn wanted(&self) -> Wanted<'_> {
+    pub(super) fn wanted(&self) -> RoutingRequest<'_> {
         let pace = workload::pace(self.node, self.call);
         let engine = self.call.service.engine.as_ref();
-        Wanted {
+        RoutingRequest {
             service: &self.call.service.name,
             model: self.call.model(),
             parts: &self.call.parts,
@@ -293,7 +298,7 @@
             rank: usize::from(self.call.rank),
             held_tokens: self.call.held_tokens,
             topology: &self.node.topology,
-            crossings_ms: lock(&self.node.ways).crossings_ms(),
+            extra_start_delays_ms: lock(&self.node.ways).extra_start_delays_ms(),
             regions: &self.call.regions,
             end_count: quarantine::suspicion(self.node, self.call).end_count,
             must_avoid_grants: self.has_exhausted_permits(),
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -11,7 +11,7 @@
 use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::quarantine::ALONE_FROM_COUNT;
 use cranereach_fleet::roster::Choice;
-use cranereach_fleet::routing_request::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::topology::Distance;
 
 /// Counts a request as in flight at a worker. Dropping it ends the count and reports the outcome
@@ -69,7 +69,7 @@
     pub fn begin(
         node: &Arc<Node>,
         choice: &Choice,
-        wanted: &Wanted<'_>,
+        wanted: &RoutingRequest<'_>,
         (service, route): (&Arc<str>, &Arc<str>),
         answer_tokens: u32,
         deadline_at_ms: u64,
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -156,7 +156,8 @@
     let Some(account) = &call.account else {
         return Ok(Charge::default());
     };
-    let ask_until_ms = call.received_ms + (call.route.aim_ms as f64 * OWNER_WAIT_SHARE) as u64;
+    let ask_until_ms =
+        call.received_ms + (call.route.latency_target_ms as f64 * OWNER_WAIT_SHARE) as u64;
     let charged = limits::charge(node, account, call.cost, ask_until_ms).await;
     charged.map_err(|denied| {
         let code = match denied {
--- a/crates/cranereach-gateway/src/forward/request.rs
+++ b/crates/cranereach-gateway/src/forward/request.rs
@@ -82,7 +82,7 @@
     /// the route.
     pub rank: u8,
     /// Shortest latency target of more urgent routes of the service, in milliseconds.
-    pub urgent_aim_ms: Option<u64>,
+    pub urgent_latency_target_ms: Option<u64>,
     /// Regions in which the request may be served.
     pub regions: AllowedRegions,
     /// Model, if the service has models.
@@ -175,7 +175,8 @@
             Some(account) => route.regions.common(&account.regions),
             None => route.regions.clone(),
         };
-        let urgent_aim_ms = configuration.urgent_aim_ms(&service.name, route_rank);
+        let urgent_latency_target_ms =
+            configuration.urgent_latency_target_ms(&service.name, route_rank);
         let gap_aim_ms = configuration.gap_aim_ms(&service.name);
         let (head, incoming) = request.into_parts();
         let remaining_ms = deadline_at_ms.saturating_sub(node.now_ms());
@@ -195,7 +196,7 @@
             account,
             account_label,
             cost,
-            urgent_aim_ms,
+            urgent_latency_target_ms,
             regions,
             model,
             prompt_tokens,
@@ -388,5 +389,5 @@
         .filter_map(|part| part.trim().split_once(':'))
         .map(|(id, tokens)| (id, tokens.parse().unwrap_or(0)))
         .collect();
-    prefixes::chain(model, &parts)
+    prefixes::hash_parts(model, &parts)
 }
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -57,7 +57,7 @@
         let node = self.node;
         let call = self.call;
         let wanted = self.wanted();
-        let hold_max_ms = (call.route.aim_ms as f64 * HOLD_MAX_SHARE) as u64;
+        let hold_max_ms = (call.route.latency_target_ms as f64 * HOLD_MAX_SHARE) as u64;
         let hold_ms = choice.send_in_ms.min(hold_max_ms);
         let mut in_flight = InFlightCall::begin(
             node,
--- a/crates/cranereach-gateway/src/forward/telemetry.rs
+++ b/crates/cranereach-gateway/src/forward/telemetry.rs
@@ -65,7 +65,7 @@
 /// worker was chosen by.
 fn log_late_response(node: &Node, call: &Call, choice: Option<&Choice>) {
     let took_ms = node.now_ms().saturating_sub(call.received_ms);
-    let Some(choice) = choice.filter(|_| took_ms > call.route.aim_ms) else {
+    let Some(choice) = choice.filter(|_| took_ms > call.route.latency_target_ms) else {
         return;
     };
     info!(node.log, "late"; "request" => call.id.clone(), "route" => call.route.name.as_ref(),
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -24,7 +24,7 @@
     let work_ms = reading_ms + stay_ms(node, call) / f64::from(slot_count);
     let mut demand = node.demand();
     let service_demand = demand.entry(Arc::clone(&call.service.name)).or_default();
-    service_demand.asked(now_ms, key, work_ms);
+    service_demand.record_request(now_ms, key, work_ms);
 }
 
 /// Records that the call lacks a model or an adapter that no worker is known to hold.
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -19,7 +19,7 @@
 use cranereach_fleet::limits::Grant;
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
-use cranereach_fleet::limits::Wanted;
+use cranereach_fleet::limits::UnitRequest;
 
 /// Timeout for an owner's answer, in milliseconds: about ten times the round-trip time within a
 /// region.
@@ -182,7 +182,7 @@
 
 /// Asks the owners of parts of a limit, one after another, until one grants units. Returns `None`
 /// if none of them answers.
-async fn ask(node: &Node, account: u64, limit: Limit, wanted: Wanted) -> Option<Grant> {
+async fn ask(node: &Node, account: u64, limit: Limit, wanted: UnitRequest) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
     let first_part: u32 = rand::random();
     let mut shortest_ms: Option<u64> = None;
@@ -206,7 +206,7 @@
 }
 
 /// Asks the owner of one part. Returns `None` if it does not answer.
-async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Option<Grant> {
+async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: UnitRequest) -> Option<Grant> {
     let owner = owner_of(node, key);
     if owner == node.own_ip() {
         return Some(grant_units(node, key, limit, wanted));
@@ -225,10 +225,10 @@
     let answered = tokio::time::timeout_at(deadline, question.answers.recv()).await;
     let now_ms = node.now_ms();
     let Ok(Some(granted)) = answered else {
-        node.peers().members_mut().missed(now_ms, owner);
+        node.peers().members_mut().reply_missed(now_ms, owner);
         return None;
     };
-    node.peers().members_mut().answered(owner);
+    node.peers().members_mut().reply_received(owner);
     let units = granted.units.map(|units| Grant::Units(f64::from(units)));
     Some(units.unwrap_or(Grant::After(granted.wait_ms)))
 }
@@ -245,7 +245,7 @@
         account: ask.account,
         part: ask.part,
     };
-    let wanted = Wanted {
+    let wanted = UnitRequest {
         least: f64::from(ask.least.max(0.0)),
         most: f64::from(ask.most.max(0.0)),
     };
@@ -262,7 +262,7 @@
 }
 
 /// Takes units from a part owned by this instance.
-fn grant_units(node: &Node, key: PartKey, limit: Limit, wanted: Wanted) -> Grant {
+fn grant_units(node: &Node, key: PartKey, limit: Limit, wanted: UnitRequest) -> Grant {
     let tolerance = node.settings.bounds.tolerance();
     let now_ms = node.now_ms();
     let ownership = ownership(node, now_ms, key);
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -113,7 +113,7 @@
         };
         let is_held_back = source == Some(Source::Store)
             && is_left_to_others
-            && !store_pace::tries_now(node, POLL_INTERVAL_MS);
+            && !store_pace::should_probe(node, POLL_INTERVAL_MS);
         source.filter(|_| !is_held_back)
     }
 
--- a/crates/cranereach-gateway/src/named_limits.rs
+++ b/crates/cranereach-gateway/src/named_limits.rs
@@ -17,7 +17,7 @@
 use crate::send_permit::Permit;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::named_limit::LimitReport;
-use cranereach_fleet::named_limit::Said;
+use cranereach_fleet::named_limit::NamedRate;
 use cranereach_fleet::purpose::Purpose;
 
 /// A worker that announces a limit, as shown to operators.
@@ -101,7 +101,7 @@
 pub fn apply_response(
     node: &Node,
     permit: &Permit,
-    announced: Said,
+    announced: NamedRate,
     status: StatusCode,
     is_expected_response: bool,
 ) {
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/news.rs
@@ -25,7 +25,7 @@
     let mut roster = node.roster();
     for key in &digest.unreachable {
         if let Some(worker) = roster.by_key_mut(*key) {
-            worker.told_unreachable(now_ms, u32::from(sender));
+            worker.note_reported_unreachable(now_ms, u32::from(sender));
         }
     }
     let reported = digest.leaving.iter();
--- a/crates/cranereach-gateway/src/node/configuration.rs
+++ b/crates/cranereach-gateway/src/node/configuration.rs
@@ -47,7 +47,7 @@
         *configuration = Some(Arc::new(offered));
         drop(configuration);
         *lock(&self.configuration_body) = Bytes::from(redacted);
-        lock(&self.proof).in_force(version);
+        lock(&self.proof).record_version(version);
         self.configuration_changed.notify_waiters();
         self.digest_wanted.notify_one();
         Ok(true)
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -25,7 +25,7 @@
 use cranereach_fleet::named_limit::LimitReport;
 use cranereach_fleet::owned::Outcome;
 use cranereach_fleet::owned::SentRequest;
-use cranereach_fleet::owned::Standing;
+use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::prefixes::PromptPart;
 use cranereach_fleet::send_grants;
 use cranereach_fleet::topology::Distance;
@@ -93,8 +93,10 @@
     drop(question);
     let now_ms = node.now_ms();
     for pending in pending.values() {
-        node.peers().members_mut().missed(now_ms, pending.owner);
-        lock(&node.ways).missed(pending.distance);
+        node.peers()
+            .members_mut()
+            .reply_missed(now_ms, pending.owner);
+        lock(&node.ways).reply_missed(pending.distance);
     }
 }
 
@@ -125,8 +127,8 @@
         };
         if let Some(matched) = pending.remove(&quote.worker) {
             let took_ms = started.elapsed().as_secs_f64() * 1_000.0;
-            lock(&node.ways).answered(matched.distance, took_ms);
-            node.peers().members_mut().answered(matched.owner);
+            lock(&node.ways).reply_received(matched.distance, took_ms);
+            node.peers().members_mut().reply_received(matched.owner);
             record_standing(node, matched.worker, decode_standing(&quote));
             if let Some(limit) = &quote.limit {
                 named_limits::apply_peer_limit(node, quote.worker, limit);
@@ -147,7 +149,7 @@
     let parts = &parts[..parts.len().min(PROMPT_PART_MAX_COUNT)];
     if request.owner == node.own_ip() {
         let ticket = (u32::from(request.owner), request.ticket);
-        lock(&node.owned).begun(node.now_ms(), key, ticket, opening, parts);
+        lock(&node.owned).request_started(node.now_ms(), key, ticket, opening, parts);
     } else {
         let chains = parts.iter().map(|part| part.chain).collect();
         let event = OwnerEvent::Begun(opening, chains);
@@ -230,10 +232,12 @@
                     tokens: 0,
                 })
                 .collect();
-            owned.begun(now_ms, worker, request, opening, &parts);
+            owned.request_started(now_ms, worker, request, opening, &parts);
         }
-        OwnerEvent::Read(took_ms) => owned.read(now_ms, worker, request, f64::from(took_ms)),
-        OwnerEvent::Ended(outcome) => owned.ended(now_ms, worker, request, outcome),
+        OwnerEvent::Read(took_ms) => {
+            owned.prompt_prefilled(now_ms, worker, request, f64::from(took_ms))
+        }
+        OwnerEvent::Ended(outcome) => owned.request_ended(now_ms, worker, request, outcome),
         OwnerEvent::Limit(word) => {
             drop(owned);
             named_limits::apply_peer_limit(node, worker, &word);
@@ -243,7 +247,7 @@
 }
 
 /// Returns the standing of a worker that this instance owns.
-fn own_standing(node: &Node, worker: u64, ask: &OwnerAsk) -> Standing {
+fn own_standing(node: &Node, worker: u64, ask: &OwnerAsk) -> WorkerStatus {
     let now_ms = node.now_ms();
     let chains = &ask.chains[..ask.chains.len().min(PROMPT_PART_MAX_COUNT)];
     let mut owned = lock(&node.owned);
@@ -251,9 +255,9 @@
     let kept_ms: u32 = ask.part_reading_ms.iter().take(kept_count).sum();
     let unread_ms = f64::from(ask.reading_ms.saturating_sub(kept_ms));
     if ask.may_repeat {
-        owned.standing_for_repeatable(now_ms, worker, chains, unread_ms)
+        owned.status_for_repeatable(now_ms, worker, chains, unread_ms)
     } else {
-        owned.standing(now_ms, worker, chains, unread_ms)
+        owned.status(now_ms, worker, chains, unread_ms)
     }
 }
 
@@ -274,12 +278,12 @@
     let members = peers.members();
     domain.map_or_else(
         || members.owner(now_ms, worker),
-        |domain| members.owner_near(now_ms, worker, &node.topology.around(&domain)),
+        |domain| members.owner_near(now_ms, worker, &node.topology.proximity_of(&domain)),
     )
 }
 
 /// Records the standing of a worker in the roster.
-fn record_standing(node: &Node, worker: &Arc<str>, standing: Standing) {
+fn record_standing(node: &Node, worker: &Arc<str>, standing: WorkerStatus) {
     let now_ms = node.now_ms();
     if let Some(worker) = node.roster().get_mut(worker) {
         worker.set_standing(now_ms, standing);
@@ -300,13 +304,13 @@
 }
 
 /// Encodes the standing of a worker for the wire.
-fn encode_standing(worker: u64, ticket: u64, standing: &Standing) -> Quote {
+fn encode_standing(worker: u64, ticket: u64, standing: &WorkerStatus) -> Quote {
     Quote {
         ticket,
         worker,
         load: encode_load(&standing.load),
         kept_part_count: standing.kept_part_count as u32,
-        pace_percent: (standing.pace_ratio * 100.0) as u32,
+        pace_percent: (standing.slowdown_ratio * 100.0) as u32,
         failed_percent: (standing.failed_share * 100.0) as u32,
         is_aside: standing.is_aside,
         has_suspect: standing.has_suspect,
@@ -318,11 +322,11 @@
 }
 
 /// Decodes the standing of a worker from the wire.
-fn decode_standing(quote: &Quote) -> Standing {
-    Standing {
+fn decode_standing(quote: &Quote) -> WorkerStatus {
+    WorkerStatus {
         load: decode_load(&quote.load),
         kept_part_count: quote.kept_part_count as usize,
-        pace_ratio: f64::from(quote.pace_percent.max(100)) / 100.0,
+        slowdown_ratio: f64::from(quote.pace_percent.max(100)) / 100.0,
         failed_share: f64::from(quote.failed_percent.min(100)) / 100.0,
         is_aside: quote.is_aside,
         has_suspect: quote.has_suspect,
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -177,11 +177,12 @@
             return false;
         }
         let domain = DomainTag::from_key(digest.domain);
-        self.members.saw(now_ms, sender, domain, digest.is_leaving);
+        self.members
+            .heard_from(now_ms, sender, domain, digest.is_leaving);
         if !self.members.is_known(sender) {
             return false;
         }
-        self.members.told(now_ms, &digest.members);
+        self.members.merge(now_ms, &digest.members);
         self.store_failures.told(now_ms, &digest.store_failed);
         let before = self.peer_states.remove(&sender).unwrap_or_default();
         let is_released = |service: &u64| digest.is_leaving || !digest.holds.contains(service);
@@ -381,7 +382,7 @@
     /// Drops the state of members that are no longer known.
     fn forget(&mut self, now_ms: u64) {
         self.members.forget(now_ms);
-        self.members.look(now_ms);
+        self.members.refresh(now_ms);
         let members = &self.members;
         self.peer_states
             .retain(|address, _| members.is_known(*address));
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -25,11 +25,11 @@
 use crate::recipients::Origin;
 use cranereach_fleet::fingerprint::Fingerprint;
 use cranereach_fleet::quarantine::Change;
-use cranereach_fleet::quarantine::Listed;
+use cranereach_fleet::quarantine::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::quarantine::RequestMark;
+use cranereach_fleet::quarantine::SuspectReport;
 use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::quarantine::Suspicion;
-use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
 /// Number of instances that are notified of a termination directly, in addition to the digests.
 /// More than one, because an instance may be stopping or the datagram may be lost.
@@ -101,7 +101,7 @@
     let before = quarantine.suspicion(mark);
     quarantine.ended(now_ms, mark, worker, knew_of_others);
     let account = &call.account_label;
-    quarantine.note(mark, &call.route.name, account, Some((worker, id)));
+    quarantine.record_observation(mark, &call.route.name, account, Some((worker, id)));
     before
 }
 
@@ -141,7 +141,7 @@
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).update_for(now_ms as i64, mark);
     let Some(news) = news else { return };
-    let purpose = mark.fingerprint.purpose();
+    let purpose = mark.fingerprint.ranking_key();
     let recipients = node
         .peers()
         .members()
@@ -163,10 +163,10 @@
     }
     let now_ms = node.now_ms() as i64;
     let mut change = Change::None;
-    for news in reported.iter().take(TOLD_MAX_COUNT) {
+    for news in reported.iter().take(GOSSIPED_MAX_COUNT) {
         let mut quarantine = lock(&node.quarantine);
         let was_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
-        change = change.max(quarantine.take(now_ms, news));
+        change = change.max(quarantine.merge(now_ms, news));
         let is_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
         drop(quarantine);
         if was_quarantined != is_quarantined {
@@ -190,7 +190,7 @@
         return Vec::new();
     }
     quarantine.forget(now_ms);
-    quarantine.news(now_ms, &mut rand::rng())
+    quarantine.select_for_digest(now_ms, &mut rand::rng())
 }
 
 /// Counts the refusal of a call and returns the detail text for the log.
@@ -199,7 +199,7 @@
     let now_ms = node.now_ms() as i64;
     let mut quarantine = lock(&node.quarantine);
     let count = quarantine.refused(now_ms, mark);
-    quarantine.note(mark, &call.route.name, &call.account_label, None);
+    quarantine.record_observation(mark, &call.route.name, &call.account_label, None);
     format!("refused here {count} times")
 }
 
@@ -212,7 +212,7 @@
 }
 
 /// Converts one entry to the form shown to operators.
-fn describe(now_ms: i64, listed: &Listed) -> SuspectRequest {
+fn describe(now_ms: i64, listed: &SuspectReport) -> SuspectRequest {
     let worker_name = |key: u64| {
         let mut seen = listed.seen.workers.iter();
         let seen = seen.find(|(seen_key, _)| *seen_key == key);
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -67,7 +67,7 @@
         for news in row.requests.iter().take(STORED_MAX_COUNT) {
             // Skips requests that have been cleared in the meantime.
             if !quarantine.is_cleared(news.mark()) {
-                quarantine.take(now_ms, news);
+                quarantine.merge(now_ms, news);
             }
         }
         drop(quarantine);
@@ -84,7 +84,7 @@
 /// Whether this instance knows of requests that the row should contain.
 pub fn has_requests_to_store(node: &Node) -> bool {
     let now_ms = node.now_ms() as i64;
-    let kept = lock(&node.quarantine).lasting(now_ms, &[], STORED_MAX_COUNT);
+    let kept = lock(&node.quarantine).select_for_storage(now_ms, &[], STORED_MAX_COUNT);
     !kept.is_empty()
 }
 
@@ -128,8 +128,11 @@
 /// concurrently.
 async fn write(node: &Node) -> Result<bool, StoreError> {
     let row = read(node).await?;
-    let requests =
-        lock(&node.quarantine).lasting(node.now_ms() as i64, &row.requests, STORED_MAX_COUNT);
+    let requests = lock(&node.quarantine).select_for_storage(
+        node.now_ms() as i64,
+        &row.requests,
+        STORED_MAX_COUNT,
+    );
     let is_unchanged = requests.len() == row.requests.len()
         && requests.iter().all(|request| {
             row.requests
--- a/crates/cranereach-gateway/src/recipients.rs
+++ b/crates/cranereach-gateway/src/recipients.rs
@@ -62,7 +62,7 @@
     /// Groups the living peers by distance.
     pub fn of(members: &Membership, topology: &Topology, now_ms: u64) -> Self {
         let mut by_distance = Self::default();
-        let around = topology.around(topology.own_domain());
+        let around = topology.proximity_of(topology.own_domain());
         for (address, domain) in members.alive_with_domains(now_ms) {
             match around.distance(domain) {
                 Distance::OwnDomain => by_distance.near.push(address),
--- a/crates/cranereach-gateway/src/rests.rs
+++ b/crates/cranereach-gateway/src/rests.rs
@@ -15,7 +15,7 @@
     let is_extended = {
         let mut roster = node.roster();
         let worker = roster.get_mut(&permit.worker);
-        worker.is_some_and(|worker| worker.rest.asked(now_ms, for_ms))
+        worker.is_some_and(|worker| worker.rest.requested(now_ms, for_ms))
     };
     if is_extended {
         info!(node.log, "worker rests"; "worker" => permit.worker.as_ref(), "for_ms" => for_ms,
@@ -32,7 +32,7 @@
         let mut roster = node.roster();
         let worker = roster.get_mut(&permit.worker);
         permit.purpose == Purpose::Call
-            && worker.is_some_and(|worker| worker.rest.taken(permit.sent_ms))
+            && worker.is_some_and(|worker| worker.rest.accepted(permit.sent_ms))
     };
     if has_ended {
         node.roster_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/store_pace.rs
+++ b/crates/cranereach-gateway/src/store_pace.rs
@@ -29,9 +29,9 @@
 
 /// Returns whether an instance that leaves retries to others makes an attempt of its own now,
 /// `elapsed_ms` after its previous check.
-pub fn tries_now(node: &Node, elapsed_ms: u64) -> bool {
+pub fn should_probe(node: &Node, elapsed_ms: u64) -> bool {
     let alive_count = node.peers().members().alive(node.now_ms()).count();
-    outage_pace::tries_now(alive_count, elapsed_ms, rand::random())
+    outage_pace::should_probe(alive_count, elapsed_ms, rand::random())
 }
 
 /// Reports a failed call to peers and waits for a backoff with jitter, which grows with the
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -128,7 +128,9 @@
 /// Returns the key of a listed worker's current incarnation.
 fn incarnation_of(node: &Node, worker: &str) -> Option<u64> {
     let roster = node.roster();
-    roster.get(worker).map(|known| known.record.start_key())
+    roster
+        .get(worker)
+        .map(|known| known.record.incarnation_key())
 }
 
 /// Whether a worker is listed and not leaving.
