--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_words.rs
@@ -47,11 +47,11 @@
     /// Whether a load is stated that cannot be parsed.
     pub is_load_unreadable: bool,
     /// Requests per second that the worker accepts.
-    pub limit: named_limit::Said,
+    pub limit: named_limit::NamedRate,
     /// Whether the worker is leaving.
     pub leaving: departure::Said,
     /// Time for which the worker asks for no requests.
-    pub rest: rest::Said,
+    pub rest: rest::RestRequest,
     /// Time for which the idle connection may be kept, in milliseconds; `None` if it closes.
     pub connection_keep_alive_ms: Option<u64>,
 }
@@ -70,7 +70,7 @@
         // With other status codes the header is meant for the caller, or for one account.
         let rest = match status {
             StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, RETRY_AFTER_HEADER)),
-            _ => rest::Said::Nothing,
+            _ => rest::RestRequest::Nothing,
         };
         Self {
             is_of_another: is_misdirected || is_other_worker,
@@ -120,7 +120,7 @@
         status,
         is_expected_response,
     );
-    if let rest::Said::For(for_ms) = worker_headers.rest {
+    if let rest::RestRequest::For(for_ms) = worker_headers.rest {
         rests::apply_rest(node, permit, for_ms);
     } else if is_expected_response
         && !worker_headers.is_not_run
@@ -144,7 +144,7 @@
     let unreadable = [
         (worker_headers.is_load_unreadable, "load", names.load),
         (
-            worker_headers.limit == named_limit::Said::Unreadable,
+            worker_headers.limit == named_limit::NamedRate::Unreadable,
             "limit",
             names.limit,
         ),
@@ -154,7 +154,7 @@
             names.leaving,
         ),
         (
-            worker_headers.rest == rest::Said::Unreadable,
+            worker_headers.rest == rest::RestRequest::Unreadable,
             "rest",
             RETRY_AFTER_HEADER,
         ),
--- a/crates/cranereach-gateway/tests/suspects.rs
+++ b/crates/cranereach-gateway/tests/suspects.rs
@@ -35,7 +35,8 @@
             }
         }
         let digest = Digest {
-            suspects: quarantine.news(i64::from(u32::MAX), &mut StdRng::seed_from_u64(1)),
+            suspects: quarantine
+                .select_for_digest(i64::from(u32::MAX), &mut StdRng::seed_from_u64(1)),
             ..Digest::default()
         };
         sizes_bytes.push(encode(Message::Digest(Box::new(digest))).len());
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -49,9 +49,9 @@
     let words = read(200, &[("id", "r")]);
     assert!(!words.is_of_another && !words.is_not_run && !words.is_load_unreadable);
     assert_eq!(words.load, None);
-    assert_eq!(words.limit, named_limit::Said::Nothing);
+    assert_eq!(words.limit, named_limit::NamedRate::Nothing);
     assert_eq!(words.leaving, departure::Said::Nothing);
-    assert_eq!(words.rest, rest::Said::Nothing);
+    assert_eq!(words.rest, rest::RestRequest::Nothing);
     assert_eq!(words.connection_keep_alive_ms, Some(DEFAULT_KEEP_ALIVE_MS));
 }
 
@@ -61,19 +61,27 @@
     let asked = ("retry-after", "2");
     assert_eq!(
         rest(503, &[asked, ("not-run", "1")]),
-        rest::Said::For(2_000)
+        rest::RestRequest::For(2_000)
+    );
+    assert_eq!(
+        rest(503, &[asked]),
+        rest::RestRequest::For(2_000),
+        "whatever ran"
     );
-    assert_eq!(rest(503, &[asked]), rest::Said::For(2_000), "whatever ran");
     for status in [200, 202, 409, 421, 429, 500] {
-        assert_eq!(rest(status, &[asked]), rest::Said::Nothing, "{status}");
+        assert_eq!(
+            rest(status, &[asked]),
+            rest::RestRequest::Nothing,
+            "{status}"
+        );
     }
     assert_eq!(
         rest(503, &[("retry-after", "1"), asked]),
-        rest::Said::For(2_000)
+        rest::RestRequest::For(2_000)
     );
     assert_eq!(
         rest(503, &[("retry-after", "soon")]),
-        rest::Said::Unreadable
+        rest::RestRequest::Unreadable
     );
 }
 
