--- a/crates/cranereach-fleet/src/ledger.rs
+++ b/crates/cranereach-fleet/src/ledger.rs
@@ -7,14 +7,14 @@
 //! order. In a large fleet most workers are not asked until the plan wants an order for them, so
 //! that neither connections nor reports grow with the fleet.
 
-mod places;
+mod order_effects;
 mod views;
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use self::places::apply;
-use self::places::is_done;
+use self::order_effects::apply;
+use self::order_effects::is_done;
 use crate::demand::ModelKey;
 use crate::placement::ModelReplica;
 use crate::placement::Order;
@@ -58,7 +58,7 @@
     /// Whether an order is in progress.
     pub is_busy: bool,
     /// Models that it holds, with their adapters.
-    pub places: Vec<ModelReplica>,
+    pub replicas: Vec<ModelReplica>,
 }
 
 /// Outcome of an order to a worker.
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     sequence: u64,
-    places: Vec<ModelReplica>,
+    replicas: Vec<ModelReplica>,
     copies: Vec<u16>,
     is_serving: bool,
     phase: Phase,
@@ -139,7 +139,7 @@
     /// Start time of this run of the worker, in milliseconds of Unix time; zero if not given.
     pub started_unix_ms: u64,
     /// Models that it holds; the row does not say at which sequence number.
-    pub places: Vec<ModelReplica>,
+    pub replicas: Vec<ModelReplica>,
     /// Models that it loads cheaply.
     pub copies: Vec<u16>,
     /// Whether it accepts requests.
@@ -183,7 +183,7 @@
             .entry(Arc::clone(row.id))
             .or_insert_with(|| Entry {
                 sequence: 0,
-                places: row.places.clone(),
+                replicas: row.replicas.clone(),
                 copies: Vec::new(),
                 is_serving: true,
                 phase,
@@ -201,12 +201,12 @@
         }
         entry.row_position = row.position;
         if entry.phase == Phase::RowOnly {
-            entry.places = row.places;
+            entry.replicas = row.replicas;
             return;
         }
         let is_done = entry
             .open
-            .is_some_and(|open| is_done(open.order, &row.places));
+            .is_some_and(|open| is_done(open.order, &row.replicas));
         if let (Phase::Busy { .. }, true) = (entry.phase, is_done) {
             // The row may be older than the order; only a report is certain.
             entry.phase = Phase::Busy { poll_at_ms: now_ms };
@@ -239,7 +239,7 @@
             return;
         }
         entry.sequence = state.sequence;
-        entry.places = state.places;
+        entry.replicas = state.replicas;
         entry.open = None;
         entry.phase = if state.is_busy {
             Phase::Unknown {
@@ -303,7 +303,7 @@
         };
         entry.open = Some(open);
         entry.phase = Phase::Waiting;
-        apply(&mut entry.places, order);
+        apply(&mut entry.replicas, order);
         Some(open)
     }
 
--- a/crates/cranereach-fleet/src/ledger/views.rs
+++ b/crates/cranereach-fleet/src/ledger/views.rs
@@ -5,7 +5,7 @@
 
 use super::Ledger;
 use super::Phase;
-use super::places::apply;
+use super::order_effects::apply;
 use crate::demand::ModelKey;
 use crate::placement::Order;
 use crate::placement::WorkerView;
@@ -22,12 +22,12 @@
     /// Returns one worker as planning sees it.
     pub fn view(&self, id: &str) -> Option<WorkerView> {
         let entry = self.entries.get(id)?;
-        let mut places = entry.places.clone();
+        let mut replicas = entry.replicas.clone();
         if let Some(order) = entry.reserved {
-            apply(&mut places, order);
+            apply(&mut replicas, order);
         }
         Some(WorkerView {
-            places,
+            replicas,
             is_free: matches!(entry.phase, Phase::Free | Phase::RowOnly),
             is_serving: entry.is_serving,
             copies: entry.copies.clone(),
@@ -41,9 +41,9 @@
         let mut held = Vec::new();
         for (id, entry) in &mut self.entries {
             entry.pending_adapters.retain(|(_, at_ms)| now_ms < *at_ms);
-            let resident = entry.places.iter().flat_map(|place| {
-                let adapters = place.adapters.iter();
-                adapters.map(|adapter| (place.model, *adapter))
+            let resident = entry.replicas.iter().flat_map(|replica| {
+                let adapters = replica.adapters.iter();
+                adapters.map(|adapter| (replica.model, *adapter))
             });
             let ready = resident.filter(|adapter| !entry.is_pending(*adapter));
             held.extend(ready.map(|adapter| (Arc::clone(id), adapter)));
@@ -70,8 +70,8 @@
     /// Returns the models that are being unloaded.
     pub fn unloading(&self) -> impl Iterator<Item = (&Arc<str>, u16)> {
         self.entries.iter().flat_map(|(id, entry)| {
-            let places = entry.places.iter().filter(|place| place.is_unloading);
-            places.map(move |place| (id, place.model))
+            let replicas = entry.replicas.iter().filter(|replica| replica.is_unloading);
+            replicas.map(move |replica| (id, replica.model))
         })
     }
 }
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -261,11 +261,11 @@
         parts: &[u64],
         reading_ms: f64,
     ) -> WorkerStatus {
-        let mut standing = self.status(now_ms, worker, parts, reading_ms);
-        if let (true, Some(state)) = (standing.is_aside, self.by_key.get_mut(&worker)) {
-            standing.is_aside = !state.health.may_probe_ejected(now_ms);
+        let mut status = self.status(now_ms, worker, parts, reading_ms);
+        if let (true, Some(state)) = (status.is_aside, self.by_key.get_mut(&worker)) {
+            status.is_aside = !state.health.may_probe_ejected(now_ms);
         }
-        standing
+        status
     }
 
     /// Records that a request is being sent to a worker.
--- a/crates/cranereach-fleet/src/placement.rs
+++ b/crates/cranereach-fleet/src/placement.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkerView {
     /// Models on the worker, including those being loaded or unloaded.
-    pub places: Vec<ModelReplica>,
+    pub replicas: Vec<ModelReplica>,
     /// Whether an order may be sent to the worker now.
     pub is_free: bool,
     /// Whether the worker takes requests, that is, is neither leaving nor failing.
@@ -212,9 +212,9 @@
         let mut holders = vec![Vec::new(); self.models.len()];
         let carrying = self.workers.iter().enumerate();
         for (index, worker) in carrying.filter(|(_, worker)| worker.carries_demand()) {
-            let ready = worker.places.iter().filter(|place| place.is_ready());
-            for place in ready {
-                if let Some(of_model) = holders.get_mut(usize::from(place.model)) {
+            let ready = worker.replicas.iter().filter(|replica| replica.is_ready());
+            for replica in ready {
+                if let Some(of_model) = holders.get_mut(usize::from(replica.model)) {
                     of_model.push(index);
                 }
             }
@@ -257,9 +257,9 @@
     /// of `key` to evict it.
     fn least_wanted_adapter(&self, worker: &WorkerView, key: ModelKey) -> Option<ModelKey> {
         let rate_of = |key: &ModelKey| self.demand.get(key).copied().unwrap_or_default();
-        let held = worker.places.iter().flat_map(|place| {
-            let adapters = place.adapters.iter();
-            adapters.map(move |adapter| (place.model, *adapter))
+        let held = worker.replicas.iter().flat_map(|replica| {
+            let adapters = replica.adapters.iter();
+            adapters.map(move |adapter| (replica.model, *adapter))
         });
         let least = held.min_by(|left, right| rate_of(left).total_cmp(&rate_of(right)))?;
         (rate_of(&least) * MIN_SWAP_GAIN_RATIO < rate_of(&key)).then_some(least)
@@ -267,11 +267,11 @@
 
     /// Returns the memory that the models and adapters on a worker take, in megabytes.
     fn used_mb(&self, worker: &WorkerView) -> f64 {
-        let places = worker.places.iter();
-        places
-            .map(|place| {
-                let size = &self.models[usize::from(place.model)];
-                size.weights_mb + size.adapter_mb * place.adapters.len() as f64
+        let replicas = worker.replicas.iter();
+        replicas
+            .map(|replica| {
+                let size = &self.models[usize::from(replica.model)];
+                size.weights_mb + size.adapter_mb * replica.adapters.len() as f64
             })
             .sum()
     }
@@ -280,26 +280,31 @@
 /// Returns the model that is cheapest to unload from a worker, with the cost; models being loaded
 /// don't count.
 fn cheapest_unload(index: usize, worker: &WorkerView, pressure: &Pressure) -> Option<(f64, u16)> {
-    let ready = worker.places.iter().filter(|place| !place.is_loading);
-    let losses = ready.map(|place| (pressure.loss(usize::from(place.model), index), place.model));
+    let ready = worker.replicas.iter().filter(|replica| !replica.is_loading);
+    let losses = ready.map(|replica| {
+        (
+            pressure.loss(usize::from(replica.model), index),
+            replica.model,
+        )
+    });
     losses.min_by(|left, right| left.0.total_cmp(&right.0))
 }
 
 /// Whether a worker is unloading a model.
 fn is_unloading(worker: &WorkerView) -> bool {
-    worker.places.iter().any(|place| place.is_unloading)
+    worker.replicas.iter().any(|replica| replica.is_unloading)
 }
 
 /// Whether a worker holds a model in any state.
 fn holds(worker: &WorkerView, model: usize) -> bool {
-    let mut places = worker.places.iter();
-    places.any(|place| usize::from(place.model) == model)
+    let mut replicas = worker.replicas.iter();
+    replicas.any(|replica| usize::from(replica.model) == model)
 }
 
 /// Whether a worker holds an adapter of a model that it serves.
 fn holds_adapter(worker: &WorkerView, (model, adapter): ModelKey) -> bool {
-    let mut ready = worker.places.iter().filter(|place| place.is_ready());
-    ready.any(|place| place.model == model && place.adapters.contains(&adapter))
+    let mut ready = worker.replicas.iter().filter(|replica| replica.is_ready());
+    ready.any(|replica| replica.model == model && replica.adapters.contains(&adapter))
 }
 
 /// Whether a worker has a copy of a model's weights in memory or on disk.
@@ -309,5 +314,9 @@
 
 /// Counts the adapters on a worker.
 fn adapter_count(worker: &WorkerView) -> usize {
-    worker.places.iter().map(|place| place.adapters.len()).sum()
+    worker
+        .replicas
+        .iter()
+        .map(|replica| replica.adapters.len())
+        .sum()
 }
--- a/crates/cranereach-fleet/src/pressure.rs
+++ b/crates/cranereach-fleet/src/pressure.rs
@@ -64,7 +64,7 @@
     /// Demand by model, as a number of fully utilized workers.
     demand: Vec<f64>,
     /// Replicas by model, without those being unloaded.
-    replicas: Vec<Vec<Replica>>,
+    replicas_by_model: Vec<Vec<Replica>>,
     /// Utilization by worker; above one, the worker gets more demand than it can serve.
     levels: Vec<f64>,
 }
@@ -76,14 +76,14 @@
         requested: &HashMap<ModelKey, f64>,
         workers: &[WorkerView],
     ) -> Self {
-        let mut replicas = vec![Vec::new(); model_count];
+        let mut replicas_by_model = vec![Vec::new(); model_count];
         let carrying = workers
             .iter()
             .enumerate()
             .filter(|(_, view)| view.carries_demand());
         for (index, worker) in carrying {
-            for place in worker.places.iter().filter(|place| !place.is_unloading) {
-                let Some(of_model) = replicas.get_mut(usize::from(place.model)) else {
+            for place in worker.replicas.iter().filter(|place| !place.is_unloading) {
+                let Some(of_model) = replicas_by_model.get_mut(usize::from(place.model)) else {
                     continue;
                 };
                 of_model.push(Replica {
@@ -99,7 +99,7 @@
                 .into_iter()
                 .map(|work| work / WORKER_MS_PER_S)
                 .collect(),
-            replicas,
+            replicas_by_model,
             levels: vec![0.0; workers.len()],
         };
         for _sweep in 0..SWEEP_COUNT {
@@ -124,7 +124,7 @@
     /// Returns the cost increase when a model's replica is removed from a worker, in milliseconds
     /// of worker time per second.
     pub fn loss(&self, model: usize, worker: usize) -> f64 {
-        let others = self.replicas[model]
+        let others = self.replicas_by_model[model]
             .iter()
             .filter(|replica| replica.is_ready && replica.worker != worker);
         let levels: Vec<f64> = others.map(|other| self.levels[other.worker]).collect();
@@ -147,7 +147,7 @@
         let mut wanted: Vec<WantedModel> = self
             .demand
             .iter()
-            .zip(&self.replicas)
+            .zip(&self.replicas_by_model)
             .enumerate()
             .map(|(model, (demand, replicas))| WantedModel {
                 model,
@@ -176,7 +176,7 @@
     /// Returns the cost reduction by a new replica on a worker of a given utilization.
     fn gain_at(&self, model: usize, level: f64) -> f64 {
         let demand = self.demand[model];
-        let serving = self.replicas[model].iter();
+        let serving = self.replicas_by_model[model].iter();
         let used = serving.filter(|replica| replica.share > 0.0);
         let levels: Vec<f64> = used.map(|replica| self.levels[replica.worker]).collect();
         if levels.is_empty() {
@@ -194,14 +194,14 @@
 
     /// Returns the utilization of a worker caused by the demand for a model.
     fn share(&self, model: usize, worker: usize) -> f64 {
-        let mut replicas = self.replicas[model].iter();
+        let mut replicas = self.replicas_by_model[model].iter();
         let found = replicas.find(|replica| replica.worker == worker);
         found.map_or(0.0, |replica| replica.share)
     }
 
     /// Redistributes the demand of each model over its replicas, given that of the others.
     fn distribute(&mut self) {
-        for (replicas, demand) in self.replicas.iter_mut().zip(&self.demand) {
+        for (replicas, demand) in self.replicas_by_model.iter_mut().zip(&self.demand) {
             for replica in &*replicas {
                 self.levels[replica.worker] -= replica.share;
             }
--- a/crates/cranereach-fleet/src/quarantine/gossip.rs
+++ b/crates/cranereach-fleet/src/quarantine/gossip.rs
@@ -125,7 +125,7 @@
 
 impl Quarantine {
     /// Applies an update from another instance.
-    pub fn merge(&mut self, now_ms: i64, update: &SuspectUpdate) -> Change {
+    pub fn apply_update(&mut self, now_ms: i64, update: &SuspectUpdate) -> Change {
         let mark = update.mark();
         let before = self.suspicion(mark);
         let is_known = self.suspects.contains_key(&mark);
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -300,7 +300,7 @@
         rng: &mut R,
     ) -> Result<Choice, NoWorker> {
         let workers = || among.iter().filter_map(|id| self.workers.get(id));
-        let known = workers().filter(|worker| worker.standing(now_ms).is_some());
+        let known = workers().filter(|worker| worker.owner_status(now_ms).is_some());
         let evacuations = &self.evacuations;
         let scored = match score_workers(now_ms, known, evacuations, wanted, engine, rng) {
             Ok(scored)
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -33,7 +33,7 @@
 
 /// Age up to which an owner's report is used, in milliseconds: as long as a choice based on it
 /// takes, with a margin for a busy processor.
-const STANDING_MAX_AGE_MS: u64 = 60;
+const OWNER_STATUS_MAX_AGE_MS: u64 = 60;
 
 /// Age up to which a worker's own report of its load is used, in milliseconds.
 const REPORTED_LOAD_MAX_AGE_MS: u64 = 400;
@@ -105,7 +105,7 @@
     /// Load from the requests that this instance sent.
     pub(crate) own_load: Load,
     /// Last report of the worker's owner, and when it came, in milliseconds.
-    standing: Option<(u64, WorkerStatus)>,
+    owner_status: Option<(u64, WorkerStatus)>,
     /// When each peer last reported the worker as unreachable, in milliseconds.
     unreachable_at_ms: HashMap<u32, u64>,
     /// Load that the worker reported last, and when, in milliseconds.
@@ -155,7 +155,7 @@
             lapsed: None,
             leaves_at: StorePosition::default(),
             own_load: Load::default(),
-            standing: None,
+            owner_status: None,
             unreachable_at_ms: HashMap::new(),
             reported_load: None,
             cached_prefixes: CachedPrefixes::default(),
@@ -232,36 +232,43 @@
     }
 
     /// Takes a report of the worker's owner.
-    pub fn set_standing(&mut self, now_ms: u64, standing: WorkerStatus) {
-        self.standing = Some((now_ms, standing));
+    pub fn set_owner_status(&mut self, now_ms: u64, owner_status: WorkerStatus) {
+        self.owner_status = Some((now_ms, owner_status));
     }
 
     /// Returns the last report of the worker's owner, if it is fresh.
-    pub fn standing(&self, now_ms: u64) -> Option<&WorkerStatus> {
-        let standing = self.standing.as_ref();
-        let fresh = standing.filter(|(at_ms, _)| now_ms < at_ms + STANDING_MAX_AGE_MS);
-        fresh.map(|(_, standing)| standing)
+    pub fn owner_status(&self, now_ms: u64) -> Option<&WorkerStatus> {
+        let owner_status = self.owner_status.as_ref();
+        let fresh = owner_status.filter(|(at_ms, _)| now_ms < at_ms + OWNER_STATUS_MAX_AGE_MS);
+        fresh.map(|(_, owner_status)| owner_status)
     }
 
     /// Whether a suspect request is open at the worker. Workers have died while running requests
     /// equal to it, so it must not share a worker with another suspect.
     pub(crate) fn has_suspect(&self, now_ms: u64) -> bool {
-        self.standing(now_ms)
-            .is_some_and(|standing| standing.has_suspect)
+        self.owner_status(now_ms)
+            .is_some_and(|owner_status| owner_status.has_suspect)
     }
 
     /// Returns the time to wait before sending a prompt, by the owner's report, in milliseconds.
     fn send_in_ms(&self, now_ms: u64) -> f64 {
-        let standing = self.standing(now_ms);
-        let standing_at_ms = self.standing.as_ref().map_or(now_ms, |(at_ms, _)| *at_ms);
-        let elapsed_ms = now_ms.saturating_sub(standing_at_ms) as f64;
-        standing.map_or(0.0, |standing| (standing.send_in_ms - elapsed_ms).max(0.0))
+        let owner_status = self.owner_status(now_ms);
+        let status_at_ms = self
+            .owner_status
+            .as_ref()
+            .map_or(now_ms, |(at_ms, _)| *at_ms);
+        let elapsed_ms = now_ms.saturating_sub(status_at_ms) as f64;
+        owner_status.map_or(0.0, |owner_status| {
+            (owner_status.send_in_ms - elapsed_ms).max(0.0)
+        })
     }
 
     /// Returns the load from all instances if the owner has just reported it, else the load from
     /// this instance alone.
     pub fn load(&self, now_ms: u64) -> Load {
-        let owner_load = self.standing(now_ms).map(|standing| standing.load);
+        let owner_load = self
+            .owner_status(now_ms)
+            .map(|owner_status| owner_status.load);
         owner_load
             .filter(|reported| reported.open_count >= self.own_load.open_count)
             .unwrap_or(self.own_load)
@@ -321,11 +328,12 @@
         let reported =
             reported.map_or((0, 0), |(_, told)| (told.running_count, told.waiting_count));
         let open_count = load.open_count.max(reported.0 + reported.1);
-        let standing = self.standing(now_ms);
+        let owner_status = self.owner_status(now_ms);
         let cached_tokens = self
-            .estimated_cached_tokens(standing, wanted)
+            .estimated_cached_tokens(owner_status, wanted)
             .min(wanted.prompt_tokens);
-        let token_ms = wanted.token_ms * standing.map_or(1.0, |standing| standing.slowdown_ratio);
+        let token_ms =
+            wanted.token_ms * owner_status.map_or(1.0, |owner_status| owner_status.slowdown_ratio);
         let unread_tokens = wanted.prompt_tokens - cached_tokens;
         let slot_count = engine.map_or(self.record.slot_count, |engine| engine.slot_count);
         // Workers without an engine serve calls in order of arrival, whatever their rank.
@@ -373,11 +381,11 @@
     /// Returns how many tokens of the prompt the worker probably has in its prefix cache.
     fn estimated_cached_tokens(
         &self,
-        standing: Option<&WorkerStatus>,
+        owner_status: Option<&WorkerStatus>,
         wanted: &RoutingRequest<'_>,
     ) -> u32 {
         let own_tokens = self.cached_prefixes.cached_tokens(wanted.parts);
-        let owner_part_count = standing.map_or(0, |standing| standing.kept_part_count);
+        let owner_part_count = owner_status.map_or(0, |owner_status| owner_status.kept_part_count);
         let owner_tokens = wanted
             .parts
             .iter()
@@ -394,10 +402,12 @@
         if distance != Distance::OwnDomain {
             cost_ms += OTHER_DOMAIN_PENALTY_MS + wanted.extra_start_delays_ms[distance as usize];
         }
-        let standing = self.standing(now_ms);
-        let owner_failed_share = standing.map_or(0.0, |standing| standing.failed_share);
+        let owner_status = self.owner_status(now_ms);
+        let owner_failed_share = owner_status.map_or(0.0, |owner_status| owner_status.failed_share);
         cost_ms *= 1.0 + 6.0 * self.health.failed_share().max(owner_failed_share);
-        if self.health.is_ejected(now_ms) || standing.is_some_and(|standing| standing.is_aside) {
+        if self.health.is_ejected(now_ms)
+            || owner_status.is_some_and(|owner_status| owner_status.is_aside)
+        {
             cost_ms = cost_ms * 20.0 + EJECTED_PENALTY_MS;
         }
         if wanted.tried.contains(&self.record.id) {
--- a/crates/cranereach-fleet/tests/asked.rs
+++ b/crates/cranereach-fleet/tests/asked.rs
@@ -28,7 +28,7 @@
                 id,
                 position: StorePosition::new(0, 1),
                 started_unix_ms: 0,
-                places: holds(1),
+                replicas: holds(1),
                 copies: Vec::new(),
                 is_serving: true,
             },
@@ -45,7 +45,7 @@
     let wanted = ledger.view(last).unwrap();
     assert!(!wanted.is_free);
     assert_eq!(
-        wanted.places[0].adapters,
+        wanted.replicas[0].adapters,
         [3],
         "nobody else is asked for it"
     );
@@ -54,10 +54,10 @@
     let state = WorkerState {
         sequence: 7,
         is_busy: false,
-        places: holds(1),
+        replicas: holds(1),
     };
     ledger.reported(10, last, Some(state));
-    assert!(ledger.view(last).unwrap().places[0].adapters.is_empty());
+    assert!(ledger.view(last).unwrap().replicas[0].adapters.is_empty());
     let open = ledger.begin(last, order).unwrap();
     assert_eq!((open.order, open.expected_sequence), (order, 7));
 }
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -110,14 +110,26 @@
         names(&further)
     };
     // One of them is idle, or nearly: nobody else is asked.
-    roster.get_mut("z1").unwrap().set_standing(0, busy(400.0));
-    roster.get_mut("z2").unwrap().set_standing(0, busy(10.0));
+    roster
+        .get_mut("z1")
+        .unwrap()
+        .set_owner_status(0, busy(400.0));
+    roster
+        .get_mut("z2")
+        .unwrap()
+        .set_owner_status(0, busy(10.0));
     assert!(further(&roster, &mut rng).is_empty());
     // Both are busy: whoever is elsewhere may be idle, in another region only if the
     // way there is worth it.
-    roster.get_mut("z2").unwrap().set_standing(0, busy(75.0));
+    roster
+        .get_mut("z2")
+        .unwrap()
+        .set_owner_status(0, busy(75.0));
     assert_eq!(further(&roster, &mut rng), ["y1", "y2"]);
-    roster.get_mut("z2").unwrap().set_standing(0, busy(400.0));
+    roster
+        .get_mut("z2")
+        .unwrap()
+        .set_owner_status(0, busy(400.0));
     assert_eq!(further(&roster, &mut rng), ["x1", "y1", "y2"]);
 }
 
@@ -145,7 +157,7 @@
         is_aside: true,
         ..busy(0.0)
     };
-    roster.get_mut("z1").unwrap().set_standing(0, put_aside);
+    roster.get_mut("z1").unwrap().set_owner_status(0, put_aside);
     let asked = roster
         .candidates(1, &request, engine, COUNT, &mut rng)
         .unwrap();
@@ -184,7 +196,7 @@
         roster
             .get_mut("z1")
             .unwrap()
-            .set_standing(0, busy(unread_ms));
+            .set_owner_status(0, busy(unread_ms));
         let choice = roster.choose(1, &request, engine, &mut rng).unwrap();
         assert_eq!(choice.id.as_ref(), chosen, "{unread_ms}");
     }
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -81,7 +81,7 @@
     };
     roster.get_mut("b").unwrap().began(0, &wanted, 400.0);
     assert_eq!(chosen(&roster, 900), "a");
-    roster.get_mut("b").unwrap().set_standing(1_000, busy);
+    roster.get_mut("b").unwrap().set_owner_status(1_000, busy);
     assert_eq!(chosen(&roster, 1_010), "b");
     // Old words say nothing, and one that is to be left alone is not preferred.
     assert_eq!(chosen(&roster, 2_000), "a");
@@ -89,7 +89,7 @@
         is_aside: true,
         ..busy
     };
-    roster.get_mut("b").unwrap().set_standing(3_000, aside);
+    roster.get_mut("b").unwrap().set_owner_status(3_000, aside);
     assert_eq!(chosen(&roster, 3_010), "a");
 }
 
@@ -101,12 +101,12 @@
     }
     let mut choose = |end_count: usize, suspects: [bool; 2]| {
         for (id, has_suspect) in ["a", "b"].into_iter().zip(suspects) {
-            let standing = WorkerStatus {
+            let status = WorkerStatus {
                 slowdown_ratio: 1.0,
                 has_suspect,
                 ..WorkerStatus::default()
             };
-            roster.get_mut(id).unwrap().set_standing(1_000, standing);
+            roster.get_mut(id).unwrap().set_owner_status(1_000, status);
         }
         let request = RoutingRequest {
             end_count,
@@ -135,14 +135,14 @@
             open_count,
             ..Load::default()
         };
-        let standing = WorkerStatus {
+        let status = WorkerStatus {
             slowdown_ratio: 1.0,
             load,
             // The busy one has read most of the prompt before.
             kept_part_count: usize::from(id == "busy"),
             ..WorkerStatus::default()
         };
-        roster.get_mut(id).unwrap().set_standing(1_000, standing);
+        roster.get_mut(id).unwrap().set_owner_status(1_000, status);
     }
     let parts = [PromptPart {
         chain: 1,
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -24,12 +24,12 @@
 fn choice(now_ms: u64, send_in_ms: f64) -> Choice {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[]));
-    let standing = WorkerStatus {
+    let status = WorkerStatus {
         slowdown_ratio: 1.0,
         send_in_ms,
         ..WorkerStatus::default()
     };
-    roster.get_mut("a").unwrap().set_standing(1_000, standing);
+    roster.get_mut("a").unwrap().set_owner_status(1_000, status);
     let mut rng = SmallRng::seed_from_u64(1);
     let among = [Arc::from("a")];
     let chosen = roster.choose_among(now_ms, &among, &wanted(None), None, &mut rng);
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -122,17 +122,17 @@
 fn attempt(
     world: &mut World,
     rng: &mut SmallRng,
-    tenure: &mut LeaseState,
+    lease_state: &mut LeaseState,
     (now_ms, machine): (u64, usize),
     expected: StorePosition,
 ) {
     let content = row(machine, expected.era, false);
     let expected_version = expected.version;
     match rng.random_range(0..10) {
-        0 => tenure.unanswered(now_ms),
+        0 => lease_state.unanswered(now_ms),
         1 => {
             world.write(expected_version, content);
-            tenure.unanswered(now_ms);
+            lease_state.unanswered(now_ms);
         }
         2 => {
             let at_ms = now_ms + rng.random_range(1_000..6_000);
@@ -141,17 +141,17 @@
                 expected_version,
                 row: content,
             });
-            tenure.unanswered(now_ms);
+            lease_state.unanswered(now_ms);
         }
         _ => match world.write(expected_version, content) {
             Some(position) if position.era == expected.era => {
-                tenure.written(now_ms, position);
+                lease_state.written(now_ms, position);
             }
             Some(position) => {
-                tenure.unanswered(now_ms);
-                tenure.enter_era(position.era);
+                lease_state.unanswered(now_ms);
+                lease_state.enter_era(position.era);
             }
-            None => tenure.conflicted(),
+            None => lease_state.conflicted(),
         },
     }
 }
@@ -166,7 +166,7 @@
         copies: VecDeque::new(),
         late: Vec::new(),
     };
-    let mut tenures: Vec<LeaseState> = (0..MACHINE_COUNT)
+    let mut lease_states: Vec<LeaseState> = (0..MACHINE_COUNT)
         .map(|machine| LeaseState::new(&name(machine), PAUSE_MS))
         .collect();
     let mut frozen_until_ms = [0_u64; MACHINE_COUNT];
@@ -185,28 +185,28 @@
             if now_ms < frozen_until_ms[machine] {
                 continue;
             }
-            let tenure = &mut tenures[machine];
+            let lease_state = &mut lease_states[machine];
             match rng.random_range(0..1_500) {
                 0 => frozen_until_ms[machine] = now_ms + rng.random_range(500..9_000),
-                1 => *tenure = LeaseState::new(&name(machine), PAUSE_MS),
+                1 => *lease_state = LeaseState::new(&name(machine), PAUSE_MS),
                 2 => {
-                    if let Some(position) = tenure.release() {
+                    if let Some(position) = lease_state.release() {
                         let released = row(machine, position.era, true);
                         world.write(position.version, released);
                     }
-                    *tenure = LeaseState::new(&name(machine), PAUSE_MS);
+                    *lease_state = LeaseState::new(&name(machine), PAUSE_MS);
                 }
                 _ => {}
             }
             if is_restored && rng.random_range(0..100) == 0 {
                 // Some peer told of it, or another answer of the store.
-                tenure.enter_era(world.era);
+                lease_state.enter_era(world.era);
             }
             // Hearing is a hint only: it may be wrong either way, for a while.
             if rng.random_range(0..400) == 0 {
                 hears[machine] = rng.random_bool(0.3);
             }
-            if let Some(ended) = tenure.ended(now_ms) {
+            if let Some(ended) = lease_state.ended(now_ms) {
                 // Said once and heard by all, maybe long after; the age that is told
                 // may be that of the word when it was made.
                 let heard_at_ms = now_ms + rng.random_range(0..5_000);
@@ -216,22 +216,28 @@
             said_ended.retain(|(heard_at_ms, _)| now_ms < heard_at_ms + 3_000);
             for (heard_at_ms, ended) in &said_ended {
                 if now_ms >= *heard_at_ms {
-                    tenure.record_ended_term(*ended);
+                    lease_state.record_ended_term(*ended);
                 }
             }
-            match tenure.step(now_ms, hears[machine]) {
+            match lease_state.step(now_ms, hears[machine]) {
                 Step::Wait => {}
                 Step::Read => {
                     if rng.random_bool(0.9) {
                         let row = world.content.row.clone();
-                        tenure.read(now_ms, world.position(), row);
+                        lease_state.read(now_ms, world.position(), row);
                     }
                 }
                 Step::Write { expected } => {
-                    attempt(&mut world, &mut rng, tenure, (now_ms, machine), expected);
+                    attempt(
+                        &mut world,
+                        &mut rng,
+                        lease_state,
+                        (now_ms, machine),
+                        expected,
+                    );
                 }
             }
-            let Some(token) = tenures[machine].token(now_ms) else {
+            let Some(token) = lease_states[machine].token(now_ms) else {
                 continue;
             };
             if let Some((other, at_ms, other_token)) = last_order {
@@ -272,21 +278,21 @@
 /// Guards against orders that stop for a whole term and pause with each restore.
 #[test]
 fn a_holder_whose_row_was_lost_goes_on_within_its_term() {
-    let mut tenure = LeaseState::new("a", PAUSE_MS);
-    tenure.written(0, StorePosition::new(1, 80));
-    let token = tenure.token(400);
-    tenure.enter_era(2);
-    assert_eq!(tenure.step(400, false), Step::Read);
+    let mut lease_state = LeaseState::new("a", PAUSE_MS);
+    lease_state.written(0, StorePosition::new(1, 80));
+    let token = lease_state.token(400);
+    lease_state.enter_era(2);
+    assert_eq!(lease_state.step(400, false), Step::Read);
     let copied = LeaseRow {
         holder: "b".to_owned(),
         era: 1,
         ..LeaseRow::default()
     };
     let expected = StorePosition::new(2, 50);
-    tenure.read(420, expected, Some(copied));
-    assert_eq!(tenure.step(420, false), Step::Write { expected });
-    tenure.written(420, StorePosition::new(2, 58));
-    assert_eq!(tenure.token(900), token);
+    lease_state.read(420, expected, Some(copied));
+    assert_eq!(lease_state.step(420, false), Step::Write { expected });
+    lease_state.written(420, StorePosition::new(2, 58));
+    assert_eq!(lease_state.token(900), token);
     // One whose term has run out waits as all do.
     let mut late = LeaseState::new("a", PAUSE_MS);
     late.written(0, StorePosition::new(1, 80));
@@ -311,28 +317,28 @@
         Some(of_copy("b", true)),
         Some(of_copy("b", false)),
     ] {
-        let mut tenure = LeaseState::new("a", PAUSE_MS);
-        tenure.enter_era(2);
-        tenure.read(0, StorePosition::new(2, 50), row.clone());
+        let mut lease_state = LeaseState::new("a", PAUSE_MS);
+        lease_state.enter_era(2);
+        lease_state.read(0, StorePosition::new(2, 50), row.clone());
         // A word of the era before, about a row that had the same version.
-        tenure.record_ended_term(EndedTerm {
+        lease_state.record_ended_term(EndedTerm {
             position: StorePosition::new(1, 50),
             at_ms: 0,
         });
         let whole_ms = TERM_MS + PAUSE_MS;
-        assert_eq!(tenure.step(whole_ms, false), Step::Wait, "{row:?}");
+        assert_eq!(lease_state.step(whole_ms, false), Step::Wait, "{row:?}");
     }
 }
 
 #[test]
 fn a_term_counts_from_before_the_write() {
-    let mut tenure = LeaseState::new("a", PAUSE_MS);
-    tenure.read(0, at(0), None);
-    assert_eq!(tenure.step(1, false), Step::Write { expected: at(0) });
-    tenure.written(10, at(7));
-    assert_eq!(tenure.token(10 + TERM_MS - 1), Some(7));
-    assert_eq!(tenure.token(10 + TERM_MS), None);
-    assert!(tenure.is_holder());
+    let mut lease_state = LeaseState::new("a", PAUSE_MS);
+    lease_state.read(0, at(0), None);
+    assert_eq!(lease_state.step(1, false), Step::Write { expected: at(0) });
+    lease_state.written(10, at(7));
+    assert_eq!(lease_state.token(10 + TERM_MS - 1), Some(7));
+    assert_eq!(lease_state.token(10 + TERM_MS), None);
+    assert!(lease_state.is_holder());
 }
 
 #[test]
@@ -347,13 +353,13 @@
         ("b", true, PAUSE_MS),
     ];
     for (machine, is_released, least_ms) in table {
-        let mut tenure = LeaseState::new(machine, PAUSE_MS);
+        let mut lease_state = LeaseState::new(machine, PAUSE_MS);
         let seen = LeaseRow {
             is_released,
             ..held_by_a.clone()
         };
-        tenure.read(0, at(5), Some(seen));
-        let waits = (0..20_000).find(|now_ms| tenure.step(*now_ms, false) != Step::Wait);
+        lease_state.read(0, at(5), Some(seen));
+        let waits = (0..20_000).find(|now_ms| lease_state.step(*now_ms, false) != Step::Wait);
         assert!(
             waits.is_some_and(|ms| ms + 1 >= least_ms),
             "{machine} {is_released}: {waits:?}"
@@ -364,44 +370,44 @@
 
 #[test]
 fn the_holders_word_that_its_term_is_over_saves_the_term() {
-    let mut tenure = LeaseState::new("b", PAUSE_MS);
+    let mut lease_state = LeaseState::new("b", PAUSE_MS);
     let held = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
     };
-    tenure.read(0, at(5), Some(held));
+    lease_state.read(0, at(5), Some(held));
     let ended = |version: u64, at_ms: u64| EndedTerm {
         position: at(version),
         at_ms,
     };
-    tenure.record_ended_term(ended(4, 10));
+    lease_state.record_ended_term(ended(4, 10));
     assert_eq!(
-        tenure.step(PAUSE_MS + 500, false),
+        lease_state.step(PAUSE_MS + 500, false),
         Step::Wait,
         "another version"
     );
     // The earliest word counts, also if it is heard last.
-    tenure.record_ended_term(ended(5, 900));
-    tenure.record_ended_term(ended(5, 20));
-    tenure.record_ended_term(ended(5, 400));
+    lease_state.record_ended_term(ended(5, 900));
+    lease_state.record_ended_term(ended(5, 20));
+    lease_state.record_ended_term(ended(5, 400));
     let due_ms = 20 + PAUSE_MS + MARGIN_MS;
-    assert_eq!(tenure.step(due_ms - 1, false), Step::Wait);
+    assert_eq!(lease_state.step(due_ms - 1, false), Step::Wait);
     let write = Step::Write { expected: at(5) };
-    assert_eq!(tenure.step(due_ms, false), write);
+    assert_eq!(lease_state.step(due_ms, false), write);
 }
 
 #[test]
 fn who_hears_the_holder_leaves_the_row_alone() {
-    let mut tenure = LeaseState::new("b", PAUSE_MS);
-    assert_eq!(tenure.step(0, true), Step::Wait);
-    assert_eq!(tenure.step(0, false), Step::Read);
+    let mut lease_state = LeaseState::new("b", PAUSE_MS);
+    assert_eq!(lease_state.step(0, true), Step::Wait);
+    assert_eq!(lease_state.step(0, false), Step::Read);
     // Found in an incident: a row read long ago made every instance write in vain
     // when the holder fell silent, and wait from there on.
     let held = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
     };
-    tenure.read(0, at(5), Some(held));
-    assert_eq!(tenure.step(60_000, true), Step::Wait);
-    assert_eq!(tenure.step(60_010, false), Step::Read);
+    lease_state.read(0, at(5), Some(held));
+    assert_eq!(lease_state.step(60_000, true), Step::Wait);
+    assert_eq!(lease_state.step(60_010, false), Step::Read);
 }
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -188,14 +188,14 @@
     let topology = topology();
     let number_of = |address: Ipv4Addr| (u32::from(address) - u32::from(self::address(0))) as usize;
     for (place, (name, _)) in DOMAINS.iter().enumerate() {
-        let around = topology.proximity_of(name);
+        let proximity = topology.proximity_of(name);
         let mut key_counts = [0; 60];
         for key in 0..120_u64 {
-            let owner = fleet.members[0].owner_near(fleet.now_ms, key, &around);
+            let owner = fleet.members[0].owner_near(fleet.now_ms, key, &proximity);
             assert_eq!(number_of(owner) % DOMAINS.len(), place, "{key}");
             key_counts[number_of(owner)] += 1;
             let agree = fleet.members.iter();
-            let agree = agree.filter(|of| of.owner_near(fleet.now_ms, key, &around) == owner);
+            let agree = agree.filter(|of| of.owner_near(fleet.now_ms, key, &proximity) == owner);
             assert!(agree.count() >= 56, "{key}");
         }
         assert!(key_counts.iter().max() <= Some(&24), "{key_counts:?}");
@@ -219,9 +219,9 @@
     for _round in 0..within_ms / ROUND_MS {
         fleet.round();
     }
-    for around in [topology.proximity_of("c"), topology.proximity_of("nowhere")] {
+    for proximity in [topology.proximity_of("c"), topology.proximity_of("nowhere")] {
         let owners: HashSet<Ipv4Addr> = (0..120)
-            .map(|key| fleet.members[0].owner_near(fleet.now_ms, key, &around))
+            .map(|key| fleet.members[0].owner_near(fleet.now_ms, key, &proximity))
             .collect();
         assert!(owners.len() > 15, "{}", owners.len());
     }
--- a/crates/cranereach-fleet/tests/orders.rs
+++ b/crates/cranereach-fleet/tests/orders.rs
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct Worker {
     sequence: u64,
-    places: Vec<ModelReplica>,
+    replicas: Vec<ModelReplica>,
     under_way: Option<(u64, Order)>,
     late: Vec<(u64, OpenOrder)>,
     /// State some time ago, as reports show it.
@@ -56,7 +56,7 @@
         WorkerState {
             sequence: self.sequence,
             is_busy: self.under_way.is_some(),
-            places: self.places.clone(),
+            replicas: self.replicas.clone(),
         }
     }
 
@@ -68,18 +68,22 @@
             _ => 0.0,
         };
         let held: f64 = self
-            .places
+            .replicas
             .iter()
-            .map(|place| {
-                let size = &sizes[usize::from(place.model)];
-                size.weights_mb + size.adapter_mb * place.adapters.len() as f64
+            .map(|replica| {
+                let size = &sizes[usize::from(replica.model)];
+                size.weights_mb + size.adapter_mb * replica.adapters.len() as f64
             })
             .sum();
         assert!(
             held + coming <= WEIGHTS_MB,
             "seed {seed}: {held} + {coming} MB"
         );
-        let adapters: usize = self.places.iter().map(|place| place.adapters.len()).sum();
+        let adapters: usize = self
+            .replicas
+            .iter()
+            .map(|replica| replica.adapters.len())
+            .sum();
         assert!(
             adapters <= ADAPTER_SLOT_COUNT,
             "seed {seed}: {adapters} adapters"
@@ -99,15 +103,21 @@
             Order::Load(_) => self.under_way = Some((now_ms + LOAD_MS, open.order)),
             Order::Unload(_) => self.under_way = Some((now_ms + 200, open.order)),
             Order::LoadAdapter((model, adapter)) => {
-                let place = self.places.iter_mut().find(|place| place.model == model);
-                if let Some(place) = place {
-                    place.adapters.push(adapter);
+                let replica = self
+                    .replicas
+                    .iter_mut()
+                    .find(|replica| replica.model == model);
+                if let Some(replica) = replica {
+                    replica.adapters.push(adapter);
                 }
             }
             Order::UnloadAdapter((model, adapter)) => {
-                let place = self.places.iter_mut().find(|place| place.model == model);
-                if let Some(place) = place {
-                    place.adapters.retain(|held| *held != adapter);
+                let replica = self
+                    .replicas
+                    .iter_mut()
+                    .find(|replica| replica.model == model);
+                if let Some(replica) = replica {
+                    replica.adapters.retain(|held| *held != adapter);
                 }
             }
         }
@@ -118,11 +128,11 @@
         if let Some((_, order)) = self.under_way.filter(|(at_ms, _)| *at_ms <= now_ms) {
             self.under_way = None;
             match order {
-                Order::Load(model) => self.places.push(ModelReplica {
+                Order::Load(model) => self.replicas.push(ModelReplica {
                     model,
                     ..ModelReplica::default()
                 }),
-                Order::Unload(model) => self.places.retain(|place| place.model != model),
+                Order::Unload(model) => self.replicas.retain(|replica| replica.model != model),
                 Order::LoadAdapter(_) | Order::UnloadAdapter(_) => {}
             }
         }
@@ -196,7 +206,7 @@
                     id: &ids[number],
                     position: StorePosition::new(0, step + 1),
                     started_unix_ms: 0,
-                    places: row.places,
+                    replicas: row.replicas,
                     copies: Vec::new(),
                     is_serving: true,
                 },
@@ -287,7 +297,7 @@
         id: &id,
         position: StorePosition::new(0, 1),
         started_unix_ms: 0,
-        places: Vec::new(),
+        replicas: Vec::new(),
         copies: Vec::new(),
         is_serving: true,
     };
@@ -344,7 +354,7 @@
             id: &id,
             position: StorePosition::new(0, 1),
             started_unix_ms: 0,
-            places: vec![ModelReplica {
+            replicas: vec![ModelReplica {
                 model: 2,
                 adapters: vec![1],
                 ..ModelReplica::default()
@@ -355,7 +365,7 @@
     );
     ledger.reports_due(0);
     let state = WorkerState {
-        places: vec![ModelReplica {
+        replicas: vec![ModelReplica {
             model: 2,
             adapters: vec![1],
             ..ModelReplica::default()
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -195,13 +195,13 @@
 
 /// Sends a prompt when it is to be sent, and returns when that was.
 fn send(owned: &mut OwnedWorkers, now_ms: u64, number: u64) -> u64 {
-    let standing = owned.status(now_ms, WORKER, &[], 100.0);
+    let status = owned.status(now_ms, WORKER, &[], 100.0);
     let sent = SentRequest {
-        send_in_ms: standing.send_in_ms as u32,
+        send_in_ms: status.send_in_ms as u32,
         ..streamed(100.0)
     };
     owned.request_started(now_ms, WORKER, (1, number), sent, &[]);
-    now_ms + standing.send_in_ms as u64
+    now_ms + status.send_in_ms as u64
 }
 
 #[test]
@@ -226,9 +226,9 @@
     let mut owned = OwnedWorkers::default();
     send(&mut owned, 5_000, 1);
     // Predicted also where nothing is held back yet.
-    let standing = owned.status(5_000, WORKER, &[], 400.0);
-    assert!(standing.send_in_ms <= 0.0);
-    assert!(standing.pause_ms > 400.0, "{}", standing.pause_ms);
+    let status = owned.status(5_000, WORKER, &[], 400.0);
+    assert!(status.send_in_ms <= 0.0);
+    assert!(status.pause_ms > 400.0, "{}", status.pause_ms);
 }
 
 #[test]
@@ -252,8 +252,8 @@
         assert!(!owned.status(1, WORKER, &[], 0.0).is_aside);
         owned.request_ended(1, WORKER, (peer, 1), Outcome::Failed);
     }
-    let standing = owned.status(2, WORKER, &[], 0.0);
-    assert!(standing.is_aside && standing.failed_share > 0.3);
+    let status = owned.status(2, WORKER, &[], 0.0);
+    assert!(status.is_aside && status.failed_share > 0.3);
     assert!(!owned.status(30_000, WORKER, &[], 0.0).is_aside);
 }
 
@@ -273,10 +273,10 @@
                 2 => owned.request_ended(now_ms, worker, ticket, Outcome::Failed),
                 _ => owned.request_ended(now_ms, worker, ticket, Outcome::Whole),
             }
-            let standing = owned.status(now_ms, worker, &[number], f64::from(value));
-            prop_assert!(standing.load.open_count <= 18);
-            prop_assert!((1.0..=20.0).contains(&standing.slowdown_ratio));
-            prop_assert!(standing.load.unread_ms.iter().all(|unread_ms| *unread_ms >= 0.0));
+            let status = owned.status(now_ms, worker, &[number], f64::from(value));
+            prop_assert!(status.load.open_count <= 18);
+            prop_assert!((1.0..=20.0).contains(&status.slowdown_ratio));
+            prop_assert!(status.load.unread_ms.iter().all(|unread_ms| *unread_ms >= 0.0));
         }
         prop_assert_eq!(owned.status(now_ms + 20_000, 0, &[], 0.0).load.open_count, 0);
     }
--- a/crates/cranereach-fleet/tests/placing.rs
+++ b/crates/cranereach-fleet/tests/placing.rs
@@ -14,14 +14,14 @@
 use cranereach_fleet::placement::Planned;
 use cranereach_fleet::placement::WorkerView;
 
-fn place(model: u16) -> ModelReplica {
+fn replica(model: u16) -> ModelReplica {
     ModelReplica {
         model,
         ..ModelReplica::default()
     }
 }
 
-fn coming(model: u16) -> ModelReplica {
+fn loading(model: u16) -> ModelReplica {
     ModelReplica {
         model,
         is_loading: true,
@@ -29,9 +29,9 @@
     }
 }
 
-fn worker(places: &[ModelReplica]) -> WorkerView {
+fn worker(replicas: &[ModelReplica]) -> WorkerView {
     WorkerView {
-        places: places.to_vec(),
+        replicas: replicas.to_vec(),
         is_free: true,
         is_serving: true,
         copies: Vec::new(),
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_model_that_nobody_holds_is_loaded_where_there_is_room() {
-    let workers = [worker(&[place(0), place(1)]), worker(&[place(0)])];
+    let workers = [worker(&[replica(0), replica(1)]), worker(&[replica(0)])];
     let planned = next(&workers, &[((3, 0), 100.0)], true).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Load(3)));
     assert!(planned.is_from_store);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_copy_goes_before_the_weight_store() {
-    let mut with_copy = worker(&[place(0)]);
+    let mut with_copy = worker(&[replica(0)]);
     with_copy.copies = vec![3];
     let workers = [worker(&[]), with_copy];
     let planned = next(&workers, &[((3, 0), 500.0)], false).unwrap();
@@ -86,7 +86,10 @@
 
 #[test]
 fn a_busy_model_spreads_and_a_cold_one_makes_way() {
-    let workers = [worker(&[place(7), place(1)]), worker(&[place(2), place(3)])];
+    let workers = [
+        worker(&[replica(7), replica(1)]),
+        worker(&[replica(2), replica(3)]),
+    ];
     let demand = [((7, 0), 4_000.0), ((2, 0), 400.0), ((3, 0), 1.0)];
     let planned = next(&workers, &demand, true).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Unload(3)));
@@ -97,23 +100,23 @@
     // Found on a day of high load: the one ready replica was unloaded because
     // a second one, seconds from being ready, counted as much.
     let workers = [
-        worker(&[place(7), place(1)]),
-        worker(&[coming(7), place(2)]),
-        worker(&[place(3), place(4)]),
+        worker(&[replica(7), replica(1)]),
+        worker(&[loading(7), replica(2)]),
+        worker(&[replica(3), replica(4)]),
     ];
     let mut demand: Vec<_> = [1, 2, 3, 4, 7].map(|model| ((model, 0), 900.0)).to_vec();
     demand.push(((0, 0), 3_000.0));
     assert_eq!(next(&workers, &demand, true), None);
     // Once it is ready, one of the two may go.
     let mut loaded = workers;
-    loaded[1].places[0].is_loading = false;
+    loaded[1].replicas[0].is_loading = false;
     let planned = next(&loaded, &demand, true).unwrap();
     assert_eq!(planned.order, Order::Unload(7));
 }
 
 #[test]
 fn without_demand_nothing_moves() {
-    let workers = [worker(&[place(0), place(1)]), worker(&[place(2)])];
+    let workers = [worker(&[replica(0), replica(1)]), worker(&[replica(2)])];
     assert_eq!(next(&workers, &[], true), None);
 }
 
@@ -126,8 +129,8 @@
     };
     let workers = [
         worker(std::slice::from_ref(&full)),
-        worker(&[coming(0)]),
-        worker(&[place(0)]),
+        worker(&[loading(0)]),
+        worker(&[replica(0)]),
     ];
     let planned = next(&workers, &[((0, 3), 10.0)], true).unwrap();
     assert_eq!(
@@ -142,7 +145,7 @@
 
 #[test]
 fn an_adapter_that_the_model_lacks_is_never_ordered() {
-    let workers = [worker(&[place(0)])];
+    let workers = [worker(&[replica(0)])];
     assert_eq!(next(&workers, &[((0, 9), 10.0)], false), None);
 }
 
@@ -159,9 +162,9 @@
 fn a_replica_goes_where_time_is_left() {
     // Both have room, but one of them is busy with another model.
     let workers = [
-        worker(&[place(6)]),
-        worker(&[place(5)]),
-        worker(&[place(7), place(4)]),
+        worker(&[replica(6)]),
+        worker(&[replica(5)]),
+        worker(&[replica(7), replica(4)]),
     ];
     let demand = [((7, 0), 900.0), ((6, 0), 800.0), ((5, 0), 100.0)];
     let planned = next(&workers, &demand, true).unwrap();
@@ -170,8 +173,8 @@
 
 #[test]
 fn models_that_share_a_worker_need_more_replicas_than_those_apart() {
-    let apart = [worker(&[place(6)]), worker(&[place(7)]), worker(&[])];
-    let together = [worker(&[place(6), place(7)]), worker(&[]), worker(&[])];
+    let apart = [worker(&[replica(6)]), worker(&[replica(7)]), worker(&[])];
+    let together = [worker(&[replica(6), replica(7)]), worker(&[]), worker(&[])];
     // Each model alone would leave its worker idle for most of the time.
     let demand = [((6, 0), 250.0), ((7, 0), 250.0)];
     let is_copied = |workers: &[WorkerView]| {
@@ -195,20 +198,27 @@
     wanted.into_iter().find_map(|((model, adapter), _)| {
         let all = workers.iter().enumerate();
         let holders = all.filter_map(|(index, worker)| {
-            let place = worker.places.iter().find(|place| place.model == model)?;
-            let is_holder = worker.carries_demand() && place.is_ready();
-            is_holder.then_some((index, worker, place))
+            let replica = worker
+                .replicas
+                .iter()
+                .find(|replica| replica.model == model)?;
+            let is_holder = worker.carries_demand() && replica.is_ready();
+            is_holder.then_some((index, worker, replica))
         });
         let holders: Vec<_> = holders.collect();
         if holders
             .iter()
-            .any(|(_, _, place)| place.adapters.contains(&adapter))
+            .any(|(_, _, replica)| replica.adapters.contains(&adapter))
         {
             return None;
         }
         let free = holders.iter().filter(|(_, worker, _)| worker.is_free);
         let count = |worker: &WorkerView| -> usize {
-            worker.places.iter().map(|place| place.adapters.len()).sum()
+            worker
+                .replicas
+                .iter()
+                .map(|replica| replica.adapters.len())
+                .sum()
         };
         let (index, worker, _) = free.min_by_key(|(_, worker, _)| count(worker))?;
         (count(worker) < 2).then_some((*index, (model, adapter)))
@@ -223,15 +233,15 @@
         let workers: Vec<WorkerView> = (0..30)
             .map(|_| {
                 let first = rng.random_range(0..8_u16);
-                let mut places = vec![place(first), place((first + 1) % 8)];
-                places[0].adapters = (1..=4).filter(|_| rng.random_bool(0.2)).take(1).collect();
-                places[0].is_loading = rng.random_bool(0.1);
-                places[1].is_unloading = rng.random_bool(0.1);
+                let mut replicas = vec![replica(first), replica((first + 1) % 8)];
+                replicas[0].adapters = (1..=4).filter(|_| rng.random_bool(0.2)).take(1).collect();
+                replicas[0].is_loading = rng.random_bool(0.1);
+                replicas[1].is_unloading = rng.random_bool(0.1);
                 WorkerView {
                     is_free: rng.random_bool(0.7),
                     is_serving: rng.random_bool(0.9),
                     is_evacuated: rng.random_bool(0.1),
-                    ..worker(&places)
+                    ..worker(&replicas)
                 }
             })
             .collect();
--- a/crates/cranereach-fleet/tests/quarantine/fleet.rs
+++ b/crates/cranereach-fleet/tests/quarantine/fleet.rs
@@ -327,7 +327,7 @@
     fn pass(&mut self, to: usize, news: &[SuspectUpdate]) {
         if !self.rng.random_bool(LOST_SHARE) {
             for of in news {
-                self.instances[to].merge(self.now_ms, of);
+                self.instances[to].apply_update(self.now_ms, of);
             }
         }
     }
--- a/crates/cranereach-fleet/tests/quarantine/joining.rs
+++ b/crates/cranereach-fleet/tests/quarantine/joining.rs
@@ -39,16 +39,16 @@
 fn ends_that_three_instances_saw_add_up() {
     let mut counting = Quarantine::default();
     for worker in 1..=2 {
-        counting.merge(9_000, &news(&seen([worker]), 9_000));
+        counting.apply_update(9_000, &news(&seen([worker]), 9_000));
         assert!(!counting.suspicion(mark(1)).is_quarantined);
     }
     // The third came under a try whose sender knew of the others.
     let mut third = Quarantine::default();
-    third.merge(9_000, &news(&counting, 9_000));
+    third.apply_update(9_000, &news(&counting, 9_000));
     third.ended(9_500, mark(1), 3, true);
     assert_eq!(third.suspicion(mark(1)), QUARANTINED);
     assert_eq!(
-        counting.merge(9_600, &news(&third, 9_600)),
+        counting.apply_update(9_600, &news(&third, 9_600)),
         Change::Suspicion
     );
     assert_eq!(counting.suspicion(mark(1)), QUARANTINED);
@@ -60,7 +60,7 @@
     let told = news(&instance, 1_000);
     // Also where it was told by someone who stood still meanwhile.
     for now_ms in [1_000, 1_010, 3_000, 9_000] {
-        assert_eq!(instance.merge(now_ms, &told), Change::None);
+        assert_eq!(instance.apply_update(now_ms, &told), Change::None);
     }
     assert_eq!(instance.suspicion(mark(1)).end_count, 1);
 }
@@ -91,7 +91,7 @@
         other.ended(1_000, mark(1), worker, false);
     }
     assert_eq!(
-        other.merge(2_100, &news(&instance, 2_100)),
+        other.apply_update(2_100, &news(&instance, 2_100)),
         Change::Suspicion
     );
     assert!(other.suspicion(mark(1)).is_quarantined);
@@ -110,7 +110,7 @@
         let now_ms = 1_100 + round as i64 * 50;
         let told = news(&instances[round % 2], now_ms);
         // On its way for a while, so that what it tells of looks younger.
-        let change = instances[(round + 1) % 2].merge(now_ms + 40, &told);
+        let change = instances[(round + 1) % 2].apply_update(now_ms + 40, &told);
         assert_eq!(change, Change::None, "round {round}");
     }
 }
@@ -119,17 +119,17 @@
 fn a_whole_answer_ends_the_suspicion_wherever_it_is_told() {
     let mut instance = seen([1, 2, 3]);
     let mut other = Quarantine::default();
-    other.merge(5_000, &news(&instance, 5_000));
+    other.apply_update(5_000, &news(&instance, 5_000));
     assert_eq!(other.suspicion(mark(1)), QUARANTINED);
     instance.clear(6_000, mark(1));
     assert_eq!(
-        other.merge(6_100, &news(&instance, 6_100)),
+        other.apply_update(6_100, &news(&instance, 6_100)),
         Change::Suspicion
     );
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
     // Who was cut off meanwhile doesn't bring it back.
     let behind = news(&seen([1, 2, 3]), 5_000);
-    other.merge(5_500, &behind);
+    other.apply_update(5_500, &behind);
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
 }
 
@@ -220,12 +220,12 @@
         let mut forward = Quarantine::default();
         let mut shuffled = Quarantine::default();
         for news in &told {
-            forward.merge(60_000, news);
+            forward.apply_update(60_000, news);
         }
         for place in order {
             if let Some(news) = told.get(place) {
-                shuffled.merge(60_000, news);
-                shuffled.merge(60_000, news);
+                shuffled.apply_update(60_000, news);
+                shuffled.apply_update(60_000, news);
             }
         }
         assert_eq!(forward.suspicion(mark(1)), shuffled.suspicion(mark(1)));
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -174,20 +174,23 @@
         held_tokens: 9_000.0,
         ..Load::default()
     };
-    let standing = |load: Load| WorkerStatus {
+    let status = |load: Load| WorkerStatus {
         load,
         slowdown_ratio: 1.0,
         ..WorkerStatus::default()
     };
-    roster.get_mut("b").unwrap().set_standing(0, standing(load));
+    roster
+        .get_mut("b")
+        .unwrap()
+        .set_owner_status(0, status(load));
     assert_eq!(choose(&roster, 1, &request).as_deref(), Ok("a"));
     // An owner's word counts while it is fresh, the newest one alone.
     assert_eq!(choose(&roster, 10_000, &request).as_deref(), Ok("b"));
-    let idle = standing(Load::default());
-    roster.get_mut("b").unwrap().set_standing(2, idle);
+    let idle = status(Load::default());
+    roster.get_mut("b").unwrap().set_owner_status(2, idle);
     assert_eq!(choose(&roster, 3, &request).as_deref(), Ok("b"));
     // An owner that is new knows less than this instance itself.
-    roster.get_mut("a").unwrap().set_standing(2, idle);
+    roster.get_mut("a").unwrap().set_owner_status(2, idle);
     assert_eq!(roster.get("a").unwrap().load(3).open_count, 1);
     let worker = roster.get_mut("a").unwrap();
     worker.read(1, 50.0);
--- a/crates/cranereach-fleet/tests/starts_again.rs
+++ b/crates/cranereach-fleet/tests/starts_again.rs
@@ -14,7 +14,7 @@
         id,
         position: StorePosition::new(0, version),
         started_unix_ms,
-        places: Vec::new(),
+        replicas: Vec::new(),
         copies: Vec::new(),
         is_serving: true,
     };
--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -44,13 +44,13 @@
 /// Performs the next step for the lease: nothing, one read or one write of its row.
 pub async fn advance(
     node: &Node,
-    tenure: &mut LeaseState,
+    lease_state: &mut LeaseState,
     candidacy: &mut Candidacy,
     service: &Arc<str>,
 ) {
     let now_ms = node.now_ms();
     if node.is_stopping() {
-        release(node, tenure, candidacy, service).await;
+        release(node, lease_state, candidacy, service).await;
         return;
     }
     let key = worker_key(service);
@@ -58,16 +58,16 @@
     if is_holder_heard {
         candidacy.candidate_since_ms = None;
     }
-    tenure.enter_era(node.store.eras().newest());
-    announce_ended_term(node, tenure, now_ms, key);
+    lease_state.enter_era(node.store.eras().newest());
+    announce_ended_term(node, lease_state, now_ms, key);
     for ended in node.peers().ended_terms(now_ms, key) {
-        tenure.record_ended_term(ended);
+        lease_state.record_ended_term(ended);
     }
     if now_ms < candidacy.next_call_at_ms {
         return;
     }
-    let step = tenure.step(now_ms, is_holder_heard);
-    if !tenure.is_holder() && step != Step::Wait {
+    let step = lease_state.step(now_ms, is_holder_heard);
+    if !lease_state.is_holder() && step != Step::Wait {
         // The first candidate in rank reads first, and so may also write first.
         let since_ms = *candidacy.candidate_since_ms.get_or_insert(now_ms);
         let rank = node.peers().members().rank(now_ms, key);
@@ -77,9 +77,9 @@
     }
     match step {
         Step::Wait => {}
-        Step::Read => read(node, tenure, candidacy, service).await,
+        Step::Read => read(node, lease_state, candidacy, service).await,
         Step::Write { expected } => {
-            write(node, tenure, candidacy, service, expected).await;
+            write(node, lease_state, candidacy, service, expected).await;
         }
     }
 }
@@ -91,9 +91,9 @@
 }
 
 /// Announces to peers whether a term of this instance has expired.
-fn announce_ended_term(node: &Node, tenure: &LeaseState, now_ms: u64, service: u64) {
+fn announce_ended_term(node: &Node, lease_state: &LeaseState, now_ms: u64, service: u64) {
     let mut ended = lock(&node.ended_leases);
-    let is_unchanged = match tenure.ended(now_ms) {
+    let is_unchanged = match lease_state.ended(now_ms) {
         Some(term) => ended.insert(service, term) == Some(term),
         None => ended.remove(&service).is_none(),
     };
@@ -112,7 +112,7 @@
 }
 
 /// Reads the lease row.
-async fn read(node: &Node, tenure: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
+async fn read(node: &Node, lease_state: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
     let rows = node.store.read(TABLE).await;
     store_pace::count_read(node, "lease", &rows);
     let now_ms = node.now_ms();
@@ -121,7 +121,7 @@
             let row = rows.rows.iter().find(|row| row.key == service);
             let position = rows.position_of(service);
             let content = row.and_then(|row| serde_json::from_slice(&row.value).ok());
-            tenure.read(now_ms, position, content);
+            lease_state.read(now_ms, position, content);
         }
         Err(_failed) => candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS,
     }
@@ -130,7 +130,7 @@
 /// Writes the lease row to acquire or renew the lease.
 async fn write(
     node: &Node,
-    tenure: &mut LeaseState,
+    lease_state: &mut LeaseState,
     candidacy: &mut Candidacy,
     service: &str,
     expected: StorePosition,
@@ -145,15 +145,15 @@
     let outcome = store_pace::count_write(node, "lease_write", &written);
     match written {
         Ok(WriteAnswer::Done(position)) => {
-            tenure.written(sent_at_ms, position);
+            lease_state.written(sent_at_ms, position);
             candidacy.candidate_since_ms = None;
         }
-        Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => tenure.conflicted(),
+        Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => lease_state.conflicted(),
         Err(StoreError::NotDone(_) | StoreError::HistoryGone) => {
             candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
         Err(StoreError::Unknown(_) | StoreError::OtherEra) => {
-            tenure.unanswered(now_ms);
+            lease_state.unanswered(now_ms);
             candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
     }
@@ -164,12 +164,17 @@
 }
 
 /// Releases the lease on the first call; later calls do nothing.
-async fn release(node: &Node, tenure: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
+async fn release(
+    node: &Node,
+    lease_state: &mut LeaseState,
+    candidacy: &mut Candidacy,
+    service: &str,
+) {
     if candidacy.has_released {
         return;
     }
     candidacy.has_released = true;
-    if let Some(position) = tenure.release() {
+    if let Some(position) = lease_state.release() {
         let content = content(node, position.era, true);
         // If the write fails, the successor waits for the end of the term.
         let _written = node
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct ServiceController {
     service: Arc<str>,
-    tenure: LeaseState,
+    lease_state: LeaseState,
     candidacy: Candidacy,
     ledger: Ledger,
     load_budget: TokenBucket,
@@ -95,7 +95,7 @@
         for controller in controllers.values_mut() {
             lease::advance(
                 &node,
-                &mut controller.tenure,
+                &mut controller.lease_state,
                 &mut controller.candidacy,
                 &controller.service,
             )
@@ -138,7 +138,7 @@
     fn new(node: &Node, service: Arc<str>, engine: &Engine) -> Self {
         let settings = &node.settings;
         Self {
-            tenure: LeaseState::new(&settings.instance.id, settings.bounds.lease_ms),
+            lease_state: LeaseState::new(&settings.instance.id, settings.bounds.lease_ms),
             candidacy: Candidacy::default(),
             ledger: Ledger::default(),
             load_budget: TokenBucket::new(
@@ -180,10 +180,10 @@
     /// Runs one round: plans and sends orders if the lease permits it now.
     fn run_round(&mut self, node: &Arc<Node>, sender: &mut OrderSender) {
         let now_ms = node.now_ms();
-        let is_ordering = self.tenure.may_order(now_ms);
+        let is_ordering = self.lease_state.may_order(now_ms);
         if is_ordering != self.was_ordering {
             info!(node.log, "lease"; "service" => self.service.as_ref(),
-                "held" => is_ordering, "token" => self.tenure.token(now_ms));
+                "held" => is_ordering, "token" => self.lease_state.token(now_ms));
             node.metrics.leases_held.set(i64::from(is_ordering));
             self.was_ordering = is_ordering;
             self.ledger.clear();
@@ -213,7 +213,7 @@
         }
         for (worker, open, sent_count) in self.ledger.resends_due(now_ms) {
             sender.send_order(
-                &self.tenure,
+                &self.lease_state,
                 &self.service,
                 engine,
                 &worker,
@@ -269,7 +269,7 @@
                 if planned.is_from_store {
                     self.load_budget.take(now_ms);
                 }
-                sender.send_order(&self.tenure, &self.service, engine, &id, open, 1);
+                sender.send_order(&self.lease_state, &self.service, engine, &id, open, 1);
             }
             // Only the view of the worker that got the order has changed.
             let worker = &mut workers[planned.worker];
@@ -331,7 +331,7 @@
         let mut announced = Announced {
             adapters: self.unlisted_adapters(node, engine),
             withheld: Vec::new(),
-            coming: self.ledger.loading(node.now_ms()),
+            loading: self.ledger.loading(node.now_ms()),
         };
         let unloads = self.ledger.unloading();
         announced.withheld = unloads.map(|(id, model)| (worker_key(id), model)).collect();
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -108,7 +108,7 @@
     /// Sends an order, provided that the lease still permits it at the moment of sending.
     pub fn send_order(
         &mut self,
-        tenure: &LeaseState,
+        lease_state: &LeaseState,
         service: &Arc<str>,
         engine: &Engine,
         worker: &Arc<str>,
@@ -121,13 +121,22 @@
         let name = name.map(|model| model.name.to_string());
         let node = Arc::clone(&self.node);
         let completions = self.completions.clone();
-        let tenure = tenure.clone();
+        let lease_state = lease_state.clone();
         let service = Arc::clone(service);
         let worker = Arc::clone(worker);
         tokio::spawn(async move {
             let end = match (client, name) {
                 (Some(client), Some(name)) => {
-                    send(&node, &client, &tenure, &worker, name, open, sent_count).await
+                    send(
+                        &node,
+                        &client,
+                        &lease_state,
+                        &worker,
+                        name,
+                        open,
+                        sent_count,
+                    )
+                    .await
                 }
                 _ => OrderEnd::NotSent,
             };
@@ -179,13 +188,13 @@
 async fn send(
     node: &Node,
     client: &JsonClient,
-    tenure: &LeaseState,
+    lease_state: &LeaseState,
     worker: &Arc<str>,
     model: String,
     open: OpenOrder,
     sent_count: u32,
 ) -> OrderEnd {
-    let Some(token) = tenure.token(node.now_ms()) else {
+    let Some(token) = lease_state.token(node.now_ms()) else {
         return OrderEnd::NotSent;
     };
     let kind = match open.order {
@@ -205,7 +214,7 @@
     let permit = || async {
         let permit = send_permit::ask(node, worker, Purpose::Order, LEAST_URGENT_RANK).await?;
         // Last check of the lease before the order is sent.
-        (tenure.token(node.now_ms()) == Some(token)).then_some(permit)
+        (lease_state.token(node.now_ms()) == Some(token)).then_some(permit)
     };
     let answer = client
         .post_bytes_when(format.order_path, body, ORDER_TIMEOUT_MS, permit)
@@ -264,19 +273,21 @@
 
 /// Returns the worker state of a report, with adapters that are still loading counted as held.
 fn worker_state(engine: &Engine, report: &WorkerReport) -> WorkerState {
-    let mut places = view::places(engine, &report.models);
+    let mut replicas = view::replicas(engine, &report.models);
     for (model, adapter) in &report.pending {
         let model = engine.model_index(model);
-        let place = places.iter_mut().find(|place| Some(place.model) == model);
-        if let (Some(place), Some(adapter)) = (place, view::adapter_number(adapter))
-            && !place.adapters.contains(&adapter)
+        let replica = replicas
+            .iter_mut()
+            .find(|replica| Some(replica.model) == model);
+        if let (Some(replica), Some(adapter)) = (replica, view::adapter_number(adapter))
+            && !replica.adapters.contains(&adapter)
         {
-            place.adapters.push(adapter);
+            replica.adapters.push(adapter);
         }
     }
     WorkerState {
         sequence: report.sequence,
         is_busy: report.is_busy,
-        places,
+        replicas,
     }
 }
--- a/crates/cranereach-gateway/src/controller/view.rs
+++ b/crates/cranereach-gateway/src/controller/view.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the models and adapters that a worker holds, as numbers. Unknown ones are left out.
-pub fn places(engine: &Engine, models: &[HeldModel]) -> Vec<ModelReplica> {
+pub fn replicas(engine: &Engine, models: &[HeldModel]) -> Vec<ModelReplica> {
     models
         .iter()
         .filter_map(|held| {
@@ -57,7 +57,7 @@
                 id: &record.id,
                 position: worker.position,
                 started_unix_ms: record.started_unix_ms,
-                places: places(engine, &record.models),
+                replicas: replicas(engine, &record.models),
                 copies: copies.filter_map(|name| engine.model_index(name)).collect(),
                 is_serving,
             },
--- a/crates/cranereach-gateway/src/expected.rs
+++ b/crates/cranereach-gateway/src/expected.rs
@@ -80,7 +80,7 @@
 
 /// Returns the answer about a model from this instance as the lease holder.
 fn local_answer(announced: &Announced, model: u16) -> Word {
-    let at_ms = announced.coming.get(&model).copied();
+    let at_ms = announced.loading.get(&model).copied();
     at_ms.map_or(Word::NotLoading, Word::At)
 }
 
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -298,7 +298,7 @@
             rank: usize::from(self.call.rank),
             held_tokens: self.call.held_tokens,
             topology: &self.node.topology,
-            extra_start_delays_ms: lock(&self.node.ways).extra_start_delays_ms(),
+            extra_start_delays_ms: lock(&self.node.round_trips).extra_start_delays_ms(),
             regions: &self.call.regions,
             end_count: quarantine::suspicion(self.node, self.call).end_count,
             must_avoid_grants: self.has_exhausted_permits(),
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -72,7 +72,7 @@
     /// Models that are being unloaded: worker key, model.
     pub withheld: Vec<(u64, u16)>,
     /// Models that are being loaded, and when each is expected to be ready, in milliseconds.
-    pub coming: HashMap<u16, u64>,
+    pub loading: HashMap<u16, u64>,
 }
 
 /// State shared by all parts of an instance.
@@ -157,7 +157,7 @@
     /// Pending questions to owners of workers.
     pub questions: Questions<Quote>,
     /// Round-trip times to owners of workers, by distance.
-    pub ways: Mutex<RoundTrips>,
+    pub round_trips: Mutex<RoundTrips>,
     /// Parts of accounts' limits that this instance owns.
     pub owned_limits: Mutex<OwnedLimits>,
     /// This instance's usage of accounts' limits.
@@ -259,7 +259,7 @@
             pools: Mutex::default(),
             owned: Mutex::default(),
             questions: Questions::default(),
-            ways: Mutex::default(),
+            round_trips: Mutex::default(),
             owned_limits: Mutex::default(),
             uses: Mutex::default(),
             limit_questions: Questions::default(),
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -42,7 +42,7 @@
     ticket: u64,
 }
 
-/// Asks the owners of the given workers for the workers' standing with respect to a prompt, and
+/// Asks the owners of the given workers for the workers' status with respect to a prompt, and
 /// records the answers. `token_ms` is the time to read one token of the prompt.
 pub async fn ask(
     node: &Node,
@@ -68,8 +68,8 @@
         let key = worker_key(worker);
         let owner = owner_of(node, key);
         if owner == node.own_ip() {
-            let standing = own_standing(node, key, &question_template);
-            record_standing(node, worker, standing);
+            let status = own_worker_status(node, key, &question_template);
+            record_status(node, worker, status);
         } else {
             let distance = node.distance_to(owner).unwrap_or(Distance::OtherRegion);
             let unanswered = PendingQuestion {
@@ -96,7 +96,7 @@
         node.peers()
             .members_mut()
             .reply_missed(now_ms, pending.owner);
-        lock(&node.ways).reply_missed(pending.distance);
+        lock(&node.round_trips).reply_missed(pending.distance);
     }
 }
 
@@ -117,7 +117,7 @@
     let started = Instant::now();
     let waits = pending
         .values()
-        .map(|pending| lock(&node.ways).wait_ms(pending.distance));
+        .map(|pending| lock(&node.round_trips).wait_ms(pending.distance));
     let Some(wait_ms) = waits.max() else { return };
     let deadline = node.instant(node.now_ms() + wait_ms);
     while !pending.is_empty() {
@@ -127,9 +127,9 @@
         };
         if let Some(matched) = pending.remove(&quote.worker) {
             let took_ms = started.elapsed().as_secs_f64() * 1_000.0;
-            lock(&node.ways).reply_received(matched.distance, took_ms);
+            lock(&node.round_trips).reply_received(matched.distance, took_ms);
             node.peers().members_mut().reply_received(matched.owner);
-            record_standing(node, matched.worker, decode_standing(&quote));
+            record_status(node, matched.worker, decode_status(&quote));
             if let Some(limit) = &quote.limit {
                 named_limits::apply_peer_limit(node, quote.worker, limit);
             }
@@ -215,13 +215,13 @@
             if let Some(limit) = &ask.limit {
                 named_limits::apply_peer_limit(node, worker, limit);
             }
-            let standing = own_standing(node, worker, &ask);
+            let status = own_worker_status(node, worker, &ask);
             let roster = node.roster();
             let known = roster.by_key(worker);
             return Some(Quote {
                 limit: known.and_then(|entry| entry.limit_word(now_ms)),
                 leaving_start: known.and_then(Worker::leaving_start),
-                ..encode_standing(worker, ticket, &standing)
+                ..encode_status(worker, ticket, &status)
             });
         }
         OwnerEvent::Begun(opening, chains) => {
@@ -246,8 +246,8 @@
     None
 }
 
-/// Returns the standing of a worker that this instance owns.
-fn own_standing(node: &Node, worker: u64, ask: &OwnerAsk) -> WorkerStatus {
+/// Returns the status of a worker that this instance owns.
+fn own_worker_status(node: &Node, worker: u64, ask: &OwnerAsk) -> WorkerStatus {
     let now_ms = node.now_ms();
     let chains = &ask.chains[..ask.chains.len().min(PROMPT_PART_MAX_COUNT)];
     let mut owned = lock(&node.owned);
@@ -282,11 +282,11 @@
     )
 }
 
-/// Records the standing of a worker in the roster.
-fn record_standing(node: &Node, worker: &Arc<str>, standing: WorkerStatus) {
+/// Records the status of a worker in the roster.
+fn record_status(node: &Node, worker: &Arc<str>, status: WorkerStatus) {
     let now_ms = node.now_ms();
     if let Some(worker) = node.roster().get_mut(worker) {
-        worker.set_standing(now_ms, standing);
+        worker.set_owner_status(now_ms, status);
     }
 }
 
@@ -303,26 +303,26 @@
     );
 }
 
-/// Encodes the standing of a worker for the wire.
-fn encode_standing(worker: u64, ticket: u64, standing: &WorkerStatus) -> Quote {
+/// Encodes the status of a worker for the wire.
+fn encode_status(worker: u64, ticket: u64, status: &WorkerStatus) -> Quote {
     Quote {
         ticket,
         worker,
-        load: encode_load(&standing.load),
-        kept_part_count: standing.kept_part_count as u32,
-        pace_percent: (standing.slowdown_ratio * 100.0) as u32,
-        failed_percent: (standing.failed_share * 100.0) as u32,
-        is_aside: standing.is_aside,
-        has_suspect: standing.has_suspect,
-        send_in_ms: standing.send_in_ms as u32,
-        pause_ms: standing.pause_ms as u32,
+        load: encode_load(&status.load),
+        kept_part_count: status.kept_part_count as u32,
+        pace_percent: (status.slowdown_ratio * 100.0) as u32,
+        failed_percent: (status.failed_share * 100.0) as u32,
+        is_aside: status.is_aside,
+        has_suspect: status.has_suspect,
+        send_in_ms: status.send_in_ms as u32,
+        pause_ms: status.pause_ms as u32,
         limit: None,
         leaving_start: None,
     }
 }
 
-/// Decodes the standing of a worker from the wire.
-fn decode_standing(quote: &Quote) -> WorkerStatus {
+/// Decodes the status of a worker from the wire.
+fn decode_status(quote: &Quote) -> WorkerStatus {
     WorkerStatus {
         load: decode_load(&quote.load),
         kept_part_count: quote.kept_part_count as usize,
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -166,7 +166,7 @@
     for news in reported.iter().take(GOSSIPED_MAX_COUNT) {
         let mut quarantine = lock(&node.quarantine);
         let was_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
-        change = change.max(quarantine.merge(now_ms, news));
+        change = change.max(quarantine.apply_update(now_ms, news));
         let is_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
         drop(quarantine);
         if was_quarantined != is_quarantined {
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/lasting.rs
@@ -67,7 +67,7 @@
         for news in row.requests.iter().take(STORED_MAX_COUNT) {
             // Skips requests that have been cleared in the meantime.
             if !quarantine.is_cleared(news.mark()) {
-                quarantine.merge(now_ms, news);
+                quarantine.apply_update(now_ms, news);
             }
         }
         drop(quarantine);
--- a/crates/cranereach-gateway/src/recipients.rs
+++ b/crates/cranereach-gateway/src/recipients.rs
@@ -62,9 +62,9 @@
     /// Groups the living peers by distance.
     pub fn of(members: &Membership, topology: &Topology, now_ms: u64) -> Self {
         let mut by_distance = Self::default();
-        let around = topology.proximity_of(topology.own_domain());
+        let proximity = topology.proximity_of(topology.own_domain());
         for (address, domain) in members.alive_with_domains(now_ms) {
-            match around.distance(domain) {
+            match proximity.distance(domain) {
                 Distance::OwnDomain => by_distance.near.push(address),
                 Distance::OwnRegion => by_distance
                     .own_region
