--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -96,15 +96,15 @@
 /// Time to grant units.
 fn grant_us(count: usize) -> f64 {
     let mut owned = OwnedLimits::default();
-    let wanted = UnitRequest {
-        least: COST,
-        most: COST,
+    let request = UnitRequest {
+        min_units: COST,
+        max_units: COST,
     };
     let mut account = 0;
     let mut take = || {
         account = (account + 1) % count as u64;
         let key = PartKey { account, part: 0 };
-        black_box(owned.take(1, key, LIMIT, &TOLERANCE, wanted, Ownership::Settled));
+        black_box(owned.take(1, key, LIMIT, &TOLERANCE, request, Ownership::Settled));
     };
     for _account in 0..count {
         take();
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -166,7 +166,7 @@
     };
     let topology = Topology::default();
     let regions = AllowedRegions::Any;
-    let wanted = RoutingRequest {
+    let request = RoutingRequest {
         event_tokens: 3,
         service: "models",
         model: Some(("m0", None)),
@@ -188,9 +188,9 @@
     let mut rng = rand::rng();
     time_us(|| {
         let engine = Some(&engine);
-        let candidates = roster.candidates(0, &wanted, engine, CANDIDATE_COUNT, &mut rng);
+        let candidates = roster.candidates(0, &request, engine, CANDIDATE_COUNT, &mut rng);
         let candidates = candidates.unwrap_or_default();
-        let chosen = roster.choose_among(0, &candidates, &wanted, engine, &mut rng);
+        let chosen = roster.choose_among(0, &candidates, &request, engine, &mut rng);
         black_box(chosen.is_ok());
     })
 }
--- a/crates/cranereach-fleet/src/limits.rs
+++ b/crates/cranereach-fleet/src/limits.rs
@@ -120,9 +120,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnitRequest {
     /// Minimum that is of use to the caller.
-    pub least: f64,
+    pub min_units: f64,
     /// Maximum that the caller accepts.
-    pub most: f64,
+    pub max_units: f64,
 }
 
 /// An owner's answer.
@@ -142,7 +142,7 @@
     /// An owner must be asked for the rest; the units already held are set aside for the request.
     Ask {
         /// Units to ask for.
-        wanted: UnitRequest,
+        request: UnitRequest,
         /// Units set aside; given back if the request does not run.
         held: f64,
     },
@@ -198,10 +198,13 @@
         }
         // Takes all units, so that concurrent requests do not count on the same ones.
         let held = mem::take(&mut usage.balance);
-        let least = cost - held;
-        let most = least + usage.prefetch_units(now_ms, tolerance);
+        let min_units = cost - held;
+        let max_units = min_units + usage.prefetch_units(now_ms, tolerance);
         Decision::Ask {
-            wanted: UnitRequest { least, most },
+            request: UnitRequest {
+                min_units,
+                max_units,
+            },
             held,
         }
     }
--- a/crates/cranereach-fleet/src/limits/owned.rs
+++ b/crates/cranereach-fleet/src/limits/owned.rs
@@ -77,7 +77,7 @@
         key: PartKey,
         limit: Limit,
         tolerance: &Tolerance,
-        wanted: UnitRequest,
+        request: UnitRequest,
         ownership: Ownership,
     ) -> Grant {
         if self.parts.len() >= OWNED_MAX_COUNT {
@@ -120,11 +120,11 @@
         part.bucket.change(now_ms, rate_per_s, capacity);
         // A request larger than the bucket is granted when the bucket is full; the debt is paid off
         // afterwards.
-        let least = wanted.least.min(capacity);
-        match part.bucket.wait_ms(now_ms, least) {
+        let min_units = request.min_units.min(capacity);
+        match part.bucket.wait_ms(now_ms, min_units) {
             0 => {
-                let most = wanted.most.min(part.bucket.level(now_ms));
-                let units = wanted.least.max(most);
+                let max_units = request.max_units.min(part.bucket.level(now_ms));
+                let units = request.min_units.max(max_units);
                 part.bucket.spend(now_ms, units);
                 Grant::Units(units)
             }
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -308,7 +308,7 @@
     }
 
     /// Records that a worker prefilled a request's prompt, and the time that it took.
-    pub fn prompt_prefilled(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
+    pub fn prefilled(&mut self, now_ms: u64, worker: u64, ticket: Ticket, took_ms: f64) {
         let Some(state) = self.worker_entry(now_ms, worker) else {
             return;
         };
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -104,7 +104,7 @@
     /// Time of the last change of this entry on this instance, in milliseconds.
     changed_at_ms: i64,
     /// What this instance itself has observed.
-    seen: LocalObservations,
+    observed: LocalObservations,
 }
 
 /// Evidence against a request.
--- a/crates/cranereach-fleet/src/quarantine/local.rs
+++ b/crates/cranereach-fleet/src/quarantine/local.rs
@@ -32,7 +32,7 @@
     /// Ends of workers that ran it.
     pub ends: Vec<WorkerEnd>,
     /// What this instance has observed.
-    pub seen: LocalObservations,
+    pub observed: LocalObservations,
 }
 
 impl Quarantine {
@@ -40,8 +40,8 @@
     pub fn refused(&mut self, now_ms: i64, mark: RequestMark) -> u64 {
         self.suspects.get_mut(&mark).map_or(0, |suspect| {
             suspect.requested_at_ms = now_ms;
-            suspect.seen.refused_count += 1;
-            suspect.seen.refused_count
+            suspect.observed.refused_count += 1;
+            suspect.observed.refused_count
         })
     }
 
@@ -57,13 +57,13 @@
         let Some(suspect) = self.suspects.get_mut(&mark) else {
             return;
         };
-        let seen = &mut suspect.seen;
-        seen.route = Arc::clone(route);
-        seen.account = Arc::from(account);
+        let observed = &mut suspect.observed;
+        observed.route = Arc::clone(route);
+        observed.account = Arc::from(account);
         if let Some((key, id)) = worker
-            && seen.workers.len() < KEPT_END_COUNT
+            && observed.workers.len() < KEPT_END_COUNT
         {
-            seen.workers.push((key, Arc::clone(id)));
+            observed.workers.push((key, Arc::clone(id)));
         }
     }
 
@@ -85,7 +85,7 @@
             fingerprint: mark.fingerprint,
             suspicion: suspect.suspicion(),
             ends: suspect.ends.clone(),
-            seen: suspect.seen.clone(),
+            observed: suspect.observed.clone(),
         })
     }
 }
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -281,11 +281,11 @@
     pub fn choose<R: Rng>(
         &self,
         now_ms: u64,
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Choice, NoWorker> {
-        let scored = self.score_all(now_ms, wanted, engine, rng)?;
+        let scored = self.score_all(now_ms, request, engine, rng)?;
         Ok(cheapest(scored))
     }
 
@@ -295,14 +295,14 @@
         &self,
         now_ms: u64,
         among: &[Arc<str>],
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Choice, NoWorker> {
         let workers = || among.iter().filter_map(|id| self.workers.get(id));
         let known = workers().filter(|worker| worker.owner_status(now_ms).is_some());
         let evacuations = &self.evacuations;
-        let scored = match score_workers(now_ms, known, evacuations, wanted, engine, rng) {
+        let scored = match score_workers(now_ms, known, evacuations, request, engine, rng) {
             Ok(scored)
                 if scored
                     .iter()
@@ -310,7 +310,7 @@
             {
                 scored
             }
-            Ok(_) | Err(_) => score_workers(now_ms, workers(), evacuations, wanted, engine, rng)?,
+            Ok(_) | Err(_) => score_workers(now_ms, workers(), evacuations, request, engine, rng)?,
         };
         Ok(cheapest(scored))
     }
--- a/crates/cranereach-fleet/src/roster/candidates.rs
+++ b/crates/cranereach-fleet/src/roster/candidates.rs
@@ -32,12 +32,12 @@
     pub fn candidates<R: Rng>(
         &self,
         now_ms: u64,
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         count: usize,
         rng: &mut R,
     ) -> Result<Vec<Arc<str>>, NoWorker> {
-        let mut scored = self.score_all(now_ms, wanted, engine, rng)?;
+        let mut scored = self.score_all(now_ms, request, engine, rng)?;
         scored.sort_unstable_by(|left, right| left.cost.total_cmp(&right.cost));
         let healthy_count = scored.partition_point(|candidate| candidate.cost < EJECTED_PENALTY_MS);
         // Workers to be avoided, as they are ejected or were tried before, are asked about only if
@@ -46,9 +46,9 @@
         if engine.is_some() {
             let nearest = scored
                 .iter()
-                .map(|candidate| distance(wanted, candidate))
+                .map(|candidate| distance(request, candidate))
                 .min();
-            scored.retain(|candidate| Some(distance(wanted, candidate)) == nearest);
+            scored.retain(|candidate| Some(distance(request, candidate)) == nearest);
         }
         Ok(best_and_random(&scored, count, rng))
     }
@@ -59,12 +59,12 @@
         &self,
         now_ms: u64,
         asked: &[Arc<str>],
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         count: usize,
         rng: &mut R,
     ) -> Vec<Arc<str>> {
-        let Ok(mut scored) = self.score_all(now_ms, wanted, engine, rng) else {
+        let Ok(mut scored) = self.score_all(now_ms, request, engine, rng) else {
             return Vec::new();
         };
         let is_asked = |candidate: &ScoredWorker<'_>| asked.contains(&candidate.worker.record.id);
@@ -74,7 +74,7 @@
             .map(|candidate| candidate.cost);
         let best = costs.fold(f64::INFINITY, f64::min);
         scored.retain(|candidate| {
-            let min_gain = MIN_GAIN_BY_DISTANCE_MS[distance(wanted, candidate) as usize];
+            let min_gain = MIN_GAIN_BY_DISTANCE_MS[distance(request, candidate) as usize];
             !is_asked(candidate)
                 && candidate.cost < EJECTED_PENALTY_MS
                 && candidate.cost + min_gain < best
@@ -85,8 +85,8 @@
 }
 
 /// Returns the distance from this instance to a worker.
-fn distance(wanted: &RoutingRequest<'_>, candidate: &ScoredWorker<'_>) -> Distance {
-    wanted
+fn distance(request: &RoutingRequest<'_>, candidate: &ScoredWorker<'_>) -> Distance {
+    request
         .topology
         .distance(&candidate.worker.record.failure_domain)
 }
--- a/crates/cranereach-fleet/src/roster/holders.rs
+++ b/crates/cranereach-fleet/src/roster/holders.rs
@@ -78,18 +78,18 @@
     pub(super) fn score_all<R: Rng>(
         &self,
         now_ms: u64,
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
         rng: &mut R,
     ) -> Result<Vec<ScoredWorker<'_>>, NoWorker> {
         let evacuations = &self.evacuations;
-        let Some((model, _adapter)) = wanted.model else {
-            let workers = self.of_service(wanted.service);
-            return score_workers(now_ms, workers, evacuations, wanted, engine, rng);
+        let Some((model, _adapter)) = request.model else {
+            let workers = self.of_service(request.service);
+            return score_workers(now_ms, workers, evacuations, request, engine, rng);
         };
-        let holders = self.holders_of(wanted.service, model);
-        score_workers(now_ms, holders, evacuations, wanted, engine, rng)
-            .map_err(|reason| reason.max(self.reason_without_model(wanted, model)))
+        let holders = self.holders_of(request.service, model);
+        score_workers(now_ms, holders, evacuations, request, engine, rng)
+            .map_err(|reason| reason.max(self.reason_without_model(request, model)))
     }
 
     /// Iterates over the workers of a service whose rows list a model.
@@ -99,15 +99,15 @@
     }
 
     /// Returns why none of the workers that don't list a model can take a request for it.
-    fn reason_without_model(&self, wanted: &RoutingRequest<'_>, model: &str) -> NoWorker {
-        let mut others = self.of_service(wanted.service).filter(|worker| {
+    fn reason_without_model(&self, request: &RoutingRequest<'_>, model: &str) -> NoWorker {
+        let mut others = self.of_service(request.service).filter(|worker| {
             let mut held = worker.record.models.iter();
             !worker.is_leaving() && held.all(|held| held.name.as_ref() != model)
         });
         let mut reason = NoWorker::None;
         let is_allowed = others.any(|worker| {
             reason = NoWorker::NotAllowed;
-            wanted.may_be_served_at(&worker.record)
+            request.may_be_served_at(&worker.record)
         });
         if is_allowed {
             NoWorker::NoModel
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -63,23 +63,26 @@
     pub fn next_ask_and_free_ms(
         &self,
         now_ms: u64,
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
     ) -> Option<(u64, u64)> {
         let is_blocked = |worker: &&Worker| {
-            let may_send = worker.rest.may_send(now_ms, wanted.rank)
-                && worker.ask_pause.may_ask(now_ms, wanted.rank);
-            !worker.is_leaving() && worker.has(now_ms, wanted.model).is_ok() && !may_send
+            let may_send = worker.rest.may_send(now_ms, request.rank)
+                && worker.ask_pause.may_ask(now_ms, request.rank);
+            !worker.is_leaving() && worker.has(now_ms, request.model).is_ok() && !may_send
         };
-        let all: Vec<&Worker> = match wanted.model {
+        let all: Vec<&Worker> = match request.model {
             Some((model, _adapter)) => {
-                let holders = self.holders_of(wanted.service, model);
+                let holders = self.holders_of(request.service, model);
                 holders.filter(is_blocked).collect()
             }
-            None => self.of_service(wanted.service).filter(is_blocked).collect(),
+            None => self
+                .of_service(request.service)
+                .filter(is_blocked)
+                .collect(),
         };
         let times = all.into_iter().map(|worker| {
-            let rested_at_ms = worker.rest.may_send_from_ms(wanted.rank);
-            let ask_at_ms = worker.ask_pause.ask_at_ms(wanted.rank).max(rested_at_ms);
+            let rested_at_ms = worker.rest.may_send_from_ms(request.rank);
+            let ask_at_ms = worker.ask_pause.ask_at_ms(request.rank).max(rested_at_ms);
             let is_limited = worker.limit.rate_per_s(now_ms).is_some();
             // It is not known when a limit ends, so the time of its next possible grant counts.
             let may_send_from_ms = if is_limited {
--- a/crates/cranereach-fleet/src/roster/scoring.rs
+++ b/crates/cranereach-fleet/src/roster/scoring.rs
@@ -34,7 +34,7 @@
     now_ms: u64,
     workers: impl Iterator<Item = &'a Worker>,
     evacuations: &Evacuations,
-    wanted: &RoutingRequest<'_>,
+    request: &RoutingRequest<'_>,
     engine: Option<&Engine>,
     rng: &mut R,
 ) -> Result<Vec<ScoredWorker<'a>>, NoWorker> {
@@ -45,11 +45,11 @@
             reason = reason.max(NoWorker::Leaving);
             continue;
         }
-        if !wanted.may_be_served_at(&worker.record) {
+        if !request.may_be_served_at(&worker.record) {
             reason = reason.max(NoWorker::NotAllowed);
             continue;
         }
-        let held = worker.has(now_ms, wanted.model);
+        let held = worker.has(now_ms, request.model);
         if !evacuations.may_send(now_ms, worker.domain_key) {
             let lacks_model = held == Err(NoWorker::NoModel);
             reason = reason.max(if lacks_model {
@@ -67,11 +67,11 @@
             reason = reason.max(NoWorker::Unreachable);
             continue;
         }
-        if !worker.rest.may_send(now_ms, wanted.rank) {
+        if !worker.rest.may_send(now_ms, request.rank) {
             reason = reason.max(NoWorker::Resting);
             continue;
         }
-        if !worker.may_ask(now_ms, wanted) {
+        if !worker.may_ask(now_ms, request) {
             let is_limited = worker.limit.rate_per_s(now_ms).is_some();
             reason = reason.max(if is_limited {
                 NoWorker::Limited
@@ -80,11 +80,11 @@
             });
             continue;
         }
-        if wanted.end_count >= ALONE_FROM_COUNT && worker.has_suspect(now_ms) {
+        if request.end_count >= ALONE_FROM_COUNT && worker.has_suspect(now_ms) {
             reason = reason.max(NoWorker::NotAlone);
             continue;
         }
-        let mut estimate = worker.estimate(now_ms, wanted, engine);
+        let mut estimate = worker.estimate(now_ms, request, engine);
         if evacuations.is_listed(worker.domain_key) {
             estimate.cost_ms += EVACUATED_PENALTY_MS;
         }
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -166,15 +166,15 @@
     }
 
     /// Notes a request that is sent to the worker, with the time to prefill its prompt.
-    pub fn began(&mut self, now_ms: u64, wanted: &RoutingRequest<'_>, unread_ms: f64) {
-        let rank = wanted.rank.min(RANK_COUNT - 1);
+    pub fn began(&mut self, now_ms: u64, request: &RoutingRequest<'_>, unread_ms: f64) {
+        let rank = request.rank.min(RANK_COUNT - 1);
         self.health.tried(now_ms);
         self.own_load.open_count += 1;
         self.own_load.waiting_count[rank] += 1;
         self.own_load.unread_ms[rank] += unread_ms;
-        self.own_load.stay_ms += wanted.stay_ms + unread_ms;
-        self.own_load.held_tokens += f64::from(wanted.held_tokens);
-        self.cached_prefixes.sent(now_ms, wanted.parts);
+        self.own_load.stay_ms += request.stay_ms + unread_ms;
+        self.own_load.held_tokens += f64::from(request.held_tokens);
+        self.cached_prefixes.sent(now_ms, request.parts);
     }
 
     /// Notes that a request's prompt has been prefilled.
@@ -318,7 +318,7 @@
     pub(crate) fn estimate(
         &self,
         now_ms: u64,
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
     ) -> Estimate {
         let load = self.load(now_ms);
@@ -330,22 +330,22 @@
         let open_count = load.open_count.max(reported.0 + reported.1);
         let owner_status = self.owner_status(now_ms);
         let cached_tokens = self
-            .estimated_cached_tokens(owner_status, wanted)
-            .min(wanted.prompt_tokens);
+            .estimated_cached_tokens(owner_status, request)
+            .min(request.prompt_tokens);
         let token_ms =
-            wanted.token_ms * owner_status.map_or(1.0, |owner_status| owner_status.slowdown_ratio);
-        let unread_tokens = wanted.prompt_tokens - cached_tokens;
+            request.token_ms * owner_status.map_or(1.0, |owner_status| owner_status.slowdown_ratio);
+        let unread_tokens = request.prompt_tokens - cached_tokens;
         let slot_count = engine.map_or(self.record.slot_count, |engine| engine.slot_count);
         // Workers without an engine serve calls in order of arrival, whatever their rank.
-        let rank = engine.map_or(RANK_COUNT, |_| wanted.rank);
+        let rank = engine.map_or(RANK_COUNT, |_| request.rank);
         let slot_wait_ms = load.slot_wait_ms(rank, slot_count);
         // The prompts ahead are prefilled while this request waits for its slot.
-        let queued_ms = load.ahead_ms(wanted.rank).max(slot_wait_ms);
+        let queued_ms = load.ahead_ms(request.rank).max(slot_wait_ms);
         let send_in_ms = self.send_in_ms(now_ms);
         let queued_ms = queued_ms.max(send_in_ms);
         let mut estimate = Estimate {
             unread_tokens,
-            begins_in_ms: queued_ms + wanted.fixed_ms + f64::from(unread_tokens) * token_ms,
+            begins_in_ms: queued_ms + request.fixed_ms + f64::from(unread_tokens) * token_ms,
             send_in_ms: send_in_ms as u64,
             slot_count,
             // While a request is held back, its timing says nothing about how fast prompts are
@@ -357,24 +357,24 @@
         };
         if let Some(engine) = engine {
             let usable_tokens = engine.kv_tokens as f64 * 0.9;
-            let excess_tokens = load.held_tokens + f64::from(wanted.held_tokens) - usable_tokens;
+            let excess_tokens = load.held_tokens + f64::from(request.held_tokens) - usable_tokens;
             estimate.cost_ms = estimate.begins_in_ms
                 + load.slot_contention_ms(engine.slot_count)
                 + load
-                    .prefill_pause_cost_ms(f64::from(unread_tokens) * token_ms, wanted.gap_aim_ms)
+                    .prefill_pause_cost_ms(f64::from(unread_tokens) * token_ms, request.gap_aim_ms)
                 + f64::from(open_count) * RUNNING_PENALTY_MS
                 + f64::from(reported.1) * WAITING_PENALTY_MS
                 + excess_tokens.max(0.0) * token_ms;
         } else {
             // Such an answer is passed on as a whole, so it begins when the call has run.
-            estimate.begins_in_ms += wanted.stay_ms;
+            estimate.begins_in_ms += request.stay_ms;
             let slots = f64::from(slot_count.max(1));
             estimate.cost_ms = f64::from(open_count + reported.1) / slots * 50.0;
         }
-        if wanted.end_count > 0 {
+        if request.end_count > 0 {
             estimate.cost_ms += f64::from(open_count) * CRASH_RISK_PENALTY_MS;
         }
-        estimate.cost_ms = self.add_penalties(now_ms, wanted, estimate.cost_ms);
+        estimate.cost_ms = self.add_penalties(now_ms, request, estimate.cost_ms);
         estimate
     }
 
@@ -382,11 +382,11 @@
     fn estimated_cached_tokens(
         &self,
         owner_status: Option<&WorkerStatus>,
-        wanted: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
     ) -> u32 {
-        let own_tokens = self.cached_prefixes.cached_tokens(wanted.parts);
+        let own_tokens = self.cached_prefixes.cached_tokens(request.parts);
         let owner_part_count = owner_status.map_or(0, |owner_status| owner_status.kept_part_count);
-        let owner_tokens = wanted
+        let owner_tokens = request
             .parts
             .iter()
             .take(owner_part_count)
@@ -396,11 +396,11 @@
     }
 
     /// Adds to a cost the penalties for distance, health and earlier attempts.
-    fn add_penalties(&self, now_ms: u64, wanted: &RoutingRequest<'_>, cost_ms: f64) -> f64 {
+    fn add_penalties(&self, now_ms: u64, request: &RoutingRequest<'_>, cost_ms: f64) -> f64 {
         let mut cost_ms = cost_ms;
-        let distance = wanted.topology.distance(&self.record.failure_domain);
+        let distance = request.topology.distance(&self.record.failure_domain);
         if distance != Distance::OwnDomain {
-            cost_ms += OTHER_DOMAIN_PENALTY_MS + wanted.extra_start_delays_ms[distance as usize];
+            cost_ms += OTHER_DOMAIN_PENALTY_MS + request.extra_start_delays_ms[distance as usize];
         }
         let owner_status = self.owner_status(now_ms);
         let owner_failed_share = owner_status.map_or(0.0, |owner_status| owner_status.failed_share);
@@ -410,7 +410,7 @@
         {
             cost_ms = cost_ms * 20.0 + EJECTED_PENALTY_MS;
         }
-        if wanted.tried.contains(&self.record.id) {
+        if request.tried.contains(&self.record.id) {
             cost_ms = cost_ms * 20.0 + 400_000.0;
         }
         cost_ms
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -10,10 +10,10 @@
 impl Worker {
     /// Whether a request may be sent to the worker as far as grants go, be it after asking its
     /// owner for one.
-    pub(crate) fn may_ask(&self, now_ms: u64, wanted: &RoutingRequest<'_>) -> bool {
+    pub(crate) fn may_ask(&self, now_ms: u64, request: &RoutingRequest<'_>) -> bool {
         let was_refused_cold = self.coldness.is_cold(now_ms) && self.ask_pause.was_refused();
         let needs_grant = was_refused_cold || self.limit.rate_per_s(now_ms).is_some();
-        self.ask_pause.may_ask(now_ms, wanted.rank) && !(needs_grant && wanted.must_avoid_grants)
+        self.ask_pause.may_ask(now_ms, request.rank) && !(needs_grant && request.must_avoid_grants)
     }
 
     /// Returns what peers are told of the worker's limit, if it named one recently.
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::load::Load;
 use cranereach_fleet::owned::WorkerStatus;
@@ -63,7 +63,7 @@
 ) -> RoutingRequest<'a> {
     RoutingRequest {
         topology,
-        ..wanted(model)
+        ..routing_request(model)
     }
 }
 
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::evacuation::EvacuationList;
 use cranereach_fleet::key::worker_key;
@@ -63,11 +63,11 @@
         roster.put(at(1), record(id, &[("m", &[])]));
     }
     let among = [Arc::from("a"), Arc::from("b")];
-    let wanted = wanted(Some(("m", None)));
+    let routing_request = routing_request(Some(("m", None)));
     let chosen = |roster: &Roster, now_ms: u64| {
         let mut rng = SmallRng::seed_from_u64(1);
         let engine = engine(8);
-        let choice = roster.choose_among(now_ms, &among, &wanted, Some(&engine), &mut rng);
+        let choice = roster.choose_among(now_ms, &among, &routing_request, Some(&engine), &mut rng);
         choice.unwrap().id.to_string()
     };
     let busy = WorkerStatus {
@@ -79,7 +79,10 @@
         slowdown_ratio: 1.0,
         ..WorkerStatus::default()
     };
-    roster.get_mut("b").unwrap().began(0, &wanted, 400.0);
+    roster
+        .get_mut("b")
+        .unwrap()
+        .began(0, &routing_request, 400.0);
     assert_eq!(chosen(&roster, 900), "a");
     roster.get_mut("b").unwrap().set_owner_status(1_000, busy);
     assert_eq!(chosen(&roster, 1_010), "b");
@@ -110,7 +113,7 @@
         }
         let request = RoutingRequest {
             end_count,
-            ..wanted(None)
+            ..routing_request(None)
         };
         let mut rng = SmallRng::seed_from_u64(1);
         let chosen = roster.choose(1_000, &request, None, &mut rng);
@@ -152,7 +155,7 @@
         let request = RoutingRequest {
             end_count,
             parts: &parts,
-            ..wanted(Some(("m", None)))
+            ..routing_request(Some(("m", None)))
         };
         let mut rng = SmallRng::seed_from_u64(1);
         roster
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::departure::DepartureSource;
 use cranereach_fleet::departure::Said;
@@ -35,8 +35,8 @@
 
 fn choose(roster: &Roster, model: Option<&'static str>) -> Result<String, NoWorker> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let wanted = wanted(model.map(|model| (model, None)));
-    let choice = roster.choose(1_000, &wanted, None, &mut rng);
+    let routing_request = routing_request(model.map(|model| (model, None)));
+    let choice = roster.choose(1_000, &routing_request, None, &mut rng);
     choice.map(|choice| choice.id.to_string())
 }
 
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::key::incarnation_key;
 use cranereach_fleet::key::worker_key;
@@ -46,7 +46,7 @@
 fn barred(roster: &Roster) -> Option<Barred> {
     let barred = roster.barred(RESTORED_MS, "w", Purpose::Call, 0);
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = roster.choose(RESTORED_MS, &wanted(None), None, &mut rng);
+    let choice = roster.choose(RESTORED_MS, &routing_request(None), None, &mut rng);
     assert_eq!(choice.is_ok(), barred.is_none(), "{barred:?}");
     barred
 }
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::roster::Choice;
 use cranereach_fleet::roster::Roster;
@@ -32,7 +32,7 @@
     roster.get_mut("a").unwrap().set_owner_status(1_000, status);
     let mut rng = SmallRng::seed_from_u64(1);
     let among = [Arc::from("a")];
-    let chosen = roster.choose_among(now_ms, &among, &wanted(None), None, &mut rng);
+    let chosen = roster.choose_among(now_ms, &among, &routing_request(None), None, &mut rng);
     chosen.unwrap()
 }
 
--- a/crates/cranereach-fleet/tests/holders.rs
+++ b/crates/cranereach-fleet/tests/holders.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::roster::Roster;
 use cranereach_fleet::store_position::StorePosition;
@@ -67,8 +67,9 @@
                 roster.put(at(version), record);
             }
             for model in MODELS {
-                let wanted = wanted(Some((model, None)));
-                let candidates = roster.candidates(0, &wanted, None, WORKER_COUNT, &mut rng);
+                let routing_request = routing_request(Some((model, None)));
+                let candidates =
+                    roster.candidates(0, &routing_request, None, WORKER_COUNT, &mut rng);
                 let candidates = candidates.map(|mut ids| {
                     ids.sort_unstable();
                     ids
--- a/crates/cranereach-fleet/tests/limits/fleet.rs
+++ b/crates/cranereach-fleet/tests/limits/fleet.rs
@@ -174,13 +174,13 @@
             while owed > 0.0 {
                 let cost = f64::from(self.rng.random_range(200..5_000_u32));
                 owed -= cost;
-                self.request(cost);
+                self.charge(cost);
             }
         }
     }
 
     /// One request at some instance that is up.
-    pub fn request(&mut self, cost: f64) {
+    pub fn charge(&mut self, cost: f64) {
         let number = self.rng.random_range(0..self.instances.len());
         if !self.is_up(number) {
             return;
@@ -189,15 +189,15 @@
         let decision = self.instances[number]
             .uses
             .decide(now_ms, ACCOUNT, self.limit, &TOLERANCE, cost);
-        let (wanted, held) = match decision {
+        let (request, held) = match decision {
             Decision::Paid => return self.paid(number, cost),
             Decision::Beyond(_) => {
                 self.counts.refused += 1;
                 return;
             }
-            Decision::Ask { wanted, held } => (wanted, held),
+            Decision::Ask { request, held } => (request, held),
         };
-        let grant = self.ask(number, wanted);
+        let grant = self.ask(number, request);
         let uses = &mut self.instances[number].uses;
         match grant {
             Some(Grant::Units(units)) => {
@@ -240,7 +240,7 @@
     }
 
     /// Asks owners as the gateway does.
-    pub fn ask(&mut self, number: usize, wanted: UnitRequest) -> Option<Grant> {
+    pub fn ask(&mut self, number: usize, request: UnitRequest) -> Option<Grant> {
         let part_count = TOLERANCE.part_count(self.limit);
         let first: u32 = self.rng.random();
         let mut refusal = None;
@@ -271,7 +271,7 @@
             let grant =
                 asked
                     .owned
-                    .take(self.now_ms, key, self.limit, &TOLERANCE, wanted, ownership);
+                    .take(self.now_ms, key, self.limit, &TOLERANCE, request, ownership);
             match grant {
                 Grant::Units(units) => return Some(Grant::Units(units)),
                 refused @ Grant::After(_) => refusal = Some(refused),
--- a/crates/cranereach-fleet/tests/limits/main.rs
+++ b/crates/cranereach-fleet/tests/limits/main.rs
@@ -209,16 +209,16 @@
     let limit = limit(100_000.0);
     let mut uses = AccountUsages::default();
     let ask = |decision: Decision| match decision {
-        Decision::Ask { wanted, held } => (wanted, held),
+        Decision::Ask { request, held } => (request, held),
         other => panic!("{other:?}"),
     };
     let (first, held) = ask(uses.decide(0, ACCOUNT, limit, &TOLERANCE, 1_000.0));
-    assert_eq!((first.least, held), (1_000.0, 0.0));
+    assert_eq!((first.min_units, held), (1_000.0, 0.0));
     uses.granted(0, ACCOUNT, 2_900.0, 1_000.0);
     let (second, held) = ask(uses.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
-    assert_eq!((second.least, held), (100.0, 1_900.0));
+    assert_eq!((second.min_units, held), (100.0, 1_900.0));
     let (third, held) = ask(uses.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
-    assert_eq!((third.least, held), (2_000.0, 0.0));
+    assert_eq!((third.min_units, held), (2_000.0, 0.0));
     // What it may hold in advance pays for the next one; the rest goes to an owner.
     let surplus = uses.give_back(1, ACCOUNT, &TOLERANCE, 1_900.0);
     let kept = 1_900.0 - surplus;
@@ -228,7 +228,7 @@
         Decision::Paid
     );
     let (last, held) = ask(uses.decide(2, ACCOUNT, limit, &TOLERANCE, 1_000.0));
-    assert_eq!((last.least, held), (1_000.0, 0.0));
+    assert_eq!((last.min_units, held), (1_000.0, 0.0));
 }
 
 #[test]
@@ -242,12 +242,12 @@
         account: ACCOUNT,
         part: 0,
     };
-    let wanted = UnitRequest {
-        least: 5_000.0,
-        most: 5_000.0,
+    let request = UnitRequest {
+        min_units: 5_000.0,
+        max_units: 5_000.0,
     };
     let take = |owned: &mut OwnedLimits, now_ms: u64| {
-        owned.take(now_ms, key, limit, &TOLERANCE, wanted, Ownership::Fresh)
+        owned.take(now_ms, key, limit, &TOLERANCE, request, Ownership::Fresh)
     };
     let first = take(&mut owned, 0);
     let Grant::After(wait_ms) = first else {
--- a/crates/cranereach-fleet/tests/own_words/world.rs
+++ b/crates/cranereach-fleet/tests/own_words/world.rs
@@ -12,7 +12,7 @@
 
 use crate::judge::Record;
 use crate::workers::record;
-use crate::workers::wanted;
+use crate::workers::routing_request;
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Roster;
@@ -133,10 +133,10 @@
     format!("w{worker}")
 }
 
-fn wanted_of(rank: usize) -> RoutingRequest<'static> {
+fn routing_request_of(rank: usize) -> RoutingRequest<'static> {
     RoutingRequest {
         rank,
-        ..wanted(None)
+        ..routing_request(None)
     }
 }
 
@@ -282,9 +282,9 @@
 
     /// Chooses a worker for a call, if there is one.
     fn choose(&mut self, call: Call) {
-        let wanted = wanted_of(call.rank);
+        let routing_request = routing_request_of(call.rank);
         let roster = &self.instances[call.instance].roster;
-        let Ok(choice) = roster.choose(self.now_ms, &wanted, None, &mut self.rng) else {
+        let Ok(choice) = roster.choose(self.now_ms, &routing_request, None, &mut self.rng) else {
             return;
         };
         let call = Call {
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -37,7 +37,7 @@
     let load = owned.status(2, WORKER, &[], 0.0).load;
     assert_eq!((load.open_count, load.waiting_count), (2, [0, 2, 0]));
     assert!((load.unread_ms[1] - 120.0).abs() < 0.01);
-    owned.prompt_prefilled(80, WORKER, (1, 1), 80.0);
+    owned.prefilled(80, WORKER, (1, 1), 80.0);
     let load = owned.status(81, WORKER, &[], 0.0).load;
     assert_eq!((load.open_count, load.waiting_count), (2, [0, 1, 0]));
     owned.request_ended(500, WORKER, (1, 1), Outcome::Whole);
@@ -45,7 +45,7 @@
     assert_eq!(owned.status(501, WORKER, &[], 0.0).load.open_count, 0);
     // A word for the second time, or without the first, does no harm.
     owned.request_ended(502, WORKER, (2, 1), Outcome::Neutral);
-    owned.prompt_prefilled(502, WORKER, (9, 9), 80.0);
+    owned.prefilled(502, WORKER, (9, 9), 80.0);
     assert_eq!(owned.status(503, WORKER, &[], 0.0).load.open_count, 0);
 }
 
@@ -89,7 +89,7 @@
     let answer = |owned: &mut OwnedWorkers, at_ms: u64, peer: u32, took_ms: f64| {
         owned.request_started(at_ms, WORKER, (peer, at_ms), opening(100.0), &[]);
         let read_ms = at_ms + took_ms as u64;
-        owned.prompt_prefilled(read_ms, WORKER, (peer, at_ms), took_ms);
+        owned.prefilled(read_ms, WORKER, (peer, at_ms), took_ms);
         owned.request_ended(read_ms, WORKER, (peer, at_ms), Outcome::Whole);
     };
     for round in 0..5 {
@@ -125,7 +125,7 @@
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
         owned.request_started(0, WORKER, (peer, 1), opening(80.0), &[]);
-        owned.prompt_prefilled(80, WORKER, (peer, 1), 80.0);
+        owned.prefilled(80, WORKER, (peer, 1), 80.0);
         owned.request_ended(9_000, WORKER, (peer, 1), Outcome::Neutral);
     }
     assert!(!owned.status(9_000, WORKER, &[], 0.0).is_aside);
@@ -269,7 +269,7 @@
             let ticket = (peer, number);
             match kind {
                 0 => owned.request_started(now_ms, worker, ticket, opening(value), &[part(number)]),
-                1 => owned.prompt_prefilled(now_ms, worker, ticket, f64::from(value)),
+                1 => owned.prefilled(now_ms, worker, ticket, f64::from(value)),
                 2 => owned.request_ended(now_ms, worker, ticket, Outcome::Failed),
                 _ => owned.request_ended(now_ms, worker, ticket, Outcome::Whole),
             }
--- a/crates/cranereach-fleet/tests/regions.rs
+++ b/crates/cranereach-fleet/tests/regions.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::regions::AllowedRegions;
@@ -33,7 +33,7 @@
     let bound = RoutingRequest {
         topology: &topology,
         regions: &south,
-        ..wanted(None)
+        ..routing_request(None)
     };
     let mut rng = SmallRng::seed_from_u64(1);
     let mut roster = Roster::default();
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::rest::REST_MAX_MS;
@@ -93,9 +93,13 @@
     assert!(!rest.may_send(5_069, 0) && rest.may_send(5_070, 0));
 }
 
-fn choose(roster: &Roster, now_ms: u64, wanted: &RoutingRequest<'_>) -> Result<String, NoWorker> {
+fn choose(
+    roster: &Roster,
+    now_ms: u64,
+    routing_request: &RoutingRequest<'_>,
+) -> Result<String, NoWorker> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = roster.choose(now_ms, wanted, None, &mut rng);
+    let choice = roster.choose(now_ms, routing_request, None, &mut rng);
     choice.map(|choice| choice.id.to_string())
 }
 
@@ -106,16 +110,19 @@
         roster.put(at(5), record(id, &[("m", &[])]));
     }
     roster.put(at(5), record("c", &[]));
-    let wanted = wanted(Some(("m", None)));
+    let routing_request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().rest.requested(1_000, 3_000);
-    assert_eq!(choose(&roster, 1_000, &wanted).as_deref(), Ok("b"));
+    assert_eq!(choose(&roster, 1_000, &routing_request).as_deref(), Ok("b"));
     roster.get_mut("b").unwrap().rest.requested(1_000, 2_000);
-    assert_eq!(choose(&roster, 1_000, &wanted), Err(NoWorker::Resting));
-    let free = roster.next_ask_and_free_ms(1_000, &wanted);
+    assert_eq!(
+        choose(&roster, 1_000, &routing_request),
+        Err(NoWorker::Resting)
+    );
+    let free = roster.next_ask_and_free_ms(1_000, &routing_request);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(3_000 + 25), "by rank");
     // One that leaves is no hope.
     roster.note_leaving_announced(1_500, "b", 0);
-    let free = roster.next_ask_and_free_ms(1_500, &wanted);
+    let free = roster.next_ask_and_free_ms(1_500, &routing_request);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(4_000 + 25));
     let barred = |now_ms, purpose| roster.barred(now_ms, "a", purpose, 1);
     for purpose in [Purpose::Call, Purpose::Order, Purpose::Report] {
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::load::Load;
@@ -38,9 +38,13 @@
     }
 }
 
-fn choose(roster: &Roster, now_ms: u64, wanted: &RoutingRequest<'_>) -> Result<String, NoWorker> {
+fn choose(
+    roster: &Roster,
+    now_ms: u64,
+    routing_request: &RoutingRequest<'_>,
+) -> Result<String, NoWorker> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = roster.choose(now_ms, wanted, None, &mut rng);
+    let choice = roster.choose(now_ms, routing_request, None, &mut rng);
     choice.map(|choice| choice.id.to_string())
 }
 
@@ -95,7 +99,7 @@
         !roster.lapse(at(4), "back", 1_000),
         "an older end changes nothing"
     );
-    assert_matches!(choose(&roster, 500, &wanted(None)), Ok(_));
+    assert_matches!(choose(&roster, 500, &routing_request(None)), Ok(_));
     roster.put(at(9), record("back", &[]));
     // A later word of the same end gives no more time.
     assert!(roster.lapse(at(8), "lost", 2_000));
@@ -114,10 +118,16 @@
     assert!(roster.leaves(at(7), worker_key("a")));
     // A row from before it left comes late.
     roster.put(at(6), record("a", &[]));
-    assert_eq!(choose(&roster, 0, &wanted(None)), Err(NoWorker::Leaving));
+    assert_eq!(
+        choose(&roster, 0, &routing_request(None)),
+        Err(NoWorker::Leaving)
+    );
     // A newer row that says it is ready counts again.
     roster.put(at(7), record("a", &[]));
-    assert_eq!(choose(&roster, 0, &wanted(None)).as_deref(), Ok("a"));
+    assert_eq!(
+        choose(&roster, 0, &routing_request(None)).as_deref(),
+        Ok("a")
+    );
 }
 
 #[test]
@@ -134,7 +144,7 @@
         (Some(("m3", None)), Err(NoWorker::NoModel)),
     ];
     for (model, expected) in table {
-        let chosen = choose(&roster, 0, &wanted(model));
+        let chosen = choose(&roster, 0, &routing_request(model));
         assert_eq!(chosen.as_deref().map_err(|why| *why), expected, "{model:?}");
     }
     roster
@@ -142,12 +152,12 @@
         .unwrap()
         .note_adapter_loaded(0, "m2", "a2");
     assert_eq!(
-        choose(&roster, 1, &wanted(Some(("m2", Some("a2"))))).as_deref(),
+        choose(&roster, 1, &routing_request(Some(("m2", Some("a2"))))).as_deref(),
         Ok("b")
     );
     roster.get_mut("b").unwrap().lacks(2, "m2", Some("a2"));
     assert_matches!(
-        choose(&roster, 3, &wanted(Some(("m2", Some("a2"))))),
+        choose(&roster, 3, &routing_request(Some(("m2", Some("a2"))))),
         Err(NoWorker::NoAdapter)
     );
     roster
@@ -155,7 +165,7 @@
         .unwrap()
         .withhold([Arc::from("m2")].into());
     assert_matches!(
-        choose(&roster, 4, &wanted(Some(("m2", None)))),
+        choose(&roster, 4, &routing_request(Some(("m2", None)))),
         Err(NoWorker::NoModel)
     );
 }
@@ -165,7 +175,7 @@
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[("m", &[])]));
     roster.put(at(2), record("b", &[("m", &[])]));
-    let request = wanted(Some(("m", None)));
+    let request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().began(0, &request, 50.0);
     assert_eq!(choose(&roster, 0, &request).as_deref(), Ok("b"));
     let load = Load {
@@ -207,18 +217,24 @@
         roster.get_mut("a").unwrap().health.failed(now_ms);
     }
     assert!(roster.get("a").unwrap().health.is_ejected(100));
-    assert_eq!(choose(&roster, 100, &wanted(None)).as_deref(), Ok("b"));
+    assert_eq!(
+        choose(&roster, 100, &routing_request(None)).as_deref(),
+        Ok("b")
+    );
     assert!(!roster.get("a").unwrap().health.is_ejected(20_000));
     // Alone, it is better than none.
     roster.remove(at(3), "b");
-    assert_eq!(choose(&roster, 100, &wanted(None)).as_deref(), Ok("a"));
+    assert_eq!(
+        choose(&roster, 100, &routing_request(None)).as_deref(),
+        Ok("a")
+    );
 }
 
 #[test]
 fn a_worker_that_can_not_be_reached_is_tried_now_and_then() {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[("m", &[])]));
-    let request = wanted(Some(("m", None)));
+    let request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().health.unreachable(1_000);
     assert_eq!(
         choose(&roster, 1_010, &request),
@@ -257,7 +273,10 @@
     assert!(is_aside(&roster, 5_100));
     assert!(roster.unreachable(5_100).is_empty());
     // It may still be reached from here: the next call sees.
-    assert_eq!(choose(&roster, 5_110, &wanted(None)).as_deref(), Ok("a"));
+    assert_eq!(
+        choose(&roster, 5_110, &routing_request(None)).as_deref(),
+        Ok("a")
+    );
 }
 
 #[test]
@@ -266,7 +285,7 @@
     roster.put(at(1), record("a", &[("m", &[])]));
     roster.put(at(2), record("b", &[("m", &[])]));
     let parts = hash_parts("m", &[("shared", 600), ("own", 400)]);
-    let mut request = wanted(Some(("m", None)));
+    let mut request = routing_request(Some(("m", None)));
     request.parts = &parts;
     let worker = roster.get_mut("b").unwrap();
     worker.began(0, &request, 50.0);
@@ -285,7 +304,7 @@
     roster.put(at(1), record("a", &[("m", &[])]));
     roster.put(at(2), record("b", &[("m", &[])]));
     let engine = engine(8);
-    let mut request = wanted(Some(("m", None)));
+    let mut request = routing_request(Some(("m", None)));
     request.stay_ms = 1_000.0;
     // The other one has more to read, but nobody has to leave first.
     roster.get_mut("b").unwrap().began(0, &request, 90.0);
@@ -314,7 +333,7 @@
     roster.put(at(1), record("a", &[("m", &[])]));
     roster.put(at(2), record("b", &[("m", &[])]));
     let engine = engine(16);
-    let mut request = wanted(Some(("m", None)));
+    let mut request = routing_request(Some(("m", None)));
     request.stay_ms = 100.0;
     // Both run as many, but one of them has something to read already.
     for worker in ["a", "b"] {
@@ -344,8 +363,8 @@
 fn an_adapter_that_was_missing_is_asked_for_again_soon() {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[("m", &["a1"])]));
-    let with_adapter = wanted(Some(("m", Some("a1"))));
-    let bare = wanted(Some(("m", None)));
+    let with_adapter = routing_request(Some(("m", Some("a1"))));
+    let bare = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().lacks(0, "m", Some("a1"));
     assert_eq!(choose(&roster, 10, &with_adapter), Err(NoWorker::NoAdapter));
     assert_eq!(choose(&roster, 10, &bare).as_deref(), Ok("a"));
@@ -360,7 +379,7 @@
 fn an_urgent_request_waits_for_urgent_ones_alone() {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[("m", &[])]));
-    let mut request = wanted(Some(("m", None)));
+    let mut request = routing_request(Some(("m", None)));
     request.rank = 2;
     roster.get_mut("a").unwrap().began(0, &request, 400.0);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -391,7 +410,7 @@
     assert!(roster.put(at(2), started(2_000, &[("m1", &["a1"])])));
     let worker = roster.get("a").unwrap();
     assert!(!worker.health.is_ejected(10));
-    let of_adapter = wanted(Some(("m1", Some("a2"))));
+    let of_adapter = routing_request(Some(("m1", Some("a2"))));
     assert_eq!(choose(&roster, 10, &of_adapter), Err(NoWorker::NoAdapter));
     // A row of the same start changes nothing of that.
     roster
--- a/crates/cranereach-fleet/tests/workers/mod.rs
+++ b/crates/cranereach-fleet/tests/workers/mod.rs
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn wanted<'a>(model: Option<(&'a str, Option<&'a str>)>) -> RoutingRequest<'a> {
+pub fn routing_request<'a>(model: Option<(&'a str, Option<&'a str>)>) -> RoutingRequest<'a> {
     RoutingRequest {
         service: "s",
         model,
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -62,11 +62,11 @@
         let mut has_signaled_demand = false;
         loop {
             let now_ms = self.node.now_ms();
-            let wanted = self.wanted();
+            let routing_request = self.routing_request();
             let engine = call.service.engine.as_ref();
             let changed = self.node.roster_changed.notified();
             let expected = self.node.expected_changed.notified();
-            let chosen = self.choose_by_owners(&wanted, engine).await;
+            let chosen = self.choose_by_owners(&routing_request, engine).await;
             let why = match chosen {
                 Ok(choice) => match self.admit(&choice)? {
                     Some(recheck_in_ms) => {
@@ -84,7 +84,9 @@
                 self.node.demand_wanted.notify_one();
                 self.node.controller_wanted.notify_one();
             }
-            let wait_until_ms = self.wait_until_ms(why, &wanted).min(call.deadline_at_ms);
+            let wait_until_ms = self
+                .wait_until_ms(why, &routing_request)
+                .min(call.deadline_at_ms);
             if now_ms >= wait_until_ms {
                 let code = match why {
                     _ if self.may_have_run => ResultCode::OutcomeUnknown,
@@ -104,7 +106,7 @@
                         refusal.retry_after_ms = self.model_retry_after_ms();
                     }
                     NoWorker::Cold | NoWorker::Limited | NoWorker::Resting => {
-                        refusal.retry_after_ms = self.free_after_ms(&wanted);
+                        refusal.retry_after_ms = self.free_after_ms(&routing_request);
                         refusal.shortage_key =
                             (why == NoWorker::Limited).then(|| self.model_shortage_key());
                     }
@@ -127,7 +129,7 @@
 
     /// Returns the time until which the call waits for what it lacks, in milliseconds. It waits
     /// for a model only if that is expected early enough to answer within the latency target.
-    fn wait_until_ms(&self, why: NoWorker, wanted: &RoutingRequest<'_>) -> u64 {
+    fn wait_until_ms(&self, why: NoWorker, routing_request: &RoutingRequest<'_>) -> u64 {
         let received_ms = self.call.received_ms;
         let aim_at_ms = received_ms + self.call.route.latency_target_ms;
         match why {
@@ -138,7 +140,7 @@
                 let latest_ms = received_ms
                     + (self.call.route.latency_target_ms as f64 * GRANT_WAIT_SHARE) as u64;
                 let ask_at_ms = self
-                    .next_ask_and_free_ms(wanted)
+                    .next_ask_and_free_ms(routing_request)
                     .map(|(ask_at_ms, _)| ask_at_ms);
                 ask_at_ms
                     .filter(|at_ms| *at_ms <= latest_ms)
@@ -177,15 +179,19 @@
     /// Returns when asking for a grant is first worthwhile among the workers that currently
     /// accept no more calls, and when one of them can be used without a grant, both in
     /// milliseconds.
-    fn next_ask_and_free_ms(&self, wanted: &RoutingRequest<'_>) -> Option<(u64, u64)> {
+    fn next_ask_and_free_ms(&self, routing_request: &RoutingRequest<'_>) -> Option<(u64, u64)> {
         let now_ms = self.node.now_ms();
-        self.node.roster().next_ask_and_free_ms(now_ms, wanted)
+        self.node
+            .roster()
+            .next_ask_and_free_ms(now_ms, routing_request)
     }
 
     /// Returns the Retry-After of a call whose workers accept no more calls for now, in
     /// milliseconds.
-    fn free_after_ms(&self, wanted: &RoutingRequest<'_>) -> u64 {
-        let may_send_from_ms = self.next_ask_and_free_ms(wanted).map(|(_, at_ms)| at_ms);
+    fn free_after_ms(&self, routing_request: &RoutingRequest<'_>) -> u64 {
+        let may_send_from_ms = self
+            .next_ask_and_free_ms(routing_request)
+            .map(|(_, at_ms)| at_ms);
         let after_ms = may_send_from_ms.map_or(0, |at_ms| at_ms.saturating_sub(self.node.now_ms()));
         after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
@@ -199,44 +205,54 @@
     /// Chooses among a few candidates by the current state that their owners report.
     async fn choose_by_owners(
         &self,
-        wanted: &RoutingRequest<'_>,
+        routing_request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
     ) -> Result<Choice, NoWorker> {
         let node = self.node;
         let now_ms = node.now_ms();
-        let mut candidates =
-            node.roster()
-                .candidates(now_ms, wanted, engine, CANDIDATE_COUNT, &mut rand::rng())?;
-        self.ask_owners(wanted, &candidates).await;
+        let mut candidates = node.roster().candidates(
+            now_ms,
+            routing_request,
+            engine,
+            CANDIDATE_COUNT,
+            &mut rand::rng(),
+        )?;
+        self.ask_owners(routing_request, &candidates).await;
         if engine.is_some() {
             let now_ms = node.now_ms();
             let further = node.roster().further_candidates(
                 now_ms,
                 &candidates,
-                wanted,
+                routing_request,
                 engine,
                 CANDIDATE_COUNT,
                 &mut rand::rng(),
             );
-            self.ask_owners(wanted, &further).await;
+            self.ask_owners(routing_request, &further).await;
             candidates.extend(further);
         }
         let now_ms = node.now_ms();
         let roster = node.roster();
-        roster.choose_among(now_ms, &candidates, wanted, engine, &mut rand::rng())
+        roster.choose_among(
+            now_ms,
+            &candidates,
+            routing_request,
+            engine,
+            &mut rand::rng(),
+        )
     }
 
     /// Asks the owners of some workers for the state of these workers.
-    async fn ask_owners(&self, wanted: &RoutingRequest<'_>, workers: &[Arc<str>]) {
+    async fn ask_owners(&self, routing_request: &RoutingRequest<'_>, workers: &[Arc<str>]) {
         if workers.is_empty() {
             return;
         }
         owners::ask(
             self.node,
             workers,
-            wanted.parts,
-            wanted.prompt_tokens,
-            wanted.token_ms,
+            routing_request.parts,
+            routing_request.prompt_tokens,
+            routing_request.token_ms,
             self.may_retry(),
         )
         .await;
@@ -282,7 +298,7 @@
     }
 
     /// Returns the requirements of the call for the choice of a worker.
-    pub(super) fn wanted(&self) -> RoutingRequest<'_> {
+    pub(super) fn routing_request(&self) -> RoutingRequest<'_> {
         let pace = workload::pace(self.node, self.call);
         let engine = self.call.service.engine.as_ref();
         RoutingRequest {
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -69,36 +69,36 @@
     pub fn begin(
         node: &Arc<Node>,
         choice: &Choice,
-        wanted: &RoutingRequest<'_>,
+        routing_request: &RoutingRequest<'_>,
         (service, route): (&Arc<str>, &Arc<str>),
         answer_tokens: u32,
         deadline_at_ms: u64,
         send_in_ms: u64,
     ) -> Self {
         let now_ms = node.now_ms();
-        let reading_ms = f64::from(choice.unread_tokens) * wanted.token_ms;
+        let reading_ms = f64::from(choice.unread_tokens) * routing_request.token_ms;
         let mut domain = Arc::default();
         let mut distance = Distance::OtherRegion;
         if let Some(worker) = node.roster().get_mut(&choice.id) {
-            worker.began(now_ms, wanted, reading_ms);
+            worker.began(now_ms, routing_request, reading_ms);
             domain = Arc::clone(&worker.record.failure_domain);
-            distance = wanted.topology.distance(&domain);
+            distance = routing_request.topology.distance(&domain);
         }
         node.metrics.open_requests.inc();
         let open_in_domain = &node.metrics.open_in_domain;
         open_in_domain.with_label_values(&[domain.as_ref()]).inc();
         let opening = SentRequest {
-            rank: wanted.rank.min(RANK_COUNT - 1) as u8,
+            rank: routing_request.rank.min(RANK_COUNT - 1) as u8,
             unread_ms: reading_ms as f32,
-            stay_ms: (wanted.stay_ms + reading_ms) as f32,
-            held_tokens: wanted.held_tokens,
+            stay_ms: (routing_request.stay_ms + reading_ms) as f32,
+            held_tokens: routing_request.held_tokens,
             ends_within_ms: deadline_at_ms.saturating_sub(now_ms) as u32,
-            gap_aim_ms: wanted.gap_aim_ms.unwrap_or_default() as u32,
-            event_tokens: wanted.event_tokens,
+            gap_aim_ms: routing_request.gap_aim_ms.unwrap_or_default() as u32,
+            event_tokens: routing_request.event_tokens,
             send_in_ms: send_in_ms as u32,
-            runs_alone: wanted.end_count >= ALONE_FROM_COUNT,
+            runs_alone: routing_request.end_count >= ALONE_FROM_COUNT,
         };
-        let owner_ticket = owners::begun(node, &choice.id, opening, wanted.parts);
+        let owner_ticket = owners::begun(node, &choice.id, opening, routing_request.parts);
         Self {
             owner_ticket,
             outcome: Outcome::Neutral,
@@ -109,13 +109,13 @@
             pending_prefill: Some(PendingPrefill {
                 tokens: choice.unread_tokens,
                 reading_ms,
-                rank: wanted.rank,
+                rank: routing_request.rank,
                 is_first: choice.is_first,
                 started_at: Instant::now(),
             }),
             answering_since: None,
-            model: wanted.model.map(|(model, _)| model.to_owned()),
-            plain_call: wanted.model.is_none().then(|| PlainCall {
+            model: routing_request.model.map(|(model, _)| model.to_owned()),
+            plain_call: routing_request.model.is_none().then(|| PlainCall {
                 service: Arc::clone(service),
                 route: Arc::clone(route),
                 open_before_count: choice.load.open_count,
@@ -123,13 +123,13 @@
                 started_at: Instant::now(),
             }),
             answer_tokens,
-            held_tokens: wanted.held_tokens,
-            stay_ms: wanted.stay_ms + reading_ms,
+            held_tokens: routing_request.held_tokens,
+            stay_ms: routing_request.stay_ms + reading_ms,
         }
     }
 
     /// Records that the prefill is complete: the response has begun.
-    pub fn prefill_done(&mut self) {
+    pub fn prefilled(&mut self) {
         let Some(pending_prefill) = self.clear_pending_prefill() else {
             return;
         };
--- a/crates/cranereach-gateway/src/forward/resumption.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -71,7 +71,7 @@
                 return Err(Failure::Unknown);
             }
         };
-        in_flight.prefill_done();
+        in_flight.prefilled();
         let started = Self {
             first_chunk: first_chunk.into_data().unwrap_or_default(),
             incoming,
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -56,13 +56,13 @@
     async fn send(&mut self, choice: &Choice) -> Result<ResponseHead, Failure> {
         let node = self.node;
         let call = self.call;
-        let wanted = self.wanted();
+        let routing_request = self.routing_request();
         let hold_max_ms = (call.route.latency_target_ms as f64 * HOLD_MAX_SHARE) as u64;
         let hold_ms = choice.send_in_ms.min(hold_max_ms);
         let mut in_flight = InFlightCall::begin(
             node,
             choice,
-            &wanted,
+            &routing_request,
             (&call.service.name, &call.route.name),
             call.answer_tokens,
             call.deadline_at_ms,
--- a/crates/cranereach-gateway/src/limits.rs
+++ b/crates/cranereach-gateway/src/limits.rs
@@ -87,20 +87,20 @@
     };
     let tolerance = node.settings.bounds.tolerance();
     let decision = lock(&node.uses).decide(node.now_ms(), key, limit, &tolerance, cost);
-    let (wanted, held) = match decision {
+    let (request, held) = match decision {
         Decision::Paid => return Ok(charge),
         Decision::Beyond(wait_ms) => return Err(Denied::Beyond(wait_ms)),
-        Decision::Ask { wanted, held } => (wanted, held),
+        Decision::Ask { request, held } => (request, held),
     };
     let mut reserved = ReservedUnits {
         node,
         account: key,
         units: held,
     };
-    let mut grant = ask(node, key, limit, wanted).await;
+    let mut grant = ask(node, key, limit, request).await;
     while grant.is_none() && node.now_ms() < ask_until_ms.min(STARTUP_PERIOD_MS) {
         pause(RETRY_DELAY_MS).await;
-        grant = ask(node, key, limit, wanted).await;
+        grant = ask(node, key, limit, request).await;
     }
     let now_ms = node.now_ms();
     match grant {
@@ -182,7 +182,7 @@
 
 /// Asks the owners of parts of a limit, one after another, until one grants units. Returns `None`
 /// if none of them answers.
-async fn ask(node: &Node, account: u64, limit: Limit, wanted: UnitRequest) -> Option<Grant> {
+async fn ask(node: &Node, account: u64, limit: Limit, request: UnitRequest) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
     let first_part: u32 = rand::random();
     let mut shortest_ms: Option<u64> = None;
@@ -190,7 +190,7 @@
     for try_number in 0..OWNER_TRY_MAX_COUNT {
         let part = first_part.wrapping_add(try_number) % part_count;
         let key = PartKey { account, part };
-        match ask_owner(node, key, limit, wanted).await {
+        match ask_owner(node, key, limit, request).await {
             Some(Grant::Units(units)) => return Some(Grant::Units(units)),
             Some(Grant::After(wait_ms)) => {
                 refused_count += 1;
@@ -206,18 +206,18 @@
 }
 
 /// Asks the owner of one part. Returns `None` if it does not answer.
-async fn ask_owner(node: &Node, key: PartKey, limit: Limit, wanted: UnitRequest) -> Option<Grant> {
+async fn ask_owner(node: &Node, key: PartKey, limit: Limit, request: UnitRequest) -> Option<Grant> {
     let owner = owner_of(node, key);
     if owner == node.own_ip() {
-        return Some(grant_units(node, key, limit, wanted));
+        return Some(grant_units(node, key, limit, request));
     }
     let mut question = node.limit_questions.open();
     let ask = LimitAsk {
         ticket: question.ticket,
         account: key.account,
         part: key.part,
-        least: wanted.least as f32,
-        most: wanted.most as f32,
+        least: request.min_units as f32,
+        most: request.max_units as f32,
     };
     let address = SocketAddr::from((owner, node.peer_port()));
     node.send_now(address, Message::Limit(ask));
@@ -245,11 +245,11 @@
         account: ask.account,
         part: ask.part,
     };
-    let wanted = UnitRequest {
-        least: f64::from(ask.least.max(0.0)),
-        most: f64::from(ask.most.max(0.0)),
+    let request = UnitRequest {
+        min_units: f64::from(ask.least.max(0.0)),
+        max_units: f64::from(ask.most.max(0.0)),
     };
-    let (units, wait_ms) = match grant_units(node, key, limit, wanted) {
+    let (units, wait_ms) = match grant_units(node, key, limit, request) {
         Grant::Units(units) => (Some(units as f32), 0),
         Grant::After(wait_ms) => (None, wait_ms),
     };
@@ -262,12 +262,12 @@
 }
 
 /// Takes units from a part owned by this instance.
-fn grant_units(node: &Node, key: PartKey, limit: Limit, wanted: UnitRequest) -> Grant {
+fn grant_units(node: &Node, key: PartKey, limit: Limit, request: UnitRequest) -> Grant {
     let tolerance = node.settings.bounds.tolerance();
     let now_ms = node.now_ms();
     let ownership = ownership(node, now_ms, key);
     let mut owned = lock(&node.owned_limits);
-    owned.take(now_ms, key, limit, &tolerance, wanted, ownership)
+    owned.take(now_ms, key, limit, &tolerance, request, ownership)
 }
 
 /// Returns this instance's ownership of a part of a limit.
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -234,9 +234,7 @@
                 .collect();
             owned.request_started(now_ms, worker, request, opening, &parts);
         }
-        OwnerEvent::Read(took_ms) => {
-            owned.prompt_prefilled(now_ms, worker, request, f64::from(took_ms))
-        }
+        OwnerEvent::Read(took_ms) => owned.prefilled(now_ms, worker, request, f64::from(took_ms)),
         OwnerEvent::Ended(outcome) => owned.request_ended(now_ms, worker, request, outcome),
         OwnerEvent::Limit(word) => {
             drop(owned);
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -141,11 +141,11 @@
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).update_for(now_ms as i64, mark);
     let Some(news) = news else { return };
-    let purpose = mark.fingerprint.ranking_key();
+    let ranking_key = mark.fingerprint.ranking_key();
     let recipients = node
         .peers()
         .members()
-        .first(now_ms, purpose, DIRECT_NOTIFY_COUNT);
+        .first(now_ms, ranking_key, DIRECT_NOTIFY_COUNT);
     for instance in recipients {
         let address = SocketAddr::from((instance, node.peer_port()));
         node.send_now(address, Message::Suspect(Box::new(news.clone())));
@@ -214,9 +214,9 @@
 /// Converts one entry to the form shown to operators.
 fn describe(now_ms: i64, listed: &SuspectReport) -> SuspectRequest {
     let worker_name = |key: u64| {
-        let mut seen = listed.seen.workers.iter();
-        let seen = seen.find(|(seen_key, _)| *seen_key == key);
-        seen.map_or_else(|| format!("{key:016x}"), |(_, id)| id.to_string())
+        let mut observed = listed.observed.workers.iter();
+        let observed = observed.find(|(observed_key, _)| *observed_key == key);
+        observed.map_or_else(|| format!("{key:016x}"), |(_, id)| id.to_string())
     };
     let ends = listed.ends.iter().map(|end| WorkerEnd {
         worker: worker_name(end.worker),
@@ -224,11 +224,11 @@
     });
     SuspectRequest {
         fingerprint: listed.fingerprint.to_string(),
-        route: listed.seen.route.to_string(),
-        account: listed.seen.account.to_string(),
+        route: listed.observed.route.to_string(),
+        account: listed.observed.account.to_string(),
         is_quarantined: listed.suspicion.is_quarantined,
         ends: ends.collect(),
-        refused_count: listed.seen.refused_count,
+        refused_count: listed.observed.refused_count,
     }
 }
 
