--- a/crates/cranereach-fleet/src/prefill_cost.rs
+++ b/crates/cranereach-fleet/src/prefill_cost.rs
@@ -113,9 +113,9 @@
     /// ```
     /// use cranereach_fleet::prefill_cost::PrefillCosts;
     ///
-    /// let mut paces = PrefillCosts::default();
-    /// paces.learn("m1", 1_000, 20.0);
-    /// assert!(paces.of("m1").token_ms < paces.of("m2").token_ms);
+    /// let mut costs = PrefillCosts::default();
+    /// costs.learn("m1", 1_000, 20.0);
+    /// assert!(costs.of("m1").token_ms < costs.of("m2").token_ms);
     /// ```
     pub fn learn(&mut self, model: &str, uncached_tokens: u32, took_ms: f64) {
         let tokens = f64::from(uncached_tokens);
--- a/crates/cranereach-fleet/src/slot_times.rs
+++ b/crates/cranereach-fleet/src/slot_times.rs
@@ -48,11 +48,11 @@
 /// ```
 /// use cranereach_fleet::slot_times::SlotTimes;
 ///
-/// let mut stays = SlotTimes::default();
+/// let mut slot_times = SlotTimes::default();
 /// for _answer in 0..100 {
-///     stays.learn("m1", 200, 1_000.0);
+///     slot_times.learn("m1", 200, 1_000.0);
 /// }
-/// assert_eq!(stays.expected_ms("m1", 100).round(), 500.0);
+/// assert_eq!(slot_times.expected_ms("m1", 100).round(), 500.0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SlotTimes {
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -17,7 +17,7 @@
     }
 
     /// Returns what peers are told of the worker's limit, if it named one recently.
-    pub fn limit_word(&self, now_ms: u64) -> Option<LimitReport> {
+    pub fn limit_report(&self, now_ms: u64) -> Option<LimitReport> {
         self.limit.report(now_ms, || self.record.incarnation_key())
     }
 
@@ -39,9 +39,9 @@
 
     /// Takes another instance's report of the worker's limit; one about another incarnation of it
     /// is ignored. Returns whether the rate in force has changed.
-    pub fn note_limit_reported(&mut self, now_ms: u64, word: &LimitReport) -> bool {
+    pub fn note_limit_reported(&mut self, now_ms: u64, report: &LimitReport) -> bool {
         let has_changed =
-            word.start == self.record.incarnation_key() && self.limit.merge(now_ms, word);
+            report.start == self.record.incarnation_key() && self.limit.merge(now_ms, report);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
--- a/crates/cranereach-fleet/tests/paces.rs
+++ b/crates/cranereach-fleet/tests/paces.rs
@@ -5,38 +5,38 @@
 
 /// Teaches prompts of several lengths that take a fixed time and one a token.
 fn taught(fixed_ms: f64, token_ms: f64) -> PrefillCost {
-    let mut paces = PrefillCosts::default();
+    let mut costs = PrefillCosts::default();
     for sample in 0..300_u32 {
         let tokens = [300, 700, 1_800, 4_000][sample as usize % 4];
-        paces.learn("m", tokens, fixed_ms + f64::from(tokens) * token_ms);
+        costs.learn("m", tokens, fixed_ms + f64::from(tokens) * token_ms);
     }
-    paces.of("m")
+    costs.of("m")
 }
 
 #[test]
 fn reading_is_told_apart_from_what_every_request_takes() {
     for (fixed_ms, token_ms) in [(20.0, 0.025), (5.0, 0.052), (60.0, 0.01)] {
-        let pace = taught(fixed_ms, token_ms);
-        assert!((pace.fixed_ms - fixed_ms).abs() < 2.0, "{pace:?}");
-        assert!((pace.token_ms - token_ms).abs() < 0.002, "{pace:?}");
+        let cost = taught(fixed_ms, token_ms);
+        assert!((cost.fixed_ms - fixed_ms).abs() < 2.0, "{cost:?}");
+        assert!((cost.token_ms - token_ms).abs() < 0.002, "{cost:?}");
     }
 }
 
 #[test]
 fn prompts_of_one_length_still_give_the_right_time() {
-    let mut paces = PrefillCosts::default();
+    let mut costs = PrefillCosts::default();
     for _sample in 0..300 {
-        paces.learn("m", 1_000, 40.0);
+        costs.learn("m", 1_000, 40.0);
     }
-    let pace = paces.of("m");
-    let took_ms = pace.fixed_ms + 1_000.0 * pace.token_ms;
-    assert!((took_ms - 40.0).abs() < 2.0, "{pace:?}");
-    assert!(pace.token_ms > 0.0 && pace.fixed_ms >= 0.0, "{pace:?}");
+    let cost = costs.of("m");
+    let took_ms = cost.fixed_ms + 1_000.0 * cost.token_ms;
+    assert!((took_ms - 40.0).abs() < 2.0, "{cost:?}");
+    assert!(cost.token_ms > 0.0 && cost.fixed_ms >= 0.0, "{cost:?}");
 }
 
 #[test]
 fn a_few_slow_answers_change_little() {
-    let mut paces = PrefillCosts::default();
+    let mut costs = PrefillCosts::default();
     for sample in 0..200_u32 {
         let tokens = [300, 1_800][sample as usize % 2];
         let took_ms = if sample % 10 == 0 {
@@ -44,15 +44,15 @@
         } else {
             20.0 + f64::from(tokens) * 0.025
         };
-        paces.learn("m", tokens, took_ms);
+        costs.learn("m", tokens, took_ms);
     }
-    let pace = paces.of("m");
-    assert!(pace.fixed_ms + 1_800.0 * pace.token_ms < 100.0, "{pace:?}");
+    let cost = costs.of("m");
+    assert!(cost.fixed_ms + 1_800.0 * cost.token_ms < 100.0, "{cost:?}");
 }
 
 #[test]
 fn whatever_is_learned_the_pace_stays_a_time() {
-    let mut paces = PrefillCosts::default();
+    let mut costs = PrefillCosts::default();
     for (tokens, took_ms) in [
         (4_000, 0.0),
         (1, 900.0),
@@ -60,12 +60,12 @@
         (u32::MAX, 1.0),
         (3, 0.0),
     ] {
-        paces.learn("m", tokens, took_ms);
-        let pace = paces.of("m");
-        assert!(pace.token_ms > 0.0 && pace.token_ms.is_finite(), "{pace:?}");
+        costs.learn("m", tokens, took_ms);
+        let cost = costs.of("m");
+        assert!(cost.token_ms > 0.0 && cost.token_ms.is_finite(), "{cost:?}");
         assert!(
-            pace.fixed_ms >= 0.0 && pace.fixed_ms.is_finite(),
-            "{pace:?}"
+            cost.fixed_ms >= 0.0 && cost.fixed_ms.is_finite(),
+            "{cost:?}"
         );
     }
 }
--- a/crates/cranereach-fleet/tests/stays.rs
+++ b/crates/cranereach-fleet/tests/stays.rs
@@ -4,36 +4,36 @@
 
 #[test]
 fn a_model_is_learned_by_its_answers_and_others_lean_on_all() {
-    let mut stays = SlotTimes::default();
-    let first_ms = stays.expected_ms("slow", 100);
+    let mut slot_times = SlotTimes::default();
+    let first_ms = slot_times.expected_ms("slow", 100);
     assert!(first_ms > 0.0);
     for _answer in 0..200 {
-        stays.learn("slow", 100, 2_000.0);
-        stays.learn("fast", 100, 500.0);
+        slot_times.learn("slow", 100, 2_000.0);
+        slot_times.learn("fast", 100, 500.0);
     }
-    assert!((stays.expected_ms("slow", 100) - 2_000.0).abs() < 1.0);
-    assert!((stays.expected_ms("fast", 50) - 250.0).abs() < 1.0);
-    let unknown_ms = stays.expected_ms("other", 100);
+    assert!((slot_times.expected_ms("slow", 100) - 2_000.0).abs() < 1.0);
+    assert!((slot_times.expected_ms("fast", 50) - 250.0).abs() < 1.0);
+    let unknown_ms = slot_times.expected_ms("other", 100);
     assert!((1_000.0..1_500.0).contains(&unknown_ms), "{unknown_ms}");
 }
 
 #[test]
 fn guesses_that_are_far_off_are_right_together() {
-    let mut stays = SlotTimes::default();
+    let mut slot_times = SlotTimes::default();
     // Every answer takes 1,000 ms; callers expect 25 or 400 tokens of it.
     for _pair in 0..200 {
-        stays.learn("m", 25, 1_000.0);
-        stays.learn("m", 400, 1_000.0);
+        slot_times.learn("m", 25, 1_000.0);
+        slot_times.learn("m", 400, 1_000.0);
     }
-    let sum_ms = stays.expected_ms("m", 25) + stays.expected_ms("m", 400);
+    let sum_ms = slot_times.expected_ms("m", 25) + slot_times.expected_ms("m", 400);
     assert!((sum_ms - 2_000.0).abs() < 30.0, "{sum_ms}");
 }
 
 #[test]
 fn answers_without_an_expected_length_teach_nothing() {
-    let mut stays = SlotTimes::default();
-    let before_ms = stays.expected_ms("m", 10);
-    stays.learn("m", 0, 5_000.0);
-    assert!((stays.expected_ms("m", 10) - before_ms).abs() < f64::EPSILON);
-    assert!(stays.expected_ms("m", 0).abs() < f64::EPSILON);
+    let mut slot_times = SlotTimes::default();
+    let before_ms = slot_times.expected_ms("m", 10);
+    slot_times.learn("m", 0, 5_000.0);
+    assert!((slot_times.expected_ms("m", 10) - before_ms).abs() < f64::EPSILON);
+    assert!(slot_times.expected_ms("m", 0).abs() < f64::EPSILON);
 }
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -138,7 +138,7 @@
         self.owner_ticket.read(&self.node, took_ms);
         if let (true, Some(model)) = (pending_prefill.is_first, &self.model) {
             self.node
-                .paces()
+                .prefill_costs()
                 .learn(model, pending_prefill.tokens, took_ms);
         }
     }
@@ -171,8 +171,8 @@
         }
         if let (Some(since), Some(model)) = (self.answering_since, &self.model) {
             let stayed_ms = since.elapsed().as_secs_f64() * 1_000.0;
-            let mut stays = self.node.stays();
-            stays.learn(model, self.answer_tokens, stayed_ms);
+            let mut slot_times = self.node.slot_times();
+            slot_times.learn(model, self.answer_tokens, stayed_ms);
         }
         if let Some(plain_call) = &self.plain_call {
             let took_ms = plain_call.started_at.elapsed().as_secs_f64() * 1_000.0;
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -58,14 +58,16 @@
 /// Returns the prefill speed of the call's model; zero time if the call names no model.
 pub fn pace(node: &Node, call: &Call) -> PrefillCost {
     let model = call.model();
-    model.map_or(PrefillCost::default(), |(model, _)| node.paces().of(model))
+    model.map_or(PrefillCost::default(), |(model, _)| {
+        node.prefill_costs().of(model)
+    })
 }
 
 /// Returns the time for which the call is expected to occupy a slot once it runs, in
 /// milliseconds.
 pub fn stay_ms(node: &Node, call: &Call) -> f64 {
     if let Some((model, _)) = call.model() {
-        return node.stays().expected_ms(model, call.answer_tokens);
+        return node.slot_times().expected_ms(model, call.answer_tokens);
     }
     let times = node.service_times();
     times.expected_ms(&call.service.name, &call.route.name)
--- a/crates/cranereach-gateway/src/named_limits.rs
+++ b/crates/cranereach-gateway/src/named_limits.rs
@@ -120,7 +120,7 @@
     };
     let has_changed = known.note_limit_answered(announced, may_lift, requested_ms, now_ms);
     if has_changed {
-        let report = known.limit_word(now_ms);
+        let report = known.limit_report(now_ms);
         drop(roster);
         log_change(node, worker, "worker", report);
         // The owner is told, because instances ask it before they send to the worker.
@@ -139,7 +139,7 @@
     };
     if known.note_limit_reported(now_ms, report) {
         let id = Arc::clone(&known.record.id);
-        let report = known.limit_word(now_ms);
+        let report = known.limit_report(now_ms);
         drop(roster);
         log_change(node, &id, "peer", report);
     }
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -142,8 +142,8 @@
     pub packed_configuration: Mutex<(Bytes, Bytes)>,
     configuration: Mutex<Option<Arc<Configuration>>>,
     roster: Mutex<Roster>,
-    paces: Mutex<PrefillCosts>,
-    stays: Mutex<SlotTimes>,
+    prefill_costs: Mutex<PrefillCosts>,
+    slot_times: Mutex<SlotTimes>,
     service_times: Mutex<ServiceTimes>,
     /// Recent refusals, by what was short, from which callers' retry delays follow.
     pub shortages: Mutex<Shortages>,
@@ -249,8 +249,8 @@
             packed_configuration: Mutex::default(),
             configuration: Mutex::default(),
             roster: Mutex::default(),
-            paces: Mutex::default(),
-            stays: Mutex::default(),
+            prefill_costs: Mutex::default(),
+            slot_times: Mutex::default(),
             service_times: Mutex::default(),
             shortages: Mutex::default(),
             demand: Mutex::default(),
@@ -306,13 +306,13 @@
     }
 
     /// Returns the learned cost of prefill.
-    pub fn paces(&self) -> MutexGuard<'_, PrefillCosts> {
-        lock(&self.paces)
+    pub fn prefill_costs(&self) -> MutexGuard<'_, PrefillCosts> {
+        lock(&self.prefill_costs)
     }
 
     /// Returns how long responses occupy a batch slot.
-    pub fn stays(&self) -> MutexGuard<'_, SlotTimes> {
-        lock(&self.stays)
+    pub fn slot_times(&self) -> MutexGuard<'_, SlotTimes> {
+        lock(&self.slot_times)
     }
 
     /// Returns how long calls of plain services run.
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -81,7 +81,7 @@
             let limit = node
                 .roster()
                 .get(worker)
-                .and_then(|entry| entry.limit_word(now_ms));
+                .and_then(|entry| entry.limit_report(now_ms));
             let event = OwnerEvent::Ask(OwnerAsk {
                 limit,
                 ..question_template.clone()
@@ -219,7 +219,7 @@
             let roster = node.roster();
             let known = roster.by_key(worker);
             return Some(Quote {
-                limit: known.and_then(|entry| entry.limit_word(now_ms)),
+                limit: known.and_then(|entry| entry.limit_report(now_ms)),
                 leaving_start: known.and_then(Worker::leaving_start),
                 ..encode_status(worker, ticket, &status)
             });
--- a/crates/cranereach-gateway/src/send_grants.rs
+++ b/crates/cranereach-gateway/src/send_grants.rs
@@ -92,7 +92,7 @@
 
 /// Returns the report of a worker's limit if one is in force.
 fn limit_in_force(worker: &Worker, now_ms: u64) -> Option<LimitReport> {
-    let report = worker.limit_word(now_ms);
+    let report = worker.limit_report(now_ms);
     report.filter(|report| report.rate_per_s.is_some())
 }
 
@@ -163,7 +163,7 @@
         let worker = roster.by_key(ask.worker)?;
         (
             Arc::clone(&worker.record.service),
-            worker.limit_word(now_ms),
+            worker.limit_report(now_ms),
         )
     };
     let bounds = &node.settings.bounds;
