--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -16,7 +16,7 @@
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Tolerance;
-use cranereach_fleet::limits::Wanted;
+use cranereach_fleet::limits::UnitRequest;
 use cranereach_fleet::regions::AllowedRegions;
 
 /// What a deployment tolerates; any will do.
@@ -96,15 +96,15 @@
 /// Time to grant units.
 fn grant_us(count: usize) -> f64 {
     let mut owned = OwnedLimits::default();
-    let wanted = Wanted {
-        least: COST,
-        most: COST,
+    let request = UnitRequest {
+        min_units: COST,
+        max_units: COST,
     };
     let mut account = 0;
     let mut take = || {
         account = (account + 1) % count as u64;
         let key = PartKey { account, part: 0 };
-        black_box(owned.take(1, key, LIMIT, &TOLERANCE, wanted, Ownership::Settled));
+        black_box(owned.take(1, key, LIMIT, &TOLERANCE, request, Ownership::Settled));
     };
     for _account in 0..count {
         take();
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -23,17 +23,17 @@
 use crate::load::ReportedLoad;
 use crate::named_limit::NamedLimit;
 use crate::no_worker::NoWorker;
-use crate::owned::Standing;
+use crate::owned::WorkerStatus;
 use crate::prefixes::CachedPrefixes;
 use crate::rest::Rest;
+use crate::routing_request::RoutingRequest;
 use crate::send_grants::AskPause;
 use crate::store_position::StorePosition;
 use crate::topology::Distance;
-use crate::wanted::Wanted;
 
 /// Age up to which an owner's report is used, in milliseconds: as long as a choice based on it
 /// takes, with a margin for a busy processor.
-const STANDING_MAX_AGE_MS: u64 = 60;
+const OWNER_STATUS_MAX_AGE_MS: u64 = 60;
 
 /// Age up to which a worker's own report of its load is used, in milliseconds.
 const REPORTED_LOAD_MAX_AGE_MS: u64 = 400;
@@ -72,8 +72,8 @@
 /// Cost added to a worker in another failure domain on top of the network time, in milliseconds.
 const OTHER_DOMAIN_PENALTY_MS: f64 = 15.0;
 
-/// Cost added to a worker that is ejected by its health (`is_aside`), in milliseconds: it outweighs
-/// load, distance and failures. Costs from here on are those of workers to be avoided.
+/// Cost added to a worker that is ejected by its health (`is_ejected`), in milliseconds: it
+/// outweighs load, distance and failures. Costs from here on are those of workers to be avoided.
 pub(crate) const EJECTED_PENALTY_MS: f64 = 100_000.0;
 
 /// One worker as this instance sees it.
@@ -105,7 +105,7 @@
     /// Load from the requests that this instance sent.
     pub(crate) own_load: Load,
     /// Last report of the worker's owner, and when it came, in milliseconds.
-    standing: Option<(u64, Standing)>,
+    owner_status: Option<(u64, WorkerStatus)>,
     /// When each peer last reported the worker as unreachable, in milliseconds.
     unreachable_at_ms: HashMap<u32, u64>,
     /// Load that the worker reported last, and when, in milliseconds.
@@ -155,7 +155,7 @@
             lapsed: None,
             leaves_at: StorePosition::default(),
             own_load: Load::default(),
-            standing: None,
+            owner_status: None,
             unreachable_at_ms: HashMap::new(),
             reported_load: None,
             cached_prefixes: CachedPrefixes::default(),
@@ -166,15 +166,15 @@
     }
 
     /// Notes a request that is sent to the worker, with the time to prefill its prompt.
-    pub fn began(&mut self, now_ms: u64, wanted: &Wanted<'_>, unread_ms: f64) {
-        let rank = wanted.rank.min(RANK_COUNT - 1);
+    pub fn began(&mut self, now_ms: u64, request: &RoutingRequest<'_>, unread_ms: f64) {
+        let rank = request.rank.min(RANK_COUNT - 1);
         self.health.tried(now_ms);
         self.own_load.open_count += 1;
         self.own_load.waiting_count[rank] += 1;
         self.own_load.unread_ms[rank] += unread_ms;
-        self.own_load.stay_ms += wanted.stay_ms + unread_ms;
-        self.own_load.held_tokens += f64::from(wanted.held_tokens);
-        self.cached_prefixes.sent(now_ms, wanted.parts);
+        self.own_load.stay_ms += request.stay_ms + unread_ms;
+        self.own_load.held_tokens += f64::from(request.held_tokens);
+        self.cached_prefixes.sent(now_ms, request.parts);
     }
 
     /// Notes that a request's prompt has been prefilled.
@@ -200,12 +200,12 @@
 
     /// Takes a peer's report that it can't reach the worker. A single peer may be cut off itself,
     /// so it counts only when several report it.
-    pub fn told_unreachable(&mut self, now_ms: u64, peer: u32) {
+    pub fn note_reported_unreachable(&mut self, now_ms: u64, peer: u32) {
         self.unreachable_at_ms
             .retain(|_, at_ms| now_ms < *at_ms + UNREACHABLE_WINDOW_MS);
         self.unreachable_at_ms.insert(peer, now_ms);
         if self.unreachable_at_ms.len() >= UNREACHABLE_PEER_COUNT {
-            self.health.told_unreachable(now_ms);
+            self.health.note_reported_unreachable(now_ms);
         }
     }
 
@@ -232,36 +232,43 @@
     }
 
     /// Takes a report of the worker's owner.
-    pub fn set_standing(&mut self, now_ms: u64, standing: Standing) {
-        self.standing = Some((now_ms, standing));
+    pub fn set_owner_status(&mut self, now_ms: u64, owner_status: WorkerStatus) {
+        self.owner_status = Some((now_ms, owner_status));
     }
 
     /// Returns the last report of the worker's owner, if it is fresh.
-    pub fn standing(&self, now_ms: u64) -> Option<&Standing> {
-        let standing = self.standing.as_ref();
-        let fresh = standing.filter(|(at_ms, _)| now_ms < at_ms + STANDING_MAX_AGE_MS);
-        fresh.map(|(_, standing)| standing)
+    pub fn owner_status(&self, now_ms: u64) -> Option<&WorkerStatus> {
+        let owner_status = self.owner_status.as_ref();
+        let fresh = owner_status.filter(|(at_ms, _)| now_ms < at_ms + OWNER_STATUS_MAX_AGE_MS);
+        fresh.map(|(_, owner_status)| owner_status)
     }
 
     /// Whether a suspect request is open at the worker. Workers have died while running requests
     /// equal to it, so it must not share a worker with another suspect.
     pub(crate) fn has_suspect(&self, now_ms: u64) -> bool {
-        self.standing(now_ms)
-            .is_some_and(|standing| standing.has_suspect)
+        self.owner_status(now_ms)
+            .is_some_and(|owner_status| owner_status.has_suspect)
     }
 
     /// Returns the time to wait before sending a prompt, by the owner's report, in milliseconds.
     fn send_in_ms(&self, now_ms: u64) -> f64 {
-        let standing = self.standing(now_ms);
-        let standing_at_ms = self.standing.as_ref().map_or(now_ms, |(at_ms, _)| *at_ms);
-        let elapsed_ms = now_ms.saturating_sub(standing_at_ms) as f64;
-        standing.map_or(0.0, |standing| (standing.send_in_ms - elapsed_ms).max(0.0))
+        let owner_status = self.owner_status(now_ms);
+        let status_at_ms = self
+            .owner_status
+            .as_ref()
+            .map_or(now_ms, |(at_ms, _)| *at_ms);
+        let elapsed_ms = now_ms.saturating_sub(status_at_ms) as f64;
+        owner_status.map_or(0.0, |owner_status| {
+            (owner_status.send_in_ms - elapsed_ms).max(0.0)
+        })
     }
 
     /// Returns the load from all instances if the owner has just reported it, else the load from
     /// this instance alone.
     pub fn load(&self, now_ms: u64) -> Load {
-        let owner_load = self.standing(now_ms).map(|standing| standing.load);
+        let owner_load = self
+            .owner_status(now_ms)
+            .map(|owner_status| owner_status.load);
         owner_load
             .filter(|reported| reported.open_count >= self.own_load.open_count)
             .unwrap_or(self.own_load)
@@ -311,7 +318,7 @@
     pub(crate) fn estimate(
         &self,
         now_ms: u64,
-        wanted: &Wanted<'_>,
+        request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
     ) -> Estimate {
         let load = self.load(now_ms);
@@ -321,23 +328,24 @@
         let reported =
             reported.map_or((0, 0), |(_, told)| (told.running_count, told.waiting_count));
         let open_count = load.open_count.max(reported.0 + reported.1);
-        let standing = self.standing(now_ms);
+        let owner_status = self.owner_status(now_ms);
         let cached_tokens = self
-            .cached_tokens(standing, wanted)
-            .min(wanted.prompt_tokens);
-        let token_ms = wanted.token_ms * standing.map_or(1.0, |standing| standing.pace_ratio);
-        let unread_tokens = wanted.prompt_tokens - cached_tokens;
+            .estimated_cached_tokens(owner_status, request)
+            .min(request.prompt_tokens);
+        let token_ms =
+            request.token_ms * owner_status.map_or(1.0, |owner_status| owner_status.slowdown_ratio);
+        let unread_tokens = request.prompt_tokens - cached_tokens;
         let slot_count = engine.map_or(self.record.slot_count, |engine| engine.slot_count);
         // Workers without an engine serve calls in order of arrival, whatever their rank.
-        let rank = engine.map_or(RANK_COUNT, |_| wanted.rank);
+        let rank = engine.map_or(RANK_COUNT, |_| request.rank);
         let slot_wait_ms = load.slot_wait_ms(rank, slot_count);
         // The prompts ahead are prefilled while this request waits for its slot.
-        let queued_ms = load.ahead_ms(wanted.rank).max(slot_wait_ms);
+        let queued_ms = load.ahead_ms(request.rank).max(slot_wait_ms);
         let send_in_ms = self.send_in_ms(now_ms);
         let queued_ms = queued_ms.max(send_in_ms);
         let mut estimate = Estimate {
             unread_tokens,
-            begins_in_ms: queued_ms + wanted.fixed_ms + f64::from(unread_tokens) * token_ms,
+            begins_in_ms: queued_ms + request.fixed_ms + f64::from(unread_tokens) * token_ms,
             send_in_ms: send_in_ms as u64,
             slot_count,
             // While a request is held back, its timing says nothing about how fast prompts are
@@ -349,32 +357,36 @@
         };
         if let Some(engine) = engine {
             let usable_tokens = engine.kv_tokens as f64 * 0.9;
-            let excess_tokens = load.held_tokens + f64::from(wanted.held_tokens) - usable_tokens;
+            let excess_tokens = load.held_tokens + f64::from(request.held_tokens) - usable_tokens;
             estimate.cost_ms = estimate.begins_in_ms
                 + load.slot_contention_ms(engine.slot_count)
                 + load
-                    .prefill_pause_cost_ms(f64::from(unread_tokens) * token_ms, wanted.gap_aim_ms)
+                    .prefill_pause_cost_ms(f64::from(unread_tokens) * token_ms, request.gap_aim_ms)
                 + f64::from(open_count) * RUNNING_PENALTY_MS
                 + f64::from(reported.1) * WAITING_PENALTY_MS
                 + excess_tokens.max(0.0) * token_ms;
         } else {
             // Such an answer is passed on as a whole, so it begins when the call has run.
-            estimate.begins_in_ms += wanted.stay_ms;
+            estimate.begins_in_ms += request.stay_ms;
             let slots = f64::from(slot_count.max(1));
             estimate.cost_ms = f64::from(open_count + reported.1) / slots * 50.0;
         }
-        if wanted.end_count > 0 {
+        if request.end_count > 0 {
             estimate.cost_ms += f64::from(open_count) * CRASH_RISK_PENALTY_MS;
         }
-        estimate.cost_ms = self.add_penalties(now_ms, wanted, estimate.cost_ms);
+        estimate.cost_ms = self.add_penalties(now_ms, request, estimate.cost_ms);
         estimate
     }
 
     /// Returns how many tokens of the prompt the worker probably has in its prefix cache.
-    fn cached_tokens(&self, standing: Option<&Standing>, wanted: &Wanted<'_>) -> u32 {
-        let own_tokens = self.cached_prefixes.kept_tokens(wanted.parts);
-        let owner_part_count = standing.map_or(0, |standing| standing.kept_part_count);
-        let owner_tokens = wanted
+    fn estimated_cached_tokens(
+        &self,
+        owner_status: Option<&WorkerStatus>,
+        request: &RoutingRequest<'_>,
+    ) -> u32 {
+        let own_tokens = self.cached_prefixes.cached_tokens(request.parts);
+        let owner_part_count = owner_status.map_or(0, |owner_status| owner_status.kept_part_count);
+        let owner_tokens = request
             .parts
             .iter()
             .take(owner_part_count)
@@ -384,19 +396,21 @@
     }
 
     /// Adds to a cost the penalties for distance, health and earlier attempts.
-    fn add_penalties(&self, now_ms: u64, wanted: &Wanted<'_>, cost_ms: f64) -> f64 {
+    fn add_penalties(&self, now_ms: u64, request: &RoutingRequest<'_>, cost_ms: f64) -> f64 {
         let mut cost_ms = cost_ms;
-        let distance = wanted.topology.distance(&self.record.failure_domain);
+        let distance = request.topology.distance(&self.record.failure_domain);
         if distance != Distance::OwnDomain {
-            cost_ms += OTHER_DOMAIN_PENALTY_MS + wanted.crossings_ms[distance as usize];
+            cost_ms += OTHER_DOMAIN_PENALTY_MS + request.extra_start_delays_ms[distance as usize];
         }
-        let standing = self.standing(now_ms);
-        let owner_failed_share = standing.map_or(0.0, |standing| standing.failed_share);
+        let owner_status = self.owner_status(now_ms);
+        let owner_failed_share = owner_status.map_or(0.0, |owner_status| owner_status.failed_share);
         cost_ms *= 1.0 + 6.0 * self.health.failed_share().max(owner_failed_share);
-        if self.health.is_aside(now_ms) || standing.is_some_and(|standing| standing.is_aside) {
+        if self.health.is_ejected(now_ms)
+            || owner_status.is_some_and(|owner_status| owner_status.is_aside)
+        {
             cost_ms = cost_ms * 20.0 + EJECTED_PENALTY_MS;
         }
-        if wanted.tried.contains(&self.record.id) {
+        if request.tried.contains(&self.record.id) {
             cost_ms = cost_ms * 20.0 + 400_000.0;
         }
         cost_ms
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -3,34 +3,34 @@
 
 use super::Worker;
 use crate::named_limit::LimitReport;
-use crate::named_limit::Said;
+use crate::named_limit::NamedRate;
+use crate::routing_request::RoutingRequest;
 use crate::send_grants::AskPause;
-use crate::wanted::Wanted;
 
 impl Worker {
     /// Whether a request may be sent to the worker as far as grants go, be it after asking its
     /// owner for one.
-    pub(crate) fn may_ask(&self, now_ms: u64, wanted: &Wanted<'_>) -> bool {
+    pub(crate) fn may_ask(&self, now_ms: u64, request: &RoutingRequest<'_>) -> bool {
         let was_refused_cold = self.coldness.is_cold(now_ms) && self.ask_pause.was_refused();
         let needs_grant = was_refused_cold || self.limit.rate_per_s(now_ms).is_some();
-        self.ask_pause.may_ask(now_ms, wanted.rank) && !(needs_grant && wanted.must_avoid_grants)
+        self.ask_pause.may_ask(now_ms, request.rank) && !(needs_grant && request.must_avoid_grants)
     }
 
     /// Returns what peers are told of the worker's limit, if it named one recently.
-    pub fn limit_word(&self, now_ms: u64) -> Option<LimitReport> {
-        self.limit.word(now_ms, || self.record.start_key())
+    pub fn limit_report(&self, now_ms: u64) -> Option<LimitReport> {
+        self.limit.report(now_ms, || self.record.incarnation_key())
     }
 
     /// Takes what an answer of the worker says of its limit; returns whether the rate in force has
-    /// changed. See [`crate::named_limit::NamedLimit::heard`].
+    /// changed. See [`crate::named_limit::NamedLimit::observe`].
     pub fn note_limit_answered(
         &mut self,
-        said: Said,
+        said: NamedRate,
         may_end: bool,
         asked_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let has_changed = self.limit.heard(said, may_end, asked_ms, now_ms);
+        let has_changed = self.limit.observe(said, may_end, asked_ms, now_ms);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
@@ -39,8 +39,9 @@
 
     /// Takes another instance's report of the worker's limit; one about another incarnation of it
     /// is ignored. Returns whether the rate in force has changed.
-    pub fn note_limit_reported(&mut self, now_ms: u64, word: &LimitReport) -> bool {
-        let has_changed = word.start == self.record.start_key() && self.limit.told(now_ms, word);
+    pub fn note_limit_reported(&mut self, now_ms: u64, report: &LimitReport) -> bool {
+        let has_changed =
+            report.start == self.record.incarnation_key() && self.limit.merge(now_ms, report);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -8,9 +8,9 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::departure::DepartureNews;
-use cranereach_fleet::key::start_key;
+use cranereach_fleet::key::incarnation_key;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Barred;
@@ -46,7 +46,7 @@
 fn barred(roster: &Roster) -> Option<Barred> {
     let barred = roster.barred(RESTORED_MS, "w", Purpose::Call, 0);
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = roster.choose(RESTORED_MS, &wanted(None), None, &mut rng);
+    let choice = roster.choose(RESTORED_MS, &routing_request(None), None, &mut rng);
     assert_eq!(choice.is_ok(), barred.is_none(), "{barred:?}");
     barred
 }
@@ -70,7 +70,7 @@
     let told = roster.enter_era(RESTORED_MS, 2);
     let news = DepartureNews {
         worker: worker_key("w"),
-        start: start_key("w", 100),
+        start: incarnation_key("w", 100),
     };
     assert_eq!(told, [news], "others hear of it who never had that row");
     assert_eq!(roster.enter_era(RESTORED_MS, 2), [], "once");
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -45,11 +45,12 @@
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::fingerprint::FingerprintKey;
 use cranereach_fleet::freshness::Freshness;
+use cranereach_fleet::lease_state::EndedTerm;
 use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::listing::Listing;
 use cranereach_fleet::owned::OwnedWorkers;
-use cranereach_fleet::pace::PrefillCosts;
+use cranereach_fleet::prefill_cost::PrefillCosts;
 use cranereach_fleet::proof::Proof;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::retry_window::RetryWindow;
@@ -57,9 +58,8 @@
 use cranereach_fleet::send_grants::SendGrants;
 use cranereach_fleet::service_time::ServiceTimes;
 use cranereach_fleet::shortage::Shortages;
-use cranereach_fleet::stay::SlotTimes;
+use cranereach_fleet::slot_times::SlotTimes;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::tenure::EndedTerm;
 use cranereach_fleet::topology::Topology;
 use cranereach_fleet::ways::RoundTrips;
 use cranereach_http::clock::Clock;
@@ -72,7 +72,7 @@
     /// Models that are being unloaded: worker key, model.
     pub withheld: Vec<(u64, u16)>,
     /// Models that are being loaded, and when each is expected to be ready, in milliseconds.
-    pub coming: HashMap<u16, u64>,
+    pub loading: HashMap<u16, u64>,
 }
 
 /// State shared by all parts of an instance.
@@ -142,8 +142,8 @@
     pub packed_configuration: Mutex<(Bytes, Bytes)>,
     configuration: Mutex<Option<Arc<Configuration>>>,
     roster: Mutex<Roster>,
-    paces: Mutex<PrefillCosts>,
-    stays: Mutex<SlotTimes>,
+    prefill_costs: Mutex<PrefillCosts>,
+    slot_times: Mutex<SlotTimes>,
     service_times: Mutex<ServiceTimes>,
     /// Recent refusals, by what was short, from which callers' retry delays follow.
     pub shortages: Mutex<Shortages>,
@@ -157,7 +157,7 @@
     /// Pending questions to owners of workers.
     pub questions: Questions<Quote>,
     /// Round-trip times to owners of workers, by distance.
-    pub ways: Mutex<RoundTrips>,
+    pub round_trips: Mutex<RoundTrips>,
     /// Parts of accounts' limits that this instance owns.
     pub owned_limits: Mutex<OwnedLimits>,
     /// This instance's usage of accounts' limits.
@@ -249,8 +249,8 @@
             packed_configuration: Mutex::default(),
             configuration: Mutex::default(),
             roster: Mutex::default(),
-            paces: Mutex::default(),
-            stays: Mutex::default(),
+            prefill_costs: Mutex::default(),
+            slot_times: Mutex::default(),
             service_times: Mutex::default(),
             shortages: Mutex::default(),
             demand: Mutex::default(),
@@ -259,7 +259,7 @@
             pools: Mutex::default(),
             owned: Mutex::default(),
             questions: Questions::default(),
-            ways: Mutex::default(),
+            round_trips: Mutex::default(),
             owned_limits: Mutex::default(),
             uses: Mutex::default(),
             limit_questions: Questions::default(),
@@ -306,13 +306,13 @@
     }
 
     /// Returns the learned cost of prefill.
-    pub fn paces(&self) -> MutexGuard<'_, PrefillCosts> {
-        lock(&self.paces)
+    pub fn prefill_costs(&self) -> MutexGuard<'_, PrefillCosts> {
+        lock(&self.prefill_costs)
     }
 
     /// Returns how long responses occupy a batch slot.
-    pub fn stays(&self) -> MutexGuard<'_, SlotTimes> {
-        lock(&self.stays)
+    pub fn slot_times(&self) -> MutexGuard<'_, SlotTimes> {
+        lock(&self.slot_times)
     }
 
     /// Returns how long calls of plain services run.
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -25,11 +25,11 @@
 use crate::recipients::Origin;
 use cranereach_fleet::fingerprint::Fingerprint;
 use cranereach_fleet::quarantine::Change;
-use cranereach_fleet::quarantine::Listed;
+use cranereach_fleet::quarantine::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::quarantine::RequestMark;
+use cranereach_fleet::quarantine::SuspectReport;
 use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::quarantine::Suspicion;
-use cranereach_fleet::quarantine::TOLD_MAX_COUNT;
 
 /// Number of instances that are notified of a termination directly, in addition to the digests.
 /// More than one, because an instance may be stopping or the datagram may be lost.
@@ -101,7 +101,7 @@
     let before = quarantine.suspicion(mark);
     quarantine.ended(now_ms, mark, worker, knew_of_others);
     let account = &call.account_label;
-    quarantine.note(mark, &call.route.name, account, Some((worker, id)));
+    quarantine.record_observation(mark, &call.route.name, account, Some((worker, id)));
     before
 }
 
@@ -141,11 +141,11 @@
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).update_for(now_ms as i64, mark);
     let Some(news) = news else { return };
-    let purpose = mark.fingerprint.purpose();
+    let ranking_key = mark.fingerprint.ranking_key();
     let recipients = node
         .peers()
         .members()
-        .first(now_ms, purpose, DIRECT_NOTIFY_COUNT);
+        .first(now_ms, ranking_key, DIRECT_NOTIFY_COUNT);
     for instance in recipients {
         let address = SocketAddr::from((instance, node.peer_port()));
         node.send_now(address, Message::Suspect(Box::new(news.clone())));
@@ -163,10 +163,10 @@
     }
     let now_ms = node.now_ms() as i64;
     let mut change = Change::None;
-    for news in reported.iter().take(TOLD_MAX_COUNT) {
+    for news in reported.iter().take(GOSSIPED_MAX_COUNT) {
         let mut quarantine = lock(&node.quarantine);
         let was_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
-        change = change.max(quarantine.take(now_ms, news));
+        change = change.max(quarantine.apply_update(now_ms, news));
         let is_quarantined = quarantine.suspicion(news.mark()).is_quarantined;
         drop(quarantine);
         if was_quarantined != is_quarantined {
@@ -190,7 +190,7 @@
         return Vec::new();
     }
     quarantine.forget(now_ms);
-    quarantine.news(now_ms, &mut rand::rng())
+    quarantine.select_for_digest(now_ms, &mut rand::rng())
 }
 
 /// Counts the refusal of a call and returns the detail text for the log.
@@ -199,7 +199,7 @@
     let now_ms = node.now_ms() as i64;
     let mut quarantine = lock(&node.quarantine);
     let count = quarantine.refused(now_ms, mark);
-    quarantine.note(mark, &call.route.name, &call.account_label, None);
+    quarantine.record_observation(mark, &call.route.name, &call.account_label, None);
     format!("refused here {count} times")
 }
 
@@ -212,11 +212,11 @@
 }
 
 /// Converts one entry to the form shown to operators.
-fn describe(now_ms: i64, listed: &Listed) -> SuspectRequest {
+fn describe(now_ms: i64, listed: &SuspectReport) -> SuspectRequest {
     let worker_name = |key: u64| {
-        let mut seen = listed.seen.workers.iter();
-        let seen = seen.find(|(seen_key, _)| *seen_key == key);
-        seen.map_or_else(|| format!("{key:016x}"), |(_, id)| id.to_string())
+        let mut observed = listed.observed.workers.iter();
+        let observed = observed.find(|(observed_key, _)| *observed_key == key);
+        observed.map_or_else(|| format!("{key:016x}"), |(_, id)| id.to_string())
     };
     let ends = listed.ends.iter().map(|end| WorkerEnd {
         worker: worker_name(end.worker),
@@ -224,11 +224,11 @@
     });
     SuspectRequest {
         fingerprint: listed.fingerprint.to_string(),
-        route: listed.seen.route.to_string(),
-        account: listed.seen.account.to_string(),
+        route: listed.observed.route.to_string(),
+        account: listed.observed.account.to_string(),
         is_quarantined: listed.suspicion.is_quarantined,
         ends: ends.collect(),
-        refused_count: listed.seen.refused_count,
+        refused_count: listed.observed.refused_count,
     }
 }
 
