--- a/crates/cranereach-bench/src/demo.rs
+++ b/crates/cranereach-bench/src/demo.rs
@@ -30,7 +30,7 @@
 const BURST_MS: u64 = 6_000;
 
 /// Time for anything to come about, in milliseconds.
-const WITHIN_MS: u64 = 15_000;
+const STEP_TIMEOUT_MS: u64 = 15_000;
 
 /// Accounts with their share, class and callers at once.
 const ACCOUNTS: [(&str, f64, &str, usize); 3] = [
@@ -48,11 +48,11 @@
 
 /// What one account got.
 #[derive(Clone, Debug, Default)]
-struct Got {
+struct AccountTotals {
     served_count: u32,
     late_count: u32,
     refused: BTreeMap<u16, u32>,
-    first_us: Vec<u64>,
+    first_token_us: Vec<u64>,
 }
 
 /// Starts the demo's deployment with its declarations in force.
@@ -78,7 +78,9 @@
     deployment.add_service("ledger", "d0").await?;
     let version = deployment.apply(&declarations()).await?;
     deployment.add_entry("d0").await?;
-    deployment.wait_for_version(version, WITHIN_MS).await?;
+    deployment
+        .wait_for_version(version, STEP_TIMEOUT_MS)
+        .await?;
     Ok(deployment)
 }
 
@@ -92,23 +94,25 @@
     }
     let deployment = Arc::new(deployment);
     let mut report = Report::default();
-    load_each(&deployment, &mut report).await;
-    look_up_once(&deployment, &mut report).await;
-    let got = burst(&deployment).await;
-    print_got(&got, &mut report);
+    load_each_model(&deployment, &mut report).await;
+    check_idempotent_lookup(&deployment, &mut report).await;
+    let totals_by_account = burst(&deployment).await;
+    print_account_totals(&totals_by_account, &mut report);
     print_memory(&deployment, &mut report);
-    let deployment = Arc::into_inner(deployment).ok_or_else(|| DeployError::Waited {
+    let deployment = Arc::into_inner(deployment).ok_or_else(|| DeployError::Timeout {
         what: "the callers to end".to_owned(),
     })?;
     Ok((report, deployment))
 }
 
 /// Asks for each model once: every one is reachable.
-async fn load_each(deployment: &Deployment, report: &mut Report) {
+async fn load_each_model(deployment: &Deployment, report: &mut Report) {
     for number in 0..MODEL_COUNT {
         let call = Call::chat("disputes", &format!("m{number}"), "first words", 2, true);
         let started = Instant::now();
-        let outcome = deployment.call_until_served(0, &call, WITHIN_MS).await;
+        let outcome = deployment
+            .call_until_served(0, &call, STEP_TIMEOUT_MS)
+            .await;
         if outcome.status == 200 && outcome.is_whole {
             println!(
                 "loaded    m{number}: first answer after {} ms",
@@ -123,11 +127,13 @@
 }
 
 /// Sends a ledger lookup twice with one key: it runs once.
-async fn look_up_once(deployment: &Deployment, report: &mut Report) {
+async fn check_idempotent_lookup(deployment: &Deployment, report: &mut Report) {
     let call = Call::plain("crews", hyper::Method::POST, "/ledger/tickets", "{}")
         .with_header("x-call", "ticket-1")
         .with_header("idempotency-key", "ticket-1");
-    let first = deployment.call_until_served(0, &call, WITHIN_MS).await;
+    let first = deployment
+        .call_until_served(0, &call, STEP_TIMEOUT_MS)
+        .await;
     let second = deployment.call(0, &call).await;
     let runs = deployment.services[0].stand_in.state().runs_of("ticket-1");
     println!(
@@ -142,8 +148,8 @@
 }
 
 /// Lets all accounts call at once, for more than the engines can serve.
-async fn burst(deployment: &Arc<Deployment>) -> BTreeMap<&'static str, Got> {
-    let until = Instant::now() + Duration::from_millis(BURST_MS);
+async fn burst(deployment: &Arc<Deployment>) -> BTreeMap<&'static str, AccountTotals> {
+    let deadline = Instant::now() + Duration::from_millis(BURST_MS);
     let callers = ACCOUNTS
         .iter()
         .flat_map(|&(name, _, _, count)| (0..count).map(move |number| (name, number)));
@@ -152,31 +158,31 @@
             let deployment = Arc::clone(deployment);
             (
                 name,
-                tokio::spawn(async move { caller(&deployment, name, number, until).await }),
+                tokio::spawn(async move { run_caller(&deployment, name, number, deadline).await }),
             )
         })
         .collect();
-    let mut got: BTreeMap<&'static str, Got> = BTreeMap::new();
+    let mut totals_by_account: BTreeMap<&'static str, AccountTotals> = BTreeMap::new();
     for (name, task) in tasks {
         if let Ok(outcomes) = task.await {
-            let account = got.entry(name).or_default();
+            let totals = totals_by_account.entry(name).or_default();
             for outcome in &outcomes {
-                account.add(outcome);
+                totals.add(outcome);
             }
         }
     }
-    got
+    totals_by_account
 }
 
 /// Calls until the burst is over; comes back when told to.
-async fn caller(
+async fn run_caller(
     deployment: &Deployment,
     name: &str,
     number: usize,
-    until: Instant,
+    deadline: Instant,
 ) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         // Skewed: half of the callers ask for the same two models.
         let model = if number.is_multiple_of(2) {
             number % 4 / 2
@@ -197,30 +203,33 @@
             outcome.retry_after_s.unwrap_or(1)
         };
         outcomes.push(outcome);
-        let left = until.saturating_duration_since(Instant::now());
-        tokio::time::sleep(Duration::from_secs(pause_s).min(left)).await;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        tokio::time::sleep(Duration::from_secs(pause_s).min(remaining)).await;
     }
     outcomes
 }
 
 /// Prints who got what.
-fn print_got(got: &BTreeMap<&'static str, Got>, report: &mut Report) {
-    for (name, got) in got {
-        let refused: u32 = got.refused.values().sum();
-        let total = got.served_count + got.late_count + refused;
-        let attained = 100.0 * f64::from(got.served_count) / f64::from(total.max(1));
-        let mut first_us = got.first_us.clone();
-        first_us.sort_unstable();
-        let median_ms = first_us
-            .get(first_us.len() / 2)
+fn print_account_totals(
+    totals_by_account: &BTreeMap<&'static str, AccountTotals>,
+    report: &mut Report,
+) {
+    for (name, totals) in totals_by_account {
+        let refused: u32 = totals.refused.values().sum();
+        let total = totals.served_count + totals.late_count + refused;
+        let attained = 100.0 * f64::from(totals.served_count) / f64::from(total.max(1));
+        let mut first_token_us = totals.first_token_us.clone();
+        first_token_us.sort_unstable();
+        let median_ms = first_token_us
+            .get(first_token_us.len() / 2)
             .copied()
             .unwrap_or_default()
             / 1_000;
         println!(
             "got       {name}: {} served in time ({attained:.0}%), {} late, {refused} told to come back, first token {median_ms} ms in the middle",
-            got.served_count, got.late_count
+            totals.served_count, totals.late_count
         );
-        if got.served_count == 0 {
+        if totals.served_count == 0 {
             report.broken.push(format!("account {name} got nothing"));
         }
     }
@@ -243,7 +252,7 @@
     }
 }
 
-impl Got {
+impl AccountTotals {
     /// Adds one outcome.
     fn add(&mut self, outcome: &Outcome) {
         let is_served = outcome.status == 200 && outcome.is_whole;
@@ -261,7 +270,7 @@
             }
         }
         if is_served {
-            self.first_us.extend(outcome.first_us);
+            self.first_token_us.extend(outcome.first_us);
         }
     }
 }
--- a/crates/cranereach-bench/src/deployment.rs
+++ b/crates/cranereach-bench/src/deployment.rs
@@ -58,7 +58,7 @@
     Apply(#[from] ApplyError),
     /// Something did not come about in time.
     #[error("waited in vain for {what}")]
-    Waited {
+    Timeout {
         /// What was waited for.
         what: String,
     },
@@ -77,7 +77,7 @@
     pub address: String,
     /// The stand-in.
     pub stand_in: T,
-    stopping: watch::Sender<bool>,
+    stop_sender: watch::Sender<bool>,
 }
 
 /// A running deployment.
@@ -98,7 +98,7 @@
     /// What the instances are told of the weight store.
     pub weight_store: WeightStoreSettings,
     callers: Vec<Arc<Caller>>,
-    platform_stop: watch::Sender<bool>,
+    platform_stop_sender: watch::Sender<bool>,
 }
 
 impl Deployment {
@@ -106,7 +106,7 @@
     pub async fn start(limits: WeightLimits) -> Result<Self, DeployError> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let platform_address = listener.local_addr()?.to_string();
-        let (platform_stop, stop) = watch::channel(false);
+        let (platform_stop_sender, stop) = watch::channel(false);
         let platform = Platform::start(listener, limits, stop);
         let weight_store = WeightStoreSettings {
             loads_per_s: limits.loads_per_s,
@@ -121,7 +121,7 @@
             policy: PolicySettings::default(),
             weight_store,
             callers: Vec::new(),
-            platform_stop,
+            platform_stop_sender,
         })
     }
 
@@ -134,7 +134,7 @@
     ) -> Result<usize, DeployError> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?.to_string();
-        let (stopping, stop) = watch::channel(false);
+        let (stop_sender, stop) = watch::channel(false);
         let stand_in = Engine::start(listener, options, stop);
         let id = format!("{pool}-{}", self.engines.len());
         let engine = Upstream {
@@ -143,7 +143,7 @@
             domain: domain.to_owned(),
             address,
             stand_in,
-            stopping,
+            stop_sender,
         };
         self.list_worker(
             &engine.id,
@@ -160,7 +160,7 @@
     pub async fn add_service(&mut self, pool: &str, domain: &str) -> Result<usize, DeployError> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?.to_string();
-        let (stopping, stop) = watch::channel(false);
+        let (stop_sender, stop) = watch::channel(false);
         let stand_in = PlainService::start(listener, stop);
         let id = format!("{pool}-{}", self.services.len());
         let service = Upstream {
@@ -169,7 +169,7 @@
             domain: domain.to_owned(),
             address,
             stand_in,
-            stopping,
+            stop_sender,
         };
         self.list_worker(
             &service.id,
@@ -195,11 +195,11 @@
         &mut self,
         domain: &str,
         platform: &str,
-        change: impl FnOnce(&mut Settings),
+        adjust: impl FnOnce(&mut Settings),
     ) -> Result<usize, DeployError> {
         let number = self.entries.len();
         let mut settings = self.settings(&format!("entry-{number}"), domain, platform);
-        change(&mut settings);
+        adjust(&mut settings);
         let id = settings.instance.id.clone();
         let entry = Entry::start(settings).await?;
         let addresses = entry.addresses();
@@ -244,11 +244,11 @@
     }
 
     /// Sends a call again and again until it is served or time is up.
-    pub async fn call_until_served(&self, entry: usize, call: &Call, within_ms: u64) -> Outcome {
-        let until = Instant::now() + Duration::from_millis(within_ms);
+    pub async fn call_until_served(&self, entry: usize, call: &Call, timeout_ms: u64) -> Outcome {
+        let deadline = Instant::now() + Duration::from_millis(timeout_ms);
         loop {
             let outcome = self.call(entry, call).await;
-            if outcome.status == 200 || Instant::now() >= until {
+            if outcome.status == 200 || Instant::now() >= deadline {
                 return outcome;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -256,19 +256,23 @@
     }
 
     /// Waits until every entry instance has a version in force.
-    pub async fn wait_for_version(&self, version: u64, within_ms: u64) -> Result<(), DeployError> {
-        let is_there = |entry: &Entry| entry.shared().config().held().version >= version;
+    pub async fn wait_for_version(&self, version: u64, timeout_ms: u64) -> Result<(), DeployError> {
+        let is_current = |entry: &Entry| entry.shared().config().held().version >= version;
         let what = format!("version {version} everywhere");
-        wait_until(&what, within_ms, || {
-            self.entries.iter().flatten().all(is_there)
+        wait_until(&what, timeout_ms, || {
+            self.entries.iter().flatten().all(is_current)
         })
         .await
     }
 
     /// Waits until some engine serves a target.
-    pub async fn wait_for_resident(&self, target: &str, within_ms: u64) -> Result<(), DeployError> {
+    pub async fn wait_for_resident(
+        &self,
+        target: &str,
+        timeout_ms: u64,
+    ) -> Result<(), DeployError> {
         let what = format!("{target} on some engine");
-        wait_until(&what, within_ms, || {
+        wait_until(&what, timeout_ms, || {
             self.engines
                 .iter()
                 .any(|engine| engine.stand_in.state().is_resident(target))
@@ -285,7 +289,7 @@
 
     /// Ends an engine at once; it stays on the list until taken off.
     pub fn kill_engine(&mut self, index: usize) {
-        self.engines[index].stopping.send_replace(true);
+        self.engines[index].stop_sender.send_replace(true);
     }
 
     /// Shows a worker on the platform's list.
@@ -318,12 +322,12 @@
             entry.kill().await;
         }
         for engine in &self.engines {
-            engine.stopping.send_replace(true);
+            engine.stop_sender.send_replace(true);
         }
         for service in &self.services {
-            service.stopping.send_replace(true);
+            service.stop_sender.send_replace(true);
         }
-        self.platform_stop.send_replace(true);
+        self.platform_stop_sender.send_replace(true);
     }
 
     /// Returns the settings of an entry instance.
--- a/crates/cranereach-bench/src/path_cost.rs
+++ b/crates/cranereach-bench/src/path_cost.rs
@@ -17,19 +17,19 @@
 use cranereach_standin::load::Call;
 
 /// Calls one after the other, each way, for the added time.
-const LONE_CALLS: usize = 3_000;
+const SEQUENTIAL_CALL_COUNT: usize = 3_000;
 
 /// Callers at once, for calls and tokens per core.
-const BUSY_CALLERS: usize = 64;
+const CONCURRENT_CALLER_COUNT: usize = 64;
 
 /// Time of each busy part, in milliseconds.
-const BUSY_MS: u64 = 5_000;
+const LOAD_PHASE_MS: u64 = 5_000;
 
 /// Tokens of a streamed answer in the busy part.
 const STREAM_TOKENS: u32 = 400;
 
 /// Streams held open for the memory per stream.
-const OPEN_STREAMS: usize = 1_000;
+const OPEN_STREAM_COUNT: usize = 1_000;
 
 /// What is called.
 #[derive(Clone, Debug)]
@@ -76,23 +76,23 @@
     let through = Arc::new(Pool::new(&path.through));
     let direct = Arc::new(Pool::new(&path.direct));
     let small = Call::chat(&path.key, &path.model, "small", 1, false);
-    until_served(&through, &small).await;
+    wait_until_served(&through, &small).await;
     let rest_bytes = process::resident_bytes(&path.process);
-    let mut spent = [Vec::new(), Vec::new()];
+    let mut durations_us = [Vec::new(), Vec::new()];
     // Alternating, so that whatever else the machine does hits both alike.
-    for _call in 0..LONE_CALLS {
-        for (pool, spent) in [&through, &direct].into_iter().zip(&mut spent) {
-            spent.push(load::send(pool, &small).await.whole_us);
+    for _call in 0..SEQUENTIAL_CALL_COUNT {
+        for (pool, samples) in [&through, &direct].into_iter().zip(&mut durations_us) {
+            samples.push(load::send(pool, &small).await.whole_us);
         }
     }
-    let calls = busy(&through, &small, path).await;
+    let calls = measure_throughput(&through, &small, path).await;
     let stream = Call::chat(&path.key, &path.model, "stream", STREAM_TOKENS, true);
-    let streams = busy(&through, &stream, path).await;
+    let streams = measure_throughput(&through, &stream, path).await;
     let after_busy_bytes = process::resident_bytes(&path.process);
-    let open_bytes = open_memory(&through, path).await;
+    let open_bytes = open_streams_memory(&through, path).await;
     PathCost {
-        through_us: quantiles(&spent[0]),
-        direct_us: quantiles(&spent[1]),
+        through_us: quantiles(&durations_us[0]),
+        direct_us: quantiles(&durations_us[1]),
         calls_per_s: calls.0,
         calls_cores: calls.1,
         tokens_per_s: streams.0 * f64::from(STREAM_TOKENS),
@@ -100,28 +100,32 @@
         rest_bytes,
         after_busy_bytes,
         open_bytes,
-        open_count: OPEN_STREAMS,
+        open_count: OPEN_STREAM_COUNT,
     }
 }
 
 /// Calls until the model is resident.
-async fn until_served(pool: &Pool<Full<bytes::Bytes>>, call: &Call) {
+async fn wait_until_served(pool: &Pool<Full<bytes::Bytes>>, call: &Call) {
     while load::send(pool, call).await.status != 200 {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 /// Keeps all callers busy; returns answers a second and cores of the instance.
-async fn busy(pool: &Arc<Pool<Full<bytes::Bytes>>>, call: &Call, path: &Path) -> (f64, f64) {
+async fn measure_throughput(
+    pool: &Arc<Pool<Full<bytes::Bytes>>>,
+    call: &Call,
+    path: &Path,
+) -> (f64, f64) {
     let started = Instant::now();
     let cpu_before_s = process::cpu_s(&path.process);
-    let callers: Vec<_> = (0..BUSY_CALLERS)
+    let callers: Vec<_> = (0..CONCURRENT_CALLER_COUNT)
         .map(|_| {
             let pool = Arc::clone(pool);
             let call = call.clone();
             tokio::spawn(async move {
                 let mut served = 0_u32;
-                while started.elapsed().as_millis() < u128::from(BUSY_MS) {
+                while started.elapsed().as_millis() < u128::from(LOAD_PHASE_MS) {
                     served += u32::from(load::send(&pool, &call).await.status == 200);
                 }
                 served
@@ -140,7 +144,7 @@
 }
 
 /// Holds streams open and returns the instance's memory meanwhile.
-async fn open_memory(pool: &Arc<Pool<Full<bytes::Bytes>>>, path: &Path) -> u64 {
+async fn open_streams_memory(pool: &Arc<Pool<Full<bytes::Bytes>>>, path: &Path) -> u64 {
     // Most of them wait in the instance, as callers of a busy engine do.
     let call = Call::chat(
         &path.key,
@@ -149,7 +153,7 @@
         2_000_000,
         true,
     );
-    let streams: Vec<_> = (0..OPEN_STREAMS)
+    let streams: Vec<_> = (0..OPEN_STREAM_COUNT)
         .map(|_| {
             let pool = Arc::clone(pool);
             let call = call.clone();
@@ -165,10 +169,10 @@
 }
 
 /// Returns the median, 95 and 99 in 100.
-fn quantiles(spent_us: &[u64]) -> [u64; 3] {
+fn quantiles(durations_us: &[u64]) -> [u64; 3] {
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
-    for &spent in spent_us {
-        histogram.saturating_record(spent);
+    for &duration_us in durations_us {
+        histogram.saturating_record(duration_us);
     }
     [0.5, 0.95, 0.99].map(|quantile| histogram.value_at_quantile(quantile))
 }
--- a/crates/cranereach-bench/src/scenario/arrivals.rs
+++ b/crates/cranereach-bench/src/scenario/arrivals.rs
@@ -11,23 +11,23 @@
 use cranereach_wire::folder::Folder;
 
 /// Exponent of the skew over models.
-const SKEW: f64 = 0.9;
+const ZIPF_EXPONENT: f64 = 0.9;
 
 /// Factor by which a burst moves a model's demand.
 const BURST_FACTOR: f64 = 10.0;
 
 /// Part of a base model's demand that goes to its adapters.
-const ADAPTER_PART: f64 = 0.5;
+const ADAPTER_DEMAND_RATIO: f64 = 0.5;
 
 /// Bytes in a GB.
-const GIGA: u64 = 1_000_000_000;
+const BYTES_PER_GB: u64 = 1_000_000_000;
 
 /// Prompt starts per account, so that the prefix cache has something to hit.
-const PROMPT_STARTS: u32 = 8;
+const PROMPT_PREFIX_COUNT: u32 = 8;
 
 /// Promises of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Promise {
+pub struct ServiceObjective {
     /// Time to the first token, in milliseconds.
     pub first_token_ms: u64,
     /// Time between two tokens, in milliseconds.
@@ -38,7 +38,7 @@
 
 /// What one call asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum CallTarget {
     /// A model or adapter.
     Model(String),
     /// A lookup at the plain service, named so that its runs are counted.
@@ -53,25 +53,25 @@
     /// Whose.
     pub account: usize,
     /// What for.
-    pub ask: Ask,
+    pub target: CallTarget,
     /// Start of the prompt.
     pub prompt: String,
 }
 
 /// Returns what is promised to a class.
-pub fn promise(class: Class) -> Promise {
+pub fn objective(class: Class) -> ServiceObjective {
     match class {
-        Class::Urgent => Promise {
+        Class::Urgent => ServiceObjective {
             first_token_ms: 600,
             between_tokens_ms: 50,
             weight: 3,
         },
-        Class::Standard => Promise {
+        Class::Standard => ServiceObjective {
             first_token_ms: 1_500,
             between_tokens_ms: 50,
             weight: 2,
         },
-        Class::Deferrable => Promise {
+        Class::Deferrable => ServiceObjective {
             first_token_ms: 5_000,
             between_tokens_ms: 100,
             weight: 1,
@@ -97,11 +97,11 @@
 ///
 /// assert_eq!(promise(Class::Urgent).first_token_ms, 600);
 /// ```
-pub fn plan(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+pub fn generate(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut random = SmallRng::seed_from_u64(seed);
     let total_ms = scenario.warmup_ms + scenario.measured_ms;
     let mut weights = base_weights(scenario);
-    let order = shuffled(scenario.model_count, &mut random);
+    let model_by_rank = shuffled_indices(scenario.model_count, &mut random);
     let mut burst: Option<(usize, u64)> = None;
     let mut next_burst_ms = scenario.burst_every_ms;
     let mut arrivals = Vec::new();
@@ -112,16 +112,16 @@
             weights = base_weights(scenario);
         }
         if at_ms as u64 >= next_burst_ms {
-            let model = random.random_range(0..scenario.model_count);
+            let rank = random.random_range(0..scenario.model_count);
             weights = base_weights(scenario);
-            weights[model] *= BURST_FACTOR;
-            burst = Some((model, at_ms as u64 + scenario.burst_ms));
+            weights[rank] *= BURST_FACTOR;
+            burst = Some((rank, at_ms as u64 + scenario.burst_ms));
             next_burst_ms += scenario.burst_every_ms;
         }
         let rates = [
             scenario.calls_per_s(),
             scenario.lookups_per_s,
-            flood_rate(scenario),
+            flood_calls_per_s(scenario),
         ];
         let rate: f64 = rates.iter().sum();
         at_ms += -random.random::<f64>().max(1e-12).ln() * 1_000.0 / rate;
@@ -130,21 +130,21 @@
         let is_flood = drawn >= rates[0] + rates[1];
         let flooding = scenario.flooding_account.filter(|_| is_flood);
         let account = flooding.unwrap_or_else(|| random.random_range(0..scenario.account_count));
-        let ask = if is_lookup {
-            Ask::Lookup(format!("lookup-{}", arrivals.len()))
+        let target = if is_lookup {
+            CallTarget::Lookup(format!("lookup-{}", arrivals.len()))
         } else {
-            Ask::Model(pick(scenario, &weights, &order, &mut random))
+            CallTarget::Model(draw_target(scenario, &weights, &model_by_rank, &mut random))
         };
         let prompt = format!(
             "{} start {}: {}",
             account_name(account),
-            random.random_range(0..PROMPT_STARTS),
+            random.random_range(0..PROMPT_PREFIX_COUNT),
             "words ".repeat(30)
         );
         arrivals.push(Arrival {
             at_ms: at_ms as u64,
             account,
-            ask,
+            target,
             prompt,
         });
     }
@@ -161,7 +161,7 @@
     }
     for number in 0..scenario.adapter_count {
         let base = model_name(number % scenario.model_count);
-        models.push(json!({ "name": adapter_name(number), "pool": "text", "memory_bytes": GIGA, "base": base }));
+        models.push(json!({ "name": adapter_name(number), "pool": "text", "memory_bytes": BYTES_PER_GB, "base": base }));
     }
     let names: Vec<String> = (0..scenario.model_count)
         .map(model_name)
@@ -170,7 +170,7 @@
     let template = |class: Class| {
         json!({
             "name": class.name(), "models": names, "services": ["ledger"], "class": class,
-            "first_token_ms": promise(class).first_token_ms, "whole_answer_ms": 30_000, "queue_count": 64,
+            "first_token_ms": objective(class).first_token_ms, "whole_answer_ms": 30_000, "queue_count": 64,
         })
     };
     let account = |number: usize| {
@@ -181,7 +181,7 @@
     };
     let declared = json!({
         "pools": [
-            { "name": "text", "kind": "engine", "checks_fences": true, "worker_memory_bytes": scenario.engine_memory_gb * GIGA },
+            { "name": "text", "kind": "engine", "checks_fences": true, "worker_memory_bytes": scenario.engine_memory_gb * BYTES_PER_GB },
             { "name": "ledger", "kind": "plain", "path_prefix": "/ledger" },
         ],
         "models": models,
@@ -216,14 +216,14 @@
     });
     let adapters = (0..scenario.adapter_count).map(|number| Preloaded {
         target: adapter_name(number),
-        memory_bytes: GIGA,
+        memory_bytes: BYTES_PER_GB,
         base: Some(model_name(number % scenario.model_count)),
     });
     bases.chain(adapters).collect()
 }
 
 /// Returns the rate of the flooding account, in calls per second.
-fn flood_rate(scenario: &Scenario) -> f64 {
+fn flood_calls_per_s(scenario: &Scenario) -> f64 {
     let own = scenario.calls_per_s() / scenario.account_count as f64;
     if scenario.flooding_account.is_some() {
         9.0 * own
@@ -235,30 +235,35 @@
 /// Returns the skewed weights of the base models.
 fn base_weights(scenario: &Scenario) -> Vec<f64> {
     (0..scenario.model_count)
-        .map(|rank| 1.0 / (rank as f64 + 1.0).powf(SKEW))
+        .map(|rank| 1.0 / (rank as f64 + 1.0).powf(ZIPF_EXPONENT))
         .collect()
 }
 
 /// Returns which model has which rank, by seed.
-fn shuffled(count: usize, random: &mut SmallRng) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..count).collect();
+fn shuffled_indices(count: usize, random: &mut SmallRng) -> Vec<usize> {
+    let mut indices: Vec<usize> = (0..count).collect();
     for index in (1..count).rev() {
-        order.swap(index, random.random_range(0..=index));
+        indices.swap(index, random.random_range(0..=index));
     }
-    order
+    indices
 }
 
 /// Draws a model, or one of its adapters.
-fn pick(scenario: &Scenario, weights: &[f64], order: &[usize], random: &mut SmallRng) -> String {
+fn draw_target(
+    scenario: &Scenario,
+    weights: &[f64],
+    model_by_rank: &[usize],
+    random: &mut SmallRng,
+) -> String {
     let mut drawn = random.random::<f64>() * weights.iter().sum::<f64>();
     let rank = weights.iter().position(|weight| {
         drawn -= weight;
         drawn <= 0.0
     });
-    let model = order[rank.unwrap_or(0)];
+    let model = model_by_rank[rank.unwrap_or(0)];
     let adapters =
         (scenario.adapter_count + scenario.model_count - 1 - model) / scenario.model_count;
-    if adapters == 0 || random.random::<f64>() >= ADAPTER_PART {
+    if adapters == 0 || random.random::<f64>() >= ADAPTER_DEMAND_RATIO {
         return model_name(model);
     }
     adapter_name(model + scenario.model_count * random.random_range(0..adapters))
@@ -266,7 +271,7 @@
 
 /// Returns a base model's memory: 12 to 27 GB.
 fn model_memory_bytes(number: usize) -> u64 {
-    (12 + 3 * (number as u64 % 6)) * GIGA
+    (12 + 3 * (number as u64 % 6)) * BYTES_PER_GB
 }
 
 /// Returns a base model's name.
--- a/crates/cranereach-bench/src/scenario/report.rs
+++ b/crates/cranereach-bench/src/scenario/report.rs
@@ -13,15 +13,15 @@
 
 use super::Scenario;
 use super::arrivals;
-use super::arrivals::Ask;
-use super::arrivals::Promise;
-use super::run::Done;
+use super::arrivals::CallTarget;
+use super::arrivals::ServiceObjective;
+use super::run::CompletedCall;
 use crate::deployment::Deployment;
 use cranereach_core::declarations::Class;
 use cranereach_standin::load::Outcome;
 
 /// Gap between tokens that breaks the promise, as a multiple of the promised.
-const GAP_FACTOR: u64 = 4;
+const TOKEN_GAP_FACTOR: u64 = 4;
 
 /// What a run is judged by.
 #[derive(Clone, Debug, Serialize)]
@@ -74,7 +74,7 @@
 }
 
 /// Sums up one class while calls are gone through.
-struct ClassSum {
+struct ClassTotals {
     call_count: u32,
     delivered_count: u32,
     first_token: Histogram<u64>,
@@ -82,33 +82,38 @@
 }
 
 /// Sums up a run.
-pub fn sum_up(scenario: &Scenario, seed: u64, done: &[Done], deployment: &Deployment) -> Report {
-    let measured: Vec<&Done> = done
+pub fn summarize(
+    scenario: &Scenario,
+    seed: u64,
+    completed_calls: &[CompletedCall],
+    deployment: &Deployment,
+) -> Report {
+    let measured: Vec<&CompletedCall> = completed_calls
         .iter()
-        .filter(|done| done.arrival.at_ms >= scenario.warmup_ms)
+        .filter(|completed| completed.arrival.at_ms >= scenario.warmup_ms)
         .collect();
-    let calls: Vec<&Done> = measured
+    let calls: Vec<&CompletedCall> = measured
         .iter()
         .copied()
-        .filter(|done| matches!(done.arrival.ask, Ask::Model(_)))
+        .filter(|completed| matches!(completed.arrival.target, CallTarget::Model(_)))
         .collect();
     let mut offered = 0.0;
     let mut delivered = 0.0;
-    let mut classes: BTreeMap<&'static str, ClassSum> = BTreeMap::new();
+    let mut classes: BTreeMap<&'static str, ClassTotals> = BTreeMap::new();
     let mut accounts: BTreeMap<usize, (u32, u32)> = BTreeMap::new();
     for call in &calls {
         let class = arrivals::class_of(call.arrival.account);
-        let promise = arrivals::promise(class);
-        let is_delivered = is_delivered(call, &promise);
-        offered += f64::from(promise.weight);
+        let objective = arrivals::objective(class);
+        let is_delivered = is_delivered(call, &objective);
+        offered += f64::from(objective.weight);
         delivered += if is_delivered {
-            f64::from(promise.weight)
+            f64::from(objective.weight)
         } else {
             0.0
         };
         classes
             .entry(class.name())
-            .or_insert_with(ClassSum::new)
+            .or_insert_with(ClassTotals::new)
             .add(call, is_delivered);
         let account = accounts.entry(call.arrival.account).or_default();
         account.0 += 1;
@@ -116,51 +121,53 @@
     }
     let seconds = scenario.measured_ms as f64 / 1_000.0;
     let attainment_ratio = delivered / f64::max(offered, 1.0);
-    let told: Vec<&&Done> = calls.iter().filter(|call| call.second.is_some()).collect();
-    let served = told
+    let retried: Vec<&&CompletedCall> = calls.iter().filter(|call| call.retry.is_some()).collect();
+    let served_on_retry = retried
         .iter()
-        .filter(|call| call.second.as_ref().is_some_and(is_whole))
+        .filter(|call| call.retry.as_ref().is_some_and(is_whole))
         .count();
     Report {
         scenario: scenario.name.clone(),
         seed,
         attainment_ratio,
-        of_bound_ratio: attainment_ratio / bound(scenario, &calls),
+        of_bound_ratio: attainment_ratio / best_attainment(scenario, &calls),
         tokens_per_accelerator_per_s: delivered * f64::from(scenario.answer_tokens)
             / seconds
             / scenario.engine_count as f64,
         moves_count: deployment
             .engines
             .iter()
-            .map(|engine| moves(&engine.stand_in.state().ledger()))
+            .map(|engine| move_count(&engine.stand_in.state().ledger()))
             .sum(),
         call_count: calls.len(),
-        come_back_served_ratio: served as f64 / (told.len() as f64).max(1.0),
+        come_back_served_ratio: served_on_retry as f64 / (retried.len() as f64).max(1.0),
         fairness_by_class: fairness(&accounts),
         accounts: accounts
             .iter()
-            .map(|(number, (all, got))| {
+            .map(|(number, (offered_count, delivered_count))| {
                 (
                     arrivals::account_name(*number),
-                    f64::from(*got) / f64::from(*all),
+                    f64::from(*delivered_count) / f64::from(*offered_count),
                 )
             })
             .collect(),
         classes: classes
             .into_iter()
-            .map(|(name, sum)| (name, sum.report()))
+            .map(|(name, totals)| (name, totals.report()))
             .collect(),
         lookups_lost_count: measured
             .iter()
-            .filter(|done| matches!(done.arrival.ask, Ask::Lookup(_)) && !arrived(done))
+            .filter(|completed| {
+                matches!(completed.arrival.target, CallTarget::Lookup(_)) && !was_served(completed)
+            })
             .count(),
-        lookups_doubled_count: doubled(deployment),
+        lookups_doubled_count: duplicate_lookup_count(deployment),
         memory_excess_count: deployment
             .engines
             .iter()
             .map(|engine| engine.stand_in.state().ledger().excess_count)
             .sum(),
-        digest_bytes_per_s: digest_bytes(deployment)
+        digest_bytes_per_s: mean_digest_bytes(deployment)
             / (seconds + scenario.warmup_ms as f64 / 1_000.0),
         table_requests_per_s: deployment.platform.state().table_count() as f64
             / (seconds + scenario.warmup_ms as f64 / 1_000.0),
@@ -168,10 +175,10 @@
 }
 
 /// Whether a call was delivered as promised.
-fn is_delivered(call: &Done, promise: &Promise) -> bool {
-    let (outcome, waited_us) = match &call.second {
-        Some(second) => (
-            second,
+fn is_delivered(call: &CompletedCall, objective: &ServiceObjective) -> bool {
+    let (outcome, waited_us) = match &call.retry {
+        Some(retry) => (
+            retry,
             call.first.whole_us + call.first.retry_after_s.unwrap_or_default() * 1_000_000,
         ),
         None => (&call.first, 0),
@@ -179,10 +186,10 @@
     let first_us = outcome
         .first_us
         .map_or(u64::MAX, |first_us| first_us + waited_us);
-    let gap_due_us = promise.between_tokens_ms * GAP_FACTOR * 1_000;
+    let gap_limit_us = objective.between_tokens_ms * TOKEN_GAP_FACTOR * 1_000;
     is_whole(outcome)
-        && first_us <= promise.first_token_ms * 1_000
-        && outcome.gap_max_us <= gap_due_us
+        && first_us <= objective.first_token_ms * 1_000
+        && outcome.gap_max_us <= gap_limit_us
 }
 
 /// Whether an answer is a whole one.
@@ -191,28 +198,28 @@
 }
 
 /// Whether a lookup arrived, at the first or second time.
-fn arrived(done: &Done) -> bool {
-    is_whole(&done.first) || done.second.as_ref().is_some_and(is_whole)
+fn was_served(completed: &CompletedCall) -> bool {
+    is_whole(&completed.first) || completed.retry.as_ref().is_some_and(is_whole)
 }
 
 /// Returns the best attainment that the engines' speed allows.
 ///
 /// It fills the capacity with the weightiest calls and knows no loads, no
 /// placement and no waiting; so no policy can reach it in overload.
-fn bound(scenario: &Scenario, calls: &[&Done]) -> f64 {
+fn best_attainment(scenario: &Scenario, calls: &[&CompletedCall]) -> f64 {
     let seconds = scenario.measured_ms as f64 / 1_000.0;
-    let mut left_calls =
+    let mut remaining_calls =
         scenario.capacity_tokens_per_s() * seconds / f64::from(scenario.answer_tokens);
     let mut offered = 0.0;
     let mut best = 0.0;
     for class in Class::ALL {
-        let weight = f64::from(arrivals::promise(class).weight);
+        let weight = f64::from(arrivals::objective(class).weight);
         let count = calls
             .iter()
             .filter(|call| arrivals::class_of(call.arrival.account) == class)
             .count() as f64;
-        let taken = count.min(left_calls);
-        left_calls -= taken;
+        let taken = count.min(remaining_calls);
+        remaining_calls -= taken;
         offered += count * weight;
         best += taken * weight;
     }
@@ -222,15 +229,15 @@
 /// Returns Jain's index over the accounts' delivered calls, within each class.
 fn fairness(accounts: &BTreeMap<usize, (u32, u32)>) -> BTreeMap<&'static str, f64> {
     let mut by_class: BTreeMap<&'static str, Vec<f64>> = BTreeMap::new();
-    for (number, (_all, got)) in accounts {
+    for (number, (_offered_count, delivered_count)) in accounts {
         by_class
             .entry(arrivals::class_of(*number).name())
             .or_default()
-            .push(f64::from(*got));
+            .push(f64::from(*delivered_count));
     }
     by_class
         .into_iter()
-        .map(|(name, got)| (name, jain(&got)))
+        .map(|(name, delivered_counts)| (name, jain(&delivered_counts)))
         .collect()
 }
 
@@ -246,12 +253,12 @@
 }
 
 /// Returns an engine's loads and unloads.
-fn moves(ledger: &cranereach_standin::engine::state::EngineLedger) -> u64 {
+fn move_count(ledger: &cranereach_standin::engine::state::EngineLedger) -> u64 {
     ledger.load_count + ledger.unload_count
 }
 
 /// Returns how many lookups ran more than once.
-fn doubled(deployment: &Deployment) -> usize {
+fn duplicate_lookup_count(deployment: &Deployment) -> usize {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for service in &deployment.services {
         for (name, count) in service.stand_in.state().all_runs() {
@@ -262,7 +269,7 @@
 }
 
 /// Returns the digest bytes that each entry instance sent, on average.
-fn digest_bytes(deployment: &Deployment) -> f64 {
+fn mean_digest_bytes(deployment: &Deployment) -> f64 {
     let sent = deployment
         .entries
         .iter()
@@ -272,7 +279,7 @@
     total as f64 / f64::max(f64::from(count), 1.0)
 }
 
-impl ClassSum {
+impl ClassTotals {
     /// Starts empty.
     fn new() -> Self {
         let first_token = Histogram::new(3).expect("three digits are allowed");
@@ -285,10 +292,10 @@
     }
 
     /// Adds one call.
-    fn add(&mut self, call: &Done, is_delivered: bool) {
+    fn add(&mut self, call: &CompletedCall, is_delivered: bool) {
         self.call_count += 1;
         self.delivered_count += u32::from(is_delivered);
-        let last = call.second.as_ref().unwrap_or(&call.first);
+        let last = call.retry.as_ref().unwrap_or(&call.first);
         if is_whole(last) {
             self.first_token
                 .saturating_record(last.first_us.unwrap_or_default() / 1_000);
--- a/crates/cranereach-bench/src/scenario/run.rs
+++ b/crates/cranereach-bench/src/scenario/run.rs
@@ -11,7 +11,7 @@
 use super::Scenario;
 use super::arrivals;
 use super::arrivals::Arrival;
-use super::arrivals::Ask;
+use super::arrivals::CallTarget;
 use super::report;
 use super::report::Report;
 use crate::caller::Caller;
@@ -25,20 +25,20 @@
 use cranereach_standin::service::CALL_HEADER;
 
 /// Time for the configuration to come into force, in milliseconds.
-const WITHIN_MS: u64 = 60_000;
+const CONFIG_TIMEOUT_MS: u64 = 60_000;
 
 /// Longest time that a caller waits before it comes back, in seconds.
-const COME_BACK_MAX_S: u64 = 10;
+const RETRY_AFTER_MAX_S: u64 = 10;
 
 /// One call with what came of it.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct CompletedCall {
     /// The call.
     pub arrival: Arrival,
     /// What came back first.
     pub first: Outcome,
     /// What came back when the caller came back as told, if it did.
-    pub second: Option<Outcome>,
+    pub retry: Option<Outcome>,
 }
 
 /// Runs a scenario once.
@@ -49,26 +49,26 @@
 ) -> Result<Report, DeployError> {
     let deployment = start(scenario, policy).await?;
     let deployment = Arc::new(Mutex::new(deployment));
-    let calls = arrivals::plan(scenario, seed);
+    let calls = arrivals::generate(scenario, seed);
     let started = Instant::now();
-    let faults = tokio::spawn(bring_faults(
+    let faults = tokio::spawn(inject_faults(
         scenario.clone(),
         Arc::clone(&deployment),
         started,
     ));
     let entries = callers(&deployment).await;
-    let tasks: Vec<_> = drive(calls, scenario.answer_tokens, &entries, started).await;
-    let mut done = Vec::with_capacity(tasks.len());
+    let tasks: Vec<_> = send_on_schedule(calls, scenario.answer_tokens, &entries, started).await;
+    let mut completed = Vec::with_capacity(tasks.len());
     for task in tasks {
-        done.extend(task.await.ok());
+        completed.extend(task.await.ok());
     }
     // The last fault may lie behind the last call.
-    let _brought = faults.await;
+    let _injected = faults.await;
     let deployment = Arc::into_inner(deployment).map(Mutex::into_inner);
-    let deployment = deployment.ok_or_else(|| DeployError::Waited {
+    let deployment = deployment.ok_or_else(|| DeployError::Timeout {
         what: "the callers to end".to_owned(),
     })?;
-    let report = report::sum_up(scenario, seed, &done, &deployment);
+    let report = report::summarize(scenario, seed, &completed, &deployment);
     deployment.stop().await;
     Ok(report)
 }
@@ -109,7 +109,9 @@
     for number in 0..scenario.entry_count {
         deployment.add_entry(&domain(number)).await?;
     }
-    deployment.wait_for_version(version, WITHIN_MS).await?;
+    deployment
+        .wait_for_version(version, CONFIG_TIMEOUT_MS)
+        .await?;
     Ok(deployment)
 }
 
@@ -139,58 +141,63 @@
 }
 
 /// Sends each call at its time, as a balancer would spread them.
-async fn drive(
+async fn send_on_schedule(
     calls: Vec<Arrival>,
     answer_tokens: u32,
     entries: &[Arc<Caller>],
     started: Instant,
-) -> Vec<tokio::task::JoinHandle<Done>> {
+) -> Vec<tokio::task::JoinHandle<CompletedCall>> {
     let mut tasks = Vec::with_capacity(calls.len());
     for (number, arrival) in calls.into_iter().enumerate() {
         tokio::time::sleep_until((started + Duration::from_millis(arrival.at_ms)).into()).await;
         let entries = entries.to_vec();
         tasks.push(tokio::spawn(async move {
-            one(arrival, answer_tokens, &entries, number).await
+            send_with_retry(arrival, answer_tokens, &entries, number).await
         }));
     }
     tasks
 }
 
 /// Sends one call; a caller told to come back does so once, elsewhere.
-async fn one(arrival: Arrival, answer_tokens: u32, entries: &[Arc<Caller>], number: usize) -> Done {
-    let call = call(&arrival, answer_tokens);
+async fn send_with_retry(
+    arrival: Arrival,
+    answer_tokens: u32,
+    entries: &[Arc<Caller>],
+    number: usize,
+) -> CompletedCall {
+    let call = build_call(&arrival, answer_tokens);
     let mut first = entries[number % entries.len()].send(&call).await;
     if first.status == 0 {
         // The instance is gone: the balancer takes the next one.
         first = entries[(number + 1) % entries.len()].send(&call).await;
     }
-    let mut second = None;
+    let mut retry = None;
     if let Some(seconds) = first
         .retry_after_s
-        .filter(|seconds| *seconds <= COME_BACK_MAX_S)
+        .filter(|seconds| *seconds <= RETRY_AFTER_MAX_S)
     {
         tokio::time::sleep(Duration::from_secs(seconds)).await;
-        second = Some(entries[(number + 1) % entries.len()].send(&call).await);
+        retry = Some(entries[(number + 1) % entries.len()].send(&call).await);
     }
-    Done {
+    CompletedCall {
         arrival,
         first,
-        second,
+        retry,
     }
 }
 
 /// Makes the request of a call.
-fn call(arrival: &Arrival, answer_tokens: u32) -> Call {
+fn build_call(arrival: &Arrival, answer_tokens: u32) -> Call {
     let key = arrivals::account_name(arrival.account);
-    match &arrival.ask {
-        Ask::Model(model) => Call::chat(&key, model, &arrival.prompt, answer_tokens, true),
-        Ask::Lookup(name) => Call::plain(&key, hyper::Method::POST, "/ledger/tickets", "{}")
+    match &arrival.target {
+        CallTarget::Model(model) => Call::chat(&key, model, &arrival.prompt, answer_tokens, true),
+        CallTarget::Lookup(name) => Call::plain(&key, hyper::Method::POST, "/ledger/tickets", "{}")
             .with_header(CALL_HEADER, name),
     }
 }
 
 /// Brings the faults at their times.
-async fn bring_faults(scenario: Scenario, deployment: Arc<Mutex<Deployment>>, started: Instant) {
+async fn inject_faults(scenario: Scenario, deployment: Arc<Mutex<Deployment>>, started: Instant) {
     for fault in &scenario.faults {
         let at = started + Duration::from_millis(scenario.warmup_ms + fault.at_ms);
         tokio::time::sleep_until(at.into()).await;
@@ -208,8 +215,8 @@
 }
 
 /// Kills engines and takes them off the list.
-fn kill_engines(deployment: &mut Deployment, dies: impl Fn(usize) -> bool) {
-    for index in (0..deployment.engines.len()).filter(|index| dies(*index)) {
+fn kill_engines(deployment: &mut Deployment, should_kill: impl Fn(usize) -> bool) {
+    for index in (0..deployment.engines.len()).filter(|index| should_kill(*index)) {
         deployment.kill_engine(index);
         deployment
             .platform
--- a/crates/cranereach-bench/src/slopes.rs
+++ b/crates/cranereach-bench/src/slopes.rs
@@ -68,11 +68,11 @@
         0.0
     };
     let base = mean_value - slope * mean_count;
-    let largest = points
+    let largest_value = points
         .iter()
         .map(|point| point.value.abs())
         .fold(f64::MIN_POSITIVE, f64::max);
-    let distance = points
+    let largest_residual = points
         .iter()
         .map(|point| (point.value - base - slope * point.count).abs())
         .fold(0.0, f64::max);
@@ -82,7 +82,7 @@
         unit,
         base,
         slope,
-        residual_ratio: distance / largest,
+        residual_ratio: largest_residual / largest_value,
         points,
     }
 }
--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::Slope;
-use super::kernel::per_size;
+use super::kernel::measure_slope;
 use super::kernel::time_us;
 use cranereach_core::snapshot::KeyHash;
 use cranereach_fleet::accounts::Account;
@@ -39,21 +39,21 @@
 /// Measures all slopes of decisions about accounts.
 pub fn measure() -> Vec<Slope> {
     vec![
-        per_size(
+        measure_slope(
             "find the account of a key",
             "accounts",
             "us",
             &[16, 300, 1_000, 10_000],
             find_us,
         ),
-        per_size(
+        measure_slope(
             "decide about a request by what is held in advance",
             "accounts in use",
             "us",
             &[16, 300, 1_000, 10_000],
             decide_us,
         ),
-        per_size(
+        measure_slope(
             "grant units as the owner of a part",
             "parts owned",
             "us",
@@ -81,15 +81,15 @@
 
 /// Time to decide about a request whose units are held already.
 fn decide_us(count: usize) -> f64 {
-    let mut uses = AccountUsages::default();
+    let mut usages = AccountUsages::default();
     for account in 0..count as u64 {
-        uses.decide(0, account, LIMIT, &TOLERANCE, COST);
-        uses.granted(0, account, 1e15, COST);
+        usages.decide(0, account, LIMIT, &TOLERANCE, COST);
+        usages.granted(0, account, 1e15, COST);
     }
     let mut account = 0;
     time_us(|| {
         account = (account + 1) % count as u64;
-        black_box(uses.decide(1, account, LIMIT, &TOLERANCE, COST));
+        black_box(usages.decide(1, account, LIMIT, &TOLERANCE, COST));
     })
 }
 
@@ -101,13 +101,13 @@
         most: COST,
     };
     let mut account = 0;
-    let mut take = || {
+    let mut grant = || {
         account = (account + 1) % count as u64;
         let key = PartKey { account, part: 0 };
         black_box(owned.take(1, key, LIMIT, &TOLERANCE, wanted, Ownership::Settled));
     };
     for _account in 0..count {
-        take();
+        grant();
     }
-    time_us(take)
+    time_us(grant)
 }
--- a/crates/cranereach-bench/src/slopes/fixtures.rs
+++ b/crates/cranereach-bench/src/slopes/fixtures.rs
@@ -33,7 +33,7 @@
         .workers_mut()
         .list((0..worker_count).map(listed).collect());
     for number in 0..worker_count {
-        dispatcher.reported(0, &report(number), &mut Vec::new());
+        dispatcher.reported(0, &worker_report(number), &mut Vec::new());
     }
     dispatcher
 }
@@ -44,7 +44,7 @@
 }
 
 /// Makes a worker's report of eight targets.
-pub(super) fn report(number: usize) -> WorkerReport {
+pub(super) fn worker_report(number: usize) -> WorkerReport {
     let others = (0..7).map(|other| TargetName::from(format!("model-{}", (number + other) % 330)));
     WorkerReport {
         worker: worker(number),
@@ -61,7 +61,7 @@
 }
 
 /// Makes a request.
-pub(super) fn waiting(number: u64, account: usize) -> Waiting {
+pub(super) fn waiting_request(number: u64, account: usize) -> Waiting {
     Waiting {
         request: RequestId(number),
         account: format!("account-{account}").into(),
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -10,7 +10,7 @@
 use hyper::header::HeaderValue;
 
 use super::Slope;
-use super::kernel::per_size;
+use super::kernel::measure_slope;
 use super::kernel::time_us;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::fingerprint::Content;
@@ -45,63 +45,63 @@
 /// Measures all slopes of a gateway's decisions.
 pub fn measure() -> Vec<Slope> {
     vec![
-        per_size(
+        measure_slope(
             "choose a worker: candidates, then one of them",
             "workers of the service (a twentieth holds the model)",
             "us",
             &[30, 90, 240, 1_000],
             choose_us,
         ),
-        per_size(
+        measure_slope(
             "look at what speaks against a send, right before it",
             "workers known",
             "us",
             &[30, 90, 240, 1_000],
-            barred_us,
+            check_barred_us,
         ),
-        per_size(
+        measure_slope(
             "read what an answer says of its worker, which says nothing but its load",
             "headers besides",
             "us",
             &[2, 6, 12, 24],
-            |count| read_words_us(count, &[]),
+            |count| read_headers_us(count, &[]),
         ),
-        per_size(
+        measure_slope(
             "read what an answer says of its worker, which leaves and names a limit",
             "headers besides",
             "us",
             &[2, 6, 12, 24],
-            |count| read_words_us(count, &["1", "1.2"]),
+            |count| read_headers_us(count, &["1", "1.2"]),
         ),
-        per_size(
+        measure_slope(
             "take what a digest tells of 48 members",
             "instances",
             "us",
             &[60, 300, 1_000, 3_300],
-            merge_us,
+            merge_gossip_us,
         ),
-        per_size(
+        measure_slope(
             "find the owner of a worker",
             "instances",
             "us",
             &[60, 300, 1_000, 3_300],
             owner_us,
         ),
-        per_size(
+        measure_slope(
             "answer for an owned worker",
             "requests open there",
             "us",
             &[4, 16, 32, 64],
-            answer_us,
+            worker_state_us,
         ),
-        per_size(
+        measure_slope(
             "look whether a call is quarantined, where others of its size are",
             "requests known",
             "us",
             &[0, 64, 512, 4_096],
-            look_us,
+            look_up_suspect_us,
         ),
-        per_size(
+        measure_slope(
             "make the fingerprint of a call",
             "bytes of its body",
             "us",
@@ -196,7 +196,7 @@
 }
 
 /// Time to look whether a worker may still be sent what was chosen for it.
-fn barred_us(worker_count: usize) -> f64 {
+fn check_barred_us(worker_count: usize) -> f64 {
     let roster = roster(worker_count);
     time_us(|| {
         black_box(roster.barred(1_000, "w7", Purpose::Call, 1));
@@ -205,7 +205,7 @@
 
 /// Time to read what the head of an answer says of its worker: its load, and these values
 /// of its leaving and its limit, among so many other headers; none without an adapter.
-fn read_words_us(other_count: usize, words: &[&'static str]) -> f64 {
+fn read_headers_us(other_count: usize, leaving_and_limit: &[&'static str]) -> f64 {
     let Some(names) = adapter::names()
         .first()
         .and_then(|name| adapter::find(name))
@@ -219,7 +219,7 @@
         HeaderValue::from_static("9c41d07be2a35f68"),
     );
     headers.insert(names.load, HeaderValue::from_static("3,0,8"));
-    for (name, value) in [names.leaving, names.limit].iter().zip(words) {
+    for (name, value) in [names.leaving, names.limit].iter().zip(leaving_and_limit) {
         headers.insert(*name, HeaderValue::from_static(value));
     }
     for number in 0..other_count {
@@ -235,14 +235,14 @@
 }
 
 /// Time to take the members of one digest.
-fn merge_us(count: usize) -> f64 {
+fn merge_gossip_us(count: usize) -> f64 {
     let mut members = members(count);
-    let news = members.sample(1_000, &mut rand::rng());
-    let news = &news[..news.len().min(TOLD_MAX_COUNT)];
+    let updates = members.sample(1_000, &mut rand::rng());
+    let updates = &updates[..updates.len().min(TOLD_MAX_COUNT)];
     let mut now_ms = 1_000;
     time_us(|| {
         now_ms += 1;
-        black_box(members.told(now_ms, news));
+        black_box(members.told(now_ms, updates));
     })
 }
 
@@ -270,7 +270,7 @@
 }
 
 /// Time to look whether a call is known whose size no other has, and one that is.
-fn look_us(known_count: usize) -> f64 {
+fn look_up_suspect_us(known_count: usize) -> f64 {
     let key = FingerprintKey::new("");
     let mark = |number: usize| RequestMark {
         body_bytes: number as u32,
@@ -297,7 +297,7 @@
 }
 
 /// Time to answer how a worker stands.
-fn answer_us(open_count: usize) -> f64 {
+fn worker_state_us(open_count: usize) -> f64 {
     let mut owned = OwnedWorkers::default();
     for number in 0..open_count {
         let opening = SentRequest {
--- a/crates/cranereach-bench/src/slopes/kernel.rs
+++ b/crates/cranereach-bench/src/slopes/kernel.rs
@@ -7,9 +7,9 @@
 use super::Slope;
 use super::fit;
 use super::fixtures::dispatcher;
-use super::fixtures::report;
-use super::fixtures::waiting;
+use super::fixtures::waiting_request;
 use super::fixtures::worker;
+use super::fixtures::worker_report;
 use crate::scenario::Scenario;
 use crate::scenario::arrivals;
 use cranereach_core::cell::CellId;
@@ -40,77 +40,77 @@
 /// Measures all slopes of the kernel.
 pub fn measure(scenario: &Scenario) -> Vec<Slope> {
     vec![
-        per_size(
+        measure_slope(
             "route and send one request",
             "workers that hold the target",
             "us",
             &[12, 24, 48, 120, 200],
             route_us,
         ),
-        per_size(
+        measure_slope(
             "admit one request into a queue",
             "accounts that wait",
             "us",
             &[10, 30, 100, 300],
             admit_us,
         ),
-        per_size(
+        measure_slope(
             "plan one cell",
             "models x workers (models = 5 x workers)",
             "us",
             &[5, 10, 21, 48],
             plan_us,
         ),
-        per_size(
+        measure_slope(
             "plan one cell of 48 workers",
             "models",
             "us",
             &[33, 90, 165, 330],
             plan_models_us,
         ),
-        per_size(
+        measure_slope(
             "order the cells for one target",
             "cells of the pool",
             "us",
             &[3, 8, 16, 32],
             hosts_us,
         ),
-        per_size(
+        measure_slope(
             "list the live instances",
             "instances of the group",
             "us",
             &[2, 6, 16, 20],
             live_us,
         ),
-        per_size(
+        measure_slope(
             "seal and open one digest",
             "parts",
             "us",
             &[4, 12, 24, 40],
             digest_us,
         ),
-        per_size(
+        measure_slope(
             "bytes of demand in a digest",
             "targets",
             "bytes",
             &[33, 90, 165, 330],
             demand_bytes,
         ),
-        per_size(
+        measure_slope(
             "bytes of reports in a digest",
             "workers",
             "bytes",
             &[4, 12, 24, 48],
             report_bytes,
         ),
-        per_size(
+        measure_slope(
             "resolve a configuration",
             "accounts",
             "us",
             &[100, 300, 1_000, 3_000],
             |count| resolve_us(scenario, count),
         ),
-        per_size(
+        measure_slope(
             "bytes of a configuration's body",
             "accounts",
             "bytes",
@@ -121,7 +121,7 @@
 }
 
 /// Measures one slope.
-pub(super) fn per_size(
+pub(super) fn measure_slope(
     name: &'static str,
     per: &'static str,
     unit: &'static str,
@@ -158,7 +158,7 @@
     time_us(|| {
         number += 1;
         actions.clear();
-        dispatcher.arrive(1, waiting(number, 0), &mut actions);
+        dispatcher.arrive(1, waiting_request(number, 0), &mut actions);
         dispatcher.ended(2, RequestId(number), 100.0, true, &mut actions);
         black_box(&actions);
     })
@@ -173,7 +173,7 @@
         number += 1;
         dispatcher.arrive(
             1,
-            waiting(number, number as usize % account_count),
+            waiting_request(number, number as usize % account_count),
             &mut actions,
         );
     }
@@ -182,7 +182,7 @@
         actions.clear();
         dispatcher.arrive(
             1,
-            waiting(number, number as usize % account_count),
+            waiting_request(number, number as usize % account_count),
             &mut actions,
         );
         let was_waiting = dispatcher.left(RequestId(number));
@@ -311,7 +311,12 @@
 
 /// Bytes of the reports of so many workers.
 fn report_bytes(count: usize) -> f64 {
-    wire_bytes((0..count).map(report).map(DigestPart::Report).collect())
+    wire_bytes(
+        (0..count)
+            .map(worker_report)
+            .map(DigestPart::Report)
+            .collect(),
+    )
 }
 
 /// Time of resolving a configuration of so many accounts.
--- a/crates/cranereach-bench/src/slopes/system.rs
+++ b/crates/cranereach-bench/src/slopes/system.rs
@@ -16,13 +16,13 @@
 use cranereach_standin::platform::state::WeightLimits;
 
 /// Time over which a deployment is watched, in milliseconds.
-const WATCH_MS: u64 = 6_000;
+const SAMPLE_MS: u64 = 6_000;
 
 /// Time before that, for leases and first loads, in milliseconds.
 const SETTLE_MS: u64 = 12_000;
 
 /// Time for the configuration to come into force, in milliseconds.
-const WITHIN_MS: u64 = 60_000;
+const CONFIG_TIMEOUT_MS: u64 = 60_000;
 
 /// What one deployment costs each entry instance.
 #[derive(Clone, Copy, Debug)]
@@ -36,11 +36,11 @@
 pub async fn measure(scenario: &Scenario) -> Result<Vec<Slope>, DeployError> {
     let mut by_instances = Vec::new();
     for count in [2, 4, 8, 16, 20] {
-        by_instances.push((count, watch(scenario, count, 12).await?));
+        by_instances.push((count, measure_idle(scenario, count, 12).await?));
     }
     let mut by_workers = Vec::new();
     for count in [4, 12, 24, 48] {
-        by_workers.push((count, watch(scenario, 4, count).await?));
+        by_workers.push((count, measure_idle(scenario, 4, count).await?));
     }
     let points = |costs: &[(usize, Cost)], value: fn(&Cost) -> f64| {
         costs
@@ -92,7 +92,7 @@
 }
 
 /// Starts a deployment, lets it settle, and watches it.
-async fn watch(
+async fn measure_idle(
     scenario: &Scenario,
     entry_count: usize,
     engine_count: usize,
@@ -111,22 +111,24 @@
     for number in 0..entry_count {
         let platform = deployment.platform_address.clone();
         // Intervals as they are by default, not those of the tests.
-        let change = |settings: &mut cranereach_entry::settings::Settings| {
+        let configure = |settings: &mut cranereach_entry::settings::Settings| {
             settings.peers.digest_every_ms = 200;
             settings.platform.head_every_ms = 2_000;
             settings.platform.list_every_ms = 1_000;
         };
         deployment
-            .add_entry_with(&format!("d{}", number % 3), &platform, change)
+            .add_entry_with(&format!("d{}", number % 3), &platform, configure)
             .await?;
     }
-    deployment.wait_for_version(version, WITHIN_MS).await?;
+    deployment
+        .wait_for_version(version, CONFIG_TIMEOUT_MS)
+        .await?;
     tokio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
     let before = counters(&deployment);
-    tokio::time::sleep(Duration::from_millis(WATCH_MS)).await;
+    tokio::time::sleep(Duration::from_millis(SAMPLE_MS)).await;
     let after = counters(&deployment);
     deployment.stop().await;
-    let per_instance_s = WATCH_MS as f64 / 1_000.0 * entry_count as f64;
+    let per_instance_s = SAMPLE_MS as f64 / 1_000.0 * entry_count as f64;
     Ok(Cost {
         sent_bytes_per_s: (after.sent_bytes - before.sent_bytes) / per_instance_s,
         table_requests_per_s: (after.table_count - before.table_count) / per_instance_s,
--- a/crates/cranereach-bench/src/waiting.rs
+++ b/crates/cranereach-bench/src/waiting.rs
@@ -8,13 +8,13 @@
 /// Waits until something holds.
 pub async fn wait_until(
     what: &str,
-    within_ms: u64,
-    mut holds: impl FnMut() -> bool,
+    timeout_ms: u64,
+    mut condition: impl FnMut() -> bool,
 ) -> Result<(), DeployError> {
-    let until = Instant::now() + Duration::from_millis(within_ms);
-    while !holds() {
-        if Instant::now() >= until {
-            return Err(DeployError::Waited {
+    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
+    while !condition() {
+        if Instant::now() >= deadline {
+            return Err(DeployError::Timeout {
                 what: what.to_owned(),
             });
         }
