--- a/crates/cranereach-bench/src/demo.rs
+++ b/crates/cranereach-bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! The newcomer's first command: a whole deployment, a burst, what came of it.
+//! Demonstration of a whole deployment under a burst of calls, with a summary of the results.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,36 +17,36 @@
 use cranereach_standin::platform::state::WeightLimits;
 use cranereach_wire::folder::Folder;
 
-/// Memory of each of the two engines: two models fit, six are declared.
+/// Memory of each of the two engines, in bytes: each holds two of the six declared models.
 const ENGINE_MEMORY_BYTES: u64 = 100;
 
-/// Memory of one model.
+/// Memory of one model, in bytes.
 const MODEL_MEMORY_BYTES: u64 = 40;
 
-/// Models declared.
+/// Number of declared models.
 const MODEL_COUNT: usize = 6;
 
 /// Length of the burst, in milliseconds.
 const BURST_MS: u64 = 6_000;
 
-/// Time for anything to come about, in milliseconds.
+/// Timeout of each step that waits for a result, in milliseconds.
 const STEP_TIMEOUT_MS: u64 = 15_000;
 
-/// Accounts with their share, class and callers at once.
+/// Name, share, class and number of concurrent callers of each account.
 const ACCOUNTS: [(&str, f64, &str, usize); 3] = [
     ("disputes", 2.0, "urgent", 8),
     ("crews", 1.0, "standard", 8),
     ("auditors", 1.0, "deferrable", 8),
 ];
 
-/// What the demo found.
+/// Result of the demo.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Promises that broke, in words.
+    /// Descriptions of the guarantees that were violated.
     pub broken: Vec<String>,
 }
 
-/// What one account got.
+/// Results of one account's calls during the burst.
 #[derive(Clone, Debug, Default)]
 struct AccountTotals {
     served_count: u32,
@@ -55,7 +55,7 @@
     first_token_us: Vec<u64>,
 }
 
-/// Starts the demo's deployment with its declarations in force.
+/// Starts the demo's deployment and waits until its configuration is in force.
 pub async fn start() -> Result<Deployment, DeployError> {
     let limits = WeightLimits {
         loads_per_s: 4.0,
@@ -84,7 +84,7 @@
     Ok(deployment)
 }
 
-/// Runs the demo on a deployment, printing each step.
+/// Runs the demo on a deployment and prints each step.
 pub async fn run(deployment: Deployment) -> Result<(Report, Deployment), DeployError> {
     println!(
         "declared  {MODEL_COUNT} models of {MODEL_MEMORY_BYTES} bytes, 2 engines of {ENGINE_MEMORY_BYTES}: 4 fit at once"
@@ -105,7 +105,7 @@
     Ok((report, deployment))
 }
 
-/// Asks for each model once: every one is reachable.
+/// Calls each model once, to check that every model is reachable.
 async fn load_each_model(deployment: &Deployment, report: &mut Report) {
     for number in 0..MODEL_COUNT {
         let call = Call::chat("disputes", &format!("m{number}"), "first words", 2, true);
@@ -126,7 +126,7 @@
     }
 }
 
-/// Sends a ledger lookup twice with one key: it runs once.
+/// Sends a ledger lookup twice with the same idempotency key and checks that it runs once.
 async fn check_idempotent_lookup(deployment: &Deployment, report: &mut Report) {
     let call = Call::plain("crews", hyper::Method::POST, "/ledger/tickets", "{}")
         .with_header("x-call", "ticket-1")
@@ -147,7 +147,7 @@
     }
 }
 
-/// Lets all accounts call at once, for more than the engines can serve.
+/// Lets all accounts call concurrently, with more load than the engines can serve.
 async fn burst(deployment: &Arc<Deployment>) -> BTreeMap<&'static str, AccountTotals> {
     let deadline = Instant::now() + Duration::from_millis(BURST_MS);
     let callers = ACCOUNTS
@@ -174,7 +174,7 @@
     totals_by_account
 }
 
-/// Calls until the burst is over; comes back when told to.
+/// Sends calls one after another until the deadline; waits for Retry-After after a refusal.
 async fn run_caller(
     deployment: &Deployment,
     name: &str,
@@ -183,7 +183,7 @@
 ) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     while Instant::now() < deadline {
-        // Skewed: half of the callers ask for the same two models.
+        // Skewed demand: half of the callers use the same two models.
         let model = if number.is_multiple_of(2) {
             number % 4 / 2
         } else {
@@ -209,7 +209,7 @@
     outcomes
 }
 
-/// Prints who got what.
+/// Prints the results of each account.
 fn print_account_totals(
     totals_by_account: &BTreeMap<&'static str, AccountTotals>,
     report: &mut Report,
@@ -235,7 +235,7 @@
     }
 }
 
-/// Prints memory and moves.
+/// Prints the loads, unloads and peak memory of each engine.
 fn print_memory(deployment: &Deployment, report: &mut Report) {
     for engine in &deployment.engines {
         let ledger = engine.stand_in.state().ledger();
@@ -253,7 +253,7 @@
 }
 
 impl AccountTotals {
-    /// Adds one outcome.
+    /// Counts one outcome.
     fn add(&mut self, outcome: &Outcome) {
         let is_served = outcome.status == 200 && outcome.is_whole;
         let in_time = outcome
@@ -275,7 +275,7 @@
     }
 }
 
-/// Promised time to the first token, in milliseconds.
+/// Objective for the time to the first token, in milliseconds.
 const FIRST_TOKEN_MS: u64 = 2_000;
 
 /// Returns the demo's declarations.
--- a/crates/cranereach-bench/src/deployment.rs
+++ b/crates/cranereach-bench/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Platform, upstreams and entry instances on loopback, in one process.
+//! Stand-in platform, upstreams and entry instances on loopback, in one process.
 
 use std::io;
 use std::sync::Arc;
@@ -41,10 +41,10 @@
 use cranereach_wire::platform::ListedInstance;
 use cranereach_wire::platform::Role;
 
-/// Address on which the system chooses the port.
+/// Loopback address with a port chosen by the operating system.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Why a deployment could not start.
+/// Error while starting or operating a deployment.
 #[derive(Debug, Error)]
 pub enum DeployError {
     /// A socket could not be opened.
@@ -56,24 +56,24 @@
     /// The declarations were not accepted.
     #[error(transparent)]
     Apply(#[from] ApplyError),
-    /// Something did not come about in time.
+    /// A condition was not met before its timeout.
     #[error("waited in vain for {what}")]
     Timeout {
-        /// What was waited for.
+        /// Description of the condition.
         what: String,
     },
 }
 
-/// An upstream worker and what it is listed as.
+/// An upstream worker and its entry in the platform's instance list.
 #[derive(Debug)]
 pub struct Upstream<T> {
-    /// Identity on the list.
+    /// Id in the instance list.
     pub id: String,
     /// Pool.
     pub pool: String,
     /// Failure domain.
     pub domain: String,
-    /// Address on the list.
+    /// Address in the instance list.
     pub address: String,
     /// The stand-in.
     pub stand_in: T,
@@ -91,18 +91,18 @@
     pub engines: Vec<Upstream<Engine>>,
     /// Plain services.
     pub services: Vec<Upstream<PlainService>>,
-    /// Entry instances; none where one has ended.
+    /// Entry instances; `None` for those that were killed.
     pub entries: Vec<Option<Entry>>,
-    /// Policy of instances that are started.
+    /// Policy settings of entry instances that are started from now on.
     pub policy: PolicySettings,
-    /// What the instances are told of the weight store.
+    /// Weight store limits in the settings of the entry instances.
     pub weight_store: WeightStoreSettings,
     callers: Vec<Arc<Caller>>,
     platform_stop_sender: watch::Sender<bool>,
 }
 
 impl Deployment {
-    /// Starts a platform and nothing else.
+    /// Starts the platform, without any upstream or entry instance.
     pub async fn start(limits: WeightLimits) -> Result<Self, DeployError> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let platform_address = listener.local_addr()?.to_string();
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Starts an engine and lists it.
+    /// Starts an engine, adds it to the instance list and returns its index.
     pub async fn add_engine(
         &mut self,
         pool: &str,
@@ -156,7 +156,7 @@
         Ok(self.engines.len() - 1)
     }
 
-    /// Starts a plain service and lists it.
+    /// Starts a plain service, adds it to the instance list and returns its index.
     pub async fn add_service(&mut self, pool: &str, domain: &str) -> Result<usize, DeployError> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?.to_string();
@@ -182,15 +182,15 @@
         Ok(self.services.len() - 1)
     }
 
-    /// Starts an entry instance and lists it.
+    /// Starts an entry instance, adds it to the instance list and returns its index.
     pub async fn add_entry(&mut self, domain: &str) -> Result<usize, DeployError> {
         let table = self.platform_address.clone();
         self.add_entry_with(domain, &table, |_settings| {}).await
     }
 
-    /// Starts an entry instance that reaches the platform at an address.
+    /// Starts an entry instance that reaches the platform at the given address.
     ///
-    /// `change` may change its settings first.
+    /// `adjust` may modify the settings before the start.
     pub async fn add_entry_with(
         &mut self,
         domain: &str,
@@ -210,19 +210,19 @@
         Ok(number)
     }
 
-    /// Puts a relay between an entry instance and the platform.
+    /// Starts a relay to the platform, for an entry instance; returns it with its address.
     pub async fn relay_to_platform(&self) -> Result<(Relay, String), DeployError> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?.to_string();
         Ok((Relay::start(listener, &self.platform_address), address))
     }
 
-    /// Returns the stores, as an operator's command uses them.
+    /// Returns the platform's stores, as the operators' commands access them.
     pub fn stores(&self) -> Stores {
         Stores::new(&self.platform_address, &self.platform_address)
     }
 
-    /// Applies declarations over whatever is in force; returns the version.
+    /// Applies declarations on top of the current version; returns the new version.
     pub async fn apply(&self, folder: &Folder) -> Result<u64, DeployError> {
         let stores = self.stores();
         let current = stores.current().await?;
@@ -233,17 +233,17 @@
         Ok(accepted.version)
     }
 
-    /// Returns a caller of each entry instance, the ended ones included.
+    /// Returns a client of each entry instance, including those that were killed.
     pub fn callers(&self) -> Vec<Arc<Caller>> {
         self.callers.clone()
     }
 
-    /// Sends a call to an entry instance.
+    /// Sends a call to the entry instance with the given index.
     pub async fn call(&self, entry: usize, call: &Call) -> Outcome {
         self.callers[entry].send(call).await
     }
 
-    /// Sends a call again and again until it is served or time is up.
+    /// Repeats a call until it is served or the timeout has passed; returns the last outcome.
     pub async fn call_until_served(&self, entry: usize, call: &Call, timeout_ms: u64) -> Outcome {
         let deadline = Instant::now() + Duration::from_millis(timeout_ms);
         loop {
@@ -255,7 +255,8 @@
         }
     }
 
-    /// Waits until every entry instance has a version in force.
+    /// Waits until the given configuration version or a later one is in force on every entry
+    /// instance.
     pub async fn wait_for_version(&self, version: u64, timeout_ms: u64) -> Result<(), DeployError> {
         let is_current = |entry: &Entry| entry.shared().config().held().version >= version;
         let what = format!("version {version} everywhere");
@@ -265,7 +266,7 @@
         .await
     }
 
-    /// Waits until some engine serves a target.
+    /// Waits until a target is resident on at least one engine.
     pub async fn wait_for_resident(
         &self,
         target: &str,
@@ -280,19 +281,19 @@
         .await
     }
 
-    /// Ends an entry instance at once, as a crash would.
+    /// Stops an entry instance abruptly, as a crash would.
     pub async fn kill_entry(&mut self, index: usize) {
         if let Some(entry) = self.entries[index].take() {
             entry.kill().await;
         }
     }
 
-    /// Ends an engine at once; it stays on the list until taken off.
+    /// Stops an engine abruptly, without removing it from the instance list.
     pub fn kill_engine(&mut self, index: usize) {
         self.engines[index].stop_sender.send_replace(true);
     }
 
-    /// Shows a worker on the platform's list.
+    /// Adds or updates a worker in the platform's instance list.
     pub fn list_worker(&self, id: &str, pool: &str, domain: &str, address: &str, state: ListState) {
         self.platform.state().list(ListedInstance {
             id: InstanceId::from(id),
@@ -304,7 +305,7 @@
         });
     }
 
-    /// Shows an entry instance on the platform's list.
+    /// Adds or updates an entry instance in the platform's instance list.
     pub fn list_entry(&self, id: &InstanceId, domain: &str, address: &str, state: ListState) {
         self.platform.state().list(ListedInstance {
             id: id.clone(),
@@ -316,7 +317,7 @@
         });
     }
 
-    /// Ends everything.
+    /// Stops all components.
     pub async fn stop(mut self) {
         for entry in self.entries.drain(..).flatten() {
             entry.kill().await;
@@ -330,7 +331,7 @@
         self.platform_stop_sender.send_replace(true);
     }
 
-    /// Returns the settings of an entry instance.
+    /// Returns the default settings of an entry instance of this deployment.
     fn settings(&self, id: &str, domain: &str, platform: &str) -> Settings {
         Settings {
             instance: InstanceSettings {
--- a/crates/cranereach-bench/src/path_cost.rs
+++ b/crates/cranereach-bench/src/path_cost.rs
@@ -1,7 +1,7 @@
-//! What the entry instance adds: time per call, calls and tokens per core, memory.
+//! Overhead of an entry instance: added latency, calls and tokens per core, memory.
 //!
-//! The instance and the engine are processes of their own; this caller talks to
-//! the instance and, for comparison in the same run, to the engine directly.
+//! The instance and the engine run as separate processes. The calls go through
+//! the instance and, for comparison in the same run, directly to the engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,62 +16,64 @@
 use cranereach_standin::load;
 use cranereach_standin::load::Call;
 
-/// Calls one after the other, each way, for the added time.
+/// Sequential calls on each path, for the added latency.
 const SEQUENTIAL_CALL_COUNT: usize = 3_000;
 
-/// Callers at once, for calls and tokens per core.
+/// Concurrent callers, for calls and tokens per core.
 const CONCURRENT_CALLER_COUNT: usize = 64;
 
-/// Time of each busy part, in milliseconds.
+/// Duration of each phase with concurrent callers, in milliseconds.
 const LOAD_PHASE_MS: u64 = 5_000;
 
-/// Tokens of a streamed answer in the busy part.
+/// Tokens of a streamed answer in the phase with concurrent callers.
 const STREAM_TOKENS: u32 = 400;
 
-/// Streams held open for the memory per stream.
+/// Streams held open to measure the memory per stream.
 const OPEN_STREAM_COUNT: usize = 1_000;
 
-/// What is called.
+/// The instance and the engine to measure, and how to call them.
 #[derive(Clone, Debug)]
 pub struct Path {
-    /// Callers' address of the instance.
+    /// Address on which the instance accepts calls.
     pub through: String,
     /// Address of the engine.
     pub direct: String,
     /// Process id of the instance.
     pub process: String,
-    /// Bearer key.
+    /// API key, sent as a bearer token.
     pub key: String,
-    /// Model, resident on the engine.
+    /// Model to call, resident on the engine.
     pub model: String,
 }
 
-/// What was measured.
+/// Measured overhead of an entry instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct PathCost {
-    /// Time of a small call, in microseconds: median, 95 and 99 in 100.
+    /// Duration of a small call through the instance, in microseconds: 50th, 95th and 99th
+    /// percentile.
     pub through_us: [u64; 3],
-    /// The same, directly.
+    /// Duration of a small call sent directly to the engine, with the same percentiles.
     pub direct_us: [u64; 3],
-    /// Small calls a second, with all callers busy.
+    /// Small calls per second with concurrent callers.
     pub calls_per_s: f64,
-    /// Cores that the instance used meanwhile.
+    /// Processor cores that the instance used during these calls.
     pub calls_cores: f64,
-    /// Streamed tokens a second, with all callers busy.
+    /// Streamed tokens per second with concurrent callers.
     pub tokens_per_s: f64,
-    /// Cores that the instance used meanwhile.
+    /// Processor cores that the instance used during these streams.
     pub tokens_cores: f64,
-    /// Resident memory at rest, in bytes.
+    /// Resident memory of the idle instance, in bytes.
     pub rest_bytes: u64,
-    /// Resident memory after the busy parts, before streams are opened, in bytes.
+    /// Resident memory after the phases with concurrent callers, before the streams are opened, in
+    /// bytes.
     pub after_busy_bytes: u64,
     /// Resident memory with the streams open, in bytes.
     pub open_bytes: u64,
-    /// Streams open.
+    /// Number of open streams.
     pub open_count: usize,
 }
 
-/// Measures a path.
+/// Measures the overhead of an instance.
 pub async fn measure(path: &Path) -> PathCost {
     let through = Arc::new(Pool::new(&path.through));
     let direct = Arc::new(Pool::new(&path.direct));
@@ -79,7 +81,7 @@
     wait_until_served(&through, &small).await;
     let rest_bytes = process::resident_bytes(&path.process);
     let mut durations_us = [Vec::new(), Vec::new()];
-    // Alternating, so that whatever else the machine does hits both alike.
+    // The calls alternate, so that other load on the machine affects both paths alike.
     for _call in 0..SEQUENTIAL_CALL_COUNT {
         for (pool, samples) in [&through, &direct].into_iter().zip(&mut durations_us) {
             samples.push(load::send(pool, &small).await.whole_us);
@@ -104,14 +106,15 @@
     }
 }
 
-/// Calls until the model is resident.
+/// Repeats a call until it is served; by then, the model is resident.
 async fn wait_until_served(pool: &Pool<Full<bytes::Bytes>>, call: &Call) {
     while load::send(pool, call).await.status != 200 {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Keeps all callers busy; returns answers a second and cores of the instance.
+/// Sends calls from concurrent callers; returns the answers per second and the processor cores
+/// that the instance used.
 async fn measure_throughput(
     pool: &Arc<Pool<Full<bytes::Bytes>>>,
     call: &Call,
@@ -143,9 +146,9 @@
     )
 }
 
-/// Holds streams open and returns the instance's memory meanwhile.
+/// Returns the resident memory of the instance while streams are open, in bytes.
 async fn open_streams_memory(pool: &Arc<Pool<Full<bytes::Bytes>>>, path: &Path) -> u64 {
-    // Most of them wait in the instance, as callers of a busy engine do.
+    // Most of them wait in the instance, like calls to a busy engine.
     let call = Call::chat(
         &path.key,
         &path.model,
@@ -168,7 +171,7 @@
     bytes
 }
 
-/// Returns the median, 95 and 99 in 100.
+/// Returns the 50th, 95th and 99th percentile.
 fn quantiles(durations_us: &[u64]) -> [u64; 3] {
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
     for &duration_us in durations_us {
--- a/crates/cranereach-bench/src/process.rs
+++ b/crates/cranereach-bench/src/process.rs
@@ -1,16 +1,16 @@
-//! What the system says of a process: processor time and memory.
+//! Processor time and memory of a process, read from `/proc`.
 
 use std::fs;
 
-/// Ticks per second of the times in `/proc`; fixed by the kernel's interface.
+/// Clock ticks per second of the times in `/proc`; fixed by the kernel's interface.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Bytes in a KiB, the unit of `/proc/.../status`.
+/// Bytes in a KiB, the unit of memory sizes in `/proc/.../status`.
 const KIB_BYTES: u64 = 1024;
 
-/// Returns the processor time that a process has used, in seconds.
+/// Returns the user and system time that a process has used, in seconds.
 ///
-/// `process` is a process id or `self`; zero if it can't be read.
+/// `process` is a process id or `self`. Returns zero if the time can't be read.
 ///
 /// ```
 /// assert!(cranereach_bench::process::cpu_s("self") >= 0.0);
@@ -19,7 +19,7 @@
     let Ok(text) = fs::read_to_string(format!("/proc/{process}/stat")) else {
         return 0.0;
     };
-    // The name in parentheses may hold spaces; the times follow it.
+    // The command name in parentheses may contain spaces, so the fields are counted from its end.
     let Some((_, after)) = text.rsplit_once(')') else {
         return 0.0;
     };
@@ -33,7 +33,7 @@
     (ticks(11) + ticks(12)) / TICKS_PER_S
 }
 
-/// Returns the resident memory of a process, in bytes.
+/// Returns the resident memory of a process, in bytes; zero if it can't be read.
 pub fn resident_bytes(process: &str) -> u64 {
     let Ok(text) = fs::read_to_string(format!("/proc/{process}/status")) else {
         return 0;
--- a/crates/cranereach-bench/src/scenario/arrivals.rs
+++ b/crates/cranereach-bench/src/scenario/arrivals.rs
@@ -1,4 +1,5 @@
-//! Seeded calls: skewed over models, in bursts, from accounts of three classes.
+//! Generates calls from a seed: Zipf demand over models, with bursts, from accounts of three
+//! classes.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -10,55 +11,55 @@
 use cranereach_core::snapshot::KeyHash;
 use cranereach_wire::folder::Folder;
 
-/// Exponent of the skew over models.
+/// Exponent of the Zipf distribution of demand over base models.
 const ZIPF_EXPONENT: f64 = 0.9;
 
-/// Factor by which a burst moves a model's demand.
+/// Factor by which a burst multiplies one model's demand.
 const BURST_FACTOR: f64 = 10.0;
 
-/// Part of a base model's demand that goes to its adapters.
+/// Fraction of a base model's demand that goes to its adapters.
 const ADAPTER_DEMAND_RATIO: f64 = 0.5;
 
-/// Bytes in a GB.
+/// Bytes in a GB, the unit of memory in scenario files.
 const BYTES_PER_GB: u64 = 1_000_000_000;
 
-/// Prompt starts per account, so that the prefix cache has something to hit.
+/// Different prompt prefixes per account; they repeat, so that the prefix cache has hits.
 const PROMPT_PREFIX_COUNT: u32 = 8;
 
-/// Promises of a class.
+/// Service objectives of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceObjective {
-    /// Time to the first token, in milliseconds.
+    /// Maximum time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Time between two tokens, in milliseconds.
+    /// Intended time between two tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Weight of the class in attainment.
+    /// Weight of the class's calls in attainment.
     pub weight: u32,
 }
 
-/// What one call asks for.
+/// Target of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallTarget {
-    /// A model or adapter.
+    /// Name of a model or adapter.
     Model(String),
-    /// A lookup at the plain service, named so that its runs are counted.
+    /// Name of a lookup at a plain service, by which its executions are counted.
     Lookup(String),
 }
 
-/// One call of the plan.
+/// One generated call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, in milliseconds since the start of the warm-up.
+    /// Time since the start of the warm-up, in milliseconds.
     pub at_ms: u64,
-    /// Whose.
+    /// Index of the account.
     pub account: usize,
-    /// What for.
+    /// Target of the call.
     pub target: CallTarget,
-    /// Start of the prompt.
+    /// Text of the prompt.
     pub prompt: String,
 }
 
-/// Returns what is promised to a class.
+/// Returns the service objectives of a class.
 pub fn objective(class: Class) -> ServiceObjective {
     match class {
         Class::Urgent => ServiceObjective {
@@ -79,17 +80,17 @@
     }
 }
 
-/// Returns the class of an account.
+/// Returns the class of an account, by its index.
 pub fn class_of(account: usize) -> Class {
     Class::ALL[account % Class::ALL.len()]
 }
 
-/// Returns an account's name, which is also its key.
+/// Returns an account's name, which is also its API key.
 pub fn account_name(account: usize) -> String {
     format!("account-{account}")
 }
 
-/// Makes the calls of a scenario.
+/// Generates the calls of a scenario from a seed, in order of time.
 ///
 /// ```
 /// use cranereach_bench::scenario::arrivals::promise;
@@ -151,7 +152,7 @@
     arrivals
 }
 
-/// Returns the declarations of a scenario.
+/// Returns the declarations of a scenario's pools, models and accounts.
 pub fn declarations(scenario: &Scenario) -> Folder {
     let mut models = Vec::new();
     for number in 0..scenario.model_count {
@@ -193,21 +194,21 @@
     }
 }
 
-/// One target that is resident before the first call.
+/// A target that is loaded before the first call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Preloaded {
     /// Name of a base model or adapter.
     pub target: String,
     /// Its memory, in bytes.
     pub memory_bytes: u64,
-    /// Base model beside which it must stand, for an adapter.
+    /// Base model that must be resident on the same engine, for an adapter.
     pub base: Option<String>,
 }
 
-/// Lists what may be resident before the first call, bases first.
+/// Lists the targets to load before the first call, base models first.
 ///
-/// The order is by number, while the demand's ranks are shuffled by seed: the
-/// placement is one that fitted an earlier demand.
+/// They are ordered by number, while the demand's ranks are shuffled by the seed,
+/// so the initial placement is one that suited an earlier demand.
 pub fn preloaded(scenario: &Scenario) -> Vec<Preloaded> {
     let bases = (0..scenario.model_count).map(|number| Preloaded {
         target: model_name(number),
@@ -222,7 +223,7 @@
     bases.chain(adapters).collect()
 }
 
-/// Returns the rate of the flooding account, in calls per second.
+/// Returns the calls per second that the flooding account sends on top of its usual demand.
 fn flood_calls_per_s(scenario: &Scenario) -> f64 {
     let own = scenario.calls_per_s() / scenario.account_count as f64;
     if scenario.flooding_account.is_some() {
@@ -232,14 +233,14 @@
     }
 }
 
-/// Returns the skewed weights of the base models.
+/// Returns the Zipf weights of the base models, by rank.
 fn base_weights(scenario: &Scenario) -> Vec<f64> {
     (0..scenario.model_count)
         .map(|rank| 1.0 / (rank as f64 + 1.0).powf(ZIPF_EXPONENT))
         .collect()
 }
 
-/// Returns which model has which rank, by seed.
+/// Returns the indices below `count` in random order.
 fn shuffled_indices(count: usize, random: &mut SmallRng) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..count).collect();
     for index in (1..count).rev() {
@@ -248,7 +249,7 @@
     indices
 }
 
-/// Draws a model, or one of its adapters.
+/// Draws a base model by its weight, or one of its adapters.
 fn draw_target(
     scenario: &Scenario,
     weights: &[f64],
@@ -269,7 +270,7 @@
     adapter_name(model + scenario.model_count * random.random_range(0..adapters))
 }
 
-/// Returns a base model's memory: 12 to 27 GB.
+/// Returns a base model's memory in bytes; sizes range from 12 to 27 GB.
 fn model_memory_bytes(number: usize) -> u64 {
     (12 + 3 * (number as u64 % 6)) * BYTES_PER_GB
 }
@@ -279,7 +280,7 @@
     format!("model-{number}")
 }
 
-/// Returns an adapter's name; its base is its number modulo the base models.
+/// Returns an adapter's name; its base model is its number modulo the number of base models.
 fn adapter_name(number: usize) -> String {
     format!("adapter-{number}")
 }
--- a/crates/cranereach-bench/src/scenario/mod.rs
+++ b/crates/cranereach-bench/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! A deployment's size, demand and faults, as read from a scenario file.
+//! Size, demand and faults of a test deployment, as read from a scenario file.
 //!
-//! [`arrivals`] makes the seeded calls, [`run`] drives them, [`report`] sums up
-//! what came back against what was promised.
+//! [`arrivals`] generates the calls from a seed, [`run`] sends them to a
+//! deployment, and [`report`] compares the results with the service objectives.
 
 pub mod arrivals;
 pub mod report;
@@ -10,116 +10,117 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A scenario.
+/// A load test: the deployment, its demand and the faults to inject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name, for reports.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// Entry instances.
+    /// Number of entry instances.
     pub entry_count: usize,
-    /// Model engines, spread over the failure domains.
+    /// Number of model engines, spread over the failure domains.
     pub engine_count: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub service_count: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domain_count: usize,
-    /// Base models.
+    /// Number of base models.
     pub model_count: usize,
-    /// Adapters, spread over the base models.
+    /// Number of adapters, spread over the base models.
     pub adapter_count: usize,
-    /// Accounts, a third in each class.
+    /// Number of accounts, a third in each class.
     pub account_count: usize,
     /// Accelerator memory of one engine, in GB.
     pub engine_memory_gb: u64,
-    /// Requests that an engine batches.
+    /// Maximum number of requests in an engine's batch.
     pub slot_count: u32,
-    /// Time per token of a lone request, in microseconds.
+    /// Time per token for a request that runs alone on an engine, in microseconds.
     pub token_us: u64,
     /// Time between two refreshes of an engine's report, in milliseconds.
     pub report_every_ms: u64,
-    /// Loads that the weight store begins per second.
+    /// Maximum number of model loads that the weight store starts per second.
     pub loads_per_s: f64,
-    /// Loads at once.
+    /// Maximum number of concurrent loads from the weight store.
     pub loads_at_once_count: u32,
-    /// Time of one load, in milliseconds.
+    /// Duration of one load, in milliseconds.
     pub load_ms: u64,
-    /// Tokens of one answer.
+    /// Number of tokens of each answer.
     pub answer_tokens: u32,
-    /// Demand as a part of what the engines can generate.
+    /// Demand, as a fraction of the tokens that the engines can generate.
     pub load_ratio: f64,
-    /// Lookups per second at the plain services.
+    /// Lookups per second, sent to the plain services.
     pub lookups_per_s: f64,
-    /// Length of the measured part, in milliseconds.
+    /// Duration of the measured phase, in milliseconds.
     pub measured_ms: u64,
-    /// Length of the part before, in milliseconds.
+    /// Duration of the warm-up before the measured phase, in milliseconds.
     pub warmup_ms: u64,
-    /// Time between two bursts that move a model's demand tenfold, in ms.
+    /// Time between two bursts that raise one model's demand tenfold, in milliseconds.
     pub burst_every_ms: u64,
-    /// Length of a burst, in milliseconds.
+    /// Duration of a burst, in milliseconds.
     pub burst_ms: u64,
-    /// Account that floods at ten times its demand, by number; none if absent.
+    /// Index of an account that sends ten times its usual demand; none if absent.
     #[serde(default)]
     pub flooding_account: Option<usize>,
-    /// Faults, by time since the start of the measured part.
+    /// Faults to inject, in order of time.
     #[serde(default)]
     pub faults: Vec<TimedFault>,
-    /// Worth of one more request running at once.
+    /// Weight of attainment in the placement plan: value of one more request running concurrently.
     #[serde(default = "one")]
     pub attainment_weight: f64,
-    /// Price of one load or unload.
+    /// Weight of moves in the placement plan: cost of one load or unload.
     #[serde(default = "fifth")]
     pub move_weight: f64,
 }
 
-/// Default of the attainment weight.
+/// Returns the default attainment weight.
 fn one() -> f64 {
     1.0
 }
 
-/// Default of the move weight.
+/// Returns the default move weight.
 fn fifth() -> f64 {
     0.2
 }
 
-/// A fault at a time.
+/// A fault and the time of its injection.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimedFault {
-    /// When, in milliseconds of the measured part.
+    /// Time since the start of the measured phase, in milliseconds.
     pub at_ms: u64,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// What fails.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// One engine dies.
+    /// The first engine stops abruptly.
     KillEngine,
-    /// All engines of the first failure domain die.
+    /// All engines of the first failure domain stop abruptly.
     KillDomain,
-    /// One entry instance dies.
+    /// The first entry instance stops abruptly.
     KillEntry,
-    /// The table refuses from now on.
+    /// The platform's table refuses all requests from this time on.
     TableDown,
-    /// Every twentieth order is lost and as many come 2 s late.
+    /// Each engine loses one order in twenty, and applies one in twenty 2 s late.
     LoseOrders,
 }
 
 impl Scenario {
-    /// Returns the tokens a second that all engines can generate.
+    /// Returns the tokens per second that all engines together can generate with full batches.
     pub fn capacity_tokens_per_s(&self) -> f64 {
         let full_token_s = self.token_us as f64 * (1.0 + BATCH_SLOWDOWN_RATIO) / 1e6;
         self.engine_count as f64 * f64::from(self.slot_count) / full_token_s
     }
 
-    /// Returns the calls of models per second.
+    /// Returns the model calls per second that result from the load ratio.
     pub fn calls_per_s(&self) -> f64 {
         self.load_ratio * self.capacity_tokens_per_s() / f64::from(self.answer_tokens)
     }
 }
 
-/// Part by which a full batch makes each token slower.
+/// Relative increase of the time per token in a full batch, compared with a request that runs
+/// alone.
 pub const BATCH_SLOWDOWN_RATIO: f64 = 0.5;
--- a/crates/cranereach-bench/src/scenario/report.rs
+++ b/crates/cranereach-bench/src/scenario/report.rs
@@ -1,10 +1,11 @@
-//! Attainment, moves and the rest of what a run is judged by.
+//! Results of a scenario run, such as attainment and the number of moves.
 //!
-//! A call is delivered if its whole answer came, its first token within the
-//! class's promise and no gap between tokens above four times the promised one.
-//! A call that came back as told counts by its second answer, its wait included.
-//! Attainment is the weighted part of calls that were delivered; per accelerator
-//! it is the weighted tokens a second delivered by each engine.
+//! A call counts as delivered if its answer was complete, the first token met the
+//! objective of the class, and no gap between tokens exceeded four times the
+//! objective. A call that was retried as its Retry-After asked counts by its second
+//! answer, and the wait is part of its time to the first token. Attainment is the
+//! weighted fraction of calls that were delivered. Per accelerator, it is the
+//! weighted tokens per second delivered by each engine.
 
 use std::collections::BTreeMap;
 
@@ -20,60 +21,60 @@
 use cranereach_core::declarations::Class;
 use cranereach_standin::load::Outcome;
 
-/// Gap between tokens that breaks the promise, as a multiple of the promised.
+/// Largest gap between tokens of a delivered call, as a multiple of the objective.
 const TOKEN_GAP_FACTOR: u64 = 4;
 
-/// What a run is judged by.
+/// Results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed.
+    /// Seed of the generated calls.
     pub seed: u64,
-    /// Weighted part of calls delivered as promised.
+    /// Weighted fraction of calls that were delivered.
     pub attainment_ratio: f64,
-    /// The same, of what could have been delivered at best.
+    /// Attainment, as a fraction of the best that the engines' speed allows.
     pub of_bound_ratio: f64,
-    /// Weighted tokens a second delivered by each engine.
+    /// Weighted tokens per second delivered by each engine.
     pub tokens_per_accelerator_per_s: f64,
-    /// Loads and unloads that engines accepted.
+    /// Number of loads and unloads that engines accepted.
     pub moves_count: u64,
-    /// Calls measured.
+    /// Number of model calls in the measured phase.
     pub call_count: usize,
-    /// Callers told to come back that were served when they did, as a part.
+    /// Fraction of retries after Retry-After that were served.
     pub come_back_served_ratio: f64,
-    /// What each class got.
+    /// Results of each class.
     pub classes: BTreeMap<&'static str, ClassReport>,
-    /// Attainment of each account.
+    /// Attainment of each account, by name.
     pub accounts: BTreeMap<String, f64>,
-    /// Jain's index over the accounts' delivered tokens, within each class.
+    /// Jain's fairness index over the accounts' delivered calls, within each class.
     pub fairness_by_class: BTreeMap<&'static str, f64>,
-    /// Lookups that did not arrive.
+    /// Number of lookups that were not served, neither at first nor on a retry.
     pub lookups_lost_count: usize,
-    /// Lookups that ran more than once.
+    /// Number of lookups that were executed more than once.
     pub lookups_doubled_count: usize,
-    /// Times that an engine was overcommitted.
+    /// Number of times that an engine's memory was overcommitted.
     pub memory_excess_count: u64,
-    /// Digest bytes a second of each entry instance.
+    /// Bytes of digests per second that each entry instance sent to its peers.
     pub digest_bytes_per_s: f64,
-    /// Requests a second to the table.
+    /// Requests per second to the platform's table.
     pub table_requests_per_s: f64,
 }
 
-/// What one class got.
+/// Results of one class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassReport {
-    /// Part of its calls delivered as promised.
+    /// Fraction of its calls that were delivered.
     pub attainment_ratio: f64,
-    /// Time to the first token, median, in milliseconds.
+    /// Median time to the first token of complete answers, in milliseconds.
     pub first_token_p50_ms: u64,
-    /// Time to the first token, 95 in 100, in milliseconds.
+    /// 95th percentile of the time to the first token of complete answers, in milliseconds.
     pub first_token_p95_ms: u64,
-    /// Calls not served, by code; 0 for no answer at all.
+    /// Number of calls not served, by result code; 0 if the answer had none or there was none.
     pub refused: BTreeMap<u16, u32>,
 }
 
-/// Sums up one class while calls are gone through.
+/// Running totals of one class.
 struct ClassTotals {
     call_count: u32,
     delivered_count: u32,
@@ -81,7 +82,7 @@
     refused: BTreeMap<u16, u32>,
 }
 
-/// Sums up a run.
+/// Summarizes the calls of a run and the counters of its deployment.
 pub fn summarize(
     scenario: &Scenario,
     seed: u64,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Whether a call was delivered as promised.
+/// Returns whether a call met the objectives of its class.
 fn is_delivered(call: &CompletedCall, objective: &ServiceObjective) -> bool {
     let (outcome, waited_us) = match &call.retry {
         Some(retry) => (
@@ -192,20 +193,20 @@
         && outcome.gap_max_us <= gap_limit_us
 }
 
-/// Whether an answer is a whole one.
+/// Returns whether an answer succeeded and was complete.
 fn is_whole(outcome: &Outcome) -> bool {
     outcome.status == 200 && outcome.is_whole
 }
 
-/// Whether a lookup arrived, at the first or second time.
+/// Returns whether a lookup was served by the first attempt or the retry.
 fn was_served(completed: &CompletedCall) -> bool {
     is_whole(&completed.first) || completed.retry.as_ref().is_some_and(is_whole)
 }
 
-/// Returns the best attainment that the engines' speed allows.
+/// Returns an upper bound of the attainment, given by the engines' speed.
 ///
-/// It fills the capacity with the weightiest calls and knows no loads, no
-/// placement and no waiting; so no policy can reach it in overload.
+/// It fills the capacity with the calls of the highest weight and ignores model
+/// loads, placement and queueing, so no policy can reach it in overload.
 fn best_attainment(scenario: &Scenario, calls: &[&CompletedCall]) -> f64 {
     let seconds = scenario.measured_ms as f64 / 1_000.0;
     let mut remaining_calls =
@@ -226,7 +227,7 @@
     if offered > 0.0 { best / offered } else { 1.0 }
 }
 
-/// Returns Jain's index over the accounts' delivered calls, within each class.
+/// Returns Jain's fairness index over the accounts' delivered calls, within each class.
 fn fairness(accounts: &BTreeMap<usize, (u32, u32)>) -> BTreeMap<&'static str, f64> {
     let mut by_class: BTreeMap<&'static str, Vec<f64>> = BTreeMap::new();
     for (number, (_offered_count, delivered_count)) in accounts {
@@ -241,7 +242,7 @@
         .collect()
 }
 
-/// Returns Jain's index of shares: one if all are alike.
+/// Returns Jain's fairness index of some shares; it is one if all are equal.
 fn jain(shares: &[f64]) -> f64 {
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
@@ -252,12 +253,12 @@
     }
 }
 
-/// Returns an engine's loads and unloads.
+/// Returns the number of an engine's loads and unloads.
 fn move_count(ledger: &cranereach_standin::engine::state::EngineLedger) -> u64 {
     ledger.load_count + ledger.unload_count
 }
 
-/// Returns how many lookups ran more than once.
+/// Returns how many lookups were executed more than once.
 fn duplicate_lookup_count(deployment: &Deployment) -> usize {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for service in &deployment.services {
@@ -268,7 +269,7 @@
     runs.values().filter(|count| **count > 1).count()
 }
 
-/// Returns the digest bytes that each entry instance sent, on average.
+/// Returns the mean number of digest bytes that an entry instance sent.
 fn mean_digest_bytes(deployment: &Deployment) -> f64 {
     let sent = deployment
         .entries
@@ -280,7 +281,7 @@
 }
 
 impl ClassTotals {
-    /// Starts empty.
+    /// Creates empty totals.
     fn new() -> Self {
         let first_token = Histogram::new(3).expect("three digits are allowed");
         Self {
@@ -291,7 +292,7 @@
         }
     }
 
-    /// Adds one call.
+    /// Counts one call.
     fn add(&mut self, call: &CompletedCall, is_delivered: bool) {
         self.call_count += 1;
         self.delivered_count += u32::from(is_delivered);
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Returns the sum.
+    /// Returns the results of the class.
     fn report(self) -> ClassReport {
         ClassReport {
             attainment_ratio: f64::from(self.delivered_count) / f64::from(self.call_count.max(1)),
--- a/crates/cranereach-bench/src/scenario/run.rs
+++ b/crates/cranereach-bench/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! Drives a scenario's calls through a deployment and its faults into it.
+//! Runs a scenario: starts a deployment, sends the calls and injects the faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,24 +24,24 @@
 use cranereach_standin::platform::state::WeightLimits;
 use cranereach_standin::service::CALL_HEADER;
 
-/// Time for the configuration to come into force, in milliseconds.
+/// Timeout for the configuration to come into force, in milliseconds.
 const CONFIG_TIMEOUT_MS: u64 = 60_000;
 
-/// Longest time that a caller waits before it comes back, in seconds.
+/// Longest Retry-After that a caller follows, in seconds.
 const RETRY_AFTER_MAX_S: u64 = 10;
 
-/// One call with what came of it.
+/// A call and its outcomes.
 #[derive(Clone, Debug)]
 pub struct CompletedCall {
     /// The call.
     pub arrival: Arrival,
-    /// What came back first.
+    /// Outcome of the first attempt.
     pub first: Outcome,
-    /// What came back when the caller came back as told, if it did.
+    /// Outcome of the retry after Retry-After, if there was one.
     pub retry: Option<Outcome>,
 }
 
-/// Runs a scenario once.
+/// Runs a scenario once and summarizes the results.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
@@ -62,7 +62,7 @@
     for task in tasks {
         completed.extend(task.await.ok());
     }
-    // The last fault may lie behind the last call.
+    // The last fault may come after the last call.
     let _injected = faults.await;
     let deployment = Arc::into_inner(deployment).map(Mutex::into_inner);
     let deployment = deployment.ok_or_else(|| DeployError::Timeout {
@@ -73,7 +73,7 @@
     Ok(report)
 }
 
-/// Starts the deployment of a scenario.
+/// Starts the deployment of a scenario and waits until its configuration is in force.
 async fn start(scenario: &Scenario, policy: &PolicySettings) -> Result<Deployment, DeployError> {
     let limits = WeightLimits {
         loads_per_s: scenario.loads_per_s,
@@ -115,7 +115,7 @@
     Ok(deployment)
 }
 
-/// Fills the engines with a placement that fitted an earlier demand.
+/// Loads models on the engines before the first call, in a placement made for an earlier demand.
 fn preload(scenario: &Scenario, deployment: &Deployment) {
     for item in arrivals::preloaded(scenario) {
         let mut engines: Vec<_> = deployment
@@ -135,12 +135,13 @@
     }
 }
 
-/// Returns callers of each entry instance.
+/// Returns a client of each entry instance.
 async fn callers(deployment: &Mutex<Deployment>) -> Vec<Arc<Caller>> {
     deployment.lock().await.callers()
 }
 
-/// Sends each call at its time, as a balancer would spread them.
+/// Sends each call at its scheduled time, round-robin over the entry instances like a load
+/// balancer.
 async fn send_on_schedule(
     calls: Vec<Arrival>,
     answer_tokens: u32,
@@ -158,7 +159,7 @@
     tasks
 }
 
-/// Sends one call; a caller told to come back does so once, elsewhere.
+/// Sends one call; after an answer with Retry-After it retries once, at the next instance.
 async fn send_with_retry(
     arrival: Arrival,
     answer_tokens: u32,
@@ -168,7 +169,7 @@
     let call = build_call(&arrival, answer_tokens);
     let mut first = entries[number % entries.len()].send(&call).await;
     if first.status == 0 {
-        // The instance is gone: the balancer takes the next one.
+        // The instance did not answer: a load balancer would use the next one.
         first = entries[(number + 1) % entries.len()].send(&call).await;
     }
     let mut retry = None;
@@ -186,7 +187,7 @@
     }
 }
 
-/// Makes the request of a call.
+/// Returns the request of a generated call.
 fn build_call(arrival: &Arrival, answer_tokens: u32) -> Call {
     let key = arrivals::account_name(arrival.account);
     match &arrival.target {
@@ -196,7 +197,7 @@
     }
 }
 
-/// Brings the faults at their times.
+/// Injects the faults at their scheduled times.
 async fn inject_faults(scenario: Scenario, deployment: Arc<Mutex<Deployment>>, started: Instant) {
     for fault in &scenario.faults {
         let at = started + Duration::from_millis(scenario.warmup_ms + fault.at_ms);
@@ -214,7 +215,7 @@
     }
 }
 
-/// Kills engines and takes them off the list.
+/// Kills engines and removes them from the platform's instance list.
 fn kill_engines(deployment: &mut Deployment, should_kill: impl Fn(usize) -> bool) {
     for index in (0..deployment.engines.len()).filter(|index| should_kill(*index)) {
         deployment.kill_engine(index);
@@ -225,7 +226,7 @@
     }
 }
 
-/// Lets each engine lose some orders and take some late.
+/// Makes each engine lose some orders and apply some late.
 fn lose_orders(deployment: &Deployment) {
     for engine in &deployment.engines {
         engine.stand_in.state().lose_orders_by_part(20, 2_000);
--- a/crates/cranereach-bench/src/slopes.rs
+++ b/crates/cranereach-bench/src/slopes.rs
@@ -1,9 +1,10 @@
-//! How each role's cost grows with one thing at a time.
+//! How the cost of an operation grows with one dimension of a deployment's size.
 //!
-//! Each slope is measured at four sizes or more, tenfold from first to last, and
-//! fitted by a line; the largest distance from it is given as a part of the
-//! value. [`kernel`] looks at the kernel alone, [`gateway`] at the decisions of a
-//! gateway, [`system`] at whole deployments.
+//! Each cost is measured at four sizes or more that span about a factor of ten or
+//! more, and a line is fitted to it. The largest residual is given as a fraction of the
+//! largest value. [`kernel`] measures the decision logic in `cranereach_core`,
+//! [`gateway`] and [`accounts`] the decisions of a gateway, and [`system`] whole
+//! deployments.
 
 pub mod accounts;
 mod fixtures;
@@ -13,31 +14,31 @@
 
 use serde::Serialize;
 
-/// One measured point.
+/// A cost measured at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// Size.
+    /// Size at which the cost was measured.
     pub count: f64,
-    /// Value at that size.
+    /// Measured cost.
     pub value: f64,
 }
 
-/// A fitted slope.
+/// A line fitted to measured costs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Slope {
-    /// What was measured.
+    /// Operation or quantity that was measured.
     pub name: &'static str,
-    /// What grew.
+    /// Dimension that was varied.
     pub per: &'static str,
-    /// Unit of the value.
+    /// Unit of the cost.
     pub unit: &'static str,
-    /// Value at size zero, by the fit.
+    /// Cost at size zero, by the fit.
     pub base: f64,
-    /// Growth per unit of size, by the fit.
+    /// Cost added per unit of size, by the fit.
     pub slope: f64,
-    /// Largest distance from the fit, as a part of the largest value.
+    /// Largest absolute residual of the fit, as a fraction of the largest cost.
     pub residual_ratio: f64,
-    /// What was measured at each size.
+    /// Measured points.
     pub points: Vec<Point>,
 }
 
--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -1,4 +1,4 @@
-//! Costs of what a gateway decides about client accounts, by size.
+//! Costs of a gateway's decisions about client accounts, by size.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -19,24 +19,24 @@
 use cranereach_fleet::limits::Wanted;
 use cranereach_fleet::regions::AllowedRegions;
 
-/// What a deployment tolerates; any will do.
+/// Tolerated excess over a limit; any value will do.
 const TOLERANCE: Tolerance = Tolerance {
     window_s: 8.0,
     excess_share: 0.1,
     allowance: 17_000.0,
 };
 
-/// A limit that no measurement reaches.
+/// A limit high enough that no measurement reaches it.
 const LIMIT: Limit = Limit {
     rate_per_s: 1e9,
     burst: 1e11,
     smallest_cost: 1.0,
 };
 
-/// Units that a request counts.
+/// Units that one request costs.
 const COST: f64 = 2_000.0;
 
-/// Measures all slopes of decisions about accounts.
+/// Measures how all decisions about accounts scale.
 pub fn measure() -> Vec<Slope> {
     vec![
         measure_slope(
@@ -63,7 +63,7 @@
     ]
 }
 
-/// Time to find an account by the key that a caller presents.
+/// Returns the time to find an account by its API key, in microseconds.
 fn find_us(count: usize) -> f64 {
     let account = |number: usize| Account {
         name: Arc::from(format!("account-{number}")),
@@ -79,7 +79,7 @@
     })
 }
 
-/// Time to decide about a request whose units are held already.
+/// Returns the time to admit a request whose units have been prefetched, in microseconds.
 fn decide_us(count: usize) -> f64 {
     let mut usages = AccountUsages::default();
     for account in 0..count as u64 {
@@ -93,7 +93,7 @@
     })
 }
 
-/// Time to grant units.
+/// Returns the time to grant units as the owner of a part of a limit, in microseconds.
 fn grant_us(count: usize) -> f64 {
     let mut owned = OwnedLimits::default();
     let wanted = Wanted {
--- a/crates/cranereach-bench/src/slopes/fixtures.rs
+++ b/crates/cranereach-bench/src/slopes/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the kernel's slopes are measured on.
+//! Fixtures for measuring the costs of the decision logic in `cranereach_core`.
 
 use cranereach_core::declarations::Class;
 use cranereach_core::dispatch::DispatchOptions;
@@ -12,7 +12,7 @@
 use cranereach_core::order;
 use cranereach_core::route;
 
-/// Makes a dispatcher that knows some workers, all holding one target.
+/// Creates a dispatcher with workers that all have the target `m` resident.
 pub(super) fn dispatcher(worker_count: usize) -> Dispatcher {
     let options = DispatchOptions {
         order: &order::VIRTUAL_TIME,
@@ -38,12 +38,12 @@
     dispatcher
 }
 
-/// Returns a worker's identity.
+/// Returns the id of a worker.
 pub(super) fn worker(number: usize) -> WorkerId {
     WorkerId::from(format!("worker-{number:05}"))
 }
 
-/// Makes a worker's report of eight targets.
+/// Returns a worker's report with eight resident targets.
 pub(super) fn worker_report(number: usize) -> WorkerReport {
     let others = (0..7).map(|other| TargetName::from(format!("model-{}", (number + other) % 330)));
     WorkerReport {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Makes a request.
+/// Returns a waiting request of an account.
 pub(super) fn waiting_request(number: u64, account: usize) -> Waiting {
     Waiting {
         request: RequestId(number),
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -1,4 +1,4 @@
-//! Costs of the decisions of a gateway, by size.
+//! Costs of a gateway's decisions, by size.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -33,16 +33,16 @@
 use cranereach_gateway::adapter;
 use cranereach_gateway::worker_words::WorkerHeaders;
 
-/// Workers of which one holds the model that is asked for.
+/// Number of workers per worker that holds the requested model.
 const WORKERS_PER_HOLDER: usize = 20;
 
-/// Workers whose owners a request asks.
+/// Number of workers whose owners are asked about a request.
 const CANDIDATE_COUNT: usize = 3;
 
-/// Key of a worker, any will do.
+/// Key of the worker in the measurements; its value does not matter.
 const WORKER: u64 = 7;
 
-/// Measures all slopes of a gateway's decisions.
+/// Measures how all decisions of a gateway scale.
 pub fn measure() -> Vec<Slope> {
     vec![
         measure_slope(
@@ -111,12 +111,12 @@
     ]
 }
 
-/// Returns an address by number.
+/// Returns the address of an instance, by number.
 fn address(number: usize) -> Ipv4Addr {
     Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 1)) + number as u32)
 }
 
-/// Makes the members of a fleet as one of them knows them.
+/// Returns a membership of `count` instances, as seen by the first of them.
 fn members(count: usize) -> Membership {
     let mut members = Membership::new(address(0), DomainTag::default(), &[]);
     for number in 1..count {
@@ -125,7 +125,7 @@
     members
 }
 
-/// Makes a list of workers that hold three models each.
+/// Returns a roster of workers that hold three models each.
 fn roster(worker_count: usize) -> Roster {
     let model_count = 3 * WORKERS_PER_HOLDER;
     let mut roster = Roster::default();
@@ -152,7 +152,7 @@
     roster
 }
 
-/// Time of the choice of a worker, the questions to owners left out.
+/// Returns the time to choose a worker, without the queries to owners, in microseconds.
 fn choose_us(worker_count: usize) -> f64 {
     let roster = roster(worker_count);
     let engine = Engine {
@@ -195,7 +195,8 @@
     })
 }
 
-/// Time to look whether a worker may still be sent what was chosen for it.
+/// Returns the time to check whether a request may still be sent to its chosen worker, in
+/// microseconds.
 fn check_barred_us(worker_count: usize) -> f64 {
     let roster = roster(worker_count);
     time_us(|| {
@@ -203,8 +204,11 @@
     })
 }
 
-/// Time to read what the head of an answer says of its worker: its load, and these values
-/// of its leaving and its limit, among so many other headers; none without an adapter.
+/// Returns the time to read the headers that describe the worker from the head of an answer, in
+/// microseconds; zero if no adapter is compiled in.
+///
+/// The head has a load header, `other_count` unrelated headers, and the given values of the
+/// headers that announce a planned stop and a rate limit.
 fn read_headers_us(other_count: usize, leaving_and_limit: &[&'static str]) -> f64 {
     let Some(names) = adapter::names()
         .first()
@@ -234,7 +238,7 @@
     })
 }
 
-/// Time to take the members of one digest.
+/// Returns the time to merge the member entries of one gossip message, in microseconds.
 fn merge_gossip_us(count: usize) -> f64 {
     let mut members = members(count);
     let updates = members.sample(1_000, &mut rand::rng());
@@ -246,7 +250,7 @@
     })
 }
 
-/// Time to find the owner of a worker.
+/// Returns the time to find the owner of a worker, in microseconds.
 fn owner_us(count: usize) -> f64 {
     let members = members(count);
     let mut key = 0;
@@ -256,7 +260,7 @@
     })
 }
 
-/// Makes what a call with a body asks for.
+/// Returns the content of a call with the given body, as input of its fingerprint.
 fn content(body: &[u8]) -> Content<'_> {
     Content {
         account: Some("account"),
@@ -269,7 +273,8 @@
     }
 }
 
-/// Time to look whether a call is known whose size no other has, and one that is.
+/// Returns the time to look up two calls in the quarantine, one whose body size no known call has
+/// and one that is known, in microseconds.
 fn look_up_suspect_us(known_count: usize) -> f64 {
     let key = FingerprintKey::new("");
     let mark = |number: usize| RequestMark {
@@ -287,7 +292,7 @@
     })
 }
 
-/// Time to make the fingerprint of a call.
+/// Returns the time to compute the fingerprint of a call, in microseconds.
 fn fingerprint_us(body_bytes: usize) -> f64 {
     let key = FingerprintKey::new("");
     let body = vec![7; body_bytes];
@@ -296,7 +301,8 @@
     })
 }
 
-/// Time to answer how a worker stands.
+/// Returns the time for a worker's owner to answer a query for the worker's state, in
+/// microseconds.
 fn worker_state_us(open_count: usize) -> f64 {
     let mut owned = OwnedWorkers::default();
     for number in 0..open_count {
--- a/crates/cranereach-bench/src/slopes/kernel.rs
+++ b/crates/cranereach-bench/src/slopes/kernel.rs
@@ -1,4 +1,4 @@
-//! Costs of the kernel's decisions and of messages, by size.
+//! Costs of the decisions of `cranereach_core` and of messages between instances, by size.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -34,10 +34,10 @@
 use cranereach_wire::peer::pack;
 use cranereach_wire::peer::seal;
 
-/// Time spent on each point, in milliseconds.
+/// Measuring time for each point, in milliseconds.
 const POINT_MS: u128 = 150;
 
-/// Measures all slopes of the kernel.
+/// Measures how all these decisions and messages scale.
 pub fn measure(scenario: &Scenario) -> Vec<Slope> {
     vec![
         measure_slope(
@@ -120,7 +120,7 @@
     ]
 }
 
-/// Measures one slope.
+/// Measures a cost at each size and fits a line.
 pub(super) fn measure_slope(
     name: &'static str,
     per: &'static str,
@@ -138,7 +138,7 @@
     fit(name, per, unit, points)
 }
 
-/// Returns the time of one run, in microseconds, over many runs.
+/// Returns the mean time of one run, in microseconds, after one warm-up run.
 pub(super) fn time_us(mut run: impl FnMut()) -> f64 {
     run();
     let started = Instant::now();
@@ -150,7 +150,7 @@
     started.elapsed().as_secs_f64() * 1e6 / f64::from(count)
 }
 
-/// Time of an arrival that is routed at once, and of its end.
+/// Returns the time to route a request immediately and to end it, in microseconds.
 fn route_us(worker_count: usize) -> f64 {
     let mut dispatcher = dispatcher(worker_count);
     let mut number = 0;
@@ -164,7 +164,7 @@
     })
 }
 
-/// Time of an arrival that has to wait, and of its leaving.
+/// Returns the time to queue a request and to remove it again, in microseconds.
 fn admit_us(account_count: usize) -> f64 {
     let mut dispatcher = dispatcher(1);
     let mut actions = Vec::new();
@@ -190,17 +190,17 @@
     })
 }
 
-/// Time of one plan of so many workers and five times as many models.
+/// Returns the time to plan a cell with five times as many models as workers, in microseconds.
 fn plan_us(worker_count: usize) -> f64 {
     plan(worker_count * 5, worker_count)
 }
 
-/// Time of one plan of 48 workers.
+/// Returns the time to plan a cell of 48 workers, in microseconds.
 fn plan_models_us(model_count: usize) -> f64 {
     plan(model_count, 48)
 }
 
-/// Time of one plan.
+/// Returns the time to plan a cell, in microseconds.
 fn plan(model_count: usize, worker_count: usize) -> f64 {
     let target = |number: usize| PlanTarget {
         target: format!("model-{number}").into(),
@@ -244,7 +244,7 @@
     })
 }
 
-/// Time of ordering cells for a target.
+/// Returns the time to order the cells in which a target's replicas are placed, in microseconds.
 fn hosts_us(cell_count: usize) -> f64 {
     let cell = |number: usize| CellId {
         pool: "text".into(),
@@ -257,7 +257,7 @@
     })
 }
 
-/// Time of listing the live instances.
+/// Returns the time to list the live instances, in microseconds.
 fn live_us(instance_count: usize) -> f64 {
     let ids: Vec<InstanceId> = (0..instance_count)
         .map(|number| InstanceId::from(format!("entry-{number}")))
@@ -272,7 +272,7 @@
     })
 }
 
-/// Makes demand parts.
+/// Returns digest parts that report the demand of `count` targets.
 fn demand_parts(count: usize) -> Vec<DigestPart> {
     let demand = |number: usize| TargetDemand {
         target: format!("model-{number}").into(),
@@ -283,7 +283,7 @@
     (0..count).map(demand).map(DigestPart::Demand).collect()
 }
 
-/// Time of sealing and opening one digest of so many parts.
+/// Returns the time to seal and open a digest, in microseconds.
 fn digest_us(part_count: usize) -> f64 {
     let key = PeerKey::derive("secret");
     let digests = pack(&"entry-1".into(), 1, 1, demand_parts(part_count));
@@ -295,7 +295,7 @@
     })
 }
 
-/// Bytes of so many parts on the wire.
+/// Returns the number of bytes that digest parts take on the wire.
 fn wire_bytes(parts: Vec<DigestPart>) -> f64 {
     let key = PeerKey::derive("secret");
     pack(&"entry-1".into(), 1, 1, parts)
@@ -304,12 +304,12 @@
         .sum()
 }
 
-/// Bytes of the demand for so many targets.
+/// Returns the number of digest bytes for the demand of `count` targets.
 fn demand_bytes(count: usize) -> f64 {
     wire_bytes(demand_parts(count))
 }
 
-/// Bytes of the reports of so many workers.
+/// Returns the number of digest bytes for the reports of `count` workers.
 fn report_bytes(count: usize) -> f64 {
     wire_bytes(
         (0..count)
@@ -319,7 +319,7 @@
     )
 }
 
-/// Time of resolving a configuration of so many accounts.
+/// Returns the time to parse and resolve a configuration, in microseconds.
 fn resolve_us(scenario: &Scenario, account_count: usize) -> f64 {
     let scenario = Scenario {
         account_count,
@@ -334,7 +334,7 @@
     })
 }
 
-/// Bytes of the body of a configuration of so many accounts.
+/// Returns the size of a configuration's body, in bytes.
 fn body_bytes(scenario: &Scenario, account_count: usize) -> f64 {
     let scenario = Scenario {
         account_count,
--- a/crates/cranereach-bench/src/slopes/system.rs
+++ b/crates/cranereach-bench/src/slopes/system.rs
@@ -1,7 +1,7 @@
-//! Costs of whole deployments at rest, by size.
+//! Costs of whole idle deployments, by size.
 //!
-//! All parts run in one process, so processor time covers the stand-ins' answers
-//! too: it is an upper bound of what an entry instance spends.
+//! All components run in one process, so the processor time includes that of the
+//! stand-ins: it is an upper bound of what an entry instance uses.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 use cranereach_standin::engine::state::EngineOptions;
 use cranereach_standin::platform::state::WeightLimits;
 
-/// Time over which a deployment is watched, in milliseconds.
+/// Measuring time of a deployment, in milliseconds.
 const SAMPLE_MS: u64 = 6_000;
 
-/// Time before that, for leases and first loads, in milliseconds.
+/// Time before measuring in which leases are acquired and models first loaded, in milliseconds.
 const SETTLE_MS: u64 = 12_000;
 
-/// Time for the configuration to come into force, in milliseconds.
+/// Timeout for the configuration to come into force, in milliseconds.
 const CONFIG_TIMEOUT_MS: u64 = 60_000;
 
-/// What one deployment costs each entry instance.
+/// Cost per entry instance of an idle deployment.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
     sent_bytes_per_s: f64,
@@ -32,7 +32,7 @@
     cpu_percent: f64,
 }
 
-/// Measures all slopes of whole deployments.
+/// Measures how the costs of idle deployments scale with instances and with workers.
 pub async fn measure(scenario: &Scenario) -> Result<Vec<Slope>, DeployError> {
     let mut by_instances = Vec::new();
     for count in [2, 4, 8, 16, 20] {
@@ -91,7 +91,7 @@
     ])
 }
 
-/// Starts a deployment, lets it settle, and watches it.
+/// Starts a deployment, waits until it has settled, and measures its cost without any calls.
 async fn measure_idle(
     scenario: &Scenario,
     entry_count: usize,
@@ -110,7 +110,7 @@
     let version = deployment.apply(&arrivals::declarations(scenario)).await?;
     for number in 0..entry_count {
         let platform = deployment.platform_address.clone();
-        // Intervals as they are by default, not those of the tests.
+        // The default intervals; `Deployment` otherwise uses shorter ones for tests.
         let configure = |settings: &mut cranereach_entry::settings::Settings| {
             settings.peers.digest_every_ms = 200;
             settings.platform.head_every_ms = 2_000;
@@ -136,7 +136,7 @@
     })
 }
 
-/// Totals at one moment.
+/// Counters of a deployment at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Counters {
     sent_bytes: f64,
@@ -144,7 +144,7 @@
     cpu_s: f64,
 }
 
-/// Reads the totals.
+/// Reads the counters of a deployment.
 fn counters(deployment: &Deployment) -> Counters {
     let sent = deployment
         .entries
--- a/crates/cranereach-bench/src/waiting.rs
+++ b/crates/cranereach-bench/src/waiting.rs
@@ -1,11 +1,13 @@
-//! Waiting for a state, with a generous deadline in place of a guessed pause.
+//! Polling for a condition up to a deadline, instead of sleeping for a fixed time.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::deployment::DeployError;
 
-/// Waits until something holds.
+/// Polls a condition until it is true or the timeout has passed.
+///
+/// `what` describes the condition in the timeout error.
 pub async fn wait_until(
     what: &str,
     timeout_ms: u64,
