--- a/crates/cranereach-bench/src/demo.rs
+++ b/crates/cranereach-bench/src/demo.rs
@@ -87,7 +87,7 @@
 /// Runs the demo on a deployment and prints each step.
 pub async fn run(deployment: Deployment) -> Result<(Report, Deployment), DeployError> {
     println!(
-        "declared  {MODEL_COUNT} models of {MODEL_MEMORY_BYTES} bytes, 2 engines of {ENGINE_MEMORY_BYTES}: 4 fit at once"
+        "declared  {MODEL_COUNT} models of {MODEL_MEMORY_BYTES} bytes, 2 engines of {ENGINE_MEMORY_BYTES} bytes: 4 models fit at the same time"
     );
     for (name, share, class, _) in ACCOUNTS {
         println!("declared  account {name}: class {class}, share {share}");
@@ -100,7 +100,7 @@
     print_account_totals(&totals_by_account, &mut report);
     print_memory(&deployment, &mut report);
     let deployment = Arc::into_inner(deployment).ok_or_else(|| DeployError::Timeout {
-        what: "the callers to end".to_owned(),
+        what: "all callers to finish".to_owned(),
     })?;
     Ok((report, deployment))
 }
@@ -137,13 +137,13 @@
     let second = deployment.call(0, &call).await;
     let runs = deployment.services[0].stand_in.state().runs_of("ticket-1");
     println!(
-        "looked up ticket-1 twice with one key: it ran {runs} time(s), both answers alike: {}",
+        "looked up ticket-1 twice with the same idempotency key: executed {runs} time(s), answers equal: {}",
         first.text == second.text
     );
     if runs != 1 || first.text != second.text {
         report
             .broken
-            .push("a lookup with a key did not run exactly once".to_owned());
+            .push("a lookup with a key did not run once, or its answers differed".to_owned());
     }
 }
 
@@ -226,11 +226,13 @@
             .unwrap_or_default()
             / 1_000;
         println!(
-            "got       {name}: {} served in time ({attained:.0}%), {} late, {refused} told to come back, first token {median_ms} ms in the middle",
+            "served    {name}: {} in time ({attained:.0}%), {} late, {refused} refused, median time to first token {median_ms} ms",
             totals.served_count, totals.late_count
         );
         if totals.served_count == 0 {
-            report.broken.push(format!("account {name} got nothing"));
+            report
+                .broken
+                .push(format!("no call of account {name} was served in time"));
         }
     }
 }
@@ -240,12 +242,12 @@
     for engine in &deployment.engines {
         let ledger = engine.stand_in.state().ledger();
         println!(
-            "moved     {}: {} loads, {} unloads, at most {} of {ENGINE_MEMORY_BYTES} bytes taken",
+            "moved     {}: {} loads, {} unloads, peak memory {} of {ENGINE_MEMORY_BYTES} bytes",
             engine.id, ledger.load_count, ledger.unload_count, ledger.peak_bytes
         );
         if ledger.excess_count > 0 {
             report.broken.push(format!(
-                "{} was overcommitted {} time(s)",
+                "memory of {} was overcommitted {} time(s)",
                 engine.id, ledger.excess_count
             ));
         }
--- a/crates/cranereach-bench/src/deployment.rs
+++ b/crates/cranereach-bench/src/deployment.rs
@@ -57,7 +57,7 @@
     #[error(transparent)]
     Apply(#[from] ApplyError),
     /// A condition was not met before its timeout.
-    #[error("waited in vain for {what}")]
+    #[error("timed out waiting for {what}")]
     Timeout {
         /// Description of the condition.
         what: String,
@@ -259,7 +259,7 @@
     /// instance.
     pub async fn wait_for_version(&self, version: u64, timeout_ms: u64) -> Result<(), DeployError> {
         let is_current = |entry: &Entry| entry.shared().config().held().version >= version;
-        let what = format!("version {version} everywhere");
+        let what = format!("version {version} on every entry instance");
         wait_until(&what, timeout_ms, || {
             self.entries.iter().flatten().all(is_current)
         })
@@ -272,7 +272,7 @@
         target: &str,
         timeout_ms: u64,
     ) -> Result<(), DeployError> {
-        let what = format!("{target} on some engine");
+        let what = format!("{target} to be resident on an engine");
         wait_until(&what, timeout_ms, || {
             self.engines
                 .iter()
--- a/crates/cranereach-bench/src/path_cost.rs
+++ b/crates/cranereach-bench/src/path_cost.rs
@@ -173,7 +173,7 @@
 
 /// Returns the 50th, 95th and 99th percentile.
 fn quantiles(durations_us: &[u64]) -> [u64; 3] {
-    let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
+    let mut histogram = Histogram::<u64>::new(3).expect("three significant digits are supported");
     for &duration_us in durations_us {
         histogram.saturating_record(duration_us);
     }
--- a/crates/cranereach-bench/src/scenario/report.rs
+++ b/crates/cranereach-bench/src/scenario/report.rs
@@ -283,7 +283,7 @@
 impl ClassTotals {
     /// Creates empty totals.
     fn new() -> Self {
-        let first_token = Histogram::new(3).expect("three digits are allowed");
+        let first_token = Histogram::new(3).expect("three significant digits are supported");
         Self {
             call_count: 0,
             delivered_count: 0,
--- a/crates/cranereach-bench/src/scenario/run.rs
+++ b/crates/cranereach-bench/src/scenario/run.rs
@@ -66,7 +66,7 @@
     let _injected = faults.await;
     let deployment = Arc::into_inner(deployment).map(Mutex::into_inner);
     let deployment = deployment.ok_or_else(|| DeployError::Timeout {
-        what: "the callers to end".to_owned(),
+        what: "all callers to finish".to_owned(),
     })?;
     let report = report::summarize(scenario, seed, &completed, &deployment);
     deployment.stop().await;
--- a/crates/cranereach-bench/src/slopes/kernel.rs
+++ b/crates/cranereach-bench/src/slopes/kernel.rs
@@ -329,7 +329,7 @@
     time_us(|| {
         let declared = folder
             .declarations()
-            .expect("our own declarations can be read");
+            .expect("generated declarations are valid");
         black_box(Snapshot::resolve(&declared, 1).is_ok());
     })
 }
