--- a/crates/cranereach-bench/src/scenario/arrivals.rs
+++ b/crates/cranereach-bench/src/scenario/arrivals.rs
@@ -93,10 +93,10 @@
 /// Generates the calls of a scenario from a seed, in order of time.
 ///
 /// ```
-/// use cranereach_bench::scenario::arrivals::promise;
+/// use cranereach_bench::scenario::arrivals::objective;
 /// use cranereach_core::declarations::Class;
 ///
-/// assert_eq!(promise(Class::Urgent).first_token_ms, 600);
+/// assert_eq!(objective(Class::Urgent).first_token_ms, 600);
 /// ```
 pub fn generate(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut random = SmallRng::seed_from_u64(seed);
