--- a/crates/cranereach-bench/src/scenario/run.rs
+++ b/crates/cranereach-bench/src/scenario/run.rs
@@ -124,9 +124,10 @@
             .map(|engine| engine.stand_in.state())
             .collect();
         engines.sort_by_key(|engine| engine.taken_bytes());
-        let has_base = |base: &String| engines.iter().position(|engine| engine.is_resident(base));
+        let engine_with_base =
+            |base: &String| engines.iter().position(|engine| engine.is_resident(base));
         match &item.base {
-            Some(base) => has_base(base)
+            Some(base) => engine_with_base(base)
                 .is_some_and(|index| engines[index].preload(&item.target, item.memory_bytes)),
             None => engines
                 .iter()
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -306,14 +306,14 @@
 fn worker_state_us(open_count: usize) -> f64 {
     let mut owned = OwnedWorkers::default();
     for number in 0..open_count {
-        let opening = SentRequest {
+        let sent = SentRequest {
             event_tokens: 3,
             unread_ms: 100.0,
             stay_ms: 500.0,
             ends_within_ms: u32::MAX,
             ..SentRequest::default()
         };
-        owned.begun(0, WORKER, (1, number as u64), opening, &[]);
+        owned.begun(0, WORKER, (1, number as u64), sent, &[]);
     }
     time_us(|| {
         black_box(owned.standing(1, WORKER, &[1, 2, 3], 100.0));
