--- a/crates/cranereach-bench/src/deployment.rs
+++ b/crates/cranereach-bench/src/deployment.rs
@@ -331,7 +331,7 @@
         self.platform_stop_sender.send_replace(true);
     }
 
-    /// Returns the default settings of an entry instance of this deployment.
+    /// Returns the settings of an entry instance, with shorter intervals than the defaults.
     fn settings(&self, id: &str, domain: &str, platform: &str) -> Settings {
         Settings {
             instance: InstanceSettings {
