--- a/crates/cranereach-bench/src/demo.rs
+++ b/crates/cranereach-bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! The newcomer's first command: a whole deployment, a burst, what came of it.
+//! Demonstration of a whole deployment under a burst of calls, with a summary of the results.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,45 +17,45 @@
 use cranereach_standin::platform::state::WeightLimits;
 use cranereach_wire::folder::Folder;
 
-/// Memory of each of the two engines: two models fit, six are declared.
+/// Memory of each of the two engines, in bytes: each holds two of the six declared models.
 const ENGINE_MEMORY_BYTES: u64 = 100;
 
-/// Memory of one model.
+/// Memory of one model, in bytes.
 const MODEL_MEMORY_BYTES: u64 = 40;
 
-/// Models declared.
+/// Number of declared models.
 const MODEL_COUNT: usize = 6;
 
 /// Length of the burst, in milliseconds.
 const BURST_MS: u64 = 6_000;
 
-/// Time for anything to come about, in milliseconds.
-const WITHIN_MS: u64 = 15_000;
+/// Timeout of each step that waits for a result, in milliseconds.
+const STEP_TIMEOUT_MS: u64 = 15_000;
 
-/// Accounts with their share, class and callers at once.
+/// Name, share, class and number of concurrent callers of each account.
 const ACCOUNTS: [(&str, f64, &str, usize); 3] = [
     ("disputes", 2.0, "urgent", 8),
     ("crews", 1.0, "standard", 8),
     ("auditors", 1.0, "deferrable", 8),
 ];
 
-/// What the demo found.
+/// Result of the demo.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Promises that broke, in words.
+    /// Descriptions of the guarantees that were violated.
     pub broken: Vec<String>,
 }
 
-/// What one account got.
+/// Results of one account's calls during the burst.
 #[derive(Clone, Debug, Default)]
-struct Got {
+struct AccountTotals {
     served_count: u32,
     late_count: u32,
     refused: BTreeMap<u16, u32>,
-    first_us: Vec<u64>,
+    first_token_us: Vec<u64>,
 }
 
-/// Starts the demo's deployment with its declarations in force.
+/// Starts the demo's deployment and waits until its configuration is in force.
 pub async fn start() -> Result<Deployment, DeployError> {
     let limits = WeightLimits {
         loads_per_s: 4.0,
@@ -78,37 +78,41 @@
     deployment.add_service("ledger", "d0").await?;
     let version = deployment.apply(&declarations()).await?;
     deployment.add_entry("d0").await?;
-    deployment.wait_for_version(version, WITHIN_MS).await?;
+    deployment
+        .wait_for_version(version, STEP_TIMEOUT_MS)
+        .await?;
     Ok(deployment)
 }
 
-/// Runs the demo on a deployment, printing each step.
+/// Runs the demo on a deployment and prints each step.
 pub async fn run(deployment: Deployment) -> Result<(Report, Deployment), DeployError> {
     println!(
-        "declared  {MODEL_COUNT} models of {MODEL_MEMORY_BYTES} bytes, 2 engines of {ENGINE_MEMORY_BYTES}: 4 fit at once"
+        "declared  {MODEL_COUNT} models of {MODEL_MEMORY_BYTES} bytes, 2 engines of {ENGINE_MEMORY_BYTES} bytes: 4 models fit at the same time"
     );
     for (name, share, class, _) in ACCOUNTS {
         println!("declared  account {name}: class {class}, share {share}");
     }
     let deployment = Arc::new(deployment);
     let mut report = Report::default();
-    load_each(&deployment, &mut report).await;
-    look_up_once(&deployment, &mut report).await;
-    let got = burst(&deployment).await;
-    print_got(&got, &mut report);
+    load_each_model(&deployment, &mut report).await;
+    check_idempotent_lookup(&deployment, &mut report).await;
+    let totals_by_account = burst(&deployment).await;
+    print_account_totals(&totals_by_account, &mut report);
     print_memory(&deployment, &mut report);
-    let deployment = Arc::into_inner(deployment).ok_or_else(|| DeployError::Waited {
-        what: "the callers to end".to_owned(),
+    let deployment = Arc::into_inner(deployment).ok_or_else(|| DeployError::Timeout {
+        what: "all callers to finish".to_owned(),
     })?;
     Ok((report, deployment))
 }
 
-/// Asks for each model once: every one is reachable.
-async fn load_each(deployment: &Deployment, report: &mut Report) {
+/// Calls each model once, to check that every model is reachable.
+async fn load_each_model(deployment: &Deployment, report: &mut Report) {
     for number in 0..MODEL_COUNT {
         let call = Call::chat("disputes", &format!("m{number}"), "first words", 2, true);
         let started = Instant::now();
-        let outcome = deployment.call_until_served(0, &call, WITHIN_MS).await;
+        let outcome = deployment
+            .call_until_served(0, &call, STEP_TIMEOUT_MS)
+            .await;
         if outcome.status == 200 && outcome.is_whole {
             println!(
                 "loaded    m{number}: first answer after {} ms",
@@ -122,28 +126,30 @@
     }
 }
 
-/// Sends a ledger lookup twice with one key: it runs once.
-async fn look_up_once(deployment: &Deployment, report: &mut Report) {
+/// Sends a ledger lookup twice with the same idempotency key and checks that it runs once.
+async fn check_idempotent_lookup(deployment: &Deployment, report: &mut Report) {
     let call = Call::plain("crews", hyper::Method::POST, "/ledger/tickets", "{}")
         .with_header("x-call", "ticket-1")
         .with_header("idempotency-key", "ticket-1");
-    let first = deployment.call_until_served(0, &call, WITHIN_MS).await;
+    let first = deployment
+        .call_until_served(0, &call, STEP_TIMEOUT_MS)
+        .await;
     let second = deployment.call(0, &call).await;
     let runs = deployment.services[0].stand_in.state().runs_of("ticket-1");
     println!(
-        "looked up ticket-1 twice with one key: it ran {runs} time(s), both answers alike: {}",
+        "looked up ticket-1 twice with the same idempotency key: executed {runs} time(s), answers equal: {}",
         first.text == second.text
     );
     if runs != 1 || first.text != second.text {
         report
             .broken
-            .push("a lookup with a key did not run exactly once".to_owned());
+            .push("a lookup with a key did not run once, or its answers differed".to_owned());
     }
 }
 
-/// Lets all accounts call at once, for more than the engines can serve.
-async fn burst(deployment: &Arc<Deployment>) -> BTreeMap<&'static str, Got> {
-    let until = Instant::now() + Duration::from_millis(BURST_MS);
+/// Lets all accounts call concurrently, with more load than the engines can serve.
+async fn burst(deployment: &Arc<Deployment>) -> BTreeMap<&'static str, AccountTotals> {
+    let deadline = Instant::now() + Duration::from_millis(BURST_MS);
     let callers = ACCOUNTS
         .iter()
         .flat_map(|&(name, _, _, count)| (0..count).map(move |number| (name, number)));
@@ -152,32 +158,32 @@
             let deployment = Arc::clone(deployment);
             (
                 name,
-                tokio::spawn(async move { caller(&deployment, name, number, until).await }),
+                tokio::spawn(async move { run_caller(&deployment, name, number, deadline).await }),
             )
         })
         .collect();
-    let mut got: BTreeMap<&'static str, Got> = BTreeMap::new();
+    let mut totals_by_account: BTreeMap<&'static str, AccountTotals> = BTreeMap::new();
     for (name, task) in tasks {
         if let Ok(outcomes) = task.await {
-            let account = got.entry(name).or_default();
+            let totals = totals_by_account.entry(name).or_default();
             for outcome in &outcomes {
-                account.add(outcome);
+                totals.add(outcome);
             }
         }
     }
-    got
+    totals_by_account
 }
 
-/// Calls until the burst is over; comes back when told to.
-async fn caller(
+/// Sends calls one after another until the deadline; waits for Retry-After after a refusal.
+async fn run_caller(
     deployment: &Deployment,
     name: &str,
     number: usize,
-    until: Instant,
+    deadline: Instant,
 ) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
-    while Instant::now() < until {
-        // Skewed: half of the callers ask for the same two models.
+    while Instant::now() < deadline {
+        // Skewed demand: half of the callers use the same two models.
         let model = if number.is_multiple_of(2) {
             number % 4 / 2
         } else {
@@ -197,54 +203,59 @@
             outcome.retry_after_s.unwrap_or(1)
         };
         outcomes.push(outcome);
-        let left = until.saturating_duration_since(Instant::now());
-        tokio::time::sleep(Duration::from_secs(pause_s).min(left)).await;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        tokio::time::sleep(Duration::from_secs(pause_s).min(remaining)).await;
     }
     outcomes
 }
 
-/// Prints who got what.
-fn print_got(got: &BTreeMap<&'static str, Got>, report: &mut Report) {
-    for (name, got) in got {
-        let refused: u32 = got.refused.values().sum();
-        let total = got.served_count + got.late_count + refused;
-        let attained = 100.0 * f64::from(got.served_count) / f64::from(total.max(1));
-        let mut first_us = got.first_us.clone();
-        first_us.sort_unstable();
-        let median_ms = first_us
-            .get(first_us.len() / 2)
+/// Prints the results of each account.
+fn print_account_totals(
+    totals_by_account: &BTreeMap<&'static str, AccountTotals>,
+    report: &mut Report,
+) {
+    for (name, totals) in totals_by_account {
+        let refused: u32 = totals.refused.values().sum();
+        let total = totals.served_count + totals.late_count + refused;
+        let attained = 100.0 * f64::from(totals.served_count) / f64::from(total.max(1));
+        let mut first_token_us = totals.first_token_us.clone();
+        first_token_us.sort_unstable();
+        let median_ms = first_token_us
+            .get(first_token_us.len() / 2)
             .copied()
             .unwrap_or_default()
             / 1_000;
         println!(
-            "got       {name}: {} served in time ({attained:.0}%), {} late, {refused} told to come back, first token {median_ms} ms in the middle",
-            got.served_count, got.late_count
+            "served    {name}: {} in time ({attained:.0}%), {} late, {refused} refused, median time to first token {median_ms} ms",
+            totals.served_count, totals.late_count
         );
-        if got.served_count == 0 {
-            report.broken.push(format!("account {name} got nothing"));
+        if totals.served_count == 0 {
+            report
+                .broken
+                .push(format!("no call of account {name} was served in time"));
         }
     }
 }
 
-/// Prints memory and moves.
+/// Prints the loads, unloads and peak memory of each engine.
 fn print_memory(deployment: &Deployment, report: &mut Report) {
     for engine in &deployment.engines {
         let ledger = engine.stand_in.state().ledger();
         println!(
-            "moved     {}: {} loads, {} unloads, at most {} of {ENGINE_MEMORY_BYTES} bytes taken",
+            "moved     {}: {} loads, {} unloads, peak memory {} of {ENGINE_MEMORY_BYTES} bytes",
             engine.id, ledger.load_count, ledger.unload_count, ledger.peak_bytes
         );
         if ledger.excess_count > 0 {
             report.broken.push(format!(
-                "{} was overcommitted {} time(s)",
+                "memory of {} was overcommitted {} time(s)",
                 engine.id, ledger.excess_count
             ));
         }
     }
 }
 
-impl Got {
-    /// Adds one outcome.
+impl AccountTotals {
+    /// Counts one outcome.
     fn add(&mut self, outcome: &Outcome) {
         let is_served = outcome.status == 200 && outcome.is_whole;
         let in_time = outcome
@@ -261,12 +272,12 @@
             }
         }
         if is_served {
-            self.first_us.extend(outcome.first_us);
+            self.first_token_us.extend(outcome.first_us);
         }
     }
 }
 
-/// Promised time to the first token, in milliseconds.
+/// Objective for the time to the first token, in milliseconds.
 const FIRST_TOKEN_MS: u64 = 2_000;
 
 /// Returns the demo's declarations.
--- a/crates/cranereach-bench/src/scenario/run.rs
+++ b/crates/cranereach-bench/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! Drives a scenario's calls through a deployment and its faults into it.
+//! Runs a scenario: starts a deployment, sends the calls and injects the faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::Scenario;
 use super::arrivals;
 use super::arrivals::Arrival;
-use super::arrivals::Ask;
+use super::arrivals::CallTarget;
 use super::report;
 use super::report::Report;
 use crate::caller::Caller;
@@ -24,24 +24,24 @@
 use cranereach_standin::platform::state::WeightLimits;
 use cranereach_standin::service::CALL_HEADER;
 
-/// Time for the configuration to come into force, in milliseconds.
-const WITHIN_MS: u64 = 60_000;
+/// Timeout for the configuration to come into force, in milliseconds.
+const CONFIG_TIMEOUT_MS: u64 = 60_000;
 
-/// Longest time that a caller waits before it comes back, in seconds.
-const COME_BACK_MAX_S: u64 = 10;
+/// Longest Retry-After that a caller follows, in seconds.
+const RETRY_AFTER_MAX_S: u64 = 10;
 
-/// One call with what came of it.
+/// A call and its outcomes.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct CompletedCall {
     /// The call.
     pub arrival: Arrival,
-    /// What came back first.
+    /// Outcome of the first attempt.
     pub first: Outcome,
-    /// What came back when the caller came back as told, if it did.
-    pub second: Option<Outcome>,
+    /// Outcome of the retry after Retry-After, if there was one.
+    pub retry: Option<Outcome>,
 }
 
-/// Runs a scenario once.
+/// Runs a scenario once and summarizes the results.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
@@ -49,31 +49,31 @@
 ) -> Result<Report, DeployError> {
     let deployment = start(scenario, policy).await?;
     let deployment = Arc::new(Mutex::new(deployment));
-    let calls = arrivals::plan(scenario, seed);
+    let calls = arrivals::generate(scenario, seed);
     let started = Instant::now();
-    let faults = tokio::spawn(bring_faults(
+    let faults = tokio::spawn(inject_faults(
         scenario.clone(),
         Arc::clone(&deployment),
         started,
     ));
     let entries = callers(&deployment).await;
-    let tasks: Vec<_> = drive(calls, scenario.answer_tokens, &entries, started).await;
-    let mut done = Vec::with_capacity(tasks.len());
+    let tasks: Vec<_> = send_on_schedule(calls, scenario.answer_tokens, &entries, started).await;
+    let mut completed = Vec::with_capacity(tasks.len());
     for task in tasks {
-        done.extend(task.await.ok());
+        completed.extend(task.await.ok());
     }
-    // The last fault may lie behind the last call.
-    let _brought = faults.await;
+    // The last fault may come after the last call.
+    let _injected = faults.await;
     let deployment = Arc::into_inner(deployment).map(Mutex::into_inner);
-    let deployment = deployment.ok_or_else(|| DeployError::Waited {
-        what: "the callers to end".to_owned(),
+    let deployment = deployment.ok_or_else(|| DeployError::Timeout {
+        what: "all callers to finish".to_owned(),
     })?;
-    let report = report::sum_up(scenario, seed, &done, &deployment);
+    let report = report::summarize(scenario, seed, &completed, &deployment);
     deployment.stop().await;
     Ok(report)
 }
 
-/// Starts the deployment of a scenario.
+/// Starts the deployment of a scenario and waits until its configuration is in force.
 async fn start(scenario: &Scenario, policy: &PolicySettings) -> Result<Deployment, DeployError> {
     let limits = WeightLimits {
         loads_per_s: scenario.loads_per_s,
@@ -109,11 +109,13 @@
     for number in 0..scenario.entry_count {
         deployment.add_entry(&domain(number)).await?;
     }
-    deployment.wait_for_version(version, WITHIN_MS).await?;
+    deployment
+        .wait_for_version(version, CONFIG_TIMEOUT_MS)
+        .await?;
     Ok(deployment)
 }
 
-/// Fills the engines with a placement that fitted an earlier demand.
+/// Loads models on the engines before the first call, in a placement made for an earlier demand.
 fn preload(scenario: &Scenario, deployment: &Deployment) {
     for item in arrivals::preloaded(scenario) {
         let mut engines: Vec<_> = deployment
@@ -122,9 +124,10 @@
             .map(|engine| engine.stand_in.state())
             .collect();
         engines.sort_by_key(|engine| engine.taken_bytes());
-        let has_base = |base: &String| engines.iter().position(|engine| engine.is_resident(base));
+        let engine_with_base =
+            |base: &String| engines.iter().position(|engine| engine.is_resident(base));
         match &item.base {
-            Some(base) => has_base(base)
+            Some(base) => engine_with_base(base)
                 .is_some_and(|index| engines[index].preload(&item.target, item.memory_bytes)),
             None => engines
                 .iter()
@@ -133,64 +136,70 @@
     }
 }
 
-/// Returns callers of each entry instance.
+/// Returns a client of each entry instance.
 async fn callers(deployment: &Mutex<Deployment>) -> Vec<Arc<Caller>> {
     deployment.lock().await.callers()
 }
 
-/// Sends each call at its time, as a balancer would spread them.
-async fn drive(
+/// Sends each call at its scheduled time, round-robin over the entry instances like a load
+/// balancer.
+async fn send_on_schedule(
     calls: Vec<Arrival>,
     answer_tokens: u32,
     entries: &[Arc<Caller>],
     started: Instant,
-) -> Vec<tokio::task::JoinHandle<Done>> {
+) -> Vec<tokio::task::JoinHandle<CompletedCall>> {
     let mut tasks = Vec::with_capacity(calls.len());
     for (number, arrival) in calls.into_iter().enumerate() {
         tokio::time::sleep_until((started + Duration::from_millis(arrival.at_ms)).into()).await;
         let entries = entries.to_vec();
         tasks.push(tokio::spawn(async move {
-            one(arrival, answer_tokens, &entries, number).await
+            send_with_retry(arrival, answer_tokens, &entries, number).await
         }));
     }
     tasks
 }
 
-/// Sends one call; a caller told to come back does so once, elsewhere.
-async fn one(arrival: Arrival, answer_tokens: u32, entries: &[Arc<Caller>], number: usize) -> Done {
-    let call = call(&arrival, answer_tokens);
+/// Sends one call; after an answer with Retry-After it retries once, at the next instance.
+async fn send_with_retry(
+    arrival: Arrival,
+    answer_tokens: u32,
+    entries: &[Arc<Caller>],
+    number: usize,
+) -> CompletedCall {
+    let call = build_call(&arrival, answer_tokens);
     let mut first = entries[number % entries.len()].send(&call).await;
     if first.status == 0 {
-        // The instance is gone: the balancer takes the next one.
+        // The instance did not answer: a load balancer would use the next one.
         first = entries[(number + 1) % entries.len()].send(&call).await;
     }
-    let mut second = None;
+    let mut retry = None;
     if let Some(seconds) = first
         .retry_after_s
-        .filter(|seconds| *seconds <= COME_BACK_MAX_S)
+        .filter(|seconds| *seconds <= RETRY_AFTER_MAX_S)
     {
         tokio::time::sleep(Duration::from_secs(seconds)).await;
-        second = Some(entries[(number + 1) % entries.len()].send(&call).await);
+        retry = Some(entries[(number + 1) % entries.len()].send(&call).await);
     }
-    Done {
+    CompletedCall {
         arrival,
         first,
-        second,
+        retry,
     }
 }
 
-/// Makes the request of a call.
-fn call(arrival: &Arrival, answer_tokens: u32) -> Call {
+/// Returns the request of a generated call.
+fn build_call(arrival: &Arrival, answer_tokens: u32) -> Call {
     let key = arrivals::account_name(arrival.account);
-    match &arrival.ask {
-        Ask::Model(model) => Call::chat(&key, model, &arrival.prompt, answer_tokens, true),
-        Ask::Lookup(name) => Call::plain(&key, hyper::Method::POST, "/ledger/tickets", "{}")
+    match &arrival.target {
+        CallTarget::Model(model) => Call::chat(&key, model, &arrival.prompt, answer_tokens, true),
+        CallTarget::Lookup(name) => Call::plain(&key, hyper::Method::POST, "/ledger/tickets", "{}")
             .with_header(CALL_HEADER, name),
     }
 }
 
-/// Brings the faults at their times.
-async fn bring_faults(scenario: Scenario, deployment: Arc<Mutex<Deployment>>, started: Instant) {
+/// Injects the faults at their scheduled times.
+async fn inject_faults(scenario: Scenario, deployment: Arc<Mutex<Deployment>>, started: Instant) {
     for fault in &scenario.faults {
         let at = started + Duration::from_millis(scenario.warmup_ms + fault.at_ms);
         tokio::time::sleep_until(at.into()).await;
@@ -207,9 +216,9 @@
     }
 }
 
-/// Kills engines and takes them off the list.
-fn kill_engines(deployment: &mut Deployment, dies: impl Fn(usize) -> bool) {
-    for index in (0..deployment.engines.len()).filter(|index| dies(*index)) {
+/// Kills engines and removes them from the platform's instance list.
+fn kill_engines(deployment: &mut Deployment, should_kill: impl Fn(usize) -> bool) {
+    for index in (0..deployment.engines.len()).filter(|index| should_kill(*index)) {
         deployment.kill_engine(index);
         deployment
             .platform
@@ -218,7 +227,7 @@
     }
 }
 
-/// Lets each engine lose some orders and take some late.
+/// Makes each engine lose some orders and apply some late.
 fn lose_orders(deployment: &Deployment) {
     for engine in &deployment.engines {
         engine.stand_in.state().lose_orders_by_part(20, 2_000);
--- a/crates/cranereach-bench/src/slopes/system.rs
+++ b/crates/cranereach-bench/src/slopes/system.rs
@@ -1,7 +1,7 @@
-//! Costs of whole deployments at rest, by size.
+//! Costs of whole idle deployments, by size.
 //!
-//! All parts run in one process, so processor time covers the stand-ins' answers
-//! too: it is an upper bound of what an entry instance spends.
+//! All components run in one process, so the processor time includes that of the
+//! stand-ins: it is an upper bound of what an entry instance uses.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 use cranereach_standin::engine::state::EngineOptions;
 use cranereach_standin::platform::state::WeightLimits;
 
-/// Time over which a deployment is watched, in milliseconds.
-const WATCH_MS: u64 = 6_000;
+/// Measuring time of a deployment, in milliseconds.
+const SAMPLE_MS: u64 = 6_000;
 
-/// Time before that, for leases and first loads, in milliseconds.
+/// Time before measuring in which leases are acquired and models first loaded, in milliseconds.
 const SETTLE_MS: u64 = 12_000;
 
-/// Time for the configuration to come into force, in milliseconds.
-const WITHIN_MS: u64 = 60_000;
+/// Timeout for the configuration to come into force, in milliseconds.
+const CONFIG_TIMEOUT_MS: u64 = 60_000;
 
-/// What one deployment costs each entry instance.
+/// Cost per entry instance of an idle deployment.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
     sent_bytes_per_s: f64,
@@ -32,15 +32,15 @@
     cpu_percent: f64,
 }
 
-/// Measures all slopes of whole deployments.
+/// Measures how the costs of idle deployments scale with instances and with workers.
 pub async fn measure(scenario: &Scenario) -> Result<Vec<Slope>, DeployError> {
     let mut by_instances = Vec::new();
     for count in [2, 4, 8, 16, 20] {
-        by_instances.push((count, watch(scenario, count, 12).await?));
+        by_instances.push((count, measure_idle(scenario, count, 12).await?));
     }
     let mut by_workers = Vec::new();
     for count in [4, 12, 24, 48] {
-        by_workers.push((count, watch(scenario, 4, count).await?));
+        by_workers.push((count, measure_idle(scenario, 4, count).await?));
     }
     let points = |costs: &[(usize, Cost)], value: fn(&Cost) -> f64| {
         costs
@@ -91,8 +91,8 @@
     ])
 }
 
-/// Starts a deployment, lets it settle, and watches it.
-async fn watch(
+/// Starts a deployment, waits until it has settled, and measures its cost without any calls.
+async fn measure_idle(
     scenario: &Scenario,
     entry_count: usize,
     engine_count: usize,
@@ -110,23 +110,25 @@
     let version = deployment.apply(&arrivals::declarations(scenario)).await?;
     for number in 0..entry_count {
         let platform = deployment.platform_address.clone();
-        // Intervals as they are by default, not those of the tests.
-        let change = |settings: &mut cranereach_entry::settings::Settings| {
+        // The default intervals; `Deployment` otherwise uses shorter ones for tests.
+        let configure = |settings: &mut cranereach_entry::settings::Settings| {
             settings.peers.digest_every_ms = 200;
             settings.platform.head_every_ms = 2_000;
             settings.platform.list_every_ms = 1_000;
         };
         deployment
-            .add_entry_with(&format!("d{}", number % 3), &platform, change)
+            .add_entry_with(&format!("d{}", number % 3), &platform, configure)
             .await?;
     }
-    deployment.wait_for_version(version, WITHIN_MS).await?;
+    deployment
+        .wait_for_version(version, CONFIG_TIMEOUT_MS)
+        .await?;
     tokio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
     let before = counters(&deployment);
-    tokio::time::sleep(Duration::from_millis(WATCH_MS)).await;
+    tokio::time::sleep(Duration::from_millis(SAMPLE_MS)).await;
     let after = counters(&deployment);
     deployment.stop().await;
-    let per_instance_s = WATCH_MS as f64 / 1_000.0 * entry_count as f64;
+    let per_instance_s = SAMPLE_MS as f64 / 1_000.0 * entry_count as f64;
     Ok(Cost {
         sent_bytes_per_s: (after.sent_bytes - before.sent_bytes) / per_instance_s,
         table_requests_per_s: (after.table_count - before.table_count) / per_instance_s,
@@ -134,7 +136,7 @@
     })
 }
 
-/// Totals at one moment.
+/// Counters of a deployment at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Counters {
     sent_bytes: f64,
@@ -142,7 +144,7 @@
     cpu_s: f64,
 }
 
-/// Reads the totals.
+/// Reads the counters of a deployment.
 fn counters(deployment: &Deployment) -> Counters {
     let sent = deployment
         .entries
--- a/crates/cranereach-bench/src/waiting.rs
+++ b/crates/cranereach-bench/src/waiting.rs
@@ -1,20 +1,22 @@
-//! Waiting for a state, with a generous deadline in place of a guessed pause.
+//! Polling for a condition up to a deadline, instead of sleeping for a fixed time.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::deployment::DeployError;
 
-/// Waits until something holds.
+/// Polls a condition until it is true or the timeout has passed.
+///
+/// `what` describes the condition in the timeout error.
 pub async fn wait_until(
     what: &str,
-    within_ms: u64,
-    mut holds: impl FnMut() -> bool,
+    timeout_ms: u64,
+    mut condition: impl FnMut() -> bool,
 ) -> Result<(), DeployError> {
-    let until = Instant::now() + Duration::from_millis(within_ms);
-    while !holds() {
-        if Instant::now() >= until {
-            return Err(DeployError::Waited {
+    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
+    while !condition() {
+        if Instant::now() >= deadline {
+            return Err(DeployError::Timeout {
                 what: what.to_owned(),
             });
         }
