--- a/crates/cranereach-standin/src/engine/answer.rs
+++ b/crates/cranereach-standin/src/engine/answer.rs
@@ -63,19 +63,19 @@
 /// Body of an engine's answer.
 #[derive(Debug)]
 pub struct EngineBody {
-    kind: Kind,
+    kind: BodyKind,
 }
 
 /// Whole, or generated token by token.
 #[derive(Debug)]
-enum Kind {
-    Whole(Full<Bytes>),
+enum BodyKind {
+    Buffered(Full<Bytes>),
     Stream(Box<Generation>),
 }
 
 /// A request that runs: gives its slot and memory use back when dropped.
 #[derive(Debug)]
-struct Run {
+struct RunGuard {
     state: Arc<EngineState>,
     target: TargetName,
     has_slot: bool,
@@ -85,20 +85,20 @@
 /// A stream that is being generated.
 #[derive(Debug)]
 struct Generation {
-    run: Run,
-    request: String,
+    run: RunGuard,
+    request_id: String,
     echo: String,
     next_index: u32,
     total_count: u32,
     break_after_count: Option<u32>,
-    pace: Pin<Box<Sleep>>,
+    token_timer: Pin<Box<Sleep>>,
 }
 
 impl EngineBody {
     /// Wraps a whole body.
-    pub(crate) fn whole(body: Full<Bytes>) -> Self {
+    pub(crate) fn full(body: Full<Bytes>) -> Self {
         Self {
-            kind: Kind::Whole(body),
+            kind: BodyKind::Buffered(body),
         }
     }
 }
@@ -110,34 +110,40 @@
     bytes: &Bytes,
 ) -> Result<Response<EngineBody>, Closed> {
     let Ok(completion) = serde_json::from_slice::<Completion>(bytes) else {
-        return Ok(body::json(400, &json!({ "error": "not a completion" })).map(EngineBody::whole));
+        return Ok(body::json(400, &json!({ "error": "not a completion" })).map(EngineBody::full));
     };
-    if state.spend(|faults| &mut faults.refuse_count) {
+    if state.consume_fault(|faults| &mut faults.refuse_count) {
         return Ok(not_run("busy"));
     }
-    let Some(mut run) = Run::begin(&state, &completion.model) else {
+    let Some(mut run) = RunGuard::begin(&state, &completion.model) else {
         return Ok(not_run(NOT_RUN_NOT_RESIDENT));
     };
-    run.take_slot().await;
+    run.acquire_slot().await;
     let prompt = completion.text();
-    run.read_prompt(&prompt).await;
+    run.prefill(&prompt).await;
     lock(&state.counts).run_count += 1;
-    if state.spend(|faults| &mut faults.close_unanswered_count) {
+    if state.consume_fault(|faults| &mut faults.close_unanswered_count) {
         return Err(Closed);
     }
-    if state.spend(|faults| &mut faults.garble_count) {
+    if state.consume_fault(|faults| &mut faults.garble_count) {
         run.is_done = true;
-        return Ok(body::json(200, &json!("not what was asked for")).map(EngineBody::whole));
+        return Ok(body::json(200, &json!("not what was asked for")).map(EngineBody::full));
     }
-    Ok(respond(run, &completion, &prompt, request_of(&state, headers)).await)
+    Ok(respond(
+        run,
+        &completion,
+        &prompt,
+        response_request_id(&state, headers),
+    )
+    .await)
 }
 
 /// Makes the answer, whole or as a stream.
 async fn respond(
-    run: Run,
+    run: RunGuard,
     completion: &Completion,
     prompt: &str,
-    request: String,
+    request_id: String,
 ) -> Response<EngineBody> {
     let total_count = completion.max_tokens.unwrap_or(DEFAULT_TOKENS);
     let echo: String = prompt
@@ -148,34 +154,39 @@
         .into_iter()
         .rev()
         .collect();
-    let header = HeaderValue::from_str(&request).unwrap_or(HeaderValue::from_static(""));
+    let header = HeaderValue::from_str(&request_id).unwrap_or(HeaderValue::from_static(""));
     let mut answer = if completion.stream {
-        stream(run, request, echo, total_count)
+        stream_response(run, request_id, echo, total_count)
     } else {
-        whole(run, &request, &echo, total_count).await
+        buffered_response(run, &request_id, &echo, total_count).await
     };
     answer.headers_mut().insert(REQUEST_HEADER, header);
     answer
 }
 
 /// Makes a streamed answer.
-fn stream(run: Run, request: String, echo: String, total_count: u32) -> Response<EngineBody> {
+fn stream_response(
+    run: RunGuard,
+    request_id: String,
+    echo: String,
+    total_count: u32,
+) -> Response<EngineBody> {
     let break_after_count = run
         .state
-        .spend(|faults| &mut faults.break_stream_count)
+        .consume_fault(|faults| &mut faults.break_stream_count)
         .then_some(2);
-    let pace = Box::pin(tokio::time::sleep(run.token_time()));
+    let token_timer = Box::pin(tokio::time::sleep(run.token_time()));
     let generation = Generation {
         run,
-        request,
+        request_id,
         echo,
         next_index: 0,
         total_count,
         break_after_count,
-        pace,
+        token_timer,
     };
     let mut answer = Response::new(EngineBody {
-        kind: Kind::Stream(Box::new(generation)),
+        kind: BodyKind::Stream(Box::new(generation)),
     });
     answer
         .headers_mut()
@@ -184,31 +195,36 @@
 }
 
 /// Generates everything and makes a whole answer.
-async fn whole(mut run: Run, request: &str, echo: &str, total_count: u32) -> Response<EngineBody> {
+async fn buffered_response(
+    mut run: RunGuard,
+    request_id: &str,
+    echo: &str,
+    total_count: u32,
+) -> Response<EngineBody> {
     tokio::time::sleep(run.token_time() * total_count).await;
     lock(&run.state.counts).token_count += u64::from(total_count);
     run.is_done = true;
     let text = json!({
-        "id": request,
+        "id": request_id,
         "object": "chat.completion",
         "choices": [{ "index": 0, "message": { "role": "assistant", "content": echo }, "finish_reason": "stop" }],
         "usage": { "completion_tokens": total_count },
     });
-    body::json(200, &text).map(EngineBody::whole)
+    body::json(200, &text).map(EngineBody::full)
 }
 
 /// Says that nothing ran.
-fn not_run(why: &'static str) -> Response<EngineBody> {
-    let mut answer = body::json(503, &json!({ "error": why })).map(EngineBody::whole);
+fn not_run(reason: &'static str) -> Response<EngineBody> {
+    let mut answer = body::json(503, &json!({ "error": reason })).map(EngineBody::full);
     answer
         .headers_mut()
-        .insert(NOT_RUN_HEADER, HeaderValue::from_static(why));
+        .insert(NOT_RUN_HEADER, HeaderValue::from_static(reason));
     answer
 }
 
 /// Returns the request that the answer will name.
-fn request_of(state: &EngineState, headers: &HeaderMap) -> String {
-    if state.spend(|faults| &mut faults.wrong_request_count) {
+fn response_request_id(state: &EngineState, headers: &HeaderMap) -> String {
+    if state.consume_fault(|faults| &mut faults.wrong_request_count) {
         return "another-request".to_owned();
     }
     headers
@@ -229,7 +245,7 @@
     }
 }
 
-impl Run {
+impl RunGuard {
     /// Begins a run if the target can serve.
     fn begin(state: &Arc<EngineState>, model: &str) -> Option<Self> {
         let target = TargetName::from(model);
@@ -252,7 +268,7 @@
     }
 
     /// Waits for a place in the batch.
-    async fn take_slot(&mut self) {
+    async fn acquire_slot(&mut self) {
         let state = Arc::clone(&self.state);
         let permit = state.slots.acquire().await;
         permit.expect("the slots are never closed").forget();
@@ -261,10 +277,10 @@
     }
 
     /// Takes the time of a prompt unless its start is cached.
-    async fn read_prompt(&self, prompt: &str) {
-        let start: String = prompt.chars().take(PREFIX_CHARS).collect();
-        let hash = rendezvous_weight(&start, self.target.as_str());
-        let was_cached = self.note_prefix(hash);
+    async fn prefill(&self, prompt: &str) {
+        let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
+        let hash = rendezvous_weight(&prefix, self.target.as_str());
+        let was_cached = self.touch_prefix(hash);
         let tokens = (prompt.len() / 4) as u64;
         if !was_cached && self.state.options.prompt_token_us > 0 {
             tokio::time::sleep(Duration::from_micros(
@@ -275,7 +291,7 @@
     }
 
     /// Remembers a prompt start; says whether it was known.
-    fn note_prefix(&self, hash: u64) -> bool {
+    fn touch_prefix(&self, hash: u64) -> bool {
         let mut prefixes = lock(&self.state.prefixes);
         let was_cached = prefixes.contains(&hash);
         prefixes.retain(|known| *known != hash);
@@ -297,7 +313,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         if self.has_slot {
             self.state.slots.add_permits(1);
@@ -326,7 +342,7 @@
             } else {
                 format!(" t{index}")
             };
-            let event = json!({ "id": self.request, "choices": [{ "index": 0, "delta": { "content": content } }] });
+            let event = json!({ "id": self.request_id, "choices": [{ "index": 0, "delta": { "content": content } }] });
             return Some(Bytes::from(format!("data: {event}\n\n")));
         }
         if index == self.total_count {
@@ -341,9 +357,9 @@
 /// The stream was made to break.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("broken on purpose")]
-pub struct BrokenOnPurpose;
+pub struct InjectedBreak;
 
-impl From<Infallible> for BrokenOnPurpose {
+impl From<Infallible> for InjectedBreak {
     fn from(never: Infallible) -> Self {
         match never {}
     }
@@ -351,40 +367,43 @@
 
 impl Body for EngineBody {
     type Data = Bytes;
-    type Error = BrokenOnPurpose;
+    type Error = InjectedBreak;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOnPurpose>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, InjectedBreak>>> {
         let generation = match &mut self.kind {
-            Kind::Whole(body) => {
-                return Pin::new(body).poll_frame(cx).map_err(BrokenOnPurpose::from);
+            BodyKind::Buffered(body) => {
+                return Pin::new(body).poll_frame(cx).map_err(InjectedBreak::from);
             }
-            Kind::Stream(generation) => generation,
+            BodyKind::Stream(generation) => generation,
         };
         let token_time = generation.run.token_time();
         if !token_time.is_zero() && generation.next_index < generation.total_count {
-            std::task::ready!(generation.pace.as_mut().poll(cx));
-            generation.pace.as_mut().reset(Instant::now() + token_time);
+            std::task::ready!(generation.token_timer.as_mut().poll(cx));
+            generation
+                .token_timer
+                .as_mut()
+                .reset(Instant::now() + token_time);
         }
         if generation.break_after_count == Some(generation.next_index) {
-            return Poll::Ready(Some(Err(BrokenOnPurpose)));
+            return Poll::Ready(Some(Err(InjectedBreak)));
         }
         Poll::Ready(generation.next_event().map(|event| Ok(Frame::data(event))))
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.kind {
-            Kind::Whole(body) => body.is_end_stream(),
-            Kind::Stream(generation) => generation.next_index > generation.total_count,
+            BodyKind::Buffered(body) => body.is_end_stream(),
+            BodyKind::Stream(generation) => generation.next_index > generation.total_count,
         }
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match &self.kind {
-            Kind::Whole(body) => body.size_hint(),
-            Kind::Stream(_) => hyper::body::SizeHint::default(),
+            BodyKind::Buffered(body) => body.size_hint(),
+            BodyKind::Stream(_) => hyper::body::SizeHint::default(),
         }
     }
 }
--- a/crates/cranereach-standin/src/engine/loading.rs
+++ b/crates/cranereach-standin/src/engine/loading.rs
@@ -18,13 +18,13 @@
 const WEIGHT_RETRY_MS: u64 = 100;
 
 /// Longest answer time of the weight store, in milliseconds.
-const WEIGHT_WITHIN_MS: u64 = 60_000;
+const WEIGHT_TIMEOUT_MS: u64 = 60_000;
 
 /// Applies an order; loading goes on in the background.
 pub(crate) fn apply(state: &Arc<EngineState>, order: &OrderRequest) -> OrderAnswer {
     let mut memory = lock(&state.memory);
-    let is_in_order = order.boot_id == state.boot_id && memory.gate.admit(order.fence);
-    let is_accepted = is_in_order || !state.options.checks_fences;
+    let is_current = order.boot_id == state.boot_id && memory.gate.admit(order.fence);
+    let is_accepted = is_current || !state.options.checks_fences;
     let highest = memory.gate.highest();
     if !is_accepted {
         lock(&state.counts).fenced_count += 1;
@@ -91,7 +91,7 @@
     let client = JsonClient::new(address);
     loop {
         let answer = client
-            .get(&format!("/weights/{target}"), WEIGHT_WITHIN_MS)
+            .get(&format!("/weights/{target}"), WEIGHT_TIMEOUT_MS)
             .await;
         if answer.is_ok_and(|answer| answer.status == 200) {
             return;
--- a/crates/cranereach-standin/src/engine/mod.rs
+++ b/crates/cranereach-standin/src/engine/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 use crate::BODY_MAX_BYTES;
-use crate::BODY_WITHIN_MS;
+use crate::BODY_TIMEOUT_MS;
 use crate::engine::answer::EngineBody;
 use crate::engine::state::EngineFaults;
 use crate::engine::state::EngineOptions;
@@ -72,63 +72,69 @@
     request: Request<Incoming>,
 ) -> Result<Response<EngineBody>, Closed> {
     let (parts, incoming) = request.into_parts();
-    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_WITHIN_MS).await;
+    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_TIMEOUT_MS).await;
     let Ok(bytes) = read else { return Err(Closed) };
     match parts.uri.path() {
-        "/load" => Ok(whole(body::json(200, &state.report()))),
-        "/orders" => order(&state, &bytes),
+        "/load" => Ok(into_engine_body(body::json(200, &state.report()))),
+        "/orders" => handle_order(&state, &bytes),
         "/v1/chat/completions" | "/v1/completions" => {
             answer::complete(state, &parts.headers, &bytes).await
         }
-        "/stand-in/faults" => Ok(take_faults(&state, &bytes)),
-        "/stand-in/ledger" => Ok(whole(body::json(200, &state.ledger()))),
+        "/stand-in/faults" => Ok(set_faults(&state, &bytes)),
+        "/stand-in/ledger" => Ok(into_engine_body(body::json(200, &state.ledger()))),
         "/stand-in/leave" => {
             state.leave();
-            Ok(whole(body::json(200, &json!({}))))
+            Ok(into_engine_body(body::json(200, &json!({}))))
         }
-        _ => Ok(whole(body::json(404, &json!({ "error": "no such path" })))),
+        _ => Ok(into_engine_body(body::json(
+            404,
+            &json!({ "error": "no such path" }),
+        ))),
     }
 }
 
 /// Takes an order, or loses or delays it.
-fn order(state: &Arc<EngineState>, bytes: &Bytes) -> Result<Response<EngineBody>, Closed> {
+fn handle_order(state: &Arc<EngineState>, bytes: &Bytes) -> Result<Response<EngineBody>, Closed> {
     let Ok(order) = serde_json::from_slice::<OrderRequest>(bytes) else {
-        return Ok(whole(body::json(400, &json!({ "error": "not an order" }))));
+        return Ok(into_engine_body(body::json(
+            400,
+            &json!({ "error": "not an order" }),
+        )));
     };
-    state.count_order();
-    if state.spend(|faults| &mut faults.lose_order_count) {
+    state.record_order();
+    if state.consume_fault(|faults| &mut faults.lose_order_count) {
         return Err(Closed);
     }
-    if state.spend(|faults| &mut faults.delay_order_count) {
+    if state.consume_fault(|faults| &mut faults.delay_order_count) {
         let delay_ms = lock(&state.faults).delay_order_ms;
-        let late = Arc::clone(state);
+        let delayed_state = Arc::clone(state);
         // The sender is told nothing; the order takes effect late.
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-            loading::apply(&late, &order);
+            loading::apply(&delayed_state, &order);
         });
         return Err(Closed);
     }
-    let taken = loading::apply(state, &order);
-    if state.spend(|faults| &mut faults.repeat_order_count) {
+    let outcome = loading::apply(state, &order);
+    if state.consume_fault(|faults| &mut faults.repeat_order_count) {
         loading::apply(state, &order);
     }
-    let status = if taken.is_accepted { 200 } else { 409 };
-    Ok(whole(body::json(status, &taken)))
+    let status = if outcome.is_accepted { 200 } else { 409 };
+    Ok(into_engine_body(body::json(status, &outcome)))
 }
 
 /// Sets the faults.
-fn take_faults(state: &EngineState, bytes: &Bytes) -> Response<EngineBody> {
+fn set_faults(state: &EngineState, bytes: &Bytes) -> Response<EngineBody> {
     match serde_json::from_slice::<EngineFaults>(bytes) {
         Ok(faults) => {
             *lock(&state.faults) = faults;
-            whole(body::json(200, &json!({})))
+            into_engine_body(body::json(200, &json!({})))
         }
-        Err(error) => whole(body::json(400, &json!({ "error": error.to_string() }))),
+        Err(error) => into_engine_body(body::json(400, &json!({ "error": error.to_string() }))),
     }
 }
 
 /// Turns a whole body into the engine's kind.
-fn whole(answer: crate::Answer) -> Response<EngineBody> {
-    answer.map(EngineBody::whole)
+fn into_engine_body(answer: crate::Answer) -> Response<EngineBody> {
+    answer.map(EngineBody::full)
 }
--- a/crates/cranereach-standin/src/engine/state.rs
+++ b/crates/cranereach-standin/src/engine/state.rs
@@ -175,14 +175,15 @@
     }
 
     /// Spreads the faults that come by part over the orders.
-    pub(crate) fn count_order(&self) {
+    pub(crate) fn record_order(&self) {
         let number = lock(&self.counts).order_count;
         lock(&self.counts).order_count += 1;
         let mut faults = lock(&self.faults);
         if faults.lose_one_of_count > 0 {
-            let place = number % u64::from(faults.lose_one_of_count);
-            faults.lose_order_count += u32::from(place == 0);
-            faults.delay_order_count += u32::from(place == u64::from(faults.lose_one_of_count) / 2);
+            let position = number % u64::from(faults.lose_one_of_count);
+            faults.lose_order_count += u32::from(position == 0);
+            faults.delay_order_count +=
+                u32::from(position == u64::from(faults.lose_one_of_count) / 2);
         }
     }
 
@@ -248,11 +249,11 @@
     }
 
     /// Spends one of a counted fault; says whether there was one.
-    pub(crate) fn spend(&self, field: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
+    pub(crate) fn consume_fault(&self, field: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
         let mut faults = lock(&self.faults);
         let count = field(&mut faults);
-        let had = *count > 0;
+        let was_set = *count > 0;
         *count = count.saturating_sub(1);
-        had
+        was_set
     }
 }
--- a/crates/cranereach-standin/src/lib.rs
+++ b/crates/cranereach-standin/src/lib.rs
@@ -31,7 +31,7 @@
 const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
 
 /// Time for a body to arrive, in milliseconds.
-const BODY_WITHIN_MS: u64 = 60_000;
+const BODY_TIMEOUT_MS: u64 = 60_000;
 
 /// Answers requests on a listener in a task of its own, until `stopping` turns true.
 fn serve<H, F, B>(listener: TcpListener, stopping: watch::Receiver<bool>, handler: H)
--- a/crates/cranereach-standin/src/load.rs
+++ b/crates/cranereach-standin/src/load.rs
@@ -102,13 +102,13 @@
     let mut outcome = Outcome::default();
     exchange(pool, call, started, &mut outcome).await;
     outcome.whole_us = micros(started.elapsed());
-    outcome.code = outcome.code.or_else(|| code_in(&outcome.text));
+    outcome.code = outcome.code.or_else(|| find_error_code(&outcome.text));
     outcome
 }
 
 /// Sends one call; a kept connection that closed is replaced.
 async fn exchange(pool: &Pool<Full<Bytes>>, call: &Call, started: Instant, outcome: &mut Outcome) {
-    let mut request = request(pool.address(), call);
+    let mut request = build_request(pool.address(), call);
     loop {
         let Ok(mut connection) = pool.take().await else {
             return;
@@ -131,7 +131,7 @@
             .headers()
             .get(hyper::header::CONTENT_TYPE)
             .is_some_and(|value| value == "text/event-stream");
-        if read(answer.into_body(), started, outcome).await {
+        if read_body(answer.into_body(), started, outcome).await {
             outcome.is_whole = !is_stream || outcome.text.ends_with("data: [DONE]\n\n");
             connection.keep();
         }
@@ -140,7 +140,11 @@
 }
 
 /// Reads the body; true if it ended well.
-async fn read(mut body: hyper::body::Incoming, started: Instant, outcome: &mut Outcome) -> bool {
+async fn read_body(
+    mut body: hyper::body::Incoming,
+    started: Instant,
+    outcome: &mut Outcome,
+) -> bool {
     let mut last_us = 0;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return false };
@@ -160,7 +164,7 @@
 }
 
 /// Builds the request.
-fn request(address: &str, call: &Call) -> Request<Full<Bytes>> {
+fn build_request(address: &str, call: &Call) -> Request<Full<Bytes>> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
@@ -175,7 +179,7 @@
 }
 
 /// Finds the number of an error answer or error event.
-fn code_in(text: &str) -> Option<u16> {
+fn find_error_code(text: &str) -> Option<u16> {
     let (_, after) = text.split_once("\"error\":{\"code\":")?;
     let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
--- a/crates/cranereach-standin/src/platform/mod.rs
+++ b/crates/cranereach-standin/src/platform/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::Answer;
 use crate::BODY_MAX_BYTES;
-use crate::BODY_WITHIN_MS;
+use crate::BODY_TIMEOUT_MS;
 use crate::lock;
 use crate::platform::state::PlatformFaults;
 use crate::platform::state::PlatformState;
@@ -35,7 +35,7 @@
 use cranereach_wire::platform::Transaction;
 
 /// Time for which a held answer is kept: longer than any caller waits.
-const HELD_FOR: Duration = Duration::from_mins(2);
+const HELD_ANSWER_DURATION: Duration = Duration::from_mins(2);
 
 /// A running stand-in.
 #[derive(Clone, Debug)]
@@ -68,15 +68,15 @@
 async fn answer(state: Arc<PlatformState>, request: Request<Incoming>) -> Result<Answer, Closed> {
     let (parts, incoming) = request.into_parts();
     let path = parts.uri.path().to_owned();
-    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_WITHIN_MS).await;
+    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_TIMEOUT_MS).await;
     let Ok(bytes) = read else { return Err(Closed) };
     match path.split('/').nth(1).unwrap_or_default() {
         "table" => table(&state, &parts.method, &path, &bytes).await,
         "objects" => objects(&state, &parts.method, &path, bytes).await,
         "instances" => instances(&state, &parts.method, &bytes).await,
         "weights" => weights(&state).await,
-        "stand-in" => Ok(own(&state, &path, &bytes)),
-        _ => Ok(status(404)),
+        "stand-in" => Ok(control(&state, &path, &bytes)),
+        _ => Ok(status_answer(404)),
     }
 }
 
@@ -88,26 +88,26 @@
     bytes: &Bytes,
 ) -> Result<Answer, Closed> {
     let faults = lock(&state.faults).table;
-    if let Some(refused) = before(faults).await {
-        return refused;
+    if let Some(fault_answer) = apply_faults(faults).await {
+        return fault_answer;
     }
     lock(&state.counts).table_count += 1;
     if method == Method::GET {
         let key = path.trim_start_matches("/table/");
         return Ok(lock(&state.rows)
             .get(key)
-            .map_or_else(|| status(404), |row| body::json(200, row)));
+            .map_or_else(|| status_answer(404), |row| body::json(200, row)));
     }
-    let Some(transaction) = read::<Transaction>(bytes) else {
-        return Ok(status(400));
+    let Some(transaction) = parse::<Transaction>(bytes) else {
+        return Ok(status_answer(400));
     };
     let outcome = state.transact(&transaction);
-    if outcome.is_ok() && state.loses_answer() {
+    if outcome.is_ok() && state.consume_lost_answer() {
         return Err(Closed);
     }
     Ok(match outcome {
         Ok(versions) => body::json(200, &Committed { versions }),
-        Err(_failed) => status(409),
+        Err(_failed) => status_answer(409),
     })
 }
 
@@ -119,17 +119,20 @@
     bytes: Bytes,
 ) -> Result<Answer, Closed> {
     let faults = lock(&state.faults).objects;
-    if let Some(refused) = before(faults).await {
-        return refused;
+    if let Some(fault_answer) = apply_faults(faults).await {
+        return fault_answer;
     }
     lock(&state.counts).object_count += 1;
     let key = path.trim_start_matches("/objects/").to_owned();
     if method == Method::PUT {
         lock(&state.objects).insert(key, bytes);
-        return Ok(status(200));
+        return Ok(status_answer(200));
     }
     let found = lock(&state.objects).get(&key).cloned();
-    Ok(found.map_or_else(|| status(404), |bytes| Response::new(Full::new(bytes))))
+    Ok(found.map_or_else(
+        || status_answer(404),
+        |bytes| Response::new(Full::new(bytes)),
+    ))
 }
 
 /// Answers for the list; a frozen list goes on showing what it showed.
@@ -139,18 +142,18 @@
     bytes: &Bytes,
 ) -> Result<Answer, Closed> {
     if method == Method::POST {
-        let Some(listed) = read::<ListedInstance>(bytes) else {
-            return Ok(status(400));
+        let Some(listed) = parse::<ListedInstance>(bytes) else {
+            return Ok(status_answer(400));
         };
         state.list(listed);
-        return Ok(status(200));
+        return Ok(status_answer(200));
     }
     let faults = lock(&state.faults).list;
-    if let Some(refused) = before(faults).await {
-        return refused;
+    if let Some(fault_answer) = apply_faults(faults).await {
+        return fault_answer;
     }
     lock(&state.counts).list_count += 1;
-    Ok(body::json(200, &state.shown()))
+    Ok(body::json(200, &state.visible_instances()))
 }
 
 /// Gives one load's worth of weights, within rate and number at once.
@@ -158,45 +161,45 @@
     let now_ms = state.now_ms();
     let admitted = lock(&state.weights).begin(now_ms);
     if !admitted {
-        return Ok(status(429));
+        return Ok(status_answer(429));
     }
     let load_ms = state.limits.load_ms;
     tokio::time::sleep(Duration::from_millis(load_ms)).await;
     lock(&state.weights).end();
-    Ok(status(200))
+    Ok(status_answer(200))
 }
 
 /// Answers for the stand-in's own paths.
-fn own(state: &PlatformState, path: &str, bytes: &Bytes) -> Answer {
+fn control(state: &PlatformState, path: &str, bytes: &Bytes) -> Answer {
     match path {
-        "/stand-in/faults" => match read::<PlatformFaults>(bytes) {
+        "/stand-in/faults" => match parse::<PlatformFaults>(bytes) {
             Some(faults) => {
                 *lock(&state.faults) = faults;
-                status(200)
+                status_answer(200)
             }
-            None => status(400),
+            None => status_answer(400),
         },
         "/stand-in/counts" => body::json(200, &*lock(&state.counts)),
-        _ => status(404),
+        _ => status_answer(404),
     }
 }
 
 /// Applies a store's faults; an answer means that the store didn't act.
-async fn before(faults: StoreFaults) -> Option<Result<Answer, Closed>> {
+async fn apply_faults(faults: StoreFaults) -> Option<Result<Answer, Closed>> {
     if faults.holds {
-        tokio::time::sleep(HELD_FOR).await;
+        tokio::time::sleep(HELD_ANSWER_DURATION).await;
         return Some(Err(Closed));
     }
     tokio::time::sleep_until((Instant::now() + Duration::from_millis(faults.slow_ms)).into()).await;
-    faults.refuses.then(|| Ok(status(503)))
+    faults.refuses.then(|| Ok(status_answer(503)))
 }
 
 /// Reads a typed body.
-fn read<T: DeserializeOwned>(bytes: &Bytes) -> Option<T> {
+fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Option<T> {
     serde_json::from_slice(bytes).ok()
 }
 
 /// Makes an answer of a status alone.
-fn status(status: u16) -> Answer {
+fn status_answer(status: u16) -> Answer {
     body::json(status, &json!({ "status": status }))
 }
--- a/crates/cranereach-standin/src/platform/state.rs
+++ b/crates/cranereach-standin/src/platform/state.rs
@@ -85,7 +85,7 @@
 pub struct WeightStore {
     bucket: TokenBucket,
     running_count: u32,
-    limit_count: u32,
+    max_running_count: u32,
     /// Loads that have begun.
     pub begun_count: u64,
     /// Loads refused by a limit.
@@ -95,14 +95,14 @@
 impl WeightStore {
     /// Begins a load if the limits allow it.
     pub fn begin(&mut self, now_ms: u64) -> bool {
-        let allowed = self.running_count < self.limit_count && self.bucket.take(now_ms);
-        if allowed {
+        let is_allowed = self.running_count < self.max_running_count && self.bucket.take(now_ms);
+        if is_allowed {
             self.running_count += 1;
             self.begun_count += 1;
         } else {
             self.refused_count += 1;
         }
-        allowed
+        is_allowed
     }
 
     /// Ends a load.
@@ -138,7 +138,7 @@
         let weights = WeightStore {
             bucket: TokenBucket::new(limits.loads_per_s, burst, 0),
             running_count: 0,
-            limit_count: limits.at_once_count,
+            max_running_count: limits.at_once_count,
             begun_count: 0,
             refused_count: 0,
         };
@@ -181,7 +181,7 @@
     }
 
     /// Returns what the list shows now.
-    pub fn shown(&self) -> Vec<ListedInstance> {
+    pub fn visible_instances(&self) -> Vec<ListedInstance> {
         let is_frozen = lock(&self.faults).list_frozen;
         let mut frozen = lock(&self.frozen);
         if !is_frozen {
@@ -196,11 +196,11 @@
         let version = |rows: &HashMap<String, TableRow>, key: &str| {
             rows.get(key).map_or(0, |row| row.version)
         };
-        let holds = transaction
+        let conditions_hold = transaction
             .writes
             .iter()
             .all(|write| version(&rows, &write.key) == write.expected_version);
-        if !holds {
+        if !conditions_hold {
             return Err(ConditionFailed);
         }
         let mut versions = Vec::with_capacity(transaction.writes.len());
@@ -216,10 +216,10 @@
     }
 
     /// Whether the answer to this commit is to be lost.
-    pub fn loses_answer(&self) -> bool {
+    pub fn consume_lost_answer(&self) -> bool {
         let mut faults = lock(&self.faults);
-        let loses = faults.lose_answer_count > 0;
+        let is_lost = faults.lose_answer_count > 0;
         faults.lose_answer_count = faults.lose_answer_count.saturating_sub(1);
-        loses
+        is_lost
     }
 }
--- a/crates/cranereach-standin/src/relay.rs
+++ b/crates/cranereach-standin/src/relay.rs
@@ -36,87 +36,87 @@
 /// A running relay.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    passage: Arc<watch::Sender<Passage>>,
+    mode: Arc<watch::Sender<Passage>>,
 }
 
 impl Relay {
     /// Starts to relay from a listener to `ip:port`.
-    pub fn start(listener: TcpListener, to_address: &str) -> Self {
-        let (passage, seen) = watch::channel(Passage::Open);
-        tokio::spawn(accept(listener, to_address.to_owned(), seen));
+    pub fn start(listener: TcpListener, server_address: &str) -> Self {
+        let (mode, mode_receiver) = watch::channel(Passage::Open);
+        tokio::spawn(accept(listener, server_address.to_owned(), mode_receiver));
         Self {
-            passage: Arc::new(passage),
+            mode: Arc::new(mode),
         }
     }
 
     /// Changes what the relay does, for open connections too.
-    pub fn set(&self, passage: Passage) {
-        self.passage.send_replace(passage);
+    pub fn set(&self, mode: Passage) {
+        self.mode.send_replace(mode);
     }
 }
 
 /// Accepts connections for as long as the relay exists.
-async fn accept(listener: TcpListener, to_address: String, passage: watch::Receiver<Passage>) {
+async fn accept(listener: TcpListener, server_address: String, mode: watch::Receiver<Passage>) {
     loop {
-        let Ok((from, _peer)) = listener.accept().await else {
+        let Ok((client, _peer)) = listener.accept().await else {
             return;
         };
-        if *passage.borrow() != Passage::Cut {
-            tokio::spawn(pass(from, to_address.clone(), passage.clone()));
+        if *mode.borrow() != Passage::Cut {
+            tokio::spawn(pass(client, server_address.clone(), mode.clone()));
         }
-        if passage.has_changed().is_err() {
+        if mode.has_changed().is_err() {
             return;
         }
     }
 }
 
 /// Passes one connection on until either side ends it or the relay is cut.
-async fn pass(from: TcpStream, to_address: String, mut passage: watch::Receiver<Passage>) {
-    let mut cut = passage.clone();
+async fn pass(client: TcpStream, server_address: String, mut mode: watch::Receiver<Passage>) {
+    let mut cut = mode.clone();
     let exchange = async move {
-        let is_held = |passage: &Passage| *passage != Passage::Held;
-        if passage.wait_for(is_held).await.is_err() {
+        let is_not_held = |mode: &Passage| *mode != Passage::Held;
+        if mode.wait_for(is_not_held).await.is_err() {
             return;
         }
-        let Ok(to) = TcpStream::connect(&to_address).await else {
+        let Ok(server) = TcpStream::connect(&server_address).await else {
             return;
         };
-        let (from_reads, from_writes) = from.into_split();
-        let (to_reads, to_writes) = to.into_split();
-        let back = passage.clone();
-        let there = copy(from_reads, to_writes, passage, |passage| {
-            passage != Passage::Held
+        let (client_reader, client_writer) = client.into_split();
+        let (server_reader, server_writer) = server.into_split();
+        let backward = mode.clone();
+        let forward = copy(client_reader, server_writer, mode, |mode| {
+            mode != Passage::Held
         });
-        let back = copy(to_reads, from_writes, back, |passage| {
-            !matches!(passage, Passage::Held | Passage::OneWay)
+        let backward = copy(server_reader, client_writer, backward, |mode| {
+            !matches!(mode, Passage::Held | Passage::OneWay)
         });
         // A failed side ends both; a side that is through leaves the other be.
-        let _ended = tokio::try_join!(there, back);
+        let _ended = tokio::try_join!(forward, backward);
     };
     tokio::select! {
         () = exchange => {}
-        _cut = cut.wait_for(|passage| *passage == Passage::Cut) => {}
+        _cut = cut.wait_for(|mode| *mode == Passage::Cut) => {}
     }
 }
 
 /// Copies one direction while `passes` holds, and waits while it doesn't.
 async fn copy(
-    mut reads: OwnedReadHalf,
-    mut writes: OwnedWriteHalf,
-    mut passage: watch::Receiver<Passage>,
-    passes: fn(Passage) -> bool,
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+    mut mode: watch::Receiver<Passage>,
+    is_passing: fn(Passage) -> bool,
 ) -> io::Result<()> {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let count = reads.read(&mut chunk).await?;
-        let waited = passage.wait_for(|passage| passes(*passage)).await;
-        let now = *waited.map_err(io::Error::other)?;
-        if now == Passage::Slow {
+        let count = reader.read(&mut chunk).await?;
+        let waited = mode.wait_for(|mode| is_passing(*mode)).await;
+        let current = *waited.map_err(io::Error::other)?;
+        if current == Passage::Slow {
             tokio::time::sleep(Duration::from_millis(SLOW_MS)).await;
         }
         if count == 0 {
-            return writes.shutdown().await;
+            return writer.shutdown().await;
         }
-        writes.write_all(&chunk[..count]).await?;
+        writer.write_all(&chunk[..count]).await?;
     }
 }
--- a/crates/cranereach-standin/src/service/mod.rs
+++ b/crates/cranereach-standin/src/service/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::Answer;
 use crate::BODY_MAX_BYTES;
-use crate::BODY_WITHIN_MS;
+use crate::BODY_TIMEOUT_MS;
 use crate::lock;
 use cranereach_core::ledger::MemoryReport;
 use cranereach_http::body;
@@ -77,7 +77,7 @@
 /// Answers one request.
 async fn answer(state: Arc<ServiceState>, request: Request<Incoming>) -> Result<Answer, Closed> {
     let (parts, incoming) = request.into_parts();
-    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_WITHIN_MS).await;
+    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_TIMEOUT_MS).await;
     let Ok(bytes) = read else { return Err(Closed) };
     match parts.uri.path() {
         "/load" => Ok(body::json(200, &state.load())),
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::folder;
-use super::plan::read_both;
+use super::plan::read_inputs;
 use crate::exit::Exit;
 use cranereach_entry::apply::Stores;
 
@@ -34,17 +34,17 @@
 
 /// Applies the folder.
 pub fn execute(options: &ApplyArguments) -> Exit {
-    let (settings, mine) = match read_both(&options.settings, &options.folder) {
-        Ok(both) => both,
+    let (settings, local) = match read_inputs(&options.settings, &options.folder) {
+        Ok(inputs) => inputs,
         Err(exit) => return exit,
     };
     let stores = Stores::new(&settings.platform.table, &settings.platform.objects);
-    let base_version = folder::read_base(&options.folder);
+    let base_version = folder::read_base_version(&options.folder);
     let change_id = options
         .change
         .clone()
         .unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
-    match super::block_on(stores.apply(&mine, base_version, &change_id)) {
+    match super::block_on(stores.apply(&local, base_version, &change_id)) {
         Ok(accepted) => {
             if options.json {
                 super::print_json(
@@ -57,18 +57,18 @@
                 );
             }
             // Merged with others' changes, the folder isn't that version: it keeps its base.
-            let is_own = accepted.version == base_version + 1;
-            let kept = if is_own {
-                folder::write_base(&options.folder, accepted.version)
+            let is_unmerged = accepted.version == base_version + 1;
+            let saved = if is_unmerged {
+                folder::write_base_version(&options.folder, accepted.version)
             } else {
                 Ok(())
             };
-            kept.map_or_else(
+            saved.map_or_else(
                 |error| {
                     eprintln!("{error}");
-                    Exit::Faults
+                    Exit::Failure
                 },
-                |()| Exit::Done,
+                |()| Exit::Success,
             )
         }
         Err(error) => {
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -31,7 +31,7 @@
 pub fn execute(options: &CheckArguments) -> Exit {
     if let Some(key) = &options.hash_key {
         println!("{}", KeyHash::of(key).to_hex());
-        return Exit::Done;
+        return Exit::Success;
     }
     let has_settings = options.settings.is_some() || options.gateway_settings.is_some();
     if options.folder.is_none() && !has_settings {
@@ -51,20 +51,20 @@
         return Exit::Settings;
     }
     let Some(path) = &options.folder else {
-        return Exit::Done;
+        return Exit::Success;
     };
     let read = match folder::read(path) {
         Ok(read) => read,
         Err(error) => {
             eprintln!("{error}");
-            return Exit::Faults;
+            return Exit::Failure;
         }
     };
-    let findings = folder::faults(path, &read);
+    let findings = folder::check(path, &read);
     folder::print(&findings, options.json);
     if findings.is_empty() {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::Faults
+        Exit::Failure
     }
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -52,8 +52,8 @@
     }
     deployment.stop().await;
     if report.broken.is_empty() {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::Faults
+        Exit::Failure
     }
 }
--- a/src/cmd/domains.rs
+++ b/src/cmd/domains.rs
@@ -38,17 +38,17 @@
             return evacuate::exit_of(&error);
         }
     }
-    Exit::Done
+    Exit::Success
 }
 
 /// Shows one failure domain.
 fn show(state: &DomainState) {
-    let asked = match state.evacuated_since_version {
+    let status = match state.evacuated_since_version {
         Some(version) => format!("evacuated since version {version}"),
         None => "in use".to_owned(),
     };
     println!(
-        "{}: {asked}; workers: {} ready, {} leaving, {} cold; models with no copy elsewhere: {}",
+        "{}: {status}; workers: {} ready, {} leaving, {} cold; models with no copy elsewhere: {}",
         state.name,
         state.ready_count,
         state.leaving_count,
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -36,7 +36,7 @@
         Err(exit) => return exit,
     };
     let demand = domains::demand(&settings, &options.domain, options.withdraw);
-    let word = if options.withdraw {
+    let action = if options.withdraw {
         "withdrawn"
     } else {
         "asked for"
@@ -44,18 +44,18 @@
     match super::block_on_one_core(demand) {
         Ok(Demanded::At(version)) => {
             println!(
-                "evacuation of {} {word} at version {version}",
+                "evacuation of {} {action} at version {version}",
                 options.domain
             );
             if !options.withdraw {
                 let bound_ms = settings.bounds.evacuation_ms;
                 println!("its workers get nothing more after {bound_ms} ms");
             }
-            Exit::Done
+            Exit::Success
         }
         Ok(Demanded::Already) => {
-            println!("evacuation of {} was {word} already", options.domain);
-            Exit::Done
+            println!("evacuation of {} was {action} already", options.domain);
+            Exit::Success
         }
         Err(error) => {
             eprintln!("{error}");
@@ -67,10 +67,10 @@
 /// Returns how a command ends that could not be done.
 pub fn exit_of(error: &DomainsError) -> Exit {
     match error {
-        DomainsError::Unknown { .. } => Exit::Faults,
-        DomainsError::Raced => Exit::RaceLost,
+        DomainsError::Unknown { .. } => Exit::Failure,
+        DomainsError::Raced => Exit::Conflict,
         DomainsError::Adapter(_) => Exit::Settings,
-        DomainsError::Store(StoreError::Unknown(_)) => Exit::Unknown,
+        DomainsError::Store(StoreError::Unknown(_)) => Exit::OutcomeUnknown,
         DomainsError::Store(_) => Exit::Unavailable,
     }
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -19,13 +19,13 @@
 const COMMON_FIELDS: [&str; 5] = ["msg", "ts", "instance", "level", "request"];
 
 /// Lines that tell what a worker said of itself.
-const WORD_LINES: [&str; 3] = ["worker leaves", "worker rests", "worker limit"];
+const WORKER_STATE_MESSAGES: [&str; 3] = ["worker leaves", "worker rests", "worker limit"];
 
 /// Line by which an instance says that the store came back from a copy.
-const RESTORED_LINE: &str = "store restored";
+const STORE_RESTORED_MESSAGE: &str = "store restored";
 
 /// Such lines that a story shows at most.
-const WORD_MAX_COUNT: usize = 12;
+const WORKER_STATE_MAX_COUNT: usize = 12;
 
 /// Options of `explain`.
 #[derive(Debug, Options)]
@@ -40,7 +40,7 @@
 
 /// One line of a log.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     msg: String,
     ts: String,
     instance: String,
@@ -53,7 +53,7 @@
 /// All lines that could be read, and how many could not.
 #[derive(Debug, Default)]
 struct Logs {
-    lines: Vec<Line>,
+    lines: Vec<LogLine>,
     skipped_count: usize,
 }
 
@@ -73,8 +73,8 @@
         );
     }
     match &options.request {
-        Some(request) => story(&mut logs, request),
-        None => summary(&logs),
+        Some(request) => print_request(&mut logs, request),
+        None => print_summary(&logs),
     }
 }
 
@@ -97,27 +97,27 @@
 }
 
 /// Prints all lines about a request, in the order of their instances' clocks.
-fn story(logs: &mut Logs, request: &str) -> Exit {
+fn print_request(logs: &mut Logs, request: &str) -> Exit {
     logs.lines.sort_by(|left, right| left.ts.cmp(&right.ts));
-    let told: Vec<&Line> = logs
+    let matching: Vec<&LogLine> = logs
         .lines
         .iter()
         .filter(|line| line.request.as_deref() == Some(request))
         .collect();
-    if told.is_empty() {
+    if matching.is_empty() {
         eprintln!("no line about {request}: it went well, or these aren't its logs");
-        return Exit::Faults;
+        return Exit::Failure;
     }
     println!("{request}, by the clocks of the instances, which may disagree:");
-    told.into_iter().for_each(print_line);
-    tell_equal(logs, request);
-    tell_words(logs, request);
-    Exit::Done
+    matching.into_iter().for_each(print_line);
+    print_equal_requests(logs, request);
+    print_worker_states(logs, request);
+    Exit::Success
 }
 
 /// Prints what workers had said of themselves to the instance that a request came to, the
 /// last of it: which one it was sent to, or why to none, may follow from that.
-fn tell_words(logs: &Logs, request: &str) {
+fn print_worker_states(logs: &Logs, request: &str) {
     let own = logs
         .lines
         .iter()
@@ -125,42 +125,42 @@
     let Some(last) = own.max_by(|left, right| left.ts.cmp(&right.ts)) else {
         return;
     };
-    let is_word = |line: &&Line| {
-        WORD_LINES.contains(&line.msg.as_str())
+    let is_worker_state = |line: &&LogLine| {
+        WORKER_STATE_MESSAGES.contains(&line.msg.as_str())
             && line.instance == last.instance
             && line.ts <= last.ts
     };
-    let words: Vec<&Line> = logs.lines.iter().filter(is_word).collect();
-    let told = &words[words.len().saturating_sub(WORD_MAX_COUNT)..];
-    if !told.is_empty() {
+    let states: Vec<&LogLine> = logs.lines.iter().filter(is_worker_state).collect();
+    let matching = &states[states.len().saturating_sub(WORKER_STATE_MAX_COUNT)..];
+    if !matching.is_empty() {
         println!("What workers had said of themselves:");
     }
-    told.iter().copied().for_each(print_line);
+    matching.iter().copied().for_each(print_line);
 }
 
 /// Prints a line without the fields that all have.
-fn print_line(line: &Line) {
+fn print_line(line: &LogLine) {
     println!(
         "{} {} {}: {}",
         line.ts,
         line.instance,
         line.msg,
-        rest(&line.fields)
+        format_fields(&line.fields)
     );
 }
 
 /// Prints the lines about other requests that ask for the same as one that workers ended
 /// under, which tell why it was refused.
-fn tell_equal(logs: &Logs, request: &str) {
-    let is_own = |line: &&Line| line.request.as_deref() == Some(request);
+fn print_equal_requests(logs: &Logs, request: &str) {
+    let is_own = |line: &&LogLine| line.request.as_deref() == Some(request);
     let own = logs.lines.iter().filter(is_own);
     let fingerprints: BTreeSet<&str> = own.filter_map(fingerprint).collect();
-    for of in fingerprints {
-        println!("Equal requests, fingerprint {of}:");
+    for wanted in fingerprints {
+        println!("Equal requests, fingerprint {wanted}:");
         let equal = logs
             .lines
             .iter()
-            .filter(|line| fingerprint(line) == Some(of));
+            .filter(|line| fingerprint(line) == Some(wanted));
         for line in equal.filter(|line| !is_own(line)) {
             println!(
                 "{} {} {} {}: {}",
@@ -168,19 +168,19 @@
                 line.instance,
                 line.request.as_deref().unwrap_or("-"),
                 line.msg,
-                rest(&line.fields)
+                format_fields(&line.fields)
             );
         }
     }
 }
 
 /// Returns the fingerprint that a line names.
-fn fingerprint(line: &Line) -> Option<&str> {
+fn fingerprint(line: &LogLine) -> Option<&str> {
     line.fields.get("fingerprint")?.as_str()
 }
 
 /// Prints how often each cause ended a request.
-fn summary(logs: &Logs) -> Exit {
+fn print_summary(logs: &Logs) -> Exit {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for line in logs.lines.iter().filter(|line| line.request.is_some()) {
         let cause = ["name", "failure", "why", "model"]
@@ -194,20 +194,23 @@
     for (cause, count) in sorted {
         println!("{count:>8} {cause}");
     }
-    tell_restores(logs);
-    Exit::Done
+    print_store_restores(logs);
+    Exit::Success
 }
 
 /// Prints when instances learnt that the store had come back from a copy, by its eras.
-fn tell_restores(logs: &Logs) {
-    let mut learnt: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
-    let restored = logs.lines.iter().filter(|line| line.msg == RESTORED_LINE);
+fn print_store_restores(logs: &Logs) {
+    let mut noticed: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
+    let restored = logs
+        .lines
+        .iter()
+        .filter(|line| line.msg == STORE_RESTORED_MESSAGE);
     for line in restored {
         if let Some(era) = line.fields.get("era").and_then(Value::as_u64) {
-            learnt.entry(era).or_default().insert(&line.ts);
+            noticed.entry(era).or_default().insert(&line.ts);
         }
     }
-    for (era, times) in learnt {
+    for (era, times) in noticed {
         let first = times.first().copied().unwrap_or_default();
         let last = times.last().copied().unwrap_or_default();
         println!("store restored: era {era}, learnt from {first} to {last}");
@@ -215,15 +218,15 @@
 }
 
 /// Writes the fields that only some lines have.
-fn rest(fields: &Map<String, Value>) -> String {
+fn format_fields(fields: &Map<String, Value>) -> String {
     let own = fields
         .iter()
         .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
-    let written: Vec<String> = own
+    let formatted: Vec<String> = own
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         })
         .collect();
-    written.join(" ")
+    formatted.join(" ")
 }
--- a/src/cmd/folder.rs
+++ b/src/cmd/folder.rs
@@ -45,10 +45,10 @@
 
 /// A folder or one of its files can't be read or written.
 #[derive(Debug, Error)]
-#[error("{}: can't {doing}: {source}", path.display())]
+#[error("{}: can't {operation}: {source}", path.display())]
 pub struct DiskError {
     path: PathBuf,
-    doing: &'static str,
+    operation: &'static str,
     source: io::Error,
 }
 
@@ -57,7 +57,7 @@
     let mut files = BTreeMap::new();
     let entries = fs::read_dir(path).map_err(|source| DiskError {
         path: path.to_owned(),
-        doing: "read the folder",
+        operation: "read the folder",
         source,
     })?;
     for entry in entries.flatten() {
@@ -68,7 +68,7 @@
         if is_declaration {
             let text = fs::read_to_string(&file).map_err(|source| DiskError {
                 path: file.clone(),
-                doing: "read the file",
+                operation: "read the file",
                 source,
             })?;
             files.insert(entry.file_name().to_string_lossy().into_owned(), text);
@@ -81,45 +81,45 @@
 pub fn write(path: &Path, folder: &Folder, version: u64) -> Result<(), DiskError> {
     fs::create_dir_all(path).map_err(|source| DiskError {
         path: path.to_owned(),
-        doing: "make the folder",
+        operation: "make the folder",
         source,
     })?;
     for (name, text) in &folder.files {
         let file = path.join(name);
         fs::write(&file, text).map_err(|source| DiskError {
             path: file.clone(),
-            doing: "write the file",
+            operation: "write the file",
             source,
         })?;
     }
-    write_base(path, version)
+    write_base_version(path, version)
 }
 
 /// Returns the version that a folder was begun from; zero if it never was.
-pub fn read_base(path: &Path) -> u64 {
+pub fn read_base_version(path: &Path) -> u64 {
     let base: Option<Base> = cranereach_wire::jsonc::read_file(&path.join(BASE_FILE)).ok();
     base.unwrap_or_default().version
 }
 
 /// Writes the version that a folder is now begun from.
-pub fn write_base(path: &Path, version: u64) -> Result<(), DiskError> {
+pub fn write_base_version(path: &Path, version: u64) -> Result<(), DiskError> {
     let file = path.join(BASE_FILE);
     let text = format!(
         "// Version that this folder was begun from; kept by cranereach.\n{{ \"version\": {version} }}\n"
     );
     fs::write(&file, text).map_err(|source| DiskError {
         path: file.clone(),
-        doing: "write the file",
+        operation: "write the file",
         source,
     })
 }
 
 /// Checks a folder whole; returns its faults with their places.
-pub fn faults(path: &Path, folder: &Folder) -> Vec<Finding> {
-    let shown = |file: &str| path.join(file).display().to_string();
+pub fn check(path: &Path, folder: &Folder) -> Vec<Finding> {
+    let display_path = |file: &str| path.join(file).display().to_string();
     let declared = match folder.declarations() {
         Ok(declared) => declared,
-        Err(error) => return vec![of_file_error(&error, &shown)],
+        Err(error) => return vec![file_error_finding(&error, &display_path)],
     };
     let Err(faults) = Snapshot::resolve(&declared, 0) else {
         return Vec::new();
@@ -129,7 +129,7 @@
         Finding {
             code: fault.code.row().number,
             name: fault.code.row().name,
-            file: line.as_ref().map(|line| shown(&line.file)),
+            file: line.as_ref().map(|line| display_path(&line.file)),
             line: line.map(|line| line.line),
             place: Some(format!(
                 "{} {:?} {}",
@@ -142,7 +142,7 @@
 }
 
 /// Makes the finding of a file that can't be understood.
-fn of_file_error(error: &FileError, shown: &impl Fn(&str) -> String) -> Finding {
+fn file_error_finding(error: &FileError, display_path: &impl Fn(&str) -> String) -> Finding {
     let (code, file, line, detail) = match error {
         FileError::Unreadable { path, source } => {
             (ResultCode::Syntax, path, None, source.to_string())
@@ -163,7 +163,7 @@
         }
     };
     let row = code.row();
-    let file = Some(shown(&file.to_string_lossy()));
+    let file = Some(display_path(&file.to_string_lossy()));
     Finding {
         code: row.number,
         name: row.name,
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -38,9 +38,9 @@
 
 /// Reads the settings from the file that an option or the variable names; says what is
 /// wrong with them.
-pub fn settings(given: Option<&PathBuf>) -> Result<Settings, Exit> {
-    let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-    let Some(path) = given.cloned().or(named) else {
+pub fn settings(path_option: Option<&PathBuf>) -> Result<Settings, Exit> {
+    let path_variable = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    let Some(path) = path_option.cloned().or(path_variable) else {
         eprintln!("no settings file: give --settings or set {SETTINGS_VARIABLE}");
         return Err(Exit::Settings);
     };
@@ -72,5 +72,5 @@
         }
     });
     gateway.drain().await;
-    Exit::Done
+    Exit::Success
 }
--- a/src/cmd/instance.rs
+++ b/src/cmd/instance.rs
@@ -14,7 +14,7 @@
 use cranereach_platform as _;
 
 /// Time for an answer, in milliseconds.
-pub const ANSWER_WITHIN_MS: u64 = 3_000;
+pub const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
 /// Makes the client of an instance: the one at an address, or that of a settings file.
 pub fn client(address: Option<&String>, settings: Option<&PathBuf>) -> Result<JsonClient, Exit> {
@@ -26,11 +26,11 @@
 }
 
 /// Says why an instance could not be asked.
-pub fn failed(client: &JsonClient, error: &CallError) -> Exit {
+pub fn report_error(client: &JsonClient, error: &CallError) -> Exit {
     eprintln!("{}: {error}", client.address());
     match error {
         CallError::NotSent { .. } => Exit::Unavailable,
-        CallError::Unanswered { .. } | CallError::Garbled { .. } => Exit::Unknown,
+        CallError::Unanswered { .. } | CallError::Garbled { .. } => Exit::OutcomeUnknown,
     }
 }
 
@@ -63,8 +63,8 @@
         Err(exit) => return exit,
     };
     match super::block_on_one_core(show(&client, path, options.json, show_one)) {
-        Ok(()) => Exit::Done,
-        Err(error) => failed(&client, &error),
+        Ok(()) => Exit::Success,
+        Err(error) => report_error(&client, &error),
     }
 }
 
@@ -78,12 +78,12 @@
 where
     T: Serialize + DeserializeOwned,
 {
-    let answer = client.get(path, ANSWER_WITHIN_MS).await?;
-    let shown: Vec<T> = client.read(&answer)?;
+    let answer = client.get(path, ANSWER_TIMEOUT_MS).await?;
+    let items: Vec<T> = client.read(&answer)?;
     if as_json {
-        super::print_json(&shown);
+        super::print_json(&items);
     } else {
-        shown.iter().for_each(show_one);
+        items.iter().for_each(show_one);
     }
     Ok(())
 }
--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -12,14 +12,14 @@
 }
 
 /// Shows one worker.
-fn show_one(shown: &ShownLimit) {
+fn show_one(limit: &ShownLimit) {
     println!(
         "{} of {}: {} a second, for {} s; granted here {}, refused {}",
-        shown.worker,
-        shown.service,
-        shown.rate_per_s,
-        shown.for_ms / 1_000,
-        shown.granted_count,
-        shown.refused_count
+        limit.worker,
+        limit.service,
+        limit.rate_per_s,
+        limit.for_ms / 1_000,
+        limit.granted_count,
+        limit.refused_count
     );
 }
--- a/src/cmd/measure.rs
+++ b/src/cmd/measure.rs
@@ -81,14 +81,14 @@
 /// Runs the scenario.
 pub fn execute(options: &MeasureArguments) -> Exit {
     if let Some(through) = &options.path {
-        return path(options, through);
+        return measure_path(options, through);
     }
     let Some(path) = &options.scenario else {
         if options.slopes {
             slopes::gateway::measure()
                 .iter()
                 .for_each(super::print_json);
-            return Exit::Done;
+            return Exit::Success;
         }
         eprintln!("{}", MeasureArguments::usage());
         return Exit::Usage;
@@ -101,19 +101,24 @@
         }
     };
     if options.slopes {
-        return slopes(&scenario);
+        return measure_slopes(&scenario);
     }
-    let Some(scenario) = changed(scenario, options) else {
+    let Some(scenario) = apply_overrides(scenario, options) else {
         eprintln!(
             "--fault is not one of kill_engine, kill_domain, kill_entry, table_down, lose_orders"
         );
         return Exit::Usage;
     };
-    match super::block_on(run::run(&scenario, options.seed, &policy(options))) {
+    match super::block_on(run::run(&scenario, options.seed, &policy_settings(options))) {
         Ok(report) => {
             super::print_json(&report);
-            let kept = report.memory_excess_count == 0 && report.lookups_doubled_count == 0;
-            if kept { Exit::Done } else { Exit::Faults }
+            let is_within_limits =
+                report.memory_excess_count == 0 && report.lookups_doubled_count == 0;
+            if is_within_limits {
+                Exit::Success
+            } else {
+                Exit::Failure
+            }
         }
         Err(error) => {
             eprintln!("{error}");
@@ -123,7 +128,7 @@
 }
 
 /// Measures what an instance adds.
-fn path(options: &MeasureArguments, through: &str) -> Exit {
+fn measure_path(options: &MeasureArguments, through: &str) -> Exit {
     let path = Path {
         through: through.to_owned(),
         direct: options.direct.clone().unwrap_or_default(),
@@ -132,20 +137,20 @@
         model: options.model.clone(),
     };
     super::print_json(&super::block_on(path_cost::measure(&path)));
-    Exit::Done
+    Exit::Success
 }
 
 /// Measures all slopes, a line of JSON each.
-fn slopes(scenario: &Scenario) -> Exit {
+fn measure_slopes(scenario: &Scenario) -> Exit {
     slopes::kernel::measure(scenario)
         .iter()
         .chain(&slopes::gateway::measure())
         .chain(&slopes::accounts::measure())
         .for_each(super::print_json);
     match super::block_on(slopes::system::measure(scenario)) {
-        Ok(system) => {
-            system.iter().for_each(super::print_json);
-            Exit::Done
+        Ok(results) => {
+            results.iter().for_each(super::print_json);
+            Exit::Success
         }
         Err(error) => {
             eprintln!("{error}");
@@ -155,7 +160,7 @@
 }
 
 /// Puts the options' values into a scenario; none if the fault has no meaning.
-fn changed(mut scenario: Scenario, options: &MeasureArguments) -> Option<Scenario> {
+fn apply_overrides(mut scenario: Scenario, options: &MeasureArguments) -> Option<Scenario> {
     scenario.load_ratio = options.load.unwrap_or(scenario.load_ratio);
     scenario.move_weight = options.move_weight.unwrap_or(scenario.move_weight);
     scenario.engine_memory_gb = options.memory_gb.unwrap_or(scenario.engine_memory_gb);
@@ -173,7 +178,7 @@
 }
 
 /// Returns the policy that the options name.
-fn policy(options: &MeasureArguments) -> PolicySettings {
+fn policy_settings(options: &MeasureArguments) -> PolicySettings {
     let mut policy = PolicySettings::default();
     if options.policy == "baseline" {
         "fifo".clone_into(&mut policy.order);
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -84,7 +84,7 @@
 pub fn execute(arguments: &Arguments) -> Exit {
     if arguments.version {
         println!("cranereach {}", env!("CARGO_PKG_VERSION"));
-        return Exit::Done;
+        return Exit::Success;
     }
     match &arguments.command {
         Some(Command::Demo(options)) => demo::execute(options),
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -41,16 +41,16 @@
 
 /// Shows what would change.
 pub fn execute(options: &PlanArguments) -> Exit {
-    let (settings, mine) = match read_both(&options.settings, &options.folder) {
-        Ok(both) => both,
+    let (settings, local) = match read_inputs(&options.settings, &options.folder) {
+        Ok(inputs) => inputs,
         Err(exit) => return exit,
     };
     let stores = Stores::new(&settings.platform.table, &settings.platform.objects);
     match super::block_on(stores.current()) {
         Ok(current) => {
-            let changes = changes(&current.folder, &mine);
+            let changes = changes(&current.folder, &local);
             show(&changes, current.head.version, options.json);
-            Exit::Done
+            Exit::Success
         }
         Err(error) => {
             eprintln!("{}: {error}", error.code().row().number);
@@ -60,7 +60,7 @@
 }
 
 /// Reads settings and a folder without faults.
-pub(super) fn read_both(
+pub(super) fn read_inputs(
     settings: &std::path::Path,
     path: &std::path::Path,
 ) -> Result<(Settings, Folder), Exit> {
@@ -68,16 +68,16 @@
         eprintln!("{error}");
         Exit::Settings
     })?;
-    let mine = folder::read(path).map_err(|error| {
+    let local = folder::read(path).map_err(|error| {
         eprintln!("{error}");
-        Exit::Faults
+        Exit::Failure
     })?;
-    let findings = folder::faults(path, &mine);
+    let findings = folder::check(path, &local);
     if findings.is_empty() {
-        return Ok((settings, mine));
+        return Ok((settings, local));
     }
     folder::print(&findings, false);
-    Err(Exit::Faults)
+    Err(Exit::Failure)
 }
 
 /// Lists the differences between two folders, entry by entry.
--- a/src/cmd/pull.rs
+++ b/src/cmd/pull.rs
@@ -47,12 +47,12 @@
     };
     if let Err(error) = folder::write(&options.folder, &current.folder, current.head.version) {
         eprintln!("{error}");
-        return Exit::Faults;
+        return Exit::Failure;
     }
     println!(
         "version {} in {}",
         current.head.version,
         options.folder.display()
     );
-    Exit::Done
+    Exit::Success
 }
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -6,7 +6,7 @@
 use gumdrop::Options;
 
 use super::instance;
-use super::instance::ANSWER_WITHIN_MS;
+use super::instance::ANSWER_TIMEOUT_MS;
 use crate::exit::Exit;
 use cranereach_gateway::operators::QUARANTINE_PATH;
 use cranereach_gateway::operators::RELEASE_PATH;
@@ -47,23 +47,23 @@
         super::block_on_one_core(release(&client, fingerprint))
     } else {
         let shown = instance::show(&client, QUARANTINE_PATH, options.json, show_one);
-        super::block_on_one_core(shown).map(|()| Exit::Done)
+        super::block_on_one_core(shown).map(|()| Exit::Success)
     };
-    asked.unwrap_or_else(|error| instance::failed(&client, &error))
+    asked.unwrap_or_else(|error| instance::report_error(&client, &error))
 }
 
 /// Shows one request.
-fn show_one(shown: &Shown) {
-    let state = if shown.is_quarantined {
+fn show_one(suspect: &Shown) {
+    let state = if suspect.is_quarantined {
         "refused"
     } else {
         "suspected"
     };
     println!(
         "{} {state}; route {:?}, account {:?}; refused here {} times",
-        shown.fingerprint, shown.route, shown.account, shown.refused_count
+        suspect.fingerprint, suspect.route, suspect.account, suspect.refused_count
     );
-    for end in &shown.ends {
+    for end in &suspect.ends {
         println!("  {} ended {} s ago", end.worker, end.age_ms / 1_000);
     }
 }
@@ -72,16 +72,16 @@
 async fn release(client: &JsonClient, fingerprint: &str) -> Result<Exit, CallError> {
     let path = format!("{RELEASE_PATH}{fingerprint}");
     let answer = client
-        .post_bytes(&path, Bytes::new(), ANSWER_WITHIN_MS)
+        .post_bytes(&path, Bytes::new(), ANSWER_TIMEOUT_MS)
         .await?;
     Ok(match answer.status {
         200 => {
             println!("{fingerprint} is let through; the others hear of it within a second");
-            Exit::Done
+            Exit::Success
         }
         404 => {
             eprintln!("nothing is held against {fingerprint} there");
-            Exit::Faults
+            Exit::Failure
         }
         _ => {
             eprintln!("{fingerprint:?} is no fingerprint: 32 hexadecimal digits");
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -52,7 +52,7 @@
     });
     entry.drain().await;
     super::print_json(&json!({ "stopped": id }));
-    Exit::Done
+    Exit::Success
 }
 
 /// Waits for SIGTERM or SIGINT.
--- a/src/cmd/soak.rs
+++ b/src/cmd/soak.rs
@@ -41,42 +41,42 @@
 
 /// Runs a soak.
 pub fn execute(options: &SoakArguments) -> Exit {
-    let plan = match plan(options) {
+    let plan = match read_plan(options) {
         Ok(plan) => plan,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(message) => {
+            eprintln!("{message}");
             return Exit::Usage;
         }
     };
     let steps = plan.steps();
-    let listed: Vec<String> = steps.iter().map(ToString::to_string).collect();
-    let listed = listed.join("\n");
+    let schedule: Vec<String> = steps.iter().map(ToString::to_string).collect();
+    let schedule = schedule.join("\n");
     println!(
-        "seed {}, {} s, {} faults\n{listed}",
+        "seed {}, {} s, {} faults\n{schedule}",
         plan.seed,
         options.seconds,
         steps.len()
     );
-    let made = run::make_folder(&plan.folder)
-        .and_then(|()| fs::write(plan.folder.join("schedule.txt"), &listed));
-    if let Err(error) = made {
+    let written = run::make_folder(&plan.folder)
+        .and_then(|()| fs::write(plan.folder.join("schedule.txt"), &schedule));
+    if let Err(error) = written {
         eprintln!("{}: {error}", plan.folder.display());
         return Exit::Unavailable;
     }
     let choice = Choice {
         is_untimed: options.untimed,
     };
-    super::block_on(play(&plan, &choice))
+    super::block_on(run_plan(&plan, &choice))
 }
 
 /// Runs the plan, prints and keeps the verdicts.
-async fn play(plan: &Plan, choice: &Choice) -> Exit {
+async fn run_plan(plan: &Plan, choice: &Choice) -> Exit {
     let records = match run::run(plan, wait_for_stop()).await {
         Ok(records) => records,
         Err(error) => {
             eprintln!("{error}");
             return match error {
-                RunError::Interrupted => Exit::Unknown,
+                RunError::Interrupted => Exit::OutcomeUnknown,
                 RunError::Gateway(_) | RunError::Listen(_) | RunError::NotReady(_) => {
                     Exit::Unavailable
                 }
@@ -90,11 +90,15 @@
         eprintln!("{}: {error}", plan.folder.display());
         return Exit::Unavailable;
     }
-    if is_kept { Exit::Done } else { Exit::Faults }
+    if is_kept {
+        Exit::Success
+    } else {
+        Exit::Failure
+    }
 }
 
 /// Reads the options.
-fn plan(options: &SoakArguments) -> Result<Plan, String> {
+fn read_plan(options: &SoakArguments) -> Result<Plan, String> {
     let size = match options.size.as_str() {
         "small" => Size::SMALL,
         "large" => Size::LARGE,
@@ -107,11 +111,11 @@
         ));
     }
     let binary = std::env::current_exe().map_err(|error| format!("the own binary: {error}"))?;
-    let name = format!("cranereach-soak-{}-{}", options.seed, std::process::id());
+    let folder_name = format!("cranereach-soak-{}-{}", options.seed, std::process::id());
     let folder = options.out.clone();
     Ok(Plan {
         binary,
-        folder: folder.unwrap_or_else(|| std::env::temp_dir().join(name)),
+        folder: folder.unwrap_or_else(|| std::env::temp_dir().join(folder_name)),
         seed: options.seed,
         run_ms: options.seconds * 1_000,
         size,
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -72,11 +72,19 @@
         .local_addr()
         .map(|address| address.to_string())
         .unwrap_or_default();
-    let (stopping, stop) = watch::channel(false);
+    let (stop_sender, stop_receiver) = watch::channel(false);
     match options.kind.as_str() {
-        "platform" => drop(Platform::start(listener, WeightLimits::default(), stop)),
-        "engine" => drop(Engine::start(listener, engine_options(options), stop)),
-        "service" => drop(PlainService::start(listener, stop)),
+        "platform" => drop(Platform::start(
+            listener,
+            WeightLimits::default(),
+            stop_receiver,
+        )),
+        "engine" => drop(Engine::start(
+            listener,
+            engine_options(options),
+            stop_receiver,
+        )),
+        "service" => drop(PlainService::start(listener, stop_receiver)),
         other => {
             eprintln!("{other:?} is not one of engine, platform, service");
             return Exit::Usage;
@@ -84,8 +92,8 @@
     }
     super::print_json(&json!({ "started": options.kind, "address": address }));
     wait_for_stop().await;
-    stopping.send_replace(true);
-    Exit::Done
+    stop_sender.send_replace(true);
+    Exit::Success
 }
 
 /// Returns how the engine behaves.
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -14,7 +14,7 @@
 use cranereach_wire::head_row::HeadRow;
 
 /// Time for an answer, in milliseconds.
-const ANSWER_WITHIN_MS: u64 = 3_000;
+const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
 /// Options of `status`.
 #[derive(Debug, Options)]
@@ -78,9 +78,9 @@
         }
     }
     if version.is_some() {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::Faults
+        Exit::Failure
     }
 }
 
@@ -88,7 +88,7 @@
 async fn instance_status(settings: &Settings, address: &str, as_json: bool) -> Exit {
     let token = settings.operators.token.clone().unwrap_or_default();
     let client = JsonClient::new(address).with_token(&token);
-    let status: Value = match client.get("/status", ANSWER_WITHIN_MS).await {
+    let status: Value = match client.get("/status", ANSWER_TIMEOUT_MS).await {
         Ok(answer) => serde_json::from_slice(&answer.body).unwrap_or(Value::Null),
         Err(error) => {
             eprintln!("{error}");
@@ -104,8 +104,8 @@
         );
     }
     if status.get("error").is_some() {
-        Exit::Faults
+        Exit::Failure
     } else {
-        Exit::Done
+        Exit::Success
     }
 }
--- a/src/cmd/workers.rs
+++ b/src/cmd/workers.rs
@@ -12,11 +12,11 @@
 }
 
 /// Shows one worker.
-fn show_one(shown: &ShownWorker) {
+fn show_one(entry: &ShownWorker) {
     let ShownWorker {
         worker, service, ..
-    } = shown;
-    if let Some(leaving) = &shown.leaving {
+    } = entry;
+    if let Some(leaving) = &entry.leaving {
         let since = leaving.for_ms.map_or_else(String::new, |for_ms| {
             format!(", known for {}", seconds(for_ms))
         });
@@ -25,7 +25,7 @@
             leaving.by
         );
     }
-    if let Some(rest) = &shown.rest {
+    if let Some(rest) = &entry.rest {
         println!(
             "{worker} of {service}: rests for {}, {} more",
             seconds(rest.for_ms),
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -8,31 +8,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
     /// As asked.
-    Done,
+    Success,
     /// It ran, and what it looked at isn't as it should be.
-    Faults,
+    Failure,
     /// The command line can't be understood.
     Usage,
     /// The settings can't be used.
     Settings,
     /// Another operator's change was accepted first.
-    RaceLost,
+    Conflict,
     /// A store or process could not be reached; nothing was done.
     Unavailable,
     /// It may have been done.
-    Unknown,
+    OutcomeUnknown,
 }
 
 impl From<Exit> for ExitCode {
     fn from(exit: Exit) -> Self {
         Self::from(match exit {
-            Exit::Done => 0,
-            Exit::Faults => 1,
+            Exit::Success => 0,
+            Exit::Failure => 1,
             Exit::Usage => 2,
             Exit::Settings => 3,
-            Exit::RaceLost => 4,
+            Exit::Conflict => 4,
             Exit::Unavailable => 5,
-            Exit::Unknown => 6,
+            Exit::OutcomeUnknown => 6,
         })
     }
 }
@@ -40,11 +40,11 @@
 impl From<ResultCode> for Exit {
     fn from(code: ResultCode) -> Self {
         match code {
-            ResultCode::RaceLost => Self::RaceLost,
+            ResultCode::RaceLost => Self::Conflict,
             ResultCode::StoreUnavailable => Self::Unavailable,
-            ResultCode::AcceptanceUnknown => Self::Unknown,
+            ResultCode::AcceptanceUnknown => Self::OutcomeUnknown,
             ResultCode::BadSettings => Self::Settings,
-            _ => Self::Faults,
+            _ => Self::Failure,
         }
     }
 }
