--- a/crates/cranereach-standin/src/engine/answer.rs
+++ b/crates/cranereach-standin/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Requests to the engine's stand-in: waiting for a slot, generating, leaving.
+//! Completion requests to the engine stand-in: waiting for a slot, prefill, generation.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -33,13 +33,14 @@
 use cranereach_wire::upstream::NOT_RUN_NOT_RESIDENT;
 use cranereach_wire::upstream::REQUEST_HEADER;
 
-/// Tokens generated when the request doesn't say.
+/// Tokens to generate if the request sets no maximum.
 const DEFAULT_TOKENS: u32 = 16;
 
-/// Characters of a prompt by which the prefix cache knows it.
+/// Length of the prompt prefix that is the key of the prefix cache, in characters. As many
+/// characters of the end of the prompt are echoed in the response.
 const PREFIX_CHARS: usize = 64;
 
-/// What the engine reads of a request.
+/// Fields of a completion request that the engine uses.
 #[derive(Debug, Deserialize)]
 struct Completion {
     model: String,
@@ -60,20 +61,20 @@
     content: String,
 }
 
-/// Body of an engine's answer.
+/// Response body of an engine.
 #[derive(Debug)]
 pub struct EngineBody {
     kind: BodyKind,
 }
 
-/// Whole, or generated token by token.
+/// Complete body, or one that is generated token by token.
 #[derive(Debug)]
 enum BodyKind {
     Buffered(Full<Bytes>),
     Stream(Box<Generation>),
 }
 
-/// A request that runs: gives its slot and memory use back when dropped.
+/// A running request; releases its slot and its use of the target when dropped.
 #[derive(Debug)]
 struct RunGuard {
     state: Arc<EngineState>,
@@ -82,7 +83,7 @@
     is_done: bool,
 }
 
-/// A stream that is being generated.
+/// A streamed response that is being generated.
 #[derive(Debug)]
 struct Generation {
     run: RunGuard,
@@ -95,7 +96,7 @@
 }
 
 impl EngineBody {
-    /// Wraps a whole body.
+    /// Wraps a complete body.
     pub(crate) fn full(body: Full<Bytes>) -> Self {
         Self {
             kind: BodyKind::Buffered(body),
@@ -103,7 +104,7 @@
     }
 }
 
-/// Runs one request.
+/// Handles one completion request.
 pub(crate) async fn complete(
     state: Arc<EngineState>,
     headers: &HeaderMap,
@@ -138,7 +139,7 @@
     .await)
 }
 
-/// Makes the answer, whole or as a stream.
+/// Builds the response, complete or streamed.
 async fn respond(
     run: RunGuard,
     completion: &Completion,
@@ -164,7 +165,7 @@
     answer
 }
 
-/// Makes a streamed answer.
+/// Builds a streamed response.
 fn stream_response(
     run: RunGuard,
     request_id: String,
@@ -194,7 +195,7 @@
     answer
 }
 
-/// Generates everything and makes a whole answer.
+/// Generates all tokens and builds a complete response.
 async fn buffered_response(
     mut run: RunGuard,
     request_id: &str,
@@ -213,7 +214,7 @@
     body::json(200, &text).map(EngineBody::full)
 }
 
-/// Says that nothing ran.
+/// Builds a response that marks the request as not run.
 fn not_run(reason: &'static str) -> Response<EngineBody> {
     let mut answer = body::json(503, &json!({ "error": reason })).map(EngineBody::full);
     answer
@@ -222,7 +223,7 @@
     answer
 }
 
-/// Returns the request that the answer will name.
+/// Returns the request ID for the response; a wrong one if that fault is injected.
 fn response_request_id(state: &EngineState, headers: &HeaderMap) -> String {
     if state.consume_fault(|faults| &mut faults.wrong_request_count) {
         return "another-request".to_owned();
@@ -235,7 +236,7 @@
 }
 
 impl Completion {
-    /// Returns the whole prompt.
+    /// Returns the prompt and the contents of all messages as one text.
     fn text(&self) -> String {
         let mut text = self.prompt.clone();
         for message in &self.messages {
@@ -246,7 +247,7 @@
 }
 
 impl RunGuard {
-    /// Begins a run if the target can serve.
+    /// Starts a run if the target is resident.
     fn begin(state: &Arc<EngineState>, model: &str) -> Option<Self> {
         let target = TargetName::from(model);
         let mut memory = lock(&state.memory);
@@ -267,7 +268,7 @@
         })
     }
 
-    /// Waits for a place in the batch.
+    /// Waits for a free batch slot.
     async fn acquire_slot(&mut self) {
         let state = Arc::clone(&self.state);
         let permit = state.slots.acquire().await;
@@ -276,7 +277,7 @@
         state.running_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes the time of a prompt unless its start is cached.
+    /// Simulates the time of prefill, which is skipped if the prefix of the prompt is cached.
     async fn prefill(&self, prompt: &str) {
         let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let hash = rendezvous_weight(&prefix, self.target.as_str());
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Remembers a prompt start; says whether it was known.
+    /// Marks a prefix as the most recently used one and returns whether it was cached.
     fn touch_prefix(&self, hash: u64) -> bool {
         let mut prefixes = lock(&self.state.prefixes);
         let was_cached = prefixes.contains(&hash);
@@ -303,7 +304,7 @@
         was_cached
     }
 
-    /// Returns the time from one token to the next with the present batch.
+    /// Returns the time between tokens at the current batch size.
     fn token_time(&self) -> Duration {
         let options = &self.state.options;
         let batch = f64::from(self.state.running_count.load(Ordering::Relaxed));
@@ -332,7 +333,7 @@
 }
 
 impl Generation {
-    /// Returns the next event of the stream, if any is left.
+    /// Returns the next event of the stream, or `None` at the end.
     fn next_event(&mut self) -> Option<Bytes> {
         let index = self.next_index;
         self.next_index += 1;
@@ -354,7 +355,7 @@
     }
 }
 
-/// The stream was made to break.
+/// Error that ends a stream because of an injected fault.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("broken on purpose")]
 pub struct InjectedBreak;
--- a/crates/cranereach-standin/src/engine/loading.rs
+++ b/crates/cranereach-standin/src/engine/loading.rs
@@ -1,4 +1,5 @@
-//! Orders about memory: loading takes memory at once, unloading frees it late.
+//! Load and unload orders. A load takes memory at once; an unload frees it only after the last
+//! running request has ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +15,13 @@
 use cranereach_wire::upstream::OrderAnswer;
 use cranereach_wire::upstream::OrderRequest;
 
-/// Pause before the weight store is asked again, in milliseconds.
+/// Delay between requests to the weight store, in milliseconds.
 const WEIGHT_RETRY_MS: u64 = 100;
 
-/// Longest answer time of the weight store, in milliseconds.
+/// Time-out for a response of the weight store, in milliseconds.
 const WEIGHT_TIMEOUT_MS: u64 = 60_000;
 
-/// Applies an order; loading goes on in the background.
+/// Applies an order if its fencing token is valid; loading continues in the background.
 pub(crate) fn apply(state: &Arc<EngineState>, order: &OrderRequest) -> OrderAnswer {
     let mut memory = lock(&state.memory);
     let is_current = order.boot_id == state.boot_id && memory.gate.admit(order.fence);
@@ -44,7 +45,7 @@
     }
 }
 
-/// Takes memory and starts to read weights.
+/// Takes memory and starts to load weights.
 fn begin_load(state: &Arc<EngineState>, memory: &mut Memory, order: &OrderRequest) {
     lock(&state.counts).load_count += 1;
     if memory.occupants.contains_key(&order.target) {
@@ -70,7 +71,7 @@
     tokio::spawn(finish_load(Arc::clone(state), order.target.clone()));
 }
 
-/// Reads weights and makes the target resident.
+/// Loads weights and marks the target as resident.
 async fn finish_load(state: Arc<EngineState>, target: TargetName) {
     match &state.options.weight_store {
         Some(address) => fetch_weights(address, &target).await,
@@ -86,7 +87,7 @@
     }
 }
 
-/// Asks the weight store until it gives the weights.
+/// Requests the weights from the weight store until it succeeds.
 async fn fetch_weights(address: &str, target: &TargetName) {
     let client = JsonClient::new(address);
     loop {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Takes no new requests for a target and frees it once none runs.
+/// Stops accepting requests for a target and frees it once none is running.
 fn begin_unload(state: &Arc<EngineState>, memory: &mut Memory, target: &TargetName) {
     lock(&state.counts).unload_count += 1;
     if let Some(occupant) = memory.occupants.get_mut(target) {
@@ -109,7 +110,7 @@
     free_if_idle(memory, target);
 }
 
-/// Frees a target that is unloading and runs nothing.
+/// Frees a target that is unloading and has no running requests.
 pub(crate) fn free_if_idle(memory: &mut Memory, target: &TargetName) {
     let is_idle = memory.running.get(target).copied().unwrap_or_default() == 0;
     let is_unloading = memory
--- a/crates/cranereach-standin/src/engine/mod.rs
+++ b/crates/cranereach-standin/src/engine/mod.rs
@@ -1,8 +1,7 @@
-//! Stand-in of a model engine: real memory, batch slots, orders, streams.
+//! Stand-in of a model engine: memory accounting, batch slots, load and unload orders, streams.
 //!
-//! It never refuses a load for want of memory: it records the excess, so that a
-//! test sees every overcommitment. An answer names the request that it belongs
-//! to and the run's number.
+//! It never refuses a load for lack of memory. It counts the excess instead, so that a test sees
+//! every overcommitment. A response carries the ID of the request that it belongs to.
 
 mod answer;
 mod loading;
@@ -30,7 +29,7 @@
 use cranereach_http::server::Closed;
 use cranereach_wire::upstream::OrderRequest;
 
-/// A running stand-in.
+/// A running engine stand-in.
 #[derive(Clone, Debug)]
 pub struct Engine {
     state: Arc<EngineState>,
@@ -52,13 +51,13 @@
         Self { state }
     }
 
-    /// Returns the state, for looking at it and setting faults.
+    /// Returns the state, to inspect it or to inject faults.
     pub fn state(&self) -> &Arc<EngineState> {
         &self.state
     }
 }
 
-/// Renews the lagging report until the end.
+/// Refreshes the load report periodically until the stand-in stops.
 async fn refresh_reports(state: Arc<EngineState>, stopping: watch::Receiver<bool>) {
     while !*stopping.borrow() {
         state.refresh_report();
@@ -66,7 +65,7 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn handle(
     state: Arc<EngineState>,
     request: Request<Incoming>,
@@ -93,7 +92,7 @@
     }
 }
 
-/// Takes an order, or loses or delays it.
+/// Applies an order; injected faults may drop, delay or repeat it.
 fn handle_order(state: &Arc<EngineState>, bytes: &Bytes) -> Result<Response<EngineBody>, Closed> {
     let Ok(order) = serde_json::from_slice::<OrderRequest>(bytes) else {
         return Ok(into_engine_body(body::json(
@@ -108,7 +107,7 @@
     if state.consume_fault(|faults| &mut faults.delay_order_count) {
         let delay_ms = lock(&state.faults).delay_order_ms;
         let delayed_state = Arc::clone(state);
-        // The sender is told nothing; the order takes effect late.
+        // The sender gets no response; the order takes effect later.
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             loading::apply(&delayed_state, &order);
@@ -123,7 +122,7 @@
     Ok(into_engine_body(body::json(status, &outcome)))
 }
 
-/// Sets the faults.
+/// Replaces the injected faults.
 fn set_faults(state: &EngineState, bytes: &Bytes) -> Response<EngineBody> {
     match serde_json::from_slice::<EngineFaults>(bytes) {
         Ok(faults) => {
@@ -134,7 +133,7 @@
     }
 }
 
-/// Turns a whole body into the engine's kind.
+/// Converts a complete body into an [`EngineBody`].
 fn into_engine_body(answer: crate::Answer) -> Response<EngineBody> {
     answer.map(EngineBody::full)
 }
--- a/crates/cranereach-standin/src/engine/state.rs
+++ b/crates/cranereach-standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the engine's stand-in keeps, counts and breaks.
+//! State, counters and injected faults of the engine stand-in.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,28 +18,28 @@
 use cranereach_core::names::TargetName;
 use cranereach_wire::upstream::EngineLoad;
 
-/// How the engine behaves when nothing is broken.
+/// Capacity and timing of the engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
     /// Accelerator memory, in bytes.
     pub memory_bytes: u64,
-    /// Requests that it batches at once.
+    /// Requests that are batched at once.
     pub slot_count: u32,
-    /// Time from one token to the next with one request, in microseconds.
+    /// Base time between tokens, in microseconds; a fuller batch takes longer.
     pub token_us: u64,
-    /// Part by which a full batch makes each token slower.
+    /// Relative increase of the time between tokens with a full batch.
     pub batch_slowdown_ratio: f64,
-    /// Time to read a prompt that isn't cached, in microseconds per token.
+    /// Prefill time of a prompt whose prefix isn't cached, in microseconds per token.
     pub prompt_token_us: u64,
-    /// Prompt starts that fit into the prefix cache.
+    /// Number of prompt prefixes that fit into the prefix cache.
     pub prefix_cache_count: usize,
-    /// Time between two refreshes of the report, in milliseconds.
+    /// Interval between refreshes of the load report, in milliseconds.
     pub report_every_ms: u64,
-    /// Time of a load when there is no weight store, in milliseconds.
+    /// Load time of a target without a weight store, in milliseconds.
     pub load_ms: u64,
-    /// Weight store, `ip:port`.
+    /// Address of the weight store, `ip:port`.
     pub weight_store: Option<String>,
-    /// Whether it checks fences.
+    /// Whether fencing tokens of orders are checked.
     pub checks_fences: bool,
 }
 
@@ -60,58 +60,58 @@
     }
 }
 
-/// Faults; each count is spent one by one.
+/// Faults to inject. Each occurrence of a counted fault decrements its count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Orders that are lost.
+    /// Orders to drop.
     pub lose_order_count: u32,
-    /// Orders that take effect late.
+    /// Orders to apply after a delay.
     pub delay_order_count: u32,
-    /// How late, in milliseconds.
+    /// Delay of delayed orders, in milliseconds.
     pub delay_order_ms: u64,
-    /// Of this many orders one is lost and one late; zero for none.
+    /// Out of every this many orders, one is dropped and one is delayed; zero for none.
     pub lose_one_of_count: u32,
-    /// Orders that arrive twice.
+    /// Orders to apply twice.
     pub repeat_order_count: u32,
-    /// Requests that run and then close without an answer.
+    /// Requests that run and whose connection is then closed without a response.
     pub close_unanswered_count: u32,
-    /// Streams that break after two tokens.
+    /// Streams to break after two tokens.
     pub break_stream_count: u32,
-    /// Answers that name another request.
+    /// Responses that carry the ID of another request.
     pub wrong_request_count: u32,
-    /// Answers that aren't what was asked for.
+    /// Responses with a body that is not a completion.
     pub garble_count: u32,
-    /// Requests refused as not run.
+    /// Requests to refuse without running them.
     pub refuse_count: u32,
 }
 
-/// What a test wants to know.
+/// Counters of the engine, for checks in tests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLedger {
-    /// Most memory ever taken, in bytes.
+    /// Peak memory use, in bytes.
     pub peak_bytes: u64,
-    /// Times at which memory was overcommitted.
+    /// Loads that overcommitted memory.
     pub excess_count: u64,
-    /// Loads that were accepted.
+    /// Load orders that were accepted.
     pub load_count: u64,
-    /// Unloads that were accepted.
+    /// Unload orders that were accepted.
     pub unload_count: u64,
-    /// Orders that arrived.
+    /// Orders received.
     pub order_count: u64,
-    /// Orders refused by the fence.
+    /// Orders refused because of their fencing token or boot ID.
     pub fenced_count: u64,
-    /// Requests that began to run.
+    /// Requests that ran.
     pub run_count: u64,
-    /// Streams that the caller left.
+    /// Requests that ended before their response was complete.
     pub cancelled_count: u64,
     /// Tokens generated.
     pub token_count: u64,
-    /// Requests whose prompt start was cached.
+    /// Requests whose prompt prefix was cached.
     pub prefix_hit_count: u64,
 }
 
-/// Memory and fence.
+/// Memory contents, fencing state and running requests by target.
 #[derive(Debug, Default)]
 pub(crate) struct Memory {
     pub(crate) occupants: HashMap<TargetName, Occupant>,
@@ -119,12 +119,12 @@
     pub(crate) running: HashMap<TargetName, u32>,
 }
 
-/// Everything that the engine's stand-in keeps.
+/// Complete state of the engine stand-in.
 #[derive(Debug)]
 pub struct EngineState {
-    /// How it behaves.
+    /// Capacity and timing.
     pub options: EngineOptions,
-    /// Faults in force.
+    /// Faults to inject.
     pub faults: Mutex<EngineFaults>,
     pub(crate) memory: Mutex<Memory>,
     pub(crate) counts: Mutex<EngineLedger>,
@@ -138,7 +138,7 @@
 }
 
 impl EngineState {
-    /// Starts with empty memory.
+    /// Creates the state of an engine with empty memory.
     pub fn new(options: EngineOptions) -> Self {
         let state = Self {
             slots: Semaphore::new(options.slot_count as usize),
@@ -157,24 +157,24 @@
         state
     }
 
-    /// Returns the lagging report.
+    /// Returns the load report of the last refresh.
     pub fn report(&self) -> EngineLoad {
         lock(&self.report).clone()
     }
 
-    /// Returns what was counted.
+    /// Returns the counters.
     pub fn ledger(&self) -> EngineLedger {
         lock(&self.counts).clone()
     }
 
-    /// Lets one order of so many be lost, and one take effect late.
+    /// Drops one out of every `one_of_count` orders, and delays another one.
     pub fn lose_orders_by_part(&self, one_of_count: u32, delay_ms: u64) {
         let mut faults = lock(&self.faults);
         faults.lose_one_of_count = one_of_count;
         faults.delay_order_ms = delay_ms;
     }
 
-    /// Spreads the faults that come by part over the orders.
+    /// Counts an order and schedules the periodic faults.
     pub(crate) fn record_order(&self) {
         let number = lock(&self.counts).order_count;
         lock(&self.counts).order_count += 1;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Makes a target resident from the start, if there is room for it.
+    /// Makes a target resident without loading it, if it fits into memory; returns whether it did.
     pub fn preload(&self, target: &str, memory_bytes: u64) -> bool {
         let name = TargetName::from(target);
         let fits = self.taken_bytes() + memory_bytes <= self.options.memory_bytes;
@@ -203,12 +203,12 @@
         fits
     }
 
-    /// Announces in its report that it is leaving.
+    /// Announces in the following load reports that the engine is leaving.
     pub fn leave(&self) {
         *lock(&self.is_leaving) = true;
     }
 
-    /// Makes a new report from the present state.
+    /// Builds a new load report from the current state.
     pub fn refresh_report(&self) {
         let memory = lock(&self.memory);
         let mut occupants: Vec<Occupant> = memory.occupants.values().cloned().collect();
@@ -230,7 +230,7 @@
         };
     }
 
-    /// Returns the memory that is taken now, in bytes.
+    /// Returns the memory in use, in bytes.
     pub fn taken_bytes(&self) -> u64 {
         lock(&self.memory)
             .occupants
@@ -239,7 +239,7 @@
             .sum()
     }
 
-    /// Whether a target can serve now.
+    /// Returns whether a target is resident.
     pub fn is_resident(&self, target: &str) -> bool {
         let memory = lock(&self.memory);
         memory
@@ -248,7 +248,7 @@
             .is_some_and(|occupant| occupant.residence == Residence::Resident)
     }
 
-    /// Spends one of a counted fault; says whether there was one.
+    /// Decrements the count of a fault and returns whether it was above zero.
     pub(crate) fn consume_fault(&self, field: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
         let mut faults = lock(&self.faults);
         let count = field(&mut faults);
--- a/crates/cranereach-standin/src/lib.rs
+++ b/crates/cranereach-standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small stand-ins of what isn't ours: the platform, engines, plain services.
+//! Stand-ins (simulated versions) of the external systems: the platform, engines and plain
+//! services.
 //!
-//! Each runs as its own process (`cranereach stand-in ...`) or inside a test.
-//! They count what the promises are about (real memory, runs per call) and take
-//! faults at `POST /stand-in/faults`. [`relay`] stands in the path between two
-//! processes and cuts or holds it. [`load`] is a caller.
+//! Each runs as its own process (`cranereach stand-in ...`) or inside a test. They count what the
+//! guarantees are checked against (memory in use, runs per call) and accept faults to inject at
+//! `POST /stand-in/faults`. [`relay`] is a TCP relay that can interrupt or delay the connections
+//! between two processes. [`load`] is a test client.
 
 pub mod engine;
 pub mod load;
@@ -24,16 +25,16 @@
 use cranereach_http::server::Closed;
 use cranereach_http::server::ServeOptions;
 
-/// Answer of a stand-in's own paths.
+/// Response with a complete body.
 type Answer = Response<Full<Bytes>>;
 
-/// Largest body that a stand-in reads, in bytes.
+/// Largest request body that a stand-in reads, in bytes.
 const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Time for a body to arrive, in milliseconds.
+/// Time-out for receiving a request body, in milliseconds.
 const BODY_TIMEOUT_MS: u64 = 60_000;
 
-/// Answers requests on a listener in a task of its own, until `stopping` turns true.
+/// Spawns a task that serves requests on a listener until `stopping` turns true.
 fn serve<H, F, B>(listener: TcpListener, stopping: watch::Receiver<bool>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -45,7 +46,7 @@
     tokio::spawn(server::serve(listener, options, stopping, handler));
 }
 
-/// Locks a mutex, also after a panic elsewhere.
+/// Locks a mutex, even if it is poisoned.
 fn lock<T>(mutex: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/cranereach-standin/src/load.rs
+++ b/crates/cranereach-standin/src/load.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and notes what came back.
+//! Test client that sends requests and records the outcomes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,44 +16,44 @@
 use cranereach_http::pool::Pool;
 use cranereach_http::pool::SendError;
 
-/// One request to be sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Method.
     pub method: Method,
     /// Path.
     pub path: String,
-    /// Bearer key.
+    /// Bearer token.
     pub key: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
 }
 
-/// What came back.
+/// Outcome of a call.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// HTTP status; zero if there was no answer.
+    /// HTTP status; zero if there was no response.
     pub status: u16,
-    /// Number in the error answer or error event, if any.
+    /// Result code in the error response or error event, if any.
     pub code: Option<u16>,
-    /// Body as text.
+    /// Response body as text.
     pub text: String,
     /// Time to the first byte of the body, in microseconds.
     pub first_us: Option<u64>,
-    /// Time to the end, in microseconds.
+    /// Total time of the call, in microseconds.
     pub whole_us: u64,
-    /// Largest time between two frames, in microseconds.
+    /// Longest time between two data frames, in microseconds.
     pub gap_max_us: u64,
-    /// Whether the answer ended as a whole one does.
+    /// Whether the response is complete; a stream must end with `[DONE]`.
     pub is_whole: bool,
-    /// Seconds in Retry-After.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u64>,
 }
 
 impl Call {
-    /// Makes a streamed chat request.
+    /// Creates a chat completion request, streamed or not.
     ///
     /// ```
     /// let call = cranereach_standin::load::Call::chat("key", "model", "hello", 8, true);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Makes a call of a plain service.
+    /// Creates a call to a plain service.
     pub fn plain(key: &str, method: Method, path: &str, body: &str) -> Self {
         let body = Bytes::from(body.to_owned());
         Self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sets a header.
+    /// Sets a header, replacing an earlier value.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(known, _)| *known != name);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Sends one call and reads the whole answer.
+/// Sends one call and reads the complete response.
 pub async fn send(pool: &Pool<Full<Bytes>>, call: &Call) -> Outcome {
     let started = Instant::now();
     let mut outcome = Outcome::default();
@@ -106,7 +106,7 @@
     outcome
 }
 
-/// Sends one call; a kept connection that closed is replaced.
+/// Sends one call; a pooled connection that turns out to be closed is replaced.
 async fn exchange(pool: &Pool<Full<Bytes>>, call: &Call, started: Instant, outcome: &mut Outcome) {
     let mut request = build_request(pool.address(), call);
     loop {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Reads the body; true if it ended well.
+/// Reads the body; returns false if it broke off.
 async fn read_body(
     mut body: hyper::body::Incoming,
     started: Instant,
@@ -163,7 +163,7 @@
     true
 }
 
-/// Builds the request.
+/// Builds the HTTP request.
 fn build_request(address: &str, call: &Call) -> Request<Full<Bytes>> {
     let mut builder = Request::builder()
         .method(call.method.clone())
@@ -178,14 +178,14 @@
         .expect("calls are made of valid parts")
 }
 
-/// Finds the number of an error answer or error event.
+/// Finds the result code in the text of an error response or error event.
 fn find_error_code(text: &str) -> Option<u16> {
     let (_, after) = text.split_once("\"error\":{\"code\":")?;
     let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
 }
 
-/// Returns a time in whole microseconds.
+/// Converts a duration to microseconds.
 fn micros(time: Duration) -> u64 {
     time.as_micros() as u64
 }
--- a/crates/cranereach-standin/src/platform/mod.rs
+++ b/crates/cranereach-standin/src/platform/mod.rs
@@ -1,7 +1,8 @@
-//! Stand-in of the platform: table, object store, list and weight store.
+//! Stand-in of the platform: table, object store, instance list and weight store.
 //!
-//! One process, one port. Each store has its own faults: refusing, holding
-//! every answer, slow, or losing answers after the change has taken effect.
+//! All are served on one port. The table, the object store and the list can be made to refuse
+//! requests, to leave them unanswered, or to be slow. The table can also lose the response to a
+//! transaction that was committed, and the list can be frozen.
 
 pub mod state;
 
@@ -34,10 +35,10 @@
 use cranereach_wire::platform::ListedInstance;
 use cranereach_wire::platform::Transaction;
 
-/// Time for which a held answer is kept: longer than any caller waits.
+/// Time for which a request is held without a response: longer than any client waits.
 const HELD_ANSWER_DURATION: Duration = Duration::from_mins(2);
 
-/// A running stand-in.
+/// A running platform stand-in.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<PlatformState>,
@@ -58,13 +59,13 @@
         Self { state }
     }
 
-    /// Returns the state, for looking at it and setting faults.
+    /// Returns the state, to inspect it or to inject faults.
     pub fn state(&self) -> &PlatformState {
         &self.state
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn answer(state: Arc<PlatformState>, request: Request<Incoming>) -> Result<Answer, Closed> {
     let (parts, incoming) = request.into_parts();
     let path = parts.uri.path().to_owned();
@@ -80,7 +81,7 @@
     }
 }
 
-/// Answers for the table.
+/// Handles a request to the table.
 async fn table(
     state: &PlatformState,
     method: &Method,
@@ -111,7 +112,7 @@
     })
 }
 
-/// Answers for the object store.
+/// Handles a request to the object store.
 async fn objects(
     state: &PlatformState,
     method: &Method,
@@ -135,7 +136,7 @@
     ))
 }
 
-/// Answers for the list; a frozen list goes on showing what it showed.
+/// Handles a request to the instance list.
 async fn instances(
     state: &PlatformState,
     method: &Method,
@@ -156,7 +157,7 @@
     Ok(body::json(200, &state.visible_instances()))
 }
 
-/// Gives one load's worth of weights, within rate and number at once.
+/// Serves the weights for one load, within the limits on rate and concurrency.
 async fn weights(state: &PlatformState) -> Result<Answer, Closed> {
     let now_ms = state.now_ms();
     let admitted = lock(&state.weights).begin(now_ms);
@@ -169,7 +170,7 @@
     Ok(status_answer(200))
 }
 
-/// Answers for the stand-in's own paths.
+/// Handles a request that controls the stand-in itself.
 fn control(state: &PlatformState, path: &str, bytes: &Bytes) -> Answer {
     match path {
         "/stand-in/faults" => match parse::<PlatformFaults>(bytes) {
@@ -184,7 +185,8 @@
     }
 }
 
-/// Applies a store's faults; an answer means that the store didn't act.
+/// Applies the faults of a store. A returned response means that the store must not act on the
+/// request.
 async fn apply_faults(faults: StoreFaults) -> Option<Result<Answer, Closed>> {
     if faults.holds {
         tokio::time::sleep(HELD_ANSWER_DURATION).await;
@@ -194,12 +196,12 @@
     faults.refuses.then(|| Ok(status_answer(503)))
 }
 
-/// Reads a typed body.
+/// Parses a JSON body.
 fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Option<T> {
     serde_json::from_slice(bytes).ok()
 }
 
-/// Makes an answer of a status alone.
+/// Builds a response whose body only repeats the status.
 fn status_answer(status: u16) -> Answer {
     body::json(status, &json!({ "status": status }))
 }
--- a/crates/cranereach-standin/src/platform/state.rs
+++ b/crates/cranereach-standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform's stand-in keeps, and the faults that it takes.
+//! State, counters and injected faults of the platform stand-in.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,47 +15,47 @@
 use cranereach_wire::platform::TableRow;
 use cranereach_wire::platform::Transaction;
 
-/// A condition of a transaction did not hold.
+/// Error of a transaction whose expected row versions did not match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a condition did not hold")]
 pub struct ConditionFailed;
 
-/// Faults of one store.
+/// Faults to inject into one store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Refuses everything at once.
+    /// Whether all requests are refused immediately.
     pub refuses: bool,
-    /// Takes requests and never answers.
+    /// Whether requests are accepted but never answered.
     pub holds: bool,
-    /// Waits before it acts, in milliseconds.
+    /// Delay before a request is handled, in milliseconds.
     pub slow_ms: u64,
 }
 
-/// Faults of the platform.
+/// Faults to inject into the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Of the table.
+    /// Faults of the table.
     pub table: StoreFaults,
-    /// Of the object store.
+    /// Faults of the object store.
     pub objects: StoreFaults,
-    /// Of the list.
+    /// Faults of the instance list.
     pub list: StoreFaults,
-    /// The list goes on showing what it showed.
+    /// Whether the list keeps returning its last contents, ignoring changes.
     pub list_frozen: bool,
-    /// Commits whose answer is lost after they have taken effect.
+    /// Transactions to commit without sending the response.
     pub lose_answer_count: u32,
 }
 
 /// Limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightLimits {
-    /// Loads that may begin per second.
+    /// Loads that may start per second.
     pub loads_per_s: f64,
-    /// Loads at once.
+    /// Loads that may run concurrently.
     pub at_once_count: u32,
-    /// Time that one takes, in milliseconds.
+    /// Duration of a load, in milliseconds.
     pub load_ms: u64,
 }
 
@@ -69,31 +69,31 @@
     }
 }
 
-/// Requests that each store has answered.
+/// Numbers of requests that each store has handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Of the table.
+    /// Requests to the table.
     pub table_count: u64,
-    /// Of the object store.
+    /// Requests to the object store.
     pub object_count: u64,
-    /// Of the list.
+    /// Requests to the instance list.
     pub list_count: u64,
 }
 
-/// The weight store's limits at work.
+/// Rate and concurrency limiter of the weight store.
 #[derive(Debug)]
 pub struct WeightStore {
     bucket: TokenBucket,
     running_count: u32,
     max_running_count: u32,
-    /// Loads that have begun.
+    /// Loads that have started.
     pub begun_count: u64,
     /// Loads refused by a limit.
     pub refused_count: u64,
 }
 
 impl WeightStore {
-    /// Begins a load if the limits allow it.
+    /// Starts a load if the limits allow it; returns whether they do.
     pub fn begin(&mut self, now_ms: u64) -> bool {
         let is_allowed = self.running_count < self.max_running_count && self.bucket.take(now_ms);
         if is_allowed {
@@ -111,20 +111,20 @@
     }
 }
 
-/// Everything that the platform's stand-in keeps.
+/// Complete state of the platform stand-in.
 #[derive(Debug)]
 pub struct PlatformState {
     /// Rows of the table.
     pub rows: Mutex<HashMap<String, TableRow>>,
     /// Objects by key.
     pub objects: Mutex<HashMap<String, Bytes>>,
-    /// Faults in force.
+    /// Faults to inject.
     pub faults: Mutex<PlatformFaults>,
-    /// Requests answered.
+    /// Numbers of requests handled.
     pub counts: Mutex<PlatformCounts>,
     /// The weight store.
     pub weights: Mutex<WeightStore>,
-    /// Its limits.
+    /// Limits of the weight store.
     pub limits: WeightLimits,
     listed: Mutex<BTreeMap<String, ListedInstance>>,
     frozen: Mutex<Vec<ListedInstance>>,
@@ -132,7 +132,7 @@
 }
 
 impl PlatformState {
-    /// Starts empty.
+    /// Creates an empty platform.
     pub fn new(limits: WeightLimits) -> Self {
         let burst = limits.loads_per_s.max(1.0);
         let weights = WeightStore {
@@ -155,32 +155,32 @@
         }
     }
 
-    /// Returns milliseconds since the start.
+    /// Returns the time since the start, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Lets the table refuse everything, or not.
+    /// Sets whether the table refuses all requests.
     pub fn set_table_refuses(&self, refuses: bool) {
         lock(&self.faults).table.refuses = refuses;
     }
 
-    /// Returns how many requests the table has answered.
+    /// Returns the number of requests that the table has handled.
     pub fn table_count(&self) -> u64 {
         lock(&self.counts).table_count
     }
 
-    /// Adds or changes a listed instance.
+    /// Adds or replaces an instance in the list.
     pub fn list(&self, instance: ListedInstance) {
         lock(&self.listed).insert(instance.id.to_string(), instance);
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn unlist(&self, id: &str) {
         lock(&self.listed).remove(id);
     }
 
-    /// Returns what the list shows now.
+    /// Returns the instances that the list shows; a frozen list shows its last contents.
     pub fn visible_instances(&self) -> Vec<ListedInstance> {
         let is_frozen = lock(&self.faults).list_frozen;
         let mut frozen = lock(&self.frozen);
@@ -190,7 +190,7 @@
         frozen.clone()
     }
 
-    /// Applies a transaction if every condition holds.
+    /// Applies a transaction if every row has the expected version; returns the new versions.
     pub fn transact(&self, transaction: &Transaction) -> Result<Vec<u64>, ConditionFailed> {
         let mut rows = lock(&self.rows);
         let version = |rows: &HashMap<String, TableRow>, key: &str| {
@@ -215,7 +215,7 @@
         Ok(versions)
     }
 
-    /// Whether the answer to this commit is to be lost.
+    /// Returns whether the response to this commit is to be lost, and uses up one such fault.
     pub fn consume_lost_answer(&self) -> bool {
         let mut faults = lock(&self.faults);
         let is_lost = faults.lose_answer_count > 0;
--- a/crates/cranereach-standin/src/relay.rs
+++ b/crates/cranereach-standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in the path between two processes that can be cut, held, or made slow.
+//! TCP relay between two processes whose connections can be cut, held or slowed down.
 
 use std::io;
 use std::sync::Arc;
@@ -12,24 +12,24 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::watch;
 
-/// Bytes that are passed on at once.
+/// Size of the copy buffer, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Time by which a slow relay delays each chunk, in milliseconds.
+/// Delay of each chunk by a slow relay, in milliseconds.
 const SLOW_MS: u64 = 150;
 
-/// What the relay does with connections.
+/// Forwarding mode of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Passage {
-    /// Passes everything.
+    /// Forwards everything.
     Open,
     /// Closes open connections and refuses new ones.
     Cut,
-    /// Accepts connections and passes nothing.
+    /// Accepts connections and forwards nothing.
     Held,
-    /// Passes what callers send, and none of the answers.
+    /// Forwards only from the client to the server.
     OneWay,
-    /// Passes everything late.
+    /// Forwards everything with a delay.
     Slow,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Relay {
-    /// Starts to relay from a listener to `ip:port`.
+    /// Starts relaying connections from a listener to a server at `ip:port`.
     pub fn start(listener: TcpListener, server_address: &str) -> Self {
         let (mode, mode_receiver) = watch::channel(Passage::Open);
         tokio::spawn(accept(listener, server_address.to_owned(), mode_receiver));
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Changes what the relay does, for open connections too.
+    /// Changes the mode, also for open connections.
     pub fn set(&self, mode: Passage) {
         self.mode.send_replace(mode);
     }
 }
 
-/// Accepts connections for as long as the relay exists.
+/// Accepts connections until the relay is dropped.
 async fn accept(listener: TcpListener, server_address: String, mode: watch::Receiver<Passage>) {
     loop {
         let Ok((client, _peer)) = listener.accept().await else {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Passes one connection on until either side ends it or the relay is cut.
+/// Relays one connection until both directions have ended, one fails, or the relay is cut.
 async fn pass(client: TcpStream, server_address: String, mut mode: watch::Receiver<Passage>) {
     let mut cut = mode.clone();
     let exchange = async move {
@@ -90,7 +90,7 @@
         let backward = copy(server_reader, client_writer, backward, |mode| {
             !matches!(mode, Passage::Held | Passage::OneWay)
         });
-        // A failed side ends both; a side that is through leaves the other be.
+        // An error in one direction ends both; end of file in one leaves the other open.
         let _ended = tokio::try_join!(forward, backward);
     };
     tokio::select! {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Copies one direction while `passes` holds, and waits while it doesn't.
+/// Copies one direction while the mode allows it, and pauses otherwise.
 async fn copy(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
--- a/crates/cranereach-standin/src/service/mod.rs
+++ b/crates/cranereach-standin/src/service/mod.rs
@@ -24,34 +24,34 @@
 use cranereach_http::server::Closed;
 use cranereach_wire::upstream::EngineLoad;
 
-/// Header by which a caller names a call, so that its runs are counted.
+/// Request header with the name of a call, by which runs are counted.
 pub const CALL_HEADER: &str = "x-call";
 
-/// Requests that the service handles at once.
+/// Slot count that the service reports.
 const SLOT_COUNT: u32 = 64;
 
-/// Faults; counts are spent one by one.
+/// Faults to inject. Each occurrence of a counted fault decrements its count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Calls that run and then close without an answer.
+    /// Calls that run and whose connection is then closed without a response.
     pub close_unanswered_count: u32,
-    /// Time before each answer, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
 }
 
-/// What the service keeps.
+/// State of the service stand-in.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    /// Runs by the name of the call.
+    /// Number of runs by the name of the call.
     pub runs: Mutex<HashMap<String, u32>>,
-    /// Faults in force.
+    /// Faults to inject.
     pub faults: Mutex<ServiceFaults>,
     is_leaving: Mutex<bool>,
     outstanding_count: AtomicU32,
 }
 
-/// A running stand-in.
+/// A running service stand-in.
 #[derive(Clone, Debug)]
 pub struct PlainService {
     state: Arc<ServiceState>,
@@ -68,13 +68,13 @@
         Self { state }
     }
 
-    /// Returns the state, for looking at it and setting faults.
+    /// Returns the state, to inspect it or to inject faults.
     pub fn state(&self) -> &ServiceState {
         &self.state
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn answer(state: Arc<ServiceState>, request: Request<Incoming>) -> Result<Answer, Closed> {
     let (parts, incoming) = request.into_parts();
     let read = body::collect(incoming, BODY_MAX_BYTES, BODY_TIMEOUT_MS).await;
@@ -131,17 +131,17 @@
 }
 
 impl ServiceState {
-    /// Returns how often a named call ran.
+    /// Returns the number of runs of a call.
     pub fn runs_of(&self, call: &str) -> u32 {
         lock(&self.runs).get(call).copied().unwrap_or_default()
     }
 
-    /// Returns the runs of all named calls.
+    /// Returns the number of runs of each call.
     pub fn all_runs(&self) -> HashMap<String, u32> {
         lock(&self.runs).clone()
     }
 
-    /// Returns the service's report of its load.
+    /// Returns the load report of the service.
     fn load(&self) -> EngineLoad {
         EngineLoad {
             memory: MemoryReport::default(),
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: makes a folder of declarations the configuration in force.
+//! `apply`: publishes a folder of declarations as the active configuration.
 
 use std::path::PathBuf;
 
@@ -32,7 +32,7 @@
     json: bool,
 }
 
-/// Applies the folder.
+/// Applies the folder and, if it was accepted unmerged, records its new base version.
 pub fn execute(options: &ApplyArguments) -> Exit {
     let (settings, local) = match read_inputs(&options.settings, &options.folder) {
         Ok(inputs) => inputs,
@@ -56,7 +56,8 @@
                     accepted.version, accepted.change_id
                 );
             }
-            // Merged with others' changes, the folder isn't that version: it keeps its base.
+            // An accepted version that isn't the next one was merged with other operators' changes,
+            // so the folder doesn't equal it and keeps its base version.
             let is_unmerged = accepted.version == base_version + 1;
             let saved = if is_unmerged {
                 folder::write_base_version(&options.folder, accepted.version)
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `check`: declarations and settings, without a network.
+//! `check`: validates declarations and settings without using the network.
 
 use std::path::PathBuf;
 
@@ -27,7 +27,7 @@
     json: bool,
 }
 
-/// Checks what the options name.
+/// Checks the files that the options name, or prints the hash of a key.
 pub fn execute(options: &CheckArguments) -> Exit {
     if let Some(key) = &options.hash_key {
         println!("{}", KeyHash::of(key).to_hex());
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: the whole path in one process, no files needed.
+//! `demo`: runs a complete deployment in one process; needs no files.
 
 use gumdrop::Options;
 
@@ -20,7 +20,7 @@
     super::block_on(run(options.stay))
 }
 
-/// Starts, runs, and says whether any promise broke.
+/// Starts the deployment, runs the demo and reports violated guarantees.
 async fn run(stay: bool) -> Exit {
     let outcome = match demo::start().await {
         Ok(deployment) => demo::run(deployment).await,
--- a/src/cmd/domains.rs
+++ b/src/cmd/domains.rs
@@ -1,4 +1,4 @@
-//! `domains`: shows the failure domains as the platform's store has them.
+//! `domains`: shows the failure domains as recorded in the platform's store.
 
 use std::path::PathBuf;
 
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`: asks for a failure domain to be evacuated, or withdraws that.
+//! `evacuate`: requests the evacuation of a failure domain, or withdraws the request.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use cranereach_gateway::domains::Demanded;
 use cranereach_gateway::domains::DomainsError;
 use cranereach_gateway::store::StoreError;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
 /// Options of `evacuate`.
@@ -29,7 +29,7 @@
     settings: Option<PathBuf>,
 }
 
-/// Writes the demand.
+/// Writes the request to the platform's store.
 pub fn execute(options: &EvacuateArguments) -> Exit {
     let settings = match gateway::settings(options.settings.as_ref()) {
         Ok(settings) => settings,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns how a command ends that could not be done.
+/// Maps an error to the exit status of the command.
 pub fn exit_of(error: &DomainsError) -> Exit {
     match error {
         DomainsError::Unknown { .. } => Exit::Failure,
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,5 @@
-//! `explain`: the story of one request, or the causes of all failures, from logs.
+//! `explain`: shows from log files what happened to one request, or counts the causes of all
+//! failures.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,16 +16,16 @@
 
 use crate::exit::Exit;
 
-/// Fields that every line has; the story shows the others.
+/// Fields that are common to all log lines and are left out of the field list.
 const COMMON_FIELDS: [&str; 5] = ["msg", "ts", "instance", "level", "request"];
 
-/// Lines that tell what a worker said of itself.
+/// Log messages about what a worker announced about its own state.
 const WORKER_STATE_MESSAGES: [&str; 3] = ["worker leaves", "worker rests", "worker limit"];
 
-/// Line by which an instance says that the store came back from a copy.
+/// Log message of an instance that noticed that the store was restored from a backup.
 const STORE_RESTORED_MESSAGE: &str = "store restored";
 
-/// Such lines that a story shows at most.
+/// Number of worker announcements to show for a request, the latest ones.
 const WORKER_STATE_MAX_COUNT: usize = 12;
 
 /// Options of `explain`.
@@ -38,7 +39,7 @@
     files: Vec<PathBuf>,
 }
 
-/// One line of a log.
+/// One log line.
 #[derive(Debug, Deserialize)]
 struct LogLine {
     msg: String,
@@ -50,14 +51,14 @@
     fields: Map<String, Value>,
 }
 
-/// All lines that could be read, and how many could not.
+/// All lines that could be parsed, and the number of those that couldn't.
 #[derive(Debug, Default)]
 struct Logs {
     lines: Vec<LogLine>,
     skipped_count: usize,
 }
 
-/// Tells the story or the summary.
+/// Prints the history of one request, or a summary if none is given.
 pub fn execute(options: &ExplainArguments) -> Exit {
     let mut logs = Logs::default();
     for path in &options.files {
@@ -79,11 +80,11 @@
 }
 
 impl Logs {
-    /// Reads a file; lines of something else are counted and passed over.
+    /// Reads a file; lines that can't be parsed are counted and skipped.
     fn read(&mut self, path: &Path) -> std::io::Result<()> {
         for text in BufReader::new(File::open(path)?).split(b'\n') {
             let text = text?;
-            // A collector may have put its own words before the line.
+            // A log collector may have added a prefix to the line.
             let start = text.iter().position(|byte| *byte == b'{');
             let parsed = start.and_then(|start| serde_json::from_slice(&text[start..]).ok());
             match parsed {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Prints all lines about a request, in the order of their instances' clocks.
+/// Prints all lines about a request, sorted by timestamp.
 fn print_request(logs: &mut Logs, request: &str) -> Exit {
     logs.lines.sort_by(|left, right| left.ts.cmp(&right.ts));
     let matching: Vec<&LogLine> = logs
@@ -115,8 +116,8 @@
     Exit::Success
 }
 
-/// Prints what workers had said of themselves to the instance that a request came to, the
-/// last of it: which one it was sent to, or why to none, may follow from that.
+/// Prints the latest worker announcements that preceded the last line about the request, as
+/// logged by the same instance. They can explain which worker was chosen, or why none was.
 fn print_worker_states(logs: &Logs, request: &str) {
     let own = logs
         .lines
@@ -131,14 +132,14 @@
             && line.ts <= last.ts
     };
     let states: Vec<&LogLine> = logs.lines.iter().filter(is_worker_state).collect();
-    let matching = &states[states.len().saturating_sub(WORKER_STATE_MAX_COUNT)..];
-    if !matching.is_empty() {
+    let recent = &states[states.len().saturating_sub(WORKER_STATE_MAX_COUNT)..];
+    if !recent.is_empty() {
         println!("What workers had said of themselves:");
     }
-    matching.iter().copied().for_each(print_line);
+    recent.iter().copied().for_each(print_line);
 }
 
-/// Prints a line without the fields that all have.
+/// Prints a line without the common fields.
 fn print_line(line: &LogLine) {
     println!(
         "{} {} {}: {}",
@@ -149,8 +150,8 @@
     );
 }
 
-/// Prints the lines about other requests that ask for the same as one that workers ended
-/// under, which tell why it was refused.
+/// Prints the lines about other requests with the same fingerprint. They show which worker
+/// failures put the fingerprint into quarantine.
 fn print_equal_requests(logs: &Logs, request: &str) {
     let is_own = |line: &&LogLine| line.request.as_deref() == Some(request);
     let own = logs.lines.iter().filter(is_own);
@@ -174,12 +175,12 @@
     }
 }
 
-/// Returns the fingerprint that a line names.
+/// Returns the request fingerprint in a line.
 fn fingerprint(line: &LogLine) -> Option<&str> {
     line.fields.get("fingerprint")?.as_str()
 }
 
-/// Prints how often each cause ended a request.
+/// Prints how often each cause occurs in the lines about requests.
 fn print_summary(logs: &Logs) -> Exit {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for line in logs.lines.iter().filter(|line| line.request.is_some()) {
@@ -198,7 +199,8 @@
     Exit::Success
 }
 
-/// Prints when instances learnt that the store had come back from a copy, by its eras.
+/// Prints, for each store era, when instances noticed that the store had been restored from a
+/// backup.
 fn print_store_restores(logs: &Logs) {
     let mut noticed: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     let restored = logs
@@ -217,7 +219,7 @@
     }
 }
 
-/// Writes the fields that only some lines have.
+/// Formats the fields that aren't common to all lines.
 fn format_fields(fields: &Map<String, Value>) -> String {
     let own = fields
         .iter()
--- a/src/cmd/folder.rs
+++ b/src/cmd/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of declarations on disk, with the version that it was begun from.
+//! A folder of declarations on disk, with the configuration version that it is based on.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,34 +16,34 @@
 use cranereach_wire::jsonc::FileError;
 use cranereach_wire::locate::locate;
 
-/// File that keeps the version that a folder was begun from.
+/// File that holds the base version of a folder.
 const BASE_FILE: &str = "cranereach.base";
 
-/// Version that a folder was begun from.
+/// Configuration version that a folder is based on.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Base {
     version: u64,
 }
 
-/// A fault with its place on disk.
+/// A fault in the declarations, with its position on disk.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
-    /// Number of the code.
+    /// Number of the result code.
     pub code: u16,
-    /// Name of the code.
+    /// Name of the result code.
     pub name: &'static str,
-    /// File, as far as it is known.
+    /// File, if known.
     pub file: Option<String>,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: Option<usize>,
-    /// Section, entry and key.
+    /// Section, entry and key in the declarations.
     pub place: Option<String>,
-    /// What is wrong and what would be valid.
+    /// Description of the fault and of what would be valid.
     pub detail: String,
 }
 
-/// A folder or one of its files can't be read or written.
+/// Error of reading or writing a folder or one of its files.
 #[derive(Debug, Error)]
 #[error("{}: can't {operation}: {source}", path.display())]
 pub struct DiskError {
@@ -77,7 +77,7 @@
     Ok(Folder { files })
 }
 
-/// Writes a folder's files and the version that they are.
+/// Writes a folder's files and records their version as the base version.
 pub fn write(path: &Path, folder: &Folder, version: u64) -> Result<(), DiskError> {
     fs::create_dir_all(path).map_err(|source| DiskError {
         path: path.to_owned(),
@@ -95,13 +95,13 @@
     write_base_version(path, version)
 }
 
-/// Returns the version that a folder was begun from; zero if it never was.
+/// Returns the base version of a folder; zero if none is recorded.
 pub fn read_base_version(path: &Path) -> u64 {
     let base: Option<Base> = cranereach_wire::jsonc::read_file(&path.join(BASE_FILE)).ok();
     base.unwrap_or_default().version
 }
 
-/// Writes the version that a folder is now begun from.
+/// Records the base version of a folder.
 pub fn write_base_version(path: &Path, version: u64) -> Result<(), DiskError> {
     let file = path.join(BASE_FILE);
     let text = format!(
@@ -114,7 +114,7 @@
     })
 }
 
-/// Checks a folder whole; returns its faults with their places.
+/// Checks all declarations of a folder and returns their faults with their positions.
 pub fn check(path: &Path, folder: &Folder) -> Vec<Finding> {
     let display_path = |file: &str| path.join(file).display().to_string();
     let declared = match folder.declarations() {
@@ -141,7 +141,7 @@
     faults.iter().map(finding).collect()
 }
 
-/// Makes the finding of a file that can't be understood.
+/// Converts an error of reading or parsing a file into a finding.
 fn file_error_finding(error: &FileError, display_path: &impl Fn(&str) -> String) -> Finding {
     let (code, file, line, detail) = match error {
         FileError::Unreadable { path, source } => {
@@ -174,7 +174,7 @@
     }
 }
 
-/// Prints findings, a line each, or as JSON.
+/// Prints findings, one per line or as JSON.
 pub fn print(findings: &[Finding], as_json: bool) {
     if as_json {
         super::print_json(&findings);
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `gateway`: runs an instance that serves declared routes on a platform.
+//! `gateway`: runs a gateway instance, which serves the routes that are declared on the platform.
 
 use std::path::PathBuf;
 
@@ -10,10 +10,10 @@
 use crate::exit::Exit;
 use cranereach_gateway::run::Gateway;
 use cranereach_gateway::settings::Settings;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
-/// Variable that names the settings file, where no option does.
+/// Environment variable with the path of the settings file, used if no option gives it.
 const SETTINGS_VARIABLE: &str = "CRANEREACH_CONFIG";
 
 /// Options of `gateway`.
@@ -36,8 +36,8 @@
     }
 }
 
-/// Reads the settings from the file that an option or the variable names; says what is
-/// wrong with them.
+/// Reads the settings from the file that the option or else the environment variable names.
+/// Prints the error if that fails.
 pub fn settings(path_option: Option<&PathBuf>) -> Result<Settings, Exit> {
     let path_variable = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
     let Some(path) = path_option.cloned().or(path_variable) else {
@@ -50,7 +50,7 @@
     })
 }
 
-/// Starts, and stops as planned on the first signal.
+/// Starts the instance and shuts it down gracefully on the first signal.
 async fn run(settings: Settings) -> Exit {
     let gateway = match Gateway::start(settings).await {
         Ok(gateway) => gateway,
@@ -59,13 +59,13 @@
             return Exit::Settings;
         }
     };
-    // A change of the settings file takes effect with the next start.
+    // SIGHUP is ignored: a changed settings file takes effect at the next start.
     let reload = signal(SignalKind::hangup());
     if let Ok(mut reload) = reload {
         tokio::spawn(async move { while reload.recv().await.is_some() {} });
     }
     wait_for_stop().await;
-    // Further signals are taken and change nothing.
+    // Further signals are ignored, so that they do not interrupt the drain.
     tokio::spawn(async {
         loop {
             wait_for_stop().await;
--- a/src/cmd/instance.rs
+++ b/src/cmd/instance.rs
@@ -1,4 +1,4 @@
-//! A running instance as operators ask it, by its metrics address.
+//! Queries to a running gateway instance over its metrics address.
 
 use std::path::PathBuf;
 
@@ -10,13 +10,14 @@
 use crate::exit::Exit;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
-/// Time for an answer, in milliseconds.
+/// Time-out for a response, in milliseconds.
 pub const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
-/// Makes the client of an instance: the one at an address, or that of a settings file.
+/// Creates a client of the instance at the address, or else at the metrics address in the
+/// settings file.
 pub fn client(address: Option<&String>, settings: Option<&PathBuf>) -> Result<JsonClient, Exit> {
     let address = match address {
         Some(address) => address.clone(),
@@ -25,7 +26,7 @@
     Ok(JsonClient::new(&address))
 }
 
-/// Says why an instance could not be asked.
+/// Prints why a call failed and returns the exit status.
 pub fn report_error(client: &JsonClient, error: &CallError) -> Exit {
     eprintln!("{}: {error}", client.address());
     match error {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Options of subcommands that show a list which an instance keeps.
+/// Options of the subcommands that show a list from an instance.
 #[derive(Debug, Options)]
 pub struct ListArguments {
     #[options(help = "print this help")]
@@ -53,7 +54,7 @@
     json: bool,
 }
 
-/// Asks an instance for a list at a path, and shows it.
+/// Fetches a list from an instance and prints it; entry point of such a subcommand.
 pub fn list<T>(options: &ListArguments, path: &str, show_one: impl Fn(&T)) -> Exit
 where
     T: Serialize + DeserializeOwned,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Shows the list that an instance has at a path.
+/// Fetches the list at a path and prints it, as JSON or item by item.
 pub async fn show<T>(
     client: &JsonClient,
     path: &str,
--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -1,4 +1,4 @@
-//! `limits`: shows the workers that name a limit.
+//! `limits`: shows the workers that announce a rate limit.
 
 use super::instance;
 use super::instance::ListArguments;
@@ -6,12 +6,12 @@
 use cranereach_gateway::named_limits::ShownLimit;
 use cranereach_gateway::operators::LIMITS_PATH;
 
-/// Asks an instance.
+/// Fetches the rate limits from an instance and prints them.
 pub fn execute(options: &ListArguments) -> Exit {
     instance::list(options, LIMITS_PATH, show_one)
 }
 
-/// Shows one worker.
+/// Prints the limit of one worker.
 fn show_one(limit: &ShownLimit) {
     println!(
         "{} of {}: {} a second, for {} s; granted here {}, refused {}",
--- a/src/cmd/measure.rs
+++ b/src/cmd/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: scenarios through a whole deployment, summed up as JSON.
+//! `measure`: benchmarks a complete deployment and prints the results as JSON.
 
 use std::path::PathBuf;
 
@@ -75,10 +75,10 @@
     fault: Option<String>,
 }
 
-/// Time of the fault, in milliseconds of the measured part.
+/// Time of the fault, in milliseconds from the start of the measurement.
 const FAULT_AT_MS: u64 = 5_000;
 
-/// Runs the scenario.
+/// Runs the measurement that the options select.
 pub fn execute(options: &MeasureArguments) -> Exit {
     if let Some(through) = &options.path {
         return measure_path(options, through);
@@ -127,7 +127,7 @@
     }
 }
 
-/// Measures what an instance adds.
+/// Measures the overhead of an instance compared to direct calls to the engine.
 fn measure_path(options: &MeasureArguments, through: &str) -> Exit {
     let path = Path {
         through: through.to_owned(),
@@ -140,7 +140,7 @@
     Exit::Success
 }
 
-/// Measures all slopes, a line of JSON each.
+/// Measures all slopes and prints each as a line of JSON.
 fn measure_slopes(scenario: &Scenario) -> Exit {
     slopes::kernel::measure(scenario)
         .iter()
@@ -159,7 +159,7 @@
     }
 }
 
-/// Puts the options' values into a scenario; none if the fault has no meaning.
+/// Overrides values of a scenario by those of the options; `None` if the fault is unknown.
 fn apply_overrides(mut scenario: Scenario, options: &MeasureArguments) -> Option<Scenario> {
     scenario.load_ratio = options.load.unwrap_or(scenario.load_ratio);
     scenario.move_weight = options.move_weight.unwrap_or(scenario.move_weight);
@@ -177,7 +177,7 @@
     Some(scenario)
 }
 
-/// Returns the policy that the options name.
+/// Returns the policy that the options select.
 fn policy_settings(options: &MeasureArguments) -> PolicySettings {
     let mut policy = PolicySettings::default();
     if options.policy == "baseline" {
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one file each with its options and one `execute`.
+//! Subcommands. Each has a module with its options and an `execute` function.
 
 mod apply;
 mod check;
@@ -24,7 +24,7 @@
 
 use crate::exit::Exit;
 
-/// Arguments of the binary.
+/// Command-line arguments.
 #[derive(Debug, Options)]
 pub struct Arguments {
     #[options(help = "print this help")]
@@ -80,7 +80,7 @@
     Soak(soak::SoakArguments),
 }
 
-/// Runs what the arguments ask for.
+/// Runs the subcommand that the arguments name.
 pub fn execute(arguments: &Arguments) -> Exit {
     if arguments.version {
         println!("cranereach {}", env!("CARGO_PKG_VERSION"));
@@ -115,11 +115,11 @@
     }
 }
 
-/// Runs a future on a runtime of all cores.
+/// Runs a future on a multi-threaded runtime that uses all cores.
 ///
 /// # Panics
 ///
-/// If the system can't give the process its threads.
+/// Panics if the runtime can't be created.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -127,11 +127,11 @@
     runtime.expect("the system gives threads").block_on(future)
 }
 
-/// Runs a future on a runtime of one core.
+/// Runs a future on a single-threaded runtime.
 ///
 /// # Panics
 ///
-/// If the system can't give the process what a runtime needs.
+/// Panics if the runtime can't be created.
 fn block_on_one_core<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what applying a folder would change.
+//! `plan`: shows what applying a folder would change.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
     json: bool,
 }
 
-/// One difference.
+/// One added, removed or modified entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 struct Change {
     section: String,
@@ -39,7 +39,7 @@
     after: Option<Value>,
 }
 
-/// Shows what would change.
+/// Compares the folder with the active configuration and prints the differences.
 pub fn execute(options: &PlanArguments) -> Exit {
     let (settings, local) = match read_inputs(&options.settings, &options.folder) {
         Ok(inputs) => inputs,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads settings and a folder without faults.
+/// Reads the settings and a folder of declarations. Prints the errors if either is invalid.
 pub(super) fn read_inputs(
     settings: &std::path::Path,
     path: &std::path::Path,
@@ -80,7 +80,7 @@
     Err(Exit::Failure)
 }
 
-/// Lists the differences between two folders, entry by entry.
+/// Returns the entries that differ between two folders.
 fn changes(before: &Folder, after: &Folder) -> Vec<Change> {
     let before = entries(before);
     let after = entries(after);
--- a/src/cmd/pull.rs
+++ b/src/cmd/pull.rs
@@ -1,4 +1,4 @@
-//! `pull`: fetches the declarations in force into a folder.
+//! `pull`: fetches the active declarations into a folder.
 
 use std::path::PathBuf;
 
@@ -24,7 +24,7 @@
     settings: PathBuf,
 }
 
-/// Writes the declarations in force into the folder.
+/// Writes the active declarations into the folder.
 pub fn execute(options: &PullArguments) -> Exit {
     let settings = match Settings::read(&options.settings) {
         Ok(settings) => settings,
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: shows the requests that are sent to no worker, or lets one through again.
+//! `quarantine`: shows the requests that are suspected of crashing workers, or releases one.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 use cranereach_gateway::quarantine::Shown;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
 /// Options of `quarantine`.
@@ -37,7 +37,7 @@
     json: bool,
 }
 
-/// Asks an instance.
+/// Lists or releases quarantined requests through an instance.
 pub fn execute(options: &QuarantineArguments) -> Exit {
     let client = match instance::client(options.instance.as_ref(), options.settings.as_ref()) {
         Ok(client) => client,
@@ -52,7 +52,7 @@
     asked.unwrap_or_else(|error| instance::report_error(&client, &error))
 }
 
-/// Shows one request.
+/// Prints one request.
 fn show_one(suspect: &Shown) {
     let state = if suspect.is_quarantined {
         "refused"
@@ -68,7 +68,7 @@
     }
 }
 
-/// Lets a request through again.
+/// Releases a request from quarantine.
 async fn release(client: &JsonClient, fingerprint: &str) -> Result<Exit, CallError> {
     let path = format!("{RELEASE_PATH}{fingerprint}");
     let answer = client
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: runs an entry instance until it is asked to stop.
+//! `serve`: runs an entry instance until it receives SIGTERM or SIGINT.
 
 use std::path::PathBuf;
 
@@ -32,7 +32,7 @@
     super::block_on(run(settings))
 }
 
-/// Starts, prints the addresses, and stops as planned on the first signal.
+/// Starts the instance, prints its addresses and shuts it down gracefully on the first signal.
 async fn run(settings: Settings) -> Exit {
     let id = settings.instance.id.clone();
     let entry = match Entry::start(settings).await {
@@ -44,7 +44,7 @@
     };
     super::print_json(&json!({ "started": id, "addresses": entry.addresses() }));
     wait_for_stop().await;
-    // Further signals are taken and change nothing.
+    // Further signals are ignored, so that they do not interrupt the drain.
     tokio::spawn(async {
         loop {
             wait_for_stop().await;
@@ -59,7 +59,7 @@
 ///
 /// # Panics
 ///
-/// If the system refuses a signal handler.
+/// Panics if a signal handler can't be installed.
 pub(super) async fn wait_for_stop() {
     let mut terminate = signal(SignalKind::terminate()).expect("the system gives signal handlers");
     let mut interrupt = signal(SignalKind::interrupt()).expect("the system gives signal handlers");
--- a/src/cmd/soak.rs
+++ b/src/cmd/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: gateways as processes under faults, and the promises checked.
+//! `soak`: runs gateway processes under injected faults and checks the guarantees.
 
 use std::fs;
 use std::path::PathBuf;
@@ -14,10 +14,10 @@
 use cranereach_soak::run::RunError;
 use cranereach_soak::schedule::Size;
 
-/// Shortest run, in seconds: anything less has no time for faults.
+/// Shortest run, in seconds: a shorter one leaves no time for faults.
 const SECONDS_MIN: u64 = 10;
 
-/// Longest run, in seconds: records of all requests stay in memory.
+/// Longest run, in seconds: the records of all requests are kept in memory.
 const SECONDS_MAX: u64 = 600;
 
 /// Options of `soak`.
@@ -39,7 +39,7 @@
     untimed: bool,
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 pub fn execute(options: &SoakArguments) -> Exit {
     let plan = match read_plan(options) {
         Ok(plan) => plan,
@@ -69,7 +69,7 @@
     super::block_on(run_plan(&plan, &choice))
 }
 
-/// Runs the plan, prints and keeps the verdicts.
+/// Runs the plan; prints the verdicts and writes them to the folder.
 async fn run_plan(plan: &Plan, choice: &Choice) -> Exit {
     let records = match run::run(plan, wait_for_stop()).await {
         Ok(records) => records,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Reads the options.
+/// Builds the plan of the run from the options.
 fn read_plan(options: &SoakArguments) -> Result<Plan, String> {
     let size = match options.size.as_str() {
         "small" => Size::SMALL,
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stand-in`: a stand-in as a process of its own, on loopback.
+//! `stand-in`: runs a simulated platform, engine or service as a separate process.
 
 use gumdrop::Options;
 use serde_json::json;
@@ -54,12 +54,12 @@
     no_fences: bool,
 }
 
-/// Runs the stand-in until it is asked to stop.
+/// Runs the stand-in until SIGTERM or SIGINT.
 pub fn execute(options: &StandInArguments) -> Exit {
     super::block_on(run(options))
 }
 
-/// Starts the stand-in and prints its address.
+/// Starts the stand-in, prints its address and waits for a signal.
 async fn run(options: &StandInArguments) -> Exit {
     let listener = match TcpListener::bind(&options.listen).await {
         Ok(listener) => listener,
@@ -96,7 +96,7 @@
     Exit::Success
 }
 
-/// Returns how the engine behaves.
+/// Converts the options into those of the engine.
 fn engine_options(options: &StandInArguments) -> EngineOptions {
     EngineOptions {
         memory_bytes: options.memory_bytes,
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what an entry instance knows and does, or what became of a change.
+//! `status`: shows the state of an entry instance, or whether a change was accepted.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 use cranereach_wire::head_row::HEAD_KEY;
 use cranereach_wire::head_row::HeadRow;
 
-/// Time for an answer, in milliseconds.
+/// Time-out for a response, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
 /// Options of `status`.
@@ -35,7 +35,7 @@
     json: bool,
 }
 
-/// Shows the status.
+/// Shows the status of a change or of an instance.
 pub fn execute(options: &StatusArguments) -> Exit {
     let settings = match Settings::read(&options.settings) {
         Ok(settings) => settings,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Says whether a change was accepted.
+/// Prints whether a change was accepted, according to the table.
 async fn change_status(settings: &Settings, change: &str, as_json: bool) -> Exit {
     let table = Table::new(&settings.platform.table);
     let row = match table.read::<HeadRow>(HEAD_KEY).await {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Shows what an instance knows and does.
+/// Prints the status that an instance reports.
 async fn instance_status(settings: &Settings, address: &str, as_json: bool) -> Exit {
     let token = settings.operators.token.clone().unwrap_or_default();
     let client = JsonClient::new(address).with_token(&token);
--- a/src/cmd/workers.rs
+++ b/src/cmd/workers.rs
@@ -1,4 +1,4 @@
-//! `workers`: shows the workers that leave or rest.
+//! `workers`: shows the workers that are leaving or have asked for a rest.
 
 use super::instance;
 use super::instance::ListArguments;
@@ -6,12 +6,12 @@
 use cranereach_gateway::operators::WORKERS_PATH;
 use cranereach_gateway::own_words::ShownWorker;
 
-/// Asks an instance.
+/// Fetches these workers from an instance and prints them.
 pub fn execute(options: &ListArguments) -> Exit {
     instance::list(options, WORKERS_PATH, show_one)
 }
 
-/// Shows one worker.
+/// Prints one worker.
 fn show_one(entry: &ShownWorker) {
     let ShownWorker {
         worker, service, ..
@@ -34,7 +34,7 @@
     }
 }
 
-/// Writes a time in seconds.
+/// Formats a duration in seconds.
 fn seconds(time_ms: u64) -> String {
     format!("{:.1} s", time_ms as f64 / 1_000.0)
 }
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -1,25 +1,25 @@
-//! Exit codes by class, as listed in `docs/CODES.md`.
+//! Process exit codes, as listed in `docs/CODES.md`.
 
 use std::process::ExitCode;
 
 use cranereach_core::codes::ResultCode;
 
-/// How a command ended.
+/// Outcome of a command, which becomes the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// As asked.
+    /// The command did what was asked.
     Success,
-    /// It ran, and what it looked at isn't as it should be.
+    /// The command ran but found faults, or could not do what was asked.
     Failure,
-    /// The command line can't be understood.
+    /// The command line is invalid.
     Usage,
-    /// The settings can't be used.
+    /// The settings are invalid.
     Settings,
-    /// Another operator's change was accepted first.
+    /// A conflicting change by another operator was accepted first.
     Conflict,
-    /// A store or process could not be reached; nothing was done.
+    /// A store or process could not be reached; nothing was changed.
     Unavailable,
-    /// It may have been done.
+    /// The change may or may not have taken effect.
     OutcomeUnknown,
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The one binary: allocator, options, dispatch to a subcommand.
+//! Entry point of the `cranereach` binary: sets the allocator, parses the options and runs a
+//! subcommand.
 
 mod cmd;
 mod exit;
