--- a/crates/cranereach-standin/src/engine/answer.rs
+++ b/crates/cranereach-standin/src/engine/answer.rs
@@ -357,7 +357,7 @@
 
 /// Error that ends a stream because of an injected fault.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("broken on purpose")]
+#[error("stream broken by an injected fault")]
 pub struct InjectedBreak;
 
 impl From<Infallible> for InjectedBreak {
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -23,10 +23,7 @@
         meta = "FILE"
     )]
     settings: PathBuf,
-    #[options(
-        help = "identity of the change; give the same one to repeat a try",
-        meta = "ID"
-    )]
+    #[options(help = "ID of the change; use the same one to retry it", meta = "ID")]
     change: Option<String>,
     #[options(help = "print JSON")]
     json: bool,
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -11,7 +11,7 @@
 pub struct DemoArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "stay up after the burst, with the addresses printed")]
+    #[options(help = "keep running after the burst of load and print the addresses")]
     stay: bool,
 }
 
@@ -37,7 +37,7 @@
         println!("BROKEN    {broken}");
     }
     if report.broken.is_empty() {
-        println!("kept      every promise that the demo looks at");
+        println!("kept      every promise that the demo checks");
     }
     if stay {
         for entry in deployment.entries.iter().flatten() {
--- a/src/cmd/domains.rs
+++ b/src/cmd/domains.rs
@@ -16,7 +16,7 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -20,10 +20,10 @@
     help: bool,
     #[options(free, help = "failure domain", required)]
     domain: String,
-    #[options(help = "withdraw the demand")]
+    #[options(help = "withdraw the request")]
     withdraw: bool,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
@@ -49,12 +49,12 @@
             );
             if !options.withdraw {
                 let bound_ms = settings.bounds.evacuation_ms;
-                println!("its workers get nothing more after {bound_ms} ms");
+                println!("its workers receive no more requests after {bound_ms} ms");
             }
             Exit::Success
         }
         Ok(Demanded::Already) => {
-            println!("evacuation of {} was {action} already", options.domain);
+            println!("evacuation of {} was already {action}", options.domain);
             Exit::Success
         }
         Err(error) => {
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -33,9 +33,9 @@
 pub struct ExplainArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "request whose story to tell", meta = "ID")]
+    #[options(help = "request to explain", meta = "ID")]
     request: Option<String>,
-    #[options(free, required, help = "log files of any number of instances")]
+    #[options(free, required, help = "log files of one or more instances")]
     files: Vec<PathBuf>,
 }
 
@@ -69,7 +69,7 @@
     }
     if logs.skipped_count > 0 {
         eprintln!(
-            "{} lines were passed over: not of a log",
+            "skipped {} lines that are not log records",
             logs.skipped_count
         );
     }
@@ -106,10 +106,12 @@
         .filter(|line| line.request.as_deref() == Some(request))
         .collect();
     if matching.is_empty() {
-        eprintln!("no line about {request}: it went well, or these aren't its logs");
+        eprintln!(
+            "no log line about {request}: it did not fail, or the logs of its instances are missing"
+        );
         return Exit::Failure;
     }
-    println!("{request}, by the clocks of the instances, which may disagree:");
+    println!("{request}, sorted by the clocks of the instances, which may differ:");
     matching.into_iter().for_each(print_line);
     print_equal_requests(logs, request);
     print_worker_states(logs, request);
@@ -134,7 +136,7 @@
     let states: Vec<&LogLine> = logs.lines.iter().filter(is_worker_state).collect();
     let recent = &states[states.len().saturating_sub(WORKER_STATE_MAX_COUNT)..];
     if !recent.is_empty() {
-        println!("What workers had said of themselves:");
+        println!("Worker announcements until then:");
     }
     recent.iter().copied().for_each(print_line);
 }
@@ -157,7 +159,7 @@
     let own = logs.lines.iter().filter(is_own);
     let fingerprints: BTreeSet<&str> = own.filter_map(fingerprint).collect();
     for wanted in fingerprints {
-        println!("Equal requests, fingerprint {wanted}:");
+        println!("Other requests with fingerprint {wanted}:");
         let equal = logs
             .lines
             .iter()
@@ -215,7 +217,7 @@
     for (era, times) in noticed {
         let first = times.first().copied().unwrap_or_default();
         let last = times.last().copied().unwrap_or_default();
-        println!("store restored: era {era}, learnt from {first} to {last}");
+        println!("store restored: era {era}, noticed between {first} and {last}");
     }
 }
 
--- a/src/cmd/folder.rs
+++ b/src/cmd/folder.rs
@@ -81,7 +81,7 @@
 pub fn write(path: &Path, folder: &Folder, version: u64) -> Result<(), DiskError> {
     fs::create_dir_all(path).map_err(|source| DiskError {
         path: path.to_owned(),
-        operation: "make the folder",
+        operation: "create the folder",
         source,
     })?;
     for (name, text) in &folder.files {
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -22,7 +22,7 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
--- a/src/cmd/instance.rs
+++ b/src/cmd/instance.rs
@@ -41,12 +41,12 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "metrics address of a gateway; that of the settings otherwise",
+        help = "metrics address of a gateway; by default, the one in the settings",
         meta = "IP:PORT"
     )]
     instance: Option<String>,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -14,7 +14,7 @@
 /// Prints the limit of one worker.
 fn show_one(limit: &ShownLimit) {
     println!(
-        "{} of {}: {} a second, for {} s; granted here {}, refused {}",
+        "{} of {}: {} requests/s, known for {} s; granted by this instance {}, refused {}",
         limit.worker,
         limit.service,
         limit.rate_per_s,
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -121,7 +121,7 @@
         super::print_json(&changes);
         return;
     }
-    println!("against version {version}:");
+    println!("compared to version {version}:");
     if changes.is_empty() {
         println!("  no change");
     }
--- a/src/cmd/pull.rs
+++ b/src/cmd/pull.rs
@@ -50,7 +50,7 @@
         return Exit::Failure;
     }
     println!(
-        "version {} in {}",
+        "version {} written to {}",
         current.head.version,
         options.folder.display()
     );
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -22,16 +22,16 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "metrics address of a gateway; that of the settings otherwise",
+        help = "metrics address of a gateway; by default, the one in the settings",
         meta = "IP:PORT"
     )]
     instance: Option<String>,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
-    #[options(help = "let a request through again", meta = "FINGERPRINT")]
+    #[options(help = "release a request from quarantine", meta = "FINGERPRINT")]
     release: Option<String>,
     #[options(help = "print JSON")]
     json: bool,
@@ -60,11 +60,11 @@
         "suspected"
     };
     println!(
-        "{} {state}; route {:?}, account {:?}; refused here {} times",
+        "{} {state}; route {:?}, account {:?}; refused {} times by this instance",
         suspect.fingerprint, suspect.route, suspect.account, suspect.refused_count
     );
     for end in &suspect.ends {
-        println!("  {} ended {} s ago", end.worker, end.age_ms / 1_000);
+        println!("  worker {} ended {} s ago", end.worker, end.age_ms / 1_000);
     }
 }
 
@@ -76,15 +76,15 @@
         .await?;
     Ok(match answer.status {
         200 => {
-            println!("{fingerprint} is let through; the others hear of it within a second");
+            println!("{fingerprint} is released; the other instances are notified within a second");
             Exit::Success
         }
         404 => {
-            eprintln!("nothing is held against {fingerprint} there");
+            eprintln!("{fingerprint} is neither quarantined nor suspected on that instance");
             Exit::Failure
         }
         _ => {
-            eprintln!("{fingerprint:?} is no fingerprint: 32 hexadecimal digits");
+            eprintln!("{fingerprint:?} is not a fingerprint: expected 32 hexadecimal digits");
             Exit::Usage
         }
     })
--- a/src/cmd/soak.rs
+++ b/src/cmd/soak.rs
@@ -25,17 +25,25 @@
 pub struct SoakArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(required, help = "seed of faults and callers", meta = "N")]
+    #[options(required, help = "random seed of faults and callers", meta = "N")]
     seed: u64,
-    #[options(help = "for how long callers ask", default = "30", meta = "S")]
+    #[options(
+        help = "time for which callers send requests, in seconds",
+        default = "30",
+        meta = "S"
+    )]
     seconds: u64,
-    #[options(help = "small or large", default = "small", meta = "SIZE")]
+    #[options(
+        help = "size of the deployment: small or large",
+        default = "small",
+        meta = "SIZE"
+    )]
     size: String,
     #[options(help = "empty folder for logs and records", meta = "DIR")]
     out: Option<PathBuf>,
-    #[options(help = "let the store come back from copies, too", no_short)]
+    #[options(help = "also restore the store from backups during the run", no_short)]
     restores: bool,
-    #[options(help = "judge nothing that depends on speed")]
+    #[options(help = "do not judge what depends on speed")]
     untimed: bool,
 }
 
@@ -106,11 +114,12 @@
     };
     if !(SECONDS_MIN..=SECONDS_MAX).contains(&options.seconds) {
         return Err(format!(
-            "{} seconds: a run takes {SECONDS_MIN} to {SECONDS_MAX}",
+            "{} seconds: a run must take {SECONDS_MIN} to {SECONDS_MAX}",
             options.seconds
         ));
     }
-    let binary = std::env::current_exe().map_err(|error| format!("the own binary: {error}"))?;
+    let binary = std::env::current_exe()
+        .map_err(|error| format!("can't get the path of this binary: {error}"))?;
     let folder_name = format!("cranereach-soak-{}-{}", options.seed, std::process::id());
     let folder = options.out.clone();
     Ok(Plan {
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -29,7 +29,7 @@
     settings: PathBuf,
     #[options(help = "operators' address of the instance", meta = "IP:PORT")]
     instance: Option<String>,
-    #[options(help = "say whether a change was accepted", meta = "ID")]
+    #[options(help = "show whether a change was accepted", meta = "ID")]
     change: Option<String>,
     #[options(help = "print JSON")]
     json: bool,
@@ -72,7 +72,7 @@
         match version {
             Some(version) => println!("change {change} was accepted as version {version}"),
             None => println!(
-                "change {change} is not among the last {} accepted",
+                "change {change} is not among the last {} accepted changes",
                 row.history.len()
             ),
         }
--- a/src/cmd/workers.rs
+++ b/src/cmd/workers.rs
@@ -21,13 +21,13 @@
             format!(", known for {}", seconds(for_ms))
         });
         println!(
-            "{worker} of {service}: leaves by the word of {}{since}",
+            "{worker} of {service}: leaving, reported by {}{since}",
             leaving.by
         );
     }
     if let Some(rest) = &entry.rest {
         println!(
-            "{worker} of {service}: rests for {}, {} more",
+            "{worker} of {service}: resting for {}, {} left",
             seconds(rest.for_ms),
             seconds(rest.ends_in_ms)
         );
