--- a/src/cmd/measure.rs
+++ b/src/cmd/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: benchmarks a complete deployment and prints the results as JSON.
+//! `measure`: runs benchmarks and prints the results as JSON.
 
 use std::path::PathBuf;
 
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -43,13 +43,13 @@
         Ok(client) => client,
         Err(exit) => return exit,
     };
-    let asked = if let Some(fingerprint) = &options.release {
+    let result = if let Some(fingerprint) = &options.release {
         super::block_on_one_core(release(&client, fingerprint))
     } else {
-        let shown = instance::show(&client, QUARANTINE_PATH, options.json, show_one);
-        super::block_on_one_core(shown).map(|()| Exit::Success)
+        let listing = instance::show(&client, QUARANTINE_PATH, options.json, show_one);
+        super::block_on_one_core(listing).map(|()| Exit::Success)
     };
-    asked.unwrap_or_else(|error| instance::report_error(&client, &error))
+    result.unwrap_or_else(|error| instance::report_error(&client, &error))
 }
 
 /// Prints one request.
