--- a/src/cmd/measure.rs
+++ b/src/cmd/measure.rs
@@ -62,10 +62,10 @@
     route: Option<String>,
     #[options(help = "residency plug-in; overrides the policy", meta = "NAME")]
     residency: Option<String>,
-    #[options(help = "disable early refusal of requests")]
+    #[options(help = "do not refuse early the requests that can't start in time")]
     no_early_refusal: bool,
     #[options(
-        help = "cost weight of a move; overrides the scenario",
+        help = "cost of one load or unload; overrides the scenario",
         meta = "WEIGHT"
     )]
     move_weight: Option<f64>,
@@ -77,7 +77,7 @@
     #[options(help = "lag of the engines' reports in milliseconds", meta = "MS")]
     lag_ms: Option<u64>,
     #[options(
-        help = "number of the account that floods the deployment with requests",
+        help = "number of the account that sends ten times its demand",
         meta = "N"
     )]
     flood: Option<usize>,
