--- a/crates/cranereach-standin/src/engine/mod.rs
+++ b/crates/cranereach-standin/src/engine/mod.rs
@@ -1,8 +1,7 @@
-//! Stand-in of a model engine: real memory, batch slots, orders, streams.
+//! Stand-in of a model engine: memory accounting, batch slots, load and unload orders, streams.
 //!
-//! It never refuses a load for want of memory: it records the excess, so that a
-//! test sees every overcommitment. An answer names the request that it belongs
-//! to and the run's number.
+//! It never refuses a load for lack of memory. It counts the excess instead, so that a test sees
+//! every overcommitment. A response carries the ID of the request that it belongs to.
 
 mod answer;
 mod loading;
@@ -20,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::BODY_MAX_BYTES;
-use crate::BODY_WITHIN_MS;
+use crate::BODY_TIMEOUT_MS;
 use crate::engine::answer::EngineBody;
 use crate::engine::state::EngineFaults;
 use crate::engine::state::EngineOptions;
@@ -30,7 +29,7 @@
 use cranereach_http::server::Closed;
 use cranereach_wire::upstream::OrderRequest;
 
-/// A running stand-in.
+/// A running engine stand-in.
 #[derive(Clone, Debug)]
 pub struct Engine {
     state: Arc<EngineState>,
@@ -52,13 +51,13 @@
         Self { state }
     }
 
-    /// Returns the state, for looking at it and setting faults.
+    /// Returns the state, to inspect it or to inject faults.
     pub fn state(&self) -> &Arc<EngineState> {
         &self.state
     }
 }
 
-/// Renews the lagging report until the end.
+/// Refreshes the load report periodically until the stand-in stops.
 async fn refresh_reports(state: Arc<EngineState>, stopping: watch::Receiver<bool>) {
     while !*stopping.borrow() {
         state.refresh_report();
@@ -66,69 +65,75 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn handle(
     state: Arc<EngineState>,
     request: Request<Incoming>,
 ) -> Result<Response<EngineBody>, Closed> {
     let (parts, incoming) = request.into_parts();
-    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_WITHIN_MS).await;
+    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_TIMEOUT_MS).await;
     let Ok(bytes) = read else { return Err(Closed) };
     match parts.uri.path() {
-        "/load" => Ok(whole(body::json(200, &state.report()))),
-        "/orders" => order(&state, &bytes),
+        "/load" => Ok(into_engine_body(body::json(200, &state.report()))),
+        "/orders" => handle_order(&state, &bytes),
         "/v1/chat/completions" | "/v1/completions" => {
             answer::complete(state, &parts.headers, &bytes).await
         }
-        "/stand-in/faults" => Ok(take_faults(&state, &bytes)),
-        "/stand-in/ledger" => Ok(whole(body::json(200, &state.ledger()))),
+        "/stand-in/faults" => Ok(set_faults(&state, &bytes)),
+        "/stand-in/ledger" => Ok(into_engine_body(body::json(200, &state.ledger()))),
         "/stand-in/leave" => {
             state.leave();
-            Ok(whole(body::json(200, &json!({}))))
+            Ok(into_engine_body(body::json(200, &json!({}))))
         }
-        _ => Ok(whole(body::json(404, &json!({ "error": "no such path" })))),
+        _ => Ok(into_engine_body(body::json(
+            404,
+            &json!({ "error": "no such path" }),
+        ))),
     }
 }
 
-/// Takes an order, or loses or delays it.
-fn order(state: &Arc<EngineState>, bytes: &Bytes) -> Result<Response<EngineBody>, Closed> {
+/// Applies an order; injected faults may drop, delay or repeat it.
+fn handle_order(state: &Arc<EngineState>, bytes: &Bytes) -> Result<Response<EngineBody>, Closed> {
     let Ok(order) = serde_json::from_slice::<OrderRequest>(bytes) else {
-        return Ok(whole(body::json(400, &json!({ "error": "not an order" }))));
+        return Ok(into_engine_body(body::json(
+            400,
+            &json!({ "error": "not an order" }),
+        )));
     };
-    state.count_order();
-    if state.spend(|faults| &mut faults.lose_order_count) {
+    state.record_order();
+    if state.consume_fault(|faults| &mut faults.lose_order_count) {
         return Err(Closed);
     }
-    if state.spend(|faults| &mut faults.delay_order_count) {
+    if state.consume_fault(|faults| &mut faults.delay_order_count) {
         let delay_ms = lock(&state.faults).delay_order_ms;
-        let late = Arc::clone(state);
-        // The sender is told nothing; the order takes effect late.
+        let delayed_state = Arc::clone(state);
+        // The sender gets no response; the order takes effect later.
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-            loading::apply(&late, &order);
+            loading::apply(&delayed_state, &order);
         });
         return Err(Closed);
     }
-    let taken = loading::apply(state, &order);
-    if state.spend(|faults| &mut faults.repeat_order_count) {
+    let outcome = loading::apply(state, &order);
+    if state.consume_fault(|faults| &mut faults.repeat_order_count) {
         loading::apply(state, &order);
     }
-    let status = if taken.is_accepted { 200 } else { 409 };
-    Ok(whole(body::json(status, &taken)))
+    let status = if outcome.is_accepted { 200 } else { 409 };
+    Ok(into_engine_body(body::json(status, &outcome)))
 }
 
-/// Sets the faults.
-fn take_faults(state: &EngineState, bytes: &Bytes) -> Response<EngineBody> {
+/// Replaces the injected faults.
+fn set_faults(state: &EngineState, bytes: &Bytes) -> Response<EngineBody> {
     match serde_json::from_slice::<EngineFaults>(bytes) {
         Ok(faults) => {
             *lock(&state.faults) = faults;
-            whole(body::json(200, &json!({})))
+            into_engine_body(body::json(200, &json!({})))
         }
-        Err(error) => whole(body::json(400, &json!({ "error": error.to_string() }))),
+        Err(error) => into_engine_body(body::json(400, &json!({ "error": error.to_string() }))),
     }
 }
 
-/// Turns a whole body into the engine's kind.
-fn whole(answer: crate::Answer) -> Response<EngineBody> {
-    answer.map(EngineBody::whole)
+/// Converts a complete body into an [`EngineBody`].
+fn into_engine_body(answer: crate::Answer) -> Response<EngineBody> {
+    answer.map(EngineBody::full)
 }
--- a/crates/cranereach-standin/src/load.rs
+++ b/crates/cranereach-standin/src/load.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and notes what came back.
+//! Test client that sends requests and records the outcomes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,44 +16,44 @@
 use cranereach_http::pool::Pool;
 use cranereach_http::pool::SendError;
 
-/// One request to be sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Method.
     pub method: Method,
     /// Path.
     pub path: String,
-    /// Bearer key.
+    /// Bearer token.
     pub key: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
 }
 
-/// What came back.
+/// Outcome of a call.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// HTTP status; zero if there was no answer.
+    /// HTTP status; zero if there was no response.
     pub status: u16,
-    /// Number in the error answer or error event, if any.
+    /// Result code in the error response or error event, if any.
     pub code: Option<u16>,
-    /// Body as text.
+    /// Response body as text.
     pub text: String,
     /// Time to the first byte of the body, in microseconds.
     pub first_us: Option<u64>,
-    /// Time to the end, in microseconds.
+    /// Total time of the call, in microseconds.
     pub whole_us: u64,
-    /// Largest time between two frames, in microseconds.
+    /// Longest time between two data frames, in microseconds.
     pub gap_max_us: u64,
-    /// Whether the answer ended as a whole one does.
+    /// Whether the response is complete; a stream must end with `[DONE]`.
     pub is_whole: bool,
-    /// Seconds in Retry-After.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u64>,
 }
 
 impl Call {
-    /// Makes a streamed chat request.
+    /// Creates a chat completion request, streamed or not.
     ///
     /// ```
     /// let call = cranereach_standin::load::Call::chat("key", "model", "hello", 8, true);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Makes a call of a plain service.
+    /// Creates a call to a plain service.
     pub fn plain(key: &str, method: Method, path: &str, body: &str) -> Self {
         let body = Bytes::from(body.to_owned());
         Self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sets a header.
+    /// Sets a header, replacing an earlier value.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(known, _)| *known != name);
@@ -96,19 +96,19 @@
     }
 }
 
-/// Sends one call and reads the whole answer.
+/// Sends one call and reads the complete response.
 pub async fn send(pool: &Pool<Full<Bytes>>, call: &Call) -> Outcome {
     let started = Instant::now();
     let mut outcome = Outcome::default();
     exchange(pool, call, started, &mut outcome).await;
     outcome.whole_us = micros(started.elapsed());
-    outcome.code = outcome.code.or_else(|| code_in(&outcome.text));
+    outcome.code = outcome.code.or_else(|| find_error_code(&outcome.text));
     outcome
 }
 
-/// Sends one call; a kept connection that closed is replaced.
+/// Sends one call; a pooled connection that turns out to be closed is replaced.
 async fn exchange(pool: &Pool<Full<Bytes>>, call: &Call, started: Instant, outcome: &mut Outcome) {
-    let mut request = request(pool.address(), call);
+    let mut request = build_request(pool.address(), call);
     loop {
         let Ok(mut connection) = pool.take().await else {
             return;
@@ -131,7 +131,7 @@
             .headers()
             .get(hyper::header::CONTENT_TYPE)
             .is_some_and(|value| value == "text/event-stream");
-        if read(answer.into_body(), started, outcome).await {
+        if read_body(answer.into_body(), started, outcome).await {
             outcome.is_whole = !is_stream || outcome.text.ends_with("data: [DONE]\n\n");
             connection.keep();
         }
@@ -139,8 +139,12 @@
     }
 }
 
-/// Reads the body; true if it ended well.
-async fn read(mut body: hyper::body::Incoming, started: Instant, outcome: &mut Outcome) -> bool {
+/// Reads the body; returns false if it broke off.
+async fn read_body(
+    mut body: hyper::body::Incoming,
+    started: Instant,
+    outcome: &mut Outcome,
+) -> bool {
     let mut last_us = 0;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return false };
@@ -159,8 +163,8 @@
     true
 }
 
-/// Builds the request.
-fn request(address: &str, call: &Call) -> Request<Full<Bytes>> {
+/// Builds the HTTP request.
+fn build_request(address: &str, call: &Call) -> Request<Full<Bytes>> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
@@ -171,17 +175,17 @@
     }
     builder
         .body(Full::new(call.body.clone()))
-        .expect("calls are made of valid parts")
+        .expect("all parts of a call are valid")
 }
 
-/// Finds the number of an error answer or error event.
-fn code_in(text: &str) -> Option<u16> {
+/// Finds the result code in the text of an error response or error event.
+fn find_error_code(text: &str) -> Option<u16> {
     let (_, after) = text.split_once("\"error\":{\"code\":")?;
     let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
 }
 
-/// Returns a time in whole microseconds.
+/// Converts a duration to microseconds.
 fn micros(time: Duration) -> u64 {
     time.as_micros() as u64
 }
--- a/crates/cranereach-standin/src/platform/mod.rs
+++ b/crates/cranereach-standin/src/platform/mod.rs
@@ -1,7 +1,8 @@
-//! Stand-in of the platform: table, object store, list and weight store.
+//! Stand-in of the platform: table, object store, instance list and weight store.
 //!
-//! One process, one port. Each store has its own faults: refusing, holding
-//! every answer, slow, or losing answers after the change has taken effect.
+//! All are served on one port. The table, the object store and the list can be made to refuse
+//! requests, to leave them unanswered, or to be slow. The table can also lose the response to a
+//! transaction that was committed, and the list can be frozen.
 
 pub mod state;
 
@@ -22,7 +23,7 @@
 
 use crate::Answer;
 use crate::BODY_MAX_BYTES;
-use crate::BODY_WITHIN_MS;
+use crate::BODY_TIMEOUT_MS;
 use crate::lock;
 use crate::platform::state::PlatformFaults;
 use crate::platform::state::PlatformState;
@@ -34,10 +35,10 @@
 use cranereach_wire::platform::ListedInstance;
 use cranereach_wire::platform::Transaction;
 
-/// Time for which a held answer is kept: longer than any caller waits.
-const HELD_FOR: Duration = Duration::from_mins(2);
+/// Time for which a request is held without a response: longer than any client waits.
+const HELD_ANSWER_DURATION: Duration = Duration::from_mins(2);
 
-/// A running stand-in.
+/// A running platform stand-in.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<PlatformState>,
@@ -58,29 +59,29 @@
         Self { state }
     }
 
-    /// Returns the state, for looking at it and setting faults.
+    /// Returns the state, to inspect it or to inject faults.
     pub fn state(&self) -> &PlatformState {
         &self.state
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn answer(state: Arc<PlatformState>, request: Request<Incoming>) -> Result<Answer, Closed> {
     let (parts, incoming) = request.into_parts();
     let path = parts.uri.path().to_owned();
-    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_WITHIN_MS).await;
+    let read = body::collect(incoming, BODY_MAX_BYTES, BODY_TIMEOUT_MS).await;
     let Ok(bytes) = read else { return Err(Closed) };
     match path.split('/').nth(1).unwrap_or_default() {
         "table" => table(&state, &parts.method, &path, &bytes).await,
         "objects" => objects(&state, &parts.method, &path, bytes).await,
         "instances" => instances(&state, &parts.method, &bytes).await,
         "weights" => weights(&state).await,
-        "stand-in" => Ok(own(&state, &path, &bytes)),
-        _ => Ok(status(404)),
+        "stand-in" => Ok(control(&state, &path, &bytes)),
+        _ => Ok(status_answer(404)),
     }
 }
 
-/// Answers for the table.
+/// Handles a request to the table.
 async fn table(
     state: &PlatformState,
     method: &Method,
@@ -88,30 +89,30 @@
     bytes: &Bytes,
 ) -> Result<Answer, Closed> {
     let faults = lock(&state.faults).table;
-    if let Some(refused) = before(faults).await {
-        return refused;
+    if let Some(fault_answer) = apply_faults(faults).await {
+        return fault_answer;
     }
     lock(&state.counts).table_count += 1;
     if method == Method::GET {
         let key = path.trim_start_matches("/table/");
         return Ok(lock(&state.rows)
             .get(key)
-            .map_or_else(|| status(404), |row| body::json(200, row)));
+            .map_or_else(|| status_answer(404), |row| body::json(200, row)));
     }
-    let Some(transaction) = read::<Transaction>(bytes) else {
-        return Ok(status(400));
+    let Some(transaction) = parse::<Transaction>(bytes) else {
+        return Ok(status_answer(400));
     };
     let outcome = state.transact(&transaction);
-    if outcome.is_ok() && state.loses_answer() {
+    if outcome.is_ok() && state.consume_lost_answer() {
         return Err(Closed);
     }
     Ok(match outcome {
         Ok(versions) => body::json(200, &Committed { versions }),
-        Err(_failed) => status(409),
+        Err(_failed) => status_answer(409),
     })
 }
 
-/// Answers for the object store.
+/// Handles a request to the object store.
 async fn objects(
     state: &PlatformState,
     method: &Method,
@@ -119,84 +120,88 @@
     bytes: Bytes,
 ) -> Result<Answer, Closed> {
     let faults = lock(&state.faults).objects;
-    if let Some(refused) = before(faults).await {
-        return refused;
+    if let Some(fault_answer) = apply_faults(faults).await {
+        return fault_answer;
     }
     lock(&state.counts).object_count += 1;
     let key = path.trim_start_matches("/objects/").to_owned();
     if method == Method::PUT {
         lock(&state.objects).insert(key, bytes);
-        return Ok(status(200));
+        return Ok(status_answer(200));
     }
     let found = lock(&state.objects).get(&key).cloned();
-    Ok(found.map_or_else(|| status(404), |bytes| Response::new(Full::new(bytes))))
+    Ok(found.map_or_else(
+        || status_answer(404),
+        |bytes| Response::new(Full::new(bytes)),
+    ))
 }
 
-/// Answers for the list; a frozen list goes on showing what it showed.
+/// Handles a request to the instance list.
 async fn instances(
     state: &PlatformState,
     method: &Method,
     bytes: &Bytes,
 ) -> Result<Answer, Closed> {
     if method == Method::POST {
-        let Some(listed) = read::<ListedInstance>(bytes) else {
-            return Ok(status(400));
+        let Some(listed) = parse::<ListedInstance>(bytes) else {
+            return Ok(status_answer(400));
         };
         state.list(listed);
-        return Ok(status(200));
+        return Ok(status_answer(200));
     }
     let faults = lock(&state.faults).list;
-    if let Some(refused) = before(faults).await {
-        return refused;
+    if let Some(fault_answer) = apply_faults(faults).await {
+        return fault_answer;
     }
     lock(&state.counts).list_count += 1;
-    Ok(body::json(200, &state.shown()))
+    Ok(body::json(200, &state.visible_instances()))
 }
 
-/// Gives one load's worth of weights, within rate and number at once.
+/// Serves the weights for one load, within the limits on rate and concurrency.
 async fn weights(state: &PlatformState) -> Result<Answer, Closed> {
     let now_ms = state.now_ms();
     let admitted = lock(&state.weights).begin(now_ms);
     if !admitted {
-        return Ok(status(429));
+        return Ok(status_answer(429));
     }
     let load_ms = state.limits.load_ms;
     tokio::time::sleep(Duration::from_millis(load_ms)).await;
     lock(&state.weights).end();
-    Ok(status(200))
+    Ok(status_answer(200))
 }
 
-/// Answers for the stand-in's own paths.
-fn own(state: &PlatformState, path: &str, bytes: &Bytes) -> Answer {
+/// Handles a request that controls the stand-in itself.
+fn control(state: &PlatformState, path: &str, bytes: &Bytes) -> Answer {
     match path {
-        "/stand-in/faults" => match read::<PlatformFaults>(bytes) {
+        "/stand-in/faults" => match parse::<PlatformFaults>(bytes) {
             Some(faults) => {
                 *lock(&state.faults) = faults;
-                status(200)
+                status_answer(200)
             }
-            None => status(400),
+            None => status_answer(400),
         },
         "/stand-in/counts" => body::json(200, &*lock(&state.counts)),
-        _ => status(404),
+        _ => status_answer(404),
     }
 }
 
-/// Applies a store's faults; an answer means that the store didn't act.
-async fn before(faults: StoreFaults) -> Option<Result<Answer, Closed>> {
+/// Applies the faults of a store. A returned response means that the store must not act on the
+/// request.
+async fn apply_faults(faults: StoreFaults) -> Option<Result<Answer, Closed>> {
     if faults.holds {
-        tokio::time::sleep(HELD_FOR).await;
+        tokio::time::sleep(HELD_ANSWER_DURATION).await;
         return Some(Err(Closed));
     }
     tokio::time::sleep_until((Instant::now() + Duration::from_millis(faults.slow_ms)).into()).await;
-    faults.refuses.then(|| Ok(status(503)))
+    faults.refuses.then(|| Ok(status_answer(503)))
 }
 
-/// Reads a typed body.
-fn read<T: DeserializeOwned>(bytes: &Bytes) -> Option<T> {
+/// Parses a JSON body.
+fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Option<T> {
     serde_json::from_slice(bytes).ok()
 }
 
-/// Makes an answer of a status alone.
-fn status(status: u16) -> Answer {
+/// Builds a response whose body only repeats the status.
+fn status_answer(status: u16) -> Answer {
     body::json(status, &json!({ "status": status }))
 }
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: makes a folder of declarations the configuration in force.
+//! `apply`: publishes a folder of declarations as the active configuration.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::folder;
-use super::plan::read_both;
+use super::plan::read_inputs;
 use crate::exit::Exit;
 use cranereach_entry::apply::Stores;
 
@@ -23,28 +23,25 @@
         meta = "FILE"
     )]
     settings: PathBuf,
-    #[options(
-        help = "identity of the change; give the same one to repeat a try",
-        meta = "ID"
-    )]
+    #[options(help = "ID of the change; use the same one to retry it", meta = "ID")]
     change: Option<String>,
     #[options(help = "print JSON")]
     json: bool,
 }
 
-/// Applies the folder.
+/// Applies the folder and, if it was accepted unmerged, records its new base version.
 pub fn execute(options: &ApplyArguments) -> Exit {
-    let (settings, mine) = match read_both(&options.settings, &options.folder) {
-        Ok(both) => both,
+    let (settings, local) = match read_inputs(&options.settings, &options.folder) {
+        Ok(inputs) => inputs,
         Err(exit) => return exit,
     };
     let stores = Stores::new(&settings.platform.table, &settings.platform.objects);
-    let base_version = folder::read_base(&options.folder);
+    let base_version = folder::read_base_version(&options.folder);
     let change_id = options
         .change
         .clone()
         .unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
-    match super::block_on(stores.apply(&mine, base_version, &change_id)) {
+    match super::block_on(stores.apply(&local, base_version, &change_id)) {
         Ok(accepted) => {
             if options.json {
                 super::print_json(
@@ -56,19 +53,20 @@
                     accepted.version, accepted.change_id
                 );
             }
-            // Merged with others' changes, the folder isn't that version: it keeps its base.
-            let is_own = accepted.version == base_version + 1;
-            let kept = if is_own {
-                folder::write_base(&options.folder, accepted.version)
+            // An accepted version that isn't the next one was merged with other operators' changes,
+            // so the folder doesn't equal it and keeps its base version.
+            let is_unmerged = accepted.version == base_version + 1;
+            let saved = if is_unmerged {
+                folder::write_base_version(&options.folder, accepted.version)
             } else {
                 Ok(())
             };
-            kept.map_or_else(
+            saved.map_or_else(
                 |error| {
                     eprintln!("{error}");
-                    Exit::Faults
+                    Exit::Failure
                 },
-                |()| Exit::Done,
+                |()| Exit::Success,
             )
         }
         Err(error) => {
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: the whole path in one process, no files needed.
+//! `demo`: runs a complete deployment in one process; needs no files.
 
 use gumdrop::Options;
 
@@ -11,7 +11,7 @@
 pub struct DemoArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "stay up after the burst, with the addresses printed")]
+    #[options(help = "keep running after the burst of load and print the addresses")]
     stay: bool,
 }
 
@@ -20,7 +20,7 @@
     super::block_on(run(options.stay))
 }
 
-/// Starts, runs, and says whether any promise broke.
+/// Starts the deployment, runs the demo and reports violated guarantees.
 async fn run(stay: bool) -> Exit {
     let outcome = match demo::start().await {
         Ok(deployment) => demo::run(deployment).await,
@@ -37,7 +37,7 @@
         println!("BROKEN    {broken}");
     }
     if report.broken.is_empty() {
-        println!("kept      every promise that the demo looks at");
+        println!("kept      every promise that the demo checks");
     }
     if stay {
         for entry in deployment.entries.iter().flatten() {
@@ -52,8 +52,8 @@
     }
     deployment.stop().await;
     if report.broken.is_empty() {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::Faults
+        Exit::Failure
     }
 }
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`: asks for a failure domain to be evacuated, or withdraws that.
+//! `evacuate`: requests the evacuation of a failure domain, or withdraws the request.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use cranereach_gateway::domains::DomainsError;
 use cranereach_gateway::domains::EvacuationOutcome;
 use cranereach_gateway::store::StoreError;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
 /// Options of `evacuate`.
@@ -20,23 +20,23 @@
     help: bool,
     #[options(free, help = "failure domain", required)]
     domain: String,
-    #[options(help = "withdraw the demand")]
+    #[options(help = "withdraw the request")]
     withdraw: bool,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
 }
 
-/// Writes the demand.
+/// Writes the request to the platform's store.
 pub fn execute(options: &EvacuateArguments) -> Exit {
     let settings = match gateway::settings(options.settings.as_ref()) {
         Ok(settings) => settings,
         Err(exit) => return exit,
     };
     let demand = domains::demand(&settings, &options.domain, options.withdraw);
-    let word = if options.withdraw {
+    let action = if options.withdraw {
         "withdrawn"
     } else {
         "asked for"
@@ -44,18 +44,18 @@
     match super::block_on_one_core(demand) {
         Ok(EvacuationOutcome::At(version)) => {
             println!(
-                "evacuation of {} {word} at version {version}",
+                "evacuation of {} {action} at version {version}",
                 options.domain
             );
             if !options.withdraw {
                 let bound_ms = settings.bounds.evacuation_ms;
-                println!("its workers get nothing more after {bound_ms} ms");
+                println!("its workers receive no more requests after {bound_ms} ms");
             }
-            Exit::Done
+            Exit::Success
         }
         Ok(EvacuationOutcome::Already) => {
-            println!("evacuation of {} was {word} already", options.domain);
-            Exit::Done
+            println!("evacuation of {} was already {action}", options.domain);
+            Exit::Success
         }
         Err(error) => {
             eprintln!("{error}");
@@ -64,13 +64,13 @@
     }
 }
 
-/// Returns how a command ends that could not be done.
+/// Maps an error to the exit status of the command.
 pub fn exit_of(error: &DomainsError) -> Exit {
     match error {
-        DomainsError::Unknown { .. } => Exit::Faults,
-        DomainsError::ChangedConcurrently => Exit::RaceLost,
+        DomainsError::Unknown { .. } => Exit::Failure,
+        DomainsError::ChangedConcurrently => Exit::Conflict,
         DomainsError::Adapter(_) => Exit::Settings,
-        DomainsError::Store(StoreError::Unknown(_)) => Exit::Unknown,
+        DomainsError::Store(StoreError::Unknown(_)) => Exit::OutcomeUnknown,
         DomainsError::Store(_) => Exit::Unavailable,
     }
 }
--- a/src/cmd/folder.rs
+++ b/src/cmd/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of declarations on disk, with the version that it was begun from.
+//! A folder of declarations on disk, with the configuration version that it is based on.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,39 +16,39 @@
 use cranereach_wire::jsonc::FileError;
 use cranereach_wire::locate::locate;
 
-/// File that keeps the version that a folder was begun from.
+/// File that holds the base version of a folder.
 const BASE_FILE: &str = "cranereach.base";
 
-/// Version that a folder was begun from.
+/// Configuration version that a folder is based on.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Base {
     version: u64,
 }
 
-/// A fault with its place on disk.
+/// A fault in the declarations, with its position on disk.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
-    /// Number of the code.
+    /// Number of the result code.
     pub code: u16,
-    /// Name of the code.
+    /// Name of the result code.
     pub name: &'static str,
-    /// File, as far as it is known.
+    /// File, if known.
     pub file: Option<String>,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: Option<usize>,
-    /// Section, entry and key.
+    /// Section, entry and key in the declarations.
     pub place: Option<String>,
-    /// What is wrong and what would be valid.
+    /// Description of the fault and of what would be valid.
     pub detail: String,
 }
 
-/// A folder or one of its files can't be read or written.
+/// Error of reading or writing a folder or one of its files.
 #[derive(Debug, Error)]
-#[error("{}: can't {doing}: {source}", path.display())]
+#[error("{}: can't {operation}: {source}", path.display())]
 pub struct DiskError {
     path: PathBuf,
-    doing: &'static str,
+    operation: &'static str,
     source: io::Error,
 }
 
@@ -57,7 +57,7 @@
     let mut files = BTreeMap::new();
     let entries = fs::read_dir(path).map_err(|source| DiskError {
         path: path.to_owned(),
-        doing: "read the folder",
+        operation: "read the folder",
         source,
     })?;
     for entry in entries.flatten() {
@@ -68,7 +68,7 @@
         if is_declaration {
             let text = fs::read_to_string(&file).map_err(|source| DiskError {
                 path: file.clone(),
-                doing: "read the file",
+                operation: "read the file",
                 source,
             })?;
             files.insert(entry.file_name().to_string_lossy().into_owned(), text);
@@ -77,49 +77,49 @@
     Ok(Folder { files })
 }
 
-/// Writes a folder's files and the version that they are.
+/// Writes a folder's files and records their version as the base version.
 pub fn write(path: &Path, folder: &Folder, version: u64) -> Result<(), DiskError> {
     fs::create_dir_all(path).map_err(|source| DiskError {
         path: path.to_owned(),
-        doing: "make the folder",
+        operation: "create the folder",
         source,
     })?;
     for (name, text) in &folder.files {
         let file = path.join(name);
         fs::write(&file, text).map_err(|source| DiskError {
             path: file.clone(),
-            doing: "write the file",
+            operation: "write the file",
             source,
         })?;
     }
-    write_base(path, version)
+    write_base_version(path, version)
 }
 
-/// Returns the version that a folder was begun from; zero if it never was.
-pub fn read_base(path: &Path) -> u64 {
+/// Returns the base version of a folder; zero if none is recorded.
+pub fn read_base_version(path: &Path) -> u64 {
     let base: Option<Base> = cranereach_wire::jsonc::read_file(&path.join(BASE_FILE)).ok();
     base.unwrap_or_default().version
 }
 
-/// Writes the version that a folder is now begun from.
-pub fn write_base(path: &Path, version: u64) -> Result<(), DiskError> {
+/// Records the base version of a folder.
+pub fn write_base_version(path: &Path, version: u64) -> Result<(), DiskError> {
     let file = path.join(BASE_FILE);
     let text = format!(
         "// Version that this folder was begun from; kept by cranereach.\n{{ \"version\": {version} }}\n"
     );
     fs::write(&file, text).map_err(|source| DiskError {
         path: file.clone(),
-        doing: "write the file",
+        operation: "write the file",
         source,
     })
 }
 
-/// Checks a folder whole; returns its faults with their places.
-pub fn faults(path: &Path, folder: &Folder) -> Vec<Finding> {
-    let shown = |file: &str| path.join(file).display().to_string();
+/// Checks all declarations of a folder and returns their faults with their positions.
+pub fn check(path: &Path, folder: &Folder) -> Vec<Finding> {
+    let display_path = |file: &str| path.join(file).display().to_string();
     let declared = match folder.declarations() {
         Ok(declared) => declared,
-        Err(error) => return vec![of_file_error(&error, &shown)],
+        Err(error) => return vec![file_error_finding(&error, &display_path)],
     };
     let Err(faults) = Snapshot::resolve(&declared, 0) else {
         return Vec::new();
@@ -129,7 +129,7 @@
         Finding {
             code: fault.code.row().number,
             name: fault.code.row().name,
-            file: line.as_ref().map(|line| shown(&line.file)),
+            file: line.as_ref().map(|line| display_path(&line.file)),
             line: line.map(|line| line.line),
             place: Some(format!(
                 "{} {:?} {}",
@@ -141,8 +141,8 @@
     faults.iter().map(finding).collect()
 }
 
-/// Makes the finding of a file that can't be understood.
-fn of_file_error(error: &FileError, shown: &impl Fn(&str) -> String) -> Finding {
+/// Converts an error of reading or parsing a file into a finding.
+fn file_error_finding(error: &FileError, display_path: &impl Fn(&str) -> String) -> Finding {
     let (code, file, line, detail) = match error {
         FileError::Unreadable { path, source } => {
             (ResultCode::Syntax, path, None, source.to_string())
@@ -163,7 +163,7 @@
         }
     };
     let row = code.row();
-    let file = Some(shown(&file.to_string_lossy()));
+    let file = Some(display_path(&file.to_string_lossy()));
     Finding {
         code: row.number,
         name: row.name,
@@ -174,7 +174,7 @@
     }
 }
 
-/// Prints findings, a line each, or as JSON.
+/// Prints findings, one per line or as JSON.
 pub fn print(findings: &[Finding], as_json: bool) {
     if as_json {
         super::print_json(&findings);
--- a/src/cmd/instance.rs
+++ b/src/cmd/instance.rs
@@ -1,4 +1,4 @@
-//! A running instance as operators ask it, by its metrics address.
+//! Queries to a running gateway instance over its metrics address.
 
 use std::path::PathBuf;
 
@@ -10,13 +10,14 @@
 use crate::exit::Exit;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
-/// Time for an answer, in milliseconds.
-pub const ANSWER_WITHIN_MS: u64 = 3_000;
+/// Time-out for a response, in milliseconds.
+pub const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
-/// Makes the client of an instance: the one at an address, or that of a settings file.
+/// Creates a client of the instance at the address, or else at the metrics address in the
+/// settings file.
 pub fn client(address: Option<&String>, settings: Option<&PathBuf>) -> Result<JsonClient, Exit> {
     let address = match address {
         Some(address) => address.clone(),
@@ -25,27 +26,27 @@
     Ok(JsonClient::new(&address))
 }
 
-/// Says why an instance could not be asked.
-pub fn failed(client: &JsonClient, error: &CallError) -> Exit {
+/// Prints why a call failed and returns the exit status.
+pub fn report_error(client: &JsonClient, error: &CallError) -> Exit {
     eprintln!("{}: {error}", client.address());
     match error {
         CallError::NotSent { .. } => Exit::Unavailable,
-        CallError::Unanswered { .. } | CallError::Garbled { .. } => Exit::Unknown,
+        CallError::Unanswered { .. } | CallError::Garbled { .. } => Exit::OutcomeUnknown,
     }
 }
 
-/// Options of subcommands that show a list which an instance keeps.
+/// Options of the subcommands that show a list from an instance.
 #[derive(Debug, Options)]
 pub struct ListArguments {
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "metrics address of a gateway; that of the settings otherwise",
+        help = "metrics address of a gateway; by default, the one in the settings",
         meta = "IP:PORT"
     )]
     instance: Option<String>,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
@@ -53,7 +54,7 @@
     json: bool,
 }
 
-/// Asks an instance for a list at a path, and shows it.
+/// Fetches a list from an instance and prints it; entry point of such a subcommand.
 pub fn list<T>(options: &ListArguments, path: &str, show_one: impl Fn(&T)) -> Exit
 where
     T: Serialize + DeserializeOwned,
@@ -63,12 +64,12 @@
         Err(exit) => return exit,
     };
     match super::block_on_one_core(show(&client, path, options.json, show_one)) {
-        Ok(()) => Exit::Done,
-        Err(error) => failed(&client, &error),
+        Ok(()) => Exit::Success,
+        Err(error) => report_error(&client, &error),
     }
 }
 
-/// Shows the list that an instance has at a path.
+/// Fetches the list at a path and prints it, as JSON or item by item.
 pub async fn show<T>(
     client: &JsonClient,
     path: &str,
@@ -78,12 +79,12 @@
 where
     T: Serialize + DeserializeOwned,
 {
-    let answer = client.get(path, ANSWER_WITHIN_MS).await?;
-    let shown: Vec<T> = client.read(&answer)?;
+    let answer = client.get(path, ANSWER_TIMEOUT_MS).await?;
+    let items: Vec<T> = client.read(&answer)?;
     if as_json {
-        super::print_json(&shown);
+        super::print_json(&items);
     } else {
-        shown.iter().for_each(show_one);
+        items.iter().for_each(show_one);
     }
     Ok(())
 }
--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -1,4 +1,4 @@
-//! `limits`: shows the workers that name a limit.
+//! `limits`: shows the workers that announce a rate limit.
 
 use super::instance;
 use super::instance::ListArguments;
@@ -6,20 +6,20 @@
 use cranereach_gateway::named_limits::LimitedWorker;
 use cranereach_gateway::operators::LIMITS_PATH;
 
-/// Asks an instance.
+/// Fetches the rate limits from an instance and prints them.
 pub fn execute(options: &ListArguments) -> Exit {
     instance::list(options, LIMITS_PATH, show_one)
 }
 
-/// Shows one worker.
-fn show_one(shown: &LimitedWorker) {
+/// Prints the limit of one worker.
+fn show_one(limit: &LimitedWorker) {
     println!(
-        "{} of {}: {} a second, for {} s; granted here {}, refused {}",
-        shown.worker,
-        shown.service,
-        shown.rate_per_s,
-        shown.for_ms / 1_000,
-        shown.granted_count,
-        shown.refused_count
+        "{} of {}: {} requests/s, known for {} s; granted by this instance {}, refused {}",
+        limit.worker,
+        limit.service,
+        limit.rate_per_s,
+        limit.for_ms / 1_000,
+        limit.granted_count,
+        limit.refused_count
     );
 }
--- a/src/cmd/measure.rs
+++ b/src/cmd/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: scenarios through a whole deployment, summed up as JSON.
+//! `measure`: runs benchmarks and prints the results as JSON.
 
 use std::path::PathBuf;
 
@@ -23,10 +23,13 @@
     #[options(help = "scenario file", meta = "FILE")]
     scenario: Option<PathBuf>,
     #[options(
-        help = "how each role's cost grows, with the scenario's declarations; without one, a gateway's decisions alone"
+        help = "measure how each role's cost grows with size, for the scenario's declarations; without a scenario, only the decisions of a gateway"
     )]
     slopes: bool,
-    #[options(help = "what an instance adds: its callers' address", meta = "IP:PORT")]
+    #[options(
+        help = "measure the overhead of an instance, given its address for callers",
+        meta = "IP:PORT"
+    )]
     path: Option<String>,
     #[options(help = "with --path: address of the engine", meta = "IP:PORT")]
     direct: Option<String>,
@@ -40,55 +43,65 @@
         meta = "NAME"
     )]
     model: String,
-    #[options(help = "seed of the arrivals", default = "1", meta = "N")]
+    #[options(help = "random seed of the arrivals", default = "1", meta = "N")]
     seed: u64,
     #[options(
-        help = "demand as a part of capacity, in place of the scenario's",
+        help = "load as a fraction of capacity; overrides the scenario",
         meta = "RATIO"
     )]
     load: Option<f64>,
-    #[options(help = "default or baseline", default = "default", meta = "NAME")]
+    #[options(
+        help = "policy: default or baseline",
+        default = "default",
+        meta = "NAME"
+    )]
     policy: String,
-    #[options(help = "order plug-in, in place of the policy's", meta = "NAME")]
+    #[options(help = "order plug-in; overrides the policy", meta = "NAME")]
     order: Option<String>,
-    #[options(help = "route plug-in, in place of the policy's", meta = "NAME")]
+    #[options(help = "route plug-in; overrides the policy", meta = "NAME")]
     route: Option<String>,
-    #[options(help = "residency plug-in, in place of the policy's", meta = "NAME")]
+    #[options(help = "residency plug-in; overrides the policy", meta = "NAME")]
     residency: Option<String>,
-    #[options(help = "refuse nothing early")]
+    #[options(help = "do not refuse early the requests that can't start in time")]
     no_early_refusal: bool,
-    #[options(help = "price of a move, in place of the scenario's", meta = "WEIGHT")]
+    #[options(
+        help = "cost of one load or unload; overrides the scenario",
+        meta = "WEIGHT"
+    )]
     move_weight: Option<f64>,
     #[options(
-        help = "accelerator memory of an engine in GB, in place of the scenario's",
+        help = "accelerator memory of an engine in GB; overrides the scenario",
         meta = "GB"
     )]
     memory_gb: Option<u64>,
     #[options(help = "lag of the engines' reports in milliseconds", meta = "MS")]
     lag_ms: Option<u64>,
-    #[options(help = "account that floods, by number", meta = "N")]
+    #[options(
+        help = "number of the account that sends ten times its demand",
+        meta = "N"
+    )]
     flood: Option<usize>,
     #[options(
-        help = "fault after 5 s: kill_engine, kill_domain, kill_entry, table_down, lose_orders",
+        help = "inject a fault after 5 s: kill_engine, kill_domain, kill_entry, table_down, lose_orders",
         meta = "NAME"
     )]
     fault: Option<String>,
 }
 
-/// Time of the fault, in milliseconds of the measured part.
+/// Time of the fault, in milliseconds from the start of the measurement.
 const FAULT_AT_MS: u64 = 5_000;
 
-/// Runs the scenario.
+/// Runs the measurement that the options select.
 pub fn execute(options: &MeasureArguments) -> Exit {
     if let Some(through) = &options.path {
-        return path(options, through);
+        return measure_path(options, through);
     }
     let Some(path) = &options.scenario else {
         if options.slopes {
             slopes::gateway::measure()
                 .iter()
                 .for_each(super::print_json);
-            return Exit::Done;
+            return Exit::Success;
         }
         eprintln!("{}", MeasureArguments::usage());
         return Exit::Usage;
@@ -101,19 +114,24 @@
         }
     };
     if options.slopes {
-        return slopes(&scenario);
+        return measure_slopes(&scenario);
     }
-    let Some(scenario) = changed(scenario, options) else {
+    let Some(scenario) = apply_overrides(scenario, options) else {
         eprintln!(
             "--fault is not one of kill_engine, kill_domain, kill_entry, table_down, lose_orders"
         );
         return Exit::Usage;
     };
-    match super::block_on(run::run(&scenario, options.seed, &policy(options))) {
+    match super::block_on(run::run(&scenario, options.seed, &policy_settings(options))) {
         Ok(report) => {
             super::print_json(&report);
-            let kept = report.memory_excess_count == 0 && report.lookups_doubled_count == 0;
-            if kept { Exit::Done } else { Exit::Faults }
+            let is_within_limits =
+                report.memory_excess_count == 0 && report.lookups_doubled_count == 0;
+            if is_within_limits {
+                Exit::Success
+            } else {
+                Exit::Failure
+            }
         }
         Err(error) => {
             eprintln!("{error}");
@@ -122,8 +140,8 @@
     }
 }
 
-/// Measures what an instance adds.
-fn path(options: &MeasureArguments, through: &str) -> Exit {
+/// Measures the overhead of an instance compared to direct calls to the engine.
+fn measure_path(options: &MeasureArguments, through: &str) -> Exit {
     let path = Path {
         through: through.to_owned(),
         direct: options.direct.clone().unwrap_or_default(),
@@ -132,20 +150,20 @@
         model: options.model.clone(),
     };
     super::print_json(&super::block_on(path_cost::measure(&path)));
-    Exit::Done
+    Exit::Success
 }
 
-/// Measures all slopes, a line of JSON each.
-fn slopes(scenario: &Scenario) -> Exit {
+/// Measures all slopes and prints each as a line of JSON.
+fn measure_slopes(scenario: &Scenario) -> Exit {
     slopes::kernel::measure(scenario)
         .iter()
         .chain(&slopes::gateway::measure())
         .chain(&slopes::accounts::measure())
         .for_each(super::print_json);
     match super::block_on(slopes::system::measure(scenario)) {
-        Ok(system) => {
-            system.iter().for_each(super::print_json);
-            Exit::Done
+        Ok(results) => {
+            results.iter().for_each(super::print_json);
+            Exit::Success
         }
         Err(error) => {
             eprintln!("{error}");
@@ -154,8 +172,8 @@
     }
 }
 
-/// Puts the options' values into a scenario; none if the fault has no meaning.
-fn changed(mut scenario: Scenario, options: &MeasureArguments) -> Option<Scenario> {
+/// Overrides values of a scenario by those of the options; `None` if the fault is unknown.
+fn apply_overrides(mut scenario: Scenario, options: &MeasureArguments) -> Option<Scenario> {
     scenario.load_ratio = options.load.unwrap_or(scenario.load_ratio);
     scenario.move_weight = options.move_weight.unwrap_or(scenario.move_weight);
     scenario.engine_memory_gb = options.memory_gb.unwrap_or(scenario.engine_memory_gb);
@@ -172,8 +190,8 @@
     Some(scenario)
 }
 
-/// Returns the policy that the options name.
-fn policy(options: &MeasureArguments) -> PolicySettings {
+/// Returns the policy that the options select.
+fn policy_settings(options: &MeasureArguments) -> PolicySettings {
     let mut policy = PolicySettings::default();
     if options.policy == "baseline" {
         "fifo".clone_into(&mut policy.order);
--- a/src/cmd/pull.rs
+++ b/src/cmd/pull.rs
@@ -1,4 +1,4 @@
-//! `pull`: fetches the declarations in force into a folder.
+//! `pull`: fetches the active declarations into a folder.
 
 use std::path::PathBuf;
 
@@ -24,7 +24,7 @@
     settings: PathBuf,
 }
 
-/// Writes the declarations in force into the folder.
+/// Writes the active declarations into the folder.
 pub fn execute(options: &PullArguments) -> Exit {
     let settings = match Settings::read(&options.settings) {
         Ok(settings) => settings,
@@ -47,12 +47,12 @@
     };
     if let Err(error) = folder::write(&options.folder, &current.folder, current.head.version) {
         eprintln!("{error}");
-        return Exit::Faults;
+        return Exit::Failure;
     }
     println!(
-        "version {} in {}",
+        "version {} written to {}",
         current.head.version,
         options.folder.display()
     );
-    Exit::Done
+    Exit::Success
 }
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: shows the requests that are sent to no worker, or lets one through again.
+//! `quarantine`: shows the requests that are suspected of crashing workers, or releases one.
 
 use std::path::PathBuf;
 
@@ -6,14 +6,14 @@
 use gumdrop::Options;
 
 use super::instance;
-use super::instance::ANSWER_WITHIN_MS;
+use super::instance::ANSWER_TIMEOUT_MS;
 use crate::exit::Exit;
 use cranereach_gateway::operators::QUARANTINE_PATH;
 use cranereach_gateway::operators::RELEASE_PATH;
 use cranereach_gateway::quarantine::SuspectRequest;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
-// Linked for the adapter that it registers.
+// Linked so that the platform adapter registers itself.
 use cranereach_platform as _;
 
 /// Options of `quarantine`.
@@ -22,69 +22,69 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "metrics address of a gateway; that of the settings otherwise",
+        help = "metrics address of a gateway; by default, the one in the settings",
         meta = "IP:PORT"
     )]
     instance: Option<String>,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
-    #[options(help = "let a request through again", meta = "FINGERPRINT")]
+    #[options(help = "release a request from quarantine", meta = "FINGERPRINT")]
     release: Option<String>,
     #[options(help = "print JSON")]
     json: bool,
 }
 
-/// Asks an instance.
+/// Lists or releases quarantined requests through an instance.
 pub fn execute(options: &QuarantineArguments) -> Exit {
     let client = match instance::client(options.instance.as_ref(), options.settings.as_ref()) {
         Ok(client) => client,
         Err(exit) => return exit,
     };
-    let asked = if let Some(fingerprint) = &options.release {
+    let result = if let Some(fingerprint) = &options.release {
         super::block_on_one_core(release(&client, fingerprint))
     } else {
-        let shown = instance::show(&client, QUARANTINE_PATH, options.json, show_one);
-        super::block_on_one_core(shown).map(|()| Exit::Done)
+        let listing = instance::show(&client, QUARANTINE_PATH, options.json, show_one);
+        super::block_on_one_core(listing).map(|()| Exit::Success)
     };
-    asked.unwrap_or_else(|error| instance::failed(&client, &error))
+    result.unwrap_or_else(|error| instance::report_error(&client, &error))
 }
 
-/// Shows one request.
-fn show_one(shown: &SuspectRequest) {
-    let state = if shown.is_quarantined {
+/// Prints one request.
+fn show_one(suspect: &SuspectRequest) {
+    let state = if suspect.is_quarantined {
         "refused"
     } else {
         "suspected"
     };
     println!(
-        "{} {state}; route {:?}, account {:?}; refused here {} times",
-        shown.fingerprint, shown.route, shown.account, shown.refused_count
+        "{} {state}; route {:?}, account {:?}; refused {} times by this instance",
+        suspect.fingerprint, suspect.route, suspect.account, suspect.refused_count
     );
-    for end in &shown.ends {
-        println!("  {} ended {} s ago", end.worker, end.age_ms / 1_000);
+    for end in &suspect.ends {
+        println!("  worker {} ended {} s ago", end.worker, end.age_ms / 1_000);
     }
 }
 
-/// Lets a request through again.
+/// Releases a request from quarantine.
 async fn release(client: &JsonClient, fingerprint: &str) -> Result<Exit, CallError> {
     let path = format!("{RELEASE_PATH}{fingerprint}");
     let answer = client
-        .post_bytes(&path, Bytes::new(), ANSWER_WITHIN_MS)
+        .post_bytes(&path, Bytes::new(), ANSWER_TIMEOUT_MS)
         .await?;
     Ok(match answer.status {
         200 => {
-            println!("{fingerprint} is let through; the others hear of it within a second");
-            Exit::Done
+            println!("{fingerprint} is released; the other instances are notified within a second");
+            Exit::Success
         }
         404 => {
-            eprintln!("nothing is held against {fingerprint} there");
-            Exit::Faults
+            eprintln!("{fingerprint} is neither quarantined nor suspected on that instance");
+            Exit::Failure
         }
         _ => {
-            eprintln!("{fingerprint:?} is no fingerprint: 32 hexadecimal digits");
+            eprintln!("{fingerprint:?} is not a fingerprint: expected 32 hexadecimal digits");
             Exit::Usage
         }
     })
--- a/src/cmd/soak.rs
+++ b/src/cmd/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: gateways as processes under faults, and the promises checked.
+//! `soak`: runs gateway processes under injected faults and checks the guarantees.
 
 use std::fs;
 use std::path::PathBuf;
@@ -14,10 +14,10 @@
 use cranereach_soak::run::RunError;
 use cranereach_soak::schedule::Size;
 
-/// Shortest run, in seconds: anything less has no time for faults.
+/// Shortest run, in seconds: a shorter one leaves no time for faults.
 const SECONDS_MIN: u64 = 10;
 
-/// Longest run, in seconds: records of all requests stay in memory.
+/// Longest run, in seconds: the records of all requests are kept in memory.
 const SECONDS_MAX: u64 = 600;
 
 /// Options of `soak`.
@@ -25,58 +25,66 @@
 pub struct SoakArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(required, help = "seed of faults and callers", meta = "N")]
+    #[options(required, help = "random seed of faults and callers", meta = "N")]
     seed: u64,
-    #[options(help = "for how long callers ask", default = "30", meta = "S")]
+    #[options(
+        help = "time for which callers send requests, in seconds",
+        default = "30",
+        meta = "S"
+    )]
     seconds: u64,
-    #[options(help = "small or large", default = "small", meta = "SIZE")]
+    #[options(
+        help = "size of the deployment: small or large",
+        default = "small",
+        meta = "SIZE"
+    )]
     size: String,
     #[options(help = "empty folder for logs and records", meta = "DIR")]
     out: Option<PathBuf>,
-    #[options(help = "let the store come back from copies, too", no_short)]
+    #[options(help = "also restore the store from backups during the run", no_short)]
     restores: bool,
-    #[options(help = "judge nothing that depends on speed")]
+    #[options(help = "do not judge what depends on speed")]
     untimed: bool,
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 pub fn execute(options: &SoakArguments) -> Exit {
-    let plan = match plan(options) {
+    let plan = match read_plan(options) {
         Ok(plan) => plan,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(message) => {
+            eprintln!("{message}");
             return Exit::Usage;
         }
     };
     let steps = plan.steps();
-    let listed: Vec<String> = steps.iter().map(ToString::to_string).collect();
-    let listed = listed.join("\n");
+    let schedule: Vec<String> = steps.iter().map(ToString::to_string).collect();
+    let schedule = schedule.join("\n");
     println!(
-        "seed {}, {} s, {} faults\n{listed}",
+        "seed {}, {} s, {} faults\n{schedule}",
         plan.seed,
         options.seconds,
         steps.len()
     );
-    let made = run::make_folder(&plan.folder)
-        .and_then(|()| fs::write(plan.folder.join("schedule.txt"), &listed));
-    if let Err(error) = made {
+    let written = run::make_folder(&plan.folder)
+        .and_then(|()| fs::write(plan.folder.join("schedule.txt"), &schedule));
+    if let Err(error) = written {
         eprintln!("{}: {error}", plan.folder.display());
         return Exit::Unavailable;
     }
     let choice = Choice {
         is_untimed: options.untimed,
     };
-    super::block_on(play(&plan, &choice))
+    super::block_on(run_plan(&plan, &choice))
 }
 
-/// Runs the plan, prints and keeps the verdicts.
-async fn play(plan: &Plan, choice: &Choice) -> Exit {
+/// Runs the plan; prints the verdicts and writes them to the folder.
+async fn run_plan(plan: &Plan, choice: &Choice) -> Exit {
     let records = match run::run(plan, wait_for_stop()).await {
         Ok(records) => records,
         Err(error) => {
             eprintln!("{error}");
             return match error {
-                RunError::Interrupted => Exit::Unknown,
+                RunError::Interrupted => Exit::OutcomeUnknown,
                 RunError::Gateway(_) | RunError::Listen(_) | RunError::NotReady(_) => {
                     Exit::Unavailable
                 }
@@ -90,11 +98,15 @@
         eprintln!("{}: {error}", plan.folder.display());
         return Exit::Unavailable;
     }
-    if is_kept { Exit::Done } else { Exit::Faults }
+    if is_kept {
+        Exit::Success
+    } else {
+        Exit::Failure
+    }
 }
 
-/// Reads the options.
-fn plan(options: &SoakArguments) -> Result<Plan, String> {
+/// Builds the plan of the run from the options.
+fn read_plan(options: &SoakArguments) -> Result<Plan, String> {
     let size = match options.size.as_str() {
         "small" => Size::SMALL,
         "large" => Size::LARGE,
@@ -102,16 +114,17 @@
     };
     if !(SECONDS_MIN..=SECONDS_MAX).contains(&options.seconds) {
         return Err(format!(
-            "{} seconds: a run takes {SECONDS_MIN} to {SECONDS_MAX}",
+            "{} seconds: a run must take {SECONDS_MIN} to {SECONDS_MAX}",
             options.seconds
         ));
     }
-    let binary = std::env::current_exe().map_err(|error| format!("the own binary: {error}"))?;
-    let name = format!("cranereach-soak-{}-{}", options.seed, std::process::id());
+    let binary = std::env::current_exe()
+        .map_err(|error| format!("can't get the path of this binary: {error}"))?;
+    let folder_name = format!("cranereach-soak-{}-{}", options.seed, std::process::id());
     let folder = options.out.clone();
     Ok(Plan {
         binary,
-        folder: folder.unwrap_or_else(|| std::env::temp_dir().join(name)),
+        folder: folder.unwrap_or_else(|| std::env::temp_dir().join(folder_name)),
         seed: options.seed,
         run_ms: options.seconds * 1_000,
         size,
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -1,38 +1,38 @@
-//! Exit codes by class, as listed in `docs/CODES.md`.
+//! Process exit codes, as listed in `docs/CODES.md`.
 
 use std::process::ExitCode;
 
 use cranereach_core::codes::ResultCode;
 
-/// How a command ended.
+/// Outcome of a command, which becomes the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// As asked.
-    Done,
-    /// It ran, and what it looked at isn't as it should be.
-    Faults,
-    /// The command line can't be understood.
+    /// The command did what was asked.
+    Success,
+    /// The command ran but found faults, or could not do what was asked.
+    Failure,
+    /// The command line is invalid.
     Usage,
-    /// The settings can't be used.
+    /// The settings are invalid.
     Settings,
-    /// Another operator's change was accepted first.
-    RaceLost,
-    /// A store or process could not be reached; nothing was done.
+    /// A conflicting change by another operator was accepted first.
+    Conflict,
+    /// A store or process could not be reached; nothing was changed.
     Unavailable,
-    /// It may have been done.
-    Unknown,
+    /// The change may or may not have taken effect.
+    OutcomeUnknown,
 }
 
 impl From<Exit> for ExitCode {
     fn from(exit: Exit) -> Self {
         Self::from(match exit {
-            Exit::Done => 0,
-            Exit::Faults => 1,
+            Exit::Success => 0,
+            Exit::Failure => 1,
             Exit::Usage => 2,
             Exit::Settings => 3,
-            Exit::RaceLost => 4,
+            Exit::Conflict => 4,
             Exit::Unavailable => 5,
-            Exit::Unknown => 6,
+            Exit::OutcomeUnknown => 6,
         })
     }
 }
@@ -40,11 +40,11 @@
 impl From<ResultCode> for Exit {
     fn from(code: ResultCode) -> Self {
         match code {
-            ResultCode::RaceLost => Self::RaceLost,
+            ResultCode::RaceLost => Self::Conflict,
             ResultCode::StoreUnavailable => Self::Unavailable,
-            ResultCode::AcceptanceUnknown => Self::Unknown,
+            ResultCode::AcceptanceUnknown => Self::OutcomeUnknown,
             ResultCode::BadSettings => Self::Settings,
-            _ => Self::Faults,
+            _ => Self::Failure,
         }
     }
 }
