--- /dev/null
+++ b/crates/cranereach-soak/src/announcements.rs
@@ -0,0 +1,81 @@
+//! Workers that say they leave while the store is silent, and workers that ask for rest,
+//! beside all that strikes them and the gateways.
+
+use std::sync::Arc;
+
+use rand::RngExt;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+
+use crate::faults;
+use crate::faults::TestBed;
+use crate::faults::pause;
+use crate::schedule::FAULT_FREE_END_MS;
+use crate::schedule::FAULT_FREE_START_MS;
+use crate::schedule::Fault;
+use crate::schedule::Step;
+use cranereach_platform::standin::store;
+
+/// Told apart from the other draws of a run.
+const SEED_SALT: u64 = 0x776f_7264_7300;
+
+/// Rests that are drawn, in milliseconds.
+const REST_DURATIONS_MS: [u64; 3] = [700, 2_000, 4_000];
+
+/// Time for which a worker turns everything away, in milliseconds, from and to.
+const SHED_DURATION_MS: (u64, u64) = (3_000, 7_000);
+
+/// Time for which the store is silent, in milliseconds, from and to: longer than a leaving
+/// worker gets requests of those who have heard it.
+const STORE_SILENCE_MS: (u64, u64) = (4_000, 7_000);
+
+/// Time after the store fell silent at which a worker leaves, in milliseconds.
+const LEAVE_DELAY_MS: u64 = 200;
+
+/// Time between two of either, in milliseconds.
+const PAUSE_MS: u64 = 2_500;
+
+/// Share of rests among both.
+const REST_SHARE: f64 = 0.7;
+
+/// Lets workers leave and rest until the calm at the end of a run.
+pub async fn run(seed: u64, run_ms: u64, worker_count: usize, test_bed: Arc<TestBed>) {
+    let mut rng = StdRng::seed_from_u64(seed ^ SEED_SALT);
+    let end_ms = run_ms.saturating_sub(FAULT_FREE_END_MS.min(run_ms / 2));
+    pause(FAULT_FREE_START_MS).await;
+    while test_bed.journal.now_ms() < end_ms {
+        let slot = rng.random_range(0..worker_count);
+        let is_rest = rng.random_bool(REST_SHARE);
+        let (from_ms, to_ms) = if is_rest {
+            SHED_DURATION_MS
+        } else {
+            STORE_SILENCE_MS
+        };
+        let remaining_ms = end_ms.saturating_sub(test_bed.journal.now_ms());
+        let for_ms = rng.random_range(from_ms..to_ms).min(remaining_ms);
+        if is_rest {
+            let rest_ms = REST_DURATIONS_MS[rng.random_range(0..REST_DURATIONS_MS.len())];
+            test_bed.back_ends.ask_for_rest(slot, Some(rest_ms));
+            pause(for_ms).await;
+            test_bed.back_ends.ask_for_rest(slot, None);
+        } else {
+            leave_during_store_outage(&test_bed, slot, for_ms).await;
+        }
+        pause(PAUSE_MS).await;
+    }
+}
+
+/// Lets a worker leave while the store is silent.
+async fn leave_during_store_outage(test_bed: &TestBed, slot: usize, for_ms: u64) {
+    let store_silence = Step {
+        at_ms: test_bed.journal.now_ms(),
+        fault: Fault::Store(store::Fault::Silent),
+        target: 0,
+        for_ms,
+    };
+    let leaving = async {
+        pause(LEAVE_DELAY_MS).await;
+        test_bed.back_ends.leave(slot, &test_bed.journal).await;
+    };
+    tokio::join!(faults::inject(test_bed, store_silence), leaving);
+}
--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -17,11 +17,11 @@
 use tokio::net::TcpListener;
 
 use crate::check::bounded::DRAIN_MS;
-use crate::ending::ENDING;
+use crate::crash_requests::ENDING;
 use crate::gateways;
 use crate::journal::Journal;
+use crate::record::Component;
 use crate::record::Event;
-use crate::record::Whom;
 use crate::schedule::DOMAINS;
 use crate::schedule::KEYS;
 use crate::schedule::SERVICES;
@@ -39,23 +39,23 @@
 use cranereach_standin::relay::Relay;
 
 /// Time that a plain call takes, in milliseconds.
-const WORK_MS: u64 = 25;
+const CALL_DURATION_MS: u64 = 25;
 
 /// Pauses between two events of a stream, by worker, in milliseconds: the slow ones'
 /// streams are still under way when a gateway that stops has sent its callers elsewhere.
 const EVENT_PAUSES_MS: [u64; 3] = [60, 200, 550];
 
 /// Time between two heartbeats of a worker, in milliseconds.
-const BEAT_EVERY_MS: u64 = 500;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
 /// Time until the entry of a worker that says nothing more goes, in milliseconds.
-const LAPSES_AFTER_MS: u64 = 3 * BEAT_EVERY_MS;
+const ENTRY_EXPIRY_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
 
 /// Time between two looks whether workers have ended by themselves, in milliseconds.
-const REPLACED_AFTER_MS: u64 = 300;
+const CRASH_CHECK_INTERVAL_MS: u64 = 300;
 
 /// Time for which a leaving worker serves beyond its bound, in milliseconds.
-const SERVES_ON_MS: u64 = 1_500;
+const SERVE_PAST_DRAIN_MS: u64 = 1_500;
 
 /// State of a worker that leaves.
 const LEAVING: &str = "draining";
@@ -69,34 +69,34 @@
     pub store_links: Vec<Relay>,
     /// Where the gateways find the store.
     pub store_addresses: Vec<SocketAddr>,
-    places: Vec<Place>,
-    declared: Mutex<Declared>,
+    slots: Vec<WorkerSlot>,
+    declared: Mutex<DeclaredState>,
 }
 
 /// A place that a worker fills, one after the other.
 #[derive(Debug)]
-struct Place {
+struct WorkerSlot {
     number: usize,
     service: &'static str,
     start_count: AtomicU64,
-    now: Mutex<Option<Occupant>>,
+    current: Mutex<Option<RunningWorker>>,
     /// Every worker that was ever here.
-    all: Mutex<Vec<Worker>>,
+    started_workers: Mutex<Vec<Worker>>,
 }
 
 /// The worker that fills a place.
 #[derive(Clone, Debug)]
-struct Occupant {
+struct RunningWorker {
     worker: Worker,
     link: Relay,
     state: &'static str,
     cold_until: Instant,
-    told: Option<Value>,
+    last_row: Option<Value>,
 }
 
 /// What the operator has declared.
 #[derive(Debug)]
-struct Declared {
+struct DeclaredState {
     version: u64,
     moved_to: &'static str,
     revoked: [bool; KEYS.len()],
@@ -110,71 +110,71 @@
         let mut store_links = Vec::new();
         let mut store_addresses = Vec::new();
         for _ in 0..size.gateway_count {
-            let (link, address) = link(store.address).await?;
+            let (link, address) = start_relay(store.address).await?;
             store_links.push(link);
             store_addresses.push(address);
         }
-        let places = (0..size.worker_total()).map(|number| Place {
+        let slots = (0..size.worker_total()).map(|number| WorkerSlot {
             number,
             service: SERVICES[number / size.worker_count],
             start_count: AtomicU64::new(0),
-            now: Mutex::default(),
-            all: Mutex::default(),
+            current: Mutex::default(),
+            started_workers: Mutex::default(),
         });
         let back_ends = Self {
             store,
             store_links,
             store_addresses,
-            places: places.collect(),
-            declared: Mutex::new(Declared {
+            slots: slots.collect(),
+            declared: Mutex::new(DeclaredState {
                 version: 1,
                 moved_to: SERVICES[0],
                 revoked: [false; KEYS.len()],
                 evacuated: [false; DOMAINS.len()],
             }),
         };
-        for place in &back_ends.places {
-            place.fill(Duration::ZERO).await?;
+        for slot in &back_ends.slots {
+            slot.start_worker(Duration::ZERO).await?;
         }
-        back_ends.beat();
-        back_ends.declare();
+        back_ends.send_heartbeats();
+        back_ends.write_configuration();
         Ok(back_ends)
     }
 
     /// Writes what changed of the workers' entries, as their heartbeats do.
-    pub fn beat(&self) {
-        for place in &self.places {
-            let mut now = lock(&place.now);
-            if let Some(occupant) = now.as_mut() {
-                let row = occupant.row(place);
-                if occupant.told.as_ref() != Some(&row) {
-                    self.store.put("servers", &occupant.worker.id, &row);
-                    occupant.told = Some(row);
+    pub fn send_heartbeats(&self) {
+        for slot in &self.slots {
+            let mut current = lock(&slot.current);
+            if let Some(running) = current.as_mut() {
+                let row = running.row(slot);
+                if running.last_row.as_ref() != Some(&row) {
+                    self.store.put("servers", &running.worker.id, &row);
+                    running.last_row = Some(row);
                 }
             }
         }
     }
 
     /// Beats until it is dropped.
-    pub async fn beat_on(&self) {
+    pub async fn run_heartbeats(&self) {
         loop {
-            tokio::time::sleep(Duration::from_millis(BEAT_EVERY_MS)).await;
-            self.beat();
+            tokio::time::sleep(Duration::from_millis(HEARTBEAT_INTERVAL_MS)).await;
+            self.send_heartbeats();
         }
     }
 
     /// Sets what the worker at a place does with requests.
     pub fn set_behaviour(&self, number: usize, behaviour: Behaviour) {
-        if let Some(occupant) = lock(&self.places[number].now).as_ref() {
-            occupant.worker.set(behaviour);
+        if let Some(running) = lock(&self.slots[number].current).as_ref() {
+            running.worker.set(behaviour);
         }
     }
 
     /// Lets the worker at a place name a limit, or none any more; returns it, if there is
     /// one.
     pub fn name_limit(&self, number: usize, rate_per_s: Option<f64>) -> Option<Worker> {
-        let now = lock(&self.places[number].now);
-        let worker = &now.as_ref()?.worker;
+        let current = lock(&self.slots[number].current);
+        let worker = &current.as_ref()?.worker;
         let rate = rate_per_s.map(|rate| rate.to_string());
         worker.name_limit(rate.as_deref());
         Some(worker.clone())
@@ -182,109 +182,112 @@
 
     /// Lets the worker at a place turn everything away and ask for rest, or serve again.
     pub fn ask_for_rest(&self, number: usize, rest_ms: Option<u64>) {
-        if let Some(occupant) = lock(&self.places[number].now).as_ref() {
-            let asked = rest_ms.map(|rest_ms| (rest_ms as f64 / 1_000.0).to_string());
-            occupant.worker.ask_for_rest(asked.as_deref());
+        if let Some(running) = lock(&self.slots[number].current).as_ref() {
+            let rest = rest_ms.map(|rest_ms| (rest_ms as f64 / 1_000.0).to_string());
+            running.worker.ask_for_rest(rest.as_deref());
             let behaviour = match rest_ms {
                 Some(_) => Behaviour::Sheds,
                 None => Behaviour::Serves,
             };
-            occupant.worker.set(behaviour);
+            running.worker.set(behaviour);
         }
     }
 
     /// Returns the places of a service.
-    pub fn places_of(&self, service: usize) -> Vec<usize> {
-        let places = self.places.iter();
-        let own = places.filter(|place| place.service == SERVICES[service]);
-        own.map(|place| place.number).collect()
+    pub fn slots_of(&self, service: usize) -> Vec<usize> {
+        let slots = self.slots.iter();
+        let of_service = slots.filter(|slot| slot.service == SERVICES[service]);
+        of_service.map(|slot| slot.number).collect()
     }
 
     /// Sets what a worker's link passes.
     pub fn set_worker_link(&self, number: usize, passage: Passage) {
-        if let Some(occupant) = lock(&self.places[number].now).as_ref() {
-            occupant.link.set(passage);
+        if let Some(running) = lock(&self.slots[number].current).as_ref() {
+            running.link.set(passage);
         }
     }
 
     /// Ends a worker as a crash does; another comes after `down_ms`, cold.
     pub async fn crash(&self, number: usize, down_ms: u64, journal: &Journal) {
-        let place = &self.places[number];
-        let Some(occupant) = lock(&place.now).take() else {
+        let slot = &self.slots[number];
+        let Some(running) = lock(&slot.current).take() else {
             return;
         };
-        occupant.worker.end();
-        let lapses_at = tokio::time::Instant::now() + Duration::from_millis(LAPSES_AFTER_MS);
+        running.worker.end();
+        let expires_at = tokio::time::Instant::now() + Duration::from_millis(ENTRY_EXPIRY_MS);
         tokio::time::sleep(Duration::from_millis(down_ms)).await;
-        self.refill(place, journal).await;
-        tokio::time::sleep_until(lapses_at).await;
-        self.store.remove("servers", &occupant.worker.id);
+        self.start_replacement(slot, journal).await;
+        tokio::time::sleep_until(expires_at).await;
+        self.store.remove("servers", &running.worker.id);
     }
 
     /// Replaces workers that ended under what they ran, until it is dropped.
     pub async fn replace_ended(&self, journal: &Journal) {
         loop {
-            tokio::time::sleep(Duration::from_millis(REPLACED_AFTER_MS)).await;
-            let replacing = self.places.iter().map(|place| self.replace(place, journal));
+            tokio::time::sleep(Duration::from_millis(CRASH_CHECK_INTERVAL_MS)).await;
+            let replacing = self
+                .slots
+                .iter()
+                .map(|slot| self.replace_if_ended(slot, journal));
             join_all(replacing).await;
         }
     }
 
     /// Replaces the worker at a place if it has ended by itself.
-    async fn replace(&self, place: &Place, journal: &Journal) {
-        let ended = lock(&place.now).take_if(|occupant| occupant.worker.has_ended());
-        let Some(occupant) = ended else { return };
-        let from_ms = journal.now_ms().saturating_sub(REPLACED_AFTER_MS);
-        tokio::time::sleep(Duration::from_millis(LAPSES_AFTER_MS)).await;
-        self.store.remove("servers", &occupant.worker.id);
-        self.refill(place, journal).await;
-        journal.trouble(Whom::Worker(place.number), false, from_ms);
+    async fn replace_if_ended(&self, slot: &WorkerSlot, journal: &Journal) {
+        let ended = lock(&slot.current).take_if(|running| running.worker.has_ended());
+        let Some(running) = ended else { return };
+        let from_ms = journal.now_ms().saturating_sub(CRASH_CHECK_INTERVAL_MS);
+        tokio::time::sleep(Duration::from_millis(ENTRY_EXPIRY_MS)).await;
+        self.store.remove("servers", &running.worker.id);
+        self.start_replacement(slot, journal).await;
+        journal.record_disturbance(Component::Worker(slot.number), false, from_ms);
     }
 
     /// Lets a worker leave as it should, and another take its place.
     pub async fn leave(&self, number: usize, journal: &Journal) {
-        let place = &self.places[number];
+        let slot = &self.slots[number];
         let worker = {
-            let mut now = lock(&place.now);
-            let Some(occupant) = now
+            let mut current = lock(&slot.current);
+            let Some(running) = current
                 .as_mut()
-                .filter(|occupant| occupant.state == workers::READY)
+                .filter(|running| running.state == workers::READY)
             else {
                 return;
             };
-            occupant.state = LEAVING;
-            occupant.worker.announce_leaving();
-            occupant.worker.clone()
+            running.state = LEAVING;
+            running.worker.announce_leaving();
+            running.worker.clone()
         };
-        self.beat();
-        journal.event(Event::Leaves {
+        self.send_heartbeats();
+        journal.record_event(Event::Leaves {
             worker_id: worker.id.clone(),
             at_ms: journal.now_ms(),
         });
-        let serves_ms = DRAIN_MS + SERVES_ON_MS;
-        tokio::time::sleep(Duration::from_millis(serves_ms)).await;
-        let is_still_here = {
-            let mut now = lock(&place.now);
-            let left = now.take_if(|occupant| occupant.worker.id == worker.id);
+        let remaining_ms = DRAIN_MS + SERVE_PAST_DRAIN_MS;
+        tokio::time::sleep(Duration::from_millis(remaining_ms)).await;
+        let was_present = {
+            let mut current = lock(&slot.current);
+            let left = current.take_if(|running| running.worker.id == worker.id);
             left.is_some()
         };
-        if is_still_here {
+        if was_present {
             worker.end();
             self.store.remove("servers", &worker.id);
-            self.refill(place, journal).await;
+            self.start_replacement(slot, journal).await;
         }
     }
 
     /// Starts another worker, cold.
-    async fn refill(&self, place: &Place, journal: &Journal) {
-        match place.fill(Duration::from_millis(COLD_FOR_MS)).await {
-            Ok(worker_id) => journal.event(Event::Cold {
+    async fn start_replacement(&self, slot: &WorkerSlot, journal: &Journal) {
+        match slot.start_worker(Duration::from_millis(COLD_FOR_MS)).await {
+            Ok(worker_id) => journal.record_event(Event::Cold {
                 worker_id,
                 at_ms: journal.now_ms(),
             }),
-            Err(error) => eprintln!("worker {} can't start: {error}", place.number),
+            Err(error) => eprintln!("worker {} can't start: {error}", slot.number),
         }
-        self.beat();
+        self.send_heartbeats();
     }
 
     /// Sends the route that moves to the other service.
@@ -295,7 +298,7 @@
         declared.version += 3;
         let moved_to = declared.moved_to;
         drop(declared);
-        self.declare();
+        self.write_configuration();
         moved_to
     }
 
@@ -305,27 +308,27 @@
         let was_revoked = std::mem::replace(&mut declared.revoked[key], true);
         declared.version += 1;
         drop(declared);
-        self.declare();
+        self.write_configuration();
         !was_revoked
     }
 
     /// Asks for the evacuation of a failure domain; false if that is under way already.
     pub fn evacuate(&self, domain: usize) -> bool {
-        let was_asked = std::mem::replace(&mut lock(&self.declared).evacuated[domain], true);
-        if !was_asked {
+        let was_requested = std::mem::replace(&mut lock(&self.declared).evacuated[domain], true);
+        if !was_requested {
             self.store.put("op", &evacuation_key(domain), &json!({}));
         }
-        !was_asked
+        !was_requested
     }
 
     /// Takes the wish for an evacuation back.
-    pub fn take_evacuation_back(&self, domain: usize) {
+    pub fn cancel_evacuation(&self, domain: usize) {
         lock(&self.declared).evacuated[domain] = false;
         self.store.remove("op", &evacuation_key(domain));
     }
 
     /// Writes the configuration as it is declared now.
-    fn declare(&self) {
+    fn write_configuration(&self) {
         let declared = lock(&self.declared);
         let accounts = [0, 1].map(|first| DeclaredAccount {
             name: account_of(first).to_owned(),
@@ -340,38 +343,38 @@
     }
 }
 
-impl Occupant {
+impl RunningWorker {
     /// Returns the worker's entry.
-    fn row(&self, place: &Place) -> Value {
+    fn row(&self, slot: &WorkerSlot) -> Value {
         let cold = self.cold_until.saturating_duration_since(Instant::now());
-        let (domain, _region) = gateways::place_of(place.number);
+        let (domain, _region) = gateways::domain_and_region_of(slot.number);
         self.worker
-            .row_in(place.service, domain, self.state, cold.as_millis() as u64)
+            .row_in(slot.service, domain, self.state, cold.as_millis() as u64)
     }
 }
 
-impl Place {
+impl WorkerSlot {
     /// Starts a worker here that stays cold for a time; returns its identity.
-    async fn fill(&self, cold_for: Duration) -> std::io::Result<String> {
+    async fn start_worker(&self, cold_for: Duration) -> std::io::Result<String> {
         let start = self.start_count.fetch_add(1, Ordering::Relaxed);
         let id = format!("w-{}-{start}", self.number);
         let mut worker = Worker::start(&id).await;
-        worker.enable_strict_mode(WORK_MS);
+        worker.enable_strict_mode(CALL_DURATION_MS);
         worker.crash_on_path_word(ENDING);
         worker.set_event_pause_ms(EVENT_PAUSES_MS[self.number % EVENT_PAUSES_MS.len()]);
         if self.service == "models" {
             let first = self.number % MODELS.len();
             worker.hold(&[MODELS[first], MODELS[(first + 1) % MODELS.len()]]);
         }
-        let (link, address) = link(worker.address).await?;
+        let (link, address) = start_relay(worker.address).await?;
         worker.address = address;
-        lock(&self.all).push(worker.clone());
-        *lock(&self.now) = Some(Occupant {
+        lock(&self.started_workers).push(worker.clone());
+        *lock(&self.current) = Some(RunningWorker {
             worker,
             link,
             state: workers::READY,
             cold_until: Instant::now() + cold_for,
-            told: None,
+            last_row: None,
         });
         Ok(id)
     }
@@ -383,7 +386,7 @@
 }
 
 /// Starts a relay to an address; returns where it listens.
-async fn link(to: SocketAddr) -> std::io::Result<(Relay, SocketAddr)> {
+async fn start_relay(to: SocketAddr) -> std::io::Result<(Relay, SocketAddr)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     Ok((Relay::start(listener, &to.to_string()), address))
--- a/crates/cranereach-soak/src/back_ends/arrivals.rs
+++ b/crates/cranereach-soak/src/back_ends/arrivals.rs
@@ -11,20 +11,20 @@
     /// Returns all requests that arrived at any worker.
     pub fn arrivals(&self, journal: &Journal) -> Vec<Arrival> {
         let mut arrivals = Vec::new();
-        for place in &self.places {
-            for worker in lock(&place.all).iter() {
+        for slot in &self.slots {
+            for worker in lock(&slot.started_workers).iter() {
                 let seen = worker.seen().into_iter().map(|seen| Arrival {
                     id: seen
                         .headers
                         .get(HEADERS.request_id)
                         .cloned()
                         .unwrap_or_default(),
-                    worker: place.number,
+                    worker: slot.number,
                     worker_id: worker.id.clone(),
-                    service: place.service.to_owned(),
-                    domain: place.number % DOMAINS.len(),
+                    service: slot.service.to_owned(),
+                    domain: slot.number % DOMAINS.len(),
                     account: seen.headers.get(HEADERS.account).cloned(),
-                    at_ms: journal.ms_of(seen.at),
+                    at_ms: journal.ms_since_start(seen.at),
                     is_run: seen.is_run,
                     rest_ms: seen.rest_s.and_then(|rest_s| {
                         let seconds: f64 = rest_s.parse().ok()?;
--- a/crates/cranereach-soak/src/callers.rs
+++ b/crates/cranereach-soak/src/callers.rs
@@ -22,9 +22,9 @@
 use crate::gateways::Gateway;
 use crate::journal::Journal;
 use crate::record::Answer;
-use crate::record::Asked;
 use crate::record::End;
 use crate::record::Kind;
+use crate::record::RequestRecord;
 use crate::schedule::KEYS;
 use cranereach_platform::requests::HEADERS;
 use cranereach_platform::standin::content::SIGNATURE;
@@ -38,16 +38,16 @@
 const STREAM_DEADLINE_MS: u64 = 5_000;
 
 /// Time after their deadline at which callers leave, in milliseconds.
-const LEAVES_AFTER_MS: u64 = 1_000;
+const GIVE_UP_DELAY_MS: u64 = 1_000;
 
 /// Time for a connection to come up, in milliseconds.
-const CONNECTS_WITHIN_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// Pause between two requests of a caller, in milliseconds, from and to.
 const PAUSE_MS: (u64, u64) = (5, 60);
 
 /// Pause after a connection that could not be had, in milliseconds.
-const RECONNECTS_AFTER_MS: u64 = 50;
+const RECONNECT_DELAY_MS: u64 = 50;
 
 /// A caller with one connection at a time.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     rng: StdRng,
     gateways: Vec<Arc<Gateway>>,
     journal: Arc<Journal>,
-    asked_count: u64,
+    sent_count: u64,
 }
 
 impl Caller {
@@ -74,7 +74,7 @@
             rng: StdRng::seed_from_u64(seed ^ (number as u64) << 32),
             gateways: gateways.to_vec(),
             journal: Arc::clone(journal),
-            asked_count: 0,
+            sent_count: 0,
         }
     }
 
@@ -83,20 +83,23 @@
         while self.journal.now_ms() < end_ms {
             let gateway = self.rng.random_range(0..self.gateways.len());
             let gateway = Arc::clone(&self.gateways[gateway]);
-            let connected = if gateway.is_in() {
-                connect(gateway.callers).await
+            let connected = if gateway.is_in_rotation() {
+                connect(gateway.caller_address).await
             } else {
                 None
             };
             match connected {
-                Some(connection) => self.use_up(gateway.number, connection, end_ms).await,
-                None => pause(RECONNECTS_AFTER_MS).await,
+                Some(connection) => {
+                    self.send_until_closed(gateway.number, connection, end_ms)
+                        .await
+                }
+                None => pause(RECONNECT_DELAY_MS).await,
             }
         }
     }
 
     /// Asks on one connection until it ends.
-    async fn use_up(
+    async fn send_until_closed(
         &mut self,
         gateway: usize,
         mut connection: SendRequest<Full<Bytes>>,
@@ -108,11 +111,11 @@
             let request = self.request(kind, key);
             let id = self.id();
             let sent_ms = self.journal.now_ms();
-            let limit = Duration::from_millis(deadline_ms(kind) + LEAVES_AFTER_MS);
+            let limit = Duration::from_millis(deadline_ms(kind) + GIVE_UP_DELAY_MS);
             let end = timeout(limit, exchange(&mut connection, request)).await;
             let end = end.unwrap_or(End::GaveUp);
             let is_usable = matches!(&end, End::Answered(answer) if answer.is_whole);
-            self.journal.asked(Asked {
+            self.journal.record_request(RequestRecord {
                 id,
                 kind,
                 key,
@@ -130,7 +133,7 @@
 
     /// Returns the identity of the newest request.
     fn id(&self) -> String {
-        format!("{:x}-{}-{}", self.seed, self.number, self.asked_count)
+        format!("{:x}-{}-{}", self.seed, self.number, self.sent_count)
     }
 
     /// Draws what to ask for.
@@ -141,7 +144,7 @@
 
     /// Makes the next request.
     fn request(&mut self, kind: Kind, key: usize) -> Request<Full<Bytes>> {
-        self.asked_count += 1;
+        self.sent_count += 1;
         let id = self.id();
         let mut builder = Request::builder()
             .method("POST")
@@ -164,20 +167,20 @@
 }
 
 /// Sends one request on a connection of its own, and writes down what became of it.
-pub async fn ask_once(
+pub async fn send_single_request(
     gateway: &Gateway,
     journal: &Journal,
     (kind, key): (Kind, usize),
     id: String,
     request: Request<Full<Bytes>>,
 ) {
-    let Some(mut connection) = connect(gateway.callers).await else {
+    let Some(mut connection) = connect(gateway.caller_address).await else {
         return;
     };
     let sent_ms = journal.now_ms();
-    let limit = Duration::from_millis(deadline_ms(kind) + LEAVES_AFTER_MS);
+    let limit = Duration::from_millis(deadline_ms(kind) + GIVE_UP_DELAY_MS);
     let end = timeout(limit, exchange(&mut connection, request)).await;
-    journal.asked(Asked {
+    journal.record_request(RequestRecord {
         id,
         kind,
         key,
@@ -198,7 +201,7 @@
 
 /// Connects, if that can be had soon.
 async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let limit = Duration::from_millis(CONNECTS_WITHIN_MS);
+    let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let stream = timeout(limit, TcpStream::connect(address))
         .await
         .ok()?
@@ -212,13 +215,13 @@
 /// Sends one request and reads the answer as far as it comes.
 async fn exchange(connection: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>) -> End {
     match connection.send_request(request).await {
-        Ok(response) => End::Answered(read(response).await),
+        Ok(response) => End::Answered(read_answer(response).await),
         Err(_closed) => End::Closed,
     }
 }
 
 /// Reads an answer as far as it comes.
-async fn read(response: Response<Incoming>) -> Answer {
+async fn read_answer(response: Response<Incoming>) -> Answer {
     let (head, mut incoming) = response.into_parts();
     let header = |name: &str| {
         let value = head.headers.get(name)?;
--- a/crates/cranereach-soak/src/check/own_words.rs
+++ b/crates/cranereach-soak/src/check/announcements.rs
@@ -4,26 +4,26 @@
 use std::collections::HashMap;
 
 use super::Finding;
-use super::contact::Seen;
+use super::record_index::RecordIndex;
 use crate::record::Arrival;
+use crate::record::Component;
 use crate::record::End;
 use crate::record::Event;
 use crate::record::Records;
-use crate::record::Whom;
 use cranereach_platform::standin::content::signature;
 
 /// Bound of a leaving worker at a gateway that has passed its word on, in milliseconds.
 pub const DRAIN_MS: u64 = 2_000;
 
 /// Time after an answer that asks for rest from which requests count, in milliseconds.
-pub const ON_THE_WAY_MS: u64 = 500;
+pub const IN_FLIGHT_MS: u64 = 500;
 
 /// Requests that are tolerated in a rest.
 const TOLERATED_COUNT: usize = 2;
 
 /// Gateways and spans in which they stood still or were started again.
-fn stood(records: &Records) -> Vec<(usize, u64, u64)> {
-    let stood = records.events.iter().filter_map(|event| match event {
+fn interruptions(records: &Records) -> Vec<(usize, u64, u64)> {
+    let interruptions = records.events.iter().filter_map(|event| match event {
         Event::Stood {
             gateway,
             from_ms,
@@ -32,33 +32,36 @@
         Event::EndedByItself { gateway, at_ms } => Some((*gateway, *at_ms, *at_ms)),
         _ => None,
     });
-    stood.collect()
+    interruptions.collect()
 }
 
 /// A gateway that has passed on that a worker leaves sends it nothing that callers send
 /// later than the bound.
 pub fn leaving(records: &Records) -> Finding {
-    let seen = Seen::new(records);
-    let stood = stood(records);
+    let index = RecordIndex::new(records);
+    let interruptions = interruptions(records);
     let mut finding = Finding::default();
     for event in &records.events {
         let Event::Leaves { worker_id, at_ms } = event else {
             continue;
         };
-        for (gateway, told_ms) in told_at(records, worker_id, *at_ms) {
+        for (gateway, informed_ms) in informed_at(records, worker_id, *at_ms) {
             let late = records.arrivals.iter().find(|arrival| {
-                let asked = seen.asked(&arrival.id);
-                let is_late = asked.is_some_and(|asked| {
-                    asked.gateway == gateway && asked.sent_ms > told_ms + DRAIN_MS
+                let record = index.request_record(&arrival.id);
+                let is_late = record.is_some_and(|record| {
+                    record.gateway == gateway && record.sent_ms > informed_ms + DRAIN_MS
                 });
-                let mut stood = stood.iter().filter(|(number, ..)| *number == gateway);
+                let mut interruptions = interruptions
+                    .iter()
+                    .filter(|(number, ..)| *number == gateway);
                 is_late
                     && arrival.worker_id == *worker_id
-                    && !stood
-                        .any(|(_, from_ms, to_ms)| *from_ms <= arrival.at_ms && told_ms <= *to_ms)
+                    && !interruptions.any(|(_, from_ms, to_ms)| {
+                        *from_ms <= arrival.at_ms && informed_ms <= *to_ms
+                    })
             });
-            finding.note(late.map(|late| {
-                let after_ms = late.at_ms - told_ms;
+            finding.add_trial(late.map(|late| {
+                let after_ms = late.at_ms - informed_ms;
                 format!(
                     "{}: {worker_id} {after_ms} ms after {gateway} knew",
                     late.id
@@ -70,34 +73,38 @@
 }
 
 /// Returns when each gateway first passed on an answer of a worker that leaves.
-fn told_at(records: &Records, worker_id: &str, leaves_ms: u64) -> HashMap<usize, u64> {
-    let own = signature(worker_id);
-    let mut told_at: HashMap<usize, u64> = HashMap::new();
-    for asked in records.asked.iter().filter(|of| of.sent_ms >= leaves_ms) {
-        let End::Answered(answer) = &asked.end else {
+fn informed_at(records: &Records, worker_id: &str, leaves_ms: u64) -> HashMap<usize, u64> {
+    let expected = signature(worker_id);
+    let mut informed_at: HashMap<usize, u64> = HashMap::new();
+    for record in records.asked.iter().filter(|of| of.sent_ms >= leaves_ms) {
+        let End::Answered(answer) = &record.end else {
             continue;
         };
-        if answer.signature.as_ref() == Some(&own) {
-            let at_ms = told_at.entry(asked.gateway).or_insert(asked.ended_ms);
-            *at_ms = asked.ended_ms.min(*at_ms);
+        if answer.signature.as_ref() == Some(&expected) {
+            let at_ms = informed_at.entry(record.gateway).or_insert(record.ended_ms);
+            *at_ms = record.ended_ms.min(*at_ms);
         }
     }
-    told_at
+    informed_at
 }
 
 /// A worker that asked a gateway for rest gets next to nothing of it until the end.
 pub fn resting(records: &Records) -> Finding {
-    let seen = Seen::new(records);
-    let gateway_of = |arrival: &Arrival| seen.asked(&arrival.id).map(|asked| asked.gateway);
+    let index = RecordIndex::new(records);
+    let gateway_of = |arrival: &Arrival| {
+        index
+            .request_record(&arrival.id)
+            .map(|record| record.gateway)
+    };
     let mut finding = Finding::default();
     for first in &records.arrivals {
         let (Some(rest_ms), Some(gateway)) = (first.rest_ms, gateway_of(first)) else {
             continue;
         };
-        let (from_ms, to_ms) = (first.at_ms + ON_THE_WAY_MS, first.at_ms + rest_ms);
-        let is_bound = seen.is_undisturbed(Whom::Gateway(gateway), first.at_ms, to_ms)
-            && seen.is_undisturbed(Whom::Worker(first.worker), first.at_ms, to_ms);
-        if to_ms <= from_ms || !is_bound {
+        let (from_ms, to_ms) = (first.at_ms + IN_FLIGHT_MS, first.at_ms + rest_ms);
+        let is_judged = index.is_undisturbed(Component::Gateway(gateway), first.at_ms, to_ms)
+            && index.is_undisturbed(Component::Worker(first.worker), first.at_ms, to_ms);
+        if to_ms <= from_ms || !is_judged {
             continue;
         }
         let during = records.arrivals.iter().filter(|arrival| {
@@ -106,7 +113,7 @@
                 && gateway_of(arrival) == Some(gateway)
         });
         let count = during.count();
-        finding.note((count > TOLERATED_COUNT).then(|| {
+        finding.add_trial((count > TOLERATED_COUNT).then(|| {
             format!(
                 "{}: {count} of {gateway} in {rest_ms} ms of rest",
                 first.worker_id
--- a/crates/cranereach-soak/src/check/whole.rs
+++ b/crates/cranereach-soak/src/check/answers.rs
@@ -4,10 +4,10 @@
 
 use super::Finding;
 use crate::record::Answer;
-use crate::record::Asked;
 use crate::record::End;
 use crate::record::Kind;
 use crate::record::Records;
+use crate::record::RequestRecord;
 use cranereach_platform::standin::content;
 
 /// Judges every answer.
@@ -17,18 +17,22 @@
         .map(|run| (run.id.as_str(), content::signature(&run.worker_id)))
         .collect();
     let mut finding = Finding::default();
-    for asked in &records.asked {
-        if let End::Answered(answer) = &asked.end {
-            let ran = |signature: &str| runs.contains(&(asked.id.as_str(), signature.to_owned()));
-            let broken = fault(asked, answer, ran);
-            finding.note(broken.map(|why| format!("{}: {why}", asked.id)));
+    for record in &records.asked {
+        if let End::Answered(answer) = &record.end {
+            let ran = |signature: &str| runs.contains(&(record.id.as_str(), signature.to_owned()));
+            let broken = violation(record, answer, ran);
+            finding.add_trial(broken.map(|message| format!("{}: {message}", record.id)));
         }
     }
     finding
 }
 
 /// Says what is wrong with an answer.
-fn fault(asked: &Asked, answer: &Answer, ran: impl Fn(&str) -> bool) -> Option<String> {
+fn violation(
+    record: &RequestRecord,
+    answer: &Answer,
+    ran: impl Fn(&str) -> bool,
+) -> Option<String> {
     let is_success = (200..300).contains(&answer.status);
     match (is_success, &answer.signature) {
         (false, None) => return None,
@@ -40,12 +44,12 @@
         }
         (true, Some(_)) => {}
     }
-    if answer.request != asked.id {
+    if answer.request != record.id {
         return Some(format!("the answer to {}", answer.request));
     }
     // Streams are judged piece by piece on their own.
-    let is_plain = asked.kind != Kind::Stream;
-    let is_right = answer.body == content::plain_body(&asked.id);
+    let is_plain = record.kind != Kind::Stream;
+    let is_right = answer.body == content::plain_body(&record.id);
     (is_plain && answer.is_whole && !is_right)
         .then(|| format!("a body of {} bytes that isn't its own", answer.body.len()))
 }
--- a/crates/cranereach-soak/src/check/cold.rs
+++ b/crates/cranereach-soak/src/check/cold.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Finding;
-use super::contact::Seen;
+use super::record_index::RecordIndex;
 use crate::record::Event;
 use crate::record::Records;
 use cranereach_platform::standin::declared::COLD_FOR_MS;
@@ -21,26 +21,26 @@
 /// Looks at each second of each cold worker. Requests that were sent before the second
 /// began don't count: a relay may have held them.
 pub fn check(records: &Records) -> Finding {
-    let seen = Seen::new(records);
+    let index = RecordIndex::new(records);
     let mut arrivals: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
     for arrival in records.arrivals.iter().filter(|arrival| arrival.is_run) {
-        if let Some(asked) = seen.asked(&arrival.id) {
+        if let Some(record) = index.request_record(&arrival.id) {
             let of_worker = arrivals.entry(arrival.worker_id.as_str()).or_default();
-            of_worker.push((asked.sent_ms, arrival.at_ms));
+            of_worker.push((record.sent_ms, arrival.at_ms));
         }
     }
-    let most_count = COLD_PER_S * EXCESS_RATIO + ALLOWANCE_COUNT;
+    let max_count = COLD_PER_S * EXCESS_RATIO + ALLOWANCE_COUNT;
     let mut finding = Finding::default();
     for event in &records.events {
         let Event::Cold { worker_id, at_ms } = event else {
             continue;
         };
-        let got = arrivals.get(worker_id.as_str());
-        let got = got.map(Vec::as_slice).unwrap_or_default();
+        let requests = arrivals.get(worker_id.as_str());
+        let requests = requests.map(Vec::as_slice).unwrap_or_default();
         let is_cold = |at: u64| (*at_ms..at_ms + COLD_FOR_MS).contains(&at);
-        let begins = got.iter().map(|(_, at)| *at).filter(|at| is_cold(*at));
+        let begins = requests.iter().map(|(_, at)| *at).filter(|at| is_cold(*at));
         let counts = begins.map(|begin_ms| {
-            let in_window = got.iter().filter(|(sent_ms, at)| {
+            let in_window = requests.iter().filter(|(sent_ms, at)| {
                 *sent_ms >= begin_ms.saturating_sub(1)
                     && (begin_ms..begin_ms + WINDOW_MS).contains(at)
                     && is_cold(*at)
@@ -48,8 +48,8 @@
             in_window.count()
         });
         let worst_count = counts.max().unwrap_or(0);
-        let why = || format!("{worker_id}: {worst_count} in one second, {most_count} are borne");
-        finding.note((worst_count as f64 > most_count).then(why));
+        let message = || format!("{worker_id}: {worst_count} in one second, {max_count} are borne");
+        finding.add_trial((worst_count as f64 > max_count).then(message));
     }
     finding
 }
--- a/crates/cranereach-soak/src/check/ending.rs
+++ b/crates/cranereach-soak/src/check/crash_requests.rs
@@ -1,13 +1,13 @@
 //! Requests that end their workers reach few.
 
 use super::Finding;
-use super::contact::CONTACT_MS;
-use super::contact::Seen;
-use crate::ending::is_ending;
+use super::record_index::RecordIndex;
+use super::record_index::SETTLE_MS;
+use crate::crash_requests::is_crash_request;
 use crate::record::Records;
 
 /// Ends of workers after which a request is to be sent to none.
-const END_MAX_COUNT: usize = 3;
+const CRASH_LIMIT_COUNT: usize = 3;
 
 /// Sends that are tolerated later than that is known.
 pub const LATE_MAX_COUNT: usize = 3;
@@ -15,21 +15,25 @@
 /// A request under which three workers ended is sent to no more than a few others, by
 /// gateways that were in touch, later than all can know of it.
 pub fn check(records: &Records) -> Finding {
-    let seen = Seen::new(records);
+    let index = RecordIndex::new(records);
     let arrivals = records.arrivals.iter();
-    let ending: Vec<_> = arrivals.filter(|arrival| is_ending(&arrival.id)).collect();
-    let ends = ending.iter().filter(|arrival| arrival.is_run);
+    let crash_arrivals: Vec<_> = arrivals
+        .filter(|arrival| is_crash_request(&arrival.id))
+        .collect();
+    let runs = crash_arrivals.iter().filter(|arrival| arrival.is_run);
     let mut finding = Finding::default();
-    let Some(third) = ends.map(|arrival| arrival.at_ms).nth(END_MAX_COUNT - 1) else {
+    let Some(limit_reached_ms) = runs.map(|arrival| arrival.at_ms).nth(CRASH_LIMIT_COUNT - 1)
+    else {
         return finding;
     };
     let is_late = |id: &str| {
-        let asked = seen.asked(id)?;
-        let from_ms = asked.sent_ms;
-        (from_ms > third + CONTACT_MS && seen.is_in_touch(asked.gateway, from_ms, from_ms))
-            .then_some(asked.gateway)
+        let record = index.request_record(id)?;
+        let from_ms = record.sent_ms;
+        (from_ms > limit_reached_ms + SETTLE_MS
+            && index.is_connected(record.gateway, from_ms, from_ms))
+        .then_some(record.gateway)
     };
-    let late: Vec<String> = ending
+    let late: Vec<String> = crash_arrivals
         .iter()
         .filter_map(|arrival| {
             let gateway = is_late(&arrival.id)?;
@@ -41,6 +45,6 @@
         })
         .collect();
     let broken = late.len() > LATE_MAX_COUNT;
-    finding.note(broken.then(|| late.join(", ")));
+    finding.add_trial(broken.then(|| late.join(", ")));
     finding
 }
--- a/crates/cranereach-soak/src/check/once.rs
+++ b/crates/cranereach-soak/src/check/executions.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::Finding;
-use super::contact::Seen;
+use super::record_index::RecordIndex;
 use crate::record::Arrival;
 use crate::record::End;
 use crate::record::Records;
@@ -28,11 +28,11 @@
     let unrepeatable = records
         .asked
         .iter()
-        .filter(|asked| !asked.kind.is_repeatable());
-    for asked in unrepeatable {
-        let count = counts.get(asked.id.as_str()).copied().unwrap_or(0);
-        let why = || format!("{}: ran {count} times", asked.id);
-        finding.note((count > 1).then(why));
+        .filter(|record| !record.kind.is_repeatable());
+    for record in unrepeatable {
+        let count = counts.get(record.id.as_str()).copied().unwrap_or(0);
+        let message = || format!("{}: ran {count} times", record.id);
+        finding.add_trial((count > 1).then(message));
     }
     finding
 }
@@ -41,14 +41,14 @@
 pub fn not_run(records: &Records) -> Finding {
     let counts = run_counts(records);
     let mut finding = Finding::default();
-    for asked in &records.asked {
-        let End::Answered(answer) = &asked.end else {
+    for record in &records.asked {
+        let End::Answered(answer) = &record.end else {
             continue;
         };
-        if NOT_RUN.contains(&answer.status) && !asked.kind.is_repeatable() {
-            let has_run = counts.contains_key(asked.id.as_str());
-            let why = || format!("{}: {} though it ran", asked.id, answer.status);
-            finding.note(has_run.then(why));
+        if NOT_RUN.contains(&answer.status) && !record.kind.is_repeatable() {
+            let has_run = counts.contains_key(record.id.as_str());
+            let message = || format!("{}: {} though it ran", record.id, answer.status);
+            finding.add_trial(has_run.then(message));
         }
     }
     finding
@@ -56,20 +56,20 @@
 
 /// Each run is of a request that a caller sent, under the account of its key.
 pub fn only_asked(records: &Records) -> Finding {
-    let seen = Seen::new(records);
+    let index = RecordIndex::new(records);
     let mut finding = Finding::default();
     for run in records.arrivals.iter().filter(|arrival| arrival.is_run) {
-        finding.note(unasked(&seen, run));
+        finding.add_trial(unexpected_run(&index, run));
     }
     finding
 }
 
 /// Says what nobody asked for in a run.
-fn unasked(seen: &Seen<'_>, run: &Arrival) -> Option<String> {
-    let Some(asked) = seen.asked(&run.id) else {
+fn unexpected_run(index: &RecordIndex<'_>, run: &Arrival) -> Option<String> {
+    let Some(record) = index.request_record(&run.id) else {
         return Some(format!("{}: nobody asked", run.id));
     };
-    let own = schedule::account_of(asked.key);
-    let told = run.account.as_deref();
-    (told != Some(own)).then(|| format!("{}: under {told:?}, asked by {own}", run.id))
+    let expected = schedule::account_of(record.key);
+    let stated = run.account.as_deref();
+    (stated != Some(expected)).then(|| format!("{}: under {stated:?}, asked by {expected}", run.id))
 }
--- a/crates/cranereach-soak/src/check/own.rs
+++ b/crates/cranereach-soak/src/check/gateway_health.rs
@@ -15,7 +15,7 @@
 const DESCRIPTORS_MAX_COUNT: u64 = 600;
 
 /// Statuses of one's own that say nothing of the request itself.
-const NO_DENIAL: [u16; 3] = [408, 421, 429];
+const NOT_DENIALS: [u16; 3] = [408, 421, 429];
 
 /// Denials that are tolerated in a run, beside one in 500 requests.
 const DENIED_MAX_COUNT: usize = 5;
@@ -24,12 +24,12 @@
 pub fn ends(records: &Records) -> Finding {
     let mut finding = Finding {
         tried_count: 1,
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
     for event in &records.events {
         if let Event::EndedByItself { gateway, at_ms } = event {
-            let why = format!("gateway {gateway} at {at_ms} ms");
-            finding.broken.push(why);
+            let message = format!("gateway {gateway} at {at_ms} ms");
+            finding.violations.push(message);
         }
     }
     finding
@@ -37,24 +37,24 @@
 
 /// Proper requests with a key in force aren't refused as improper.
 pub fn denied(records: &Records) -> Finding {
-    let gone = records.events.iter().filter_map(|event| match event {
+    let revoked = records.events.iter().filter_map(|event| match event {
         Event::Revoked { key, .. } => Some(*key),
         _ => None,
     });
-    let gone: HashSet<usize> = gone.collect();
+    let revoked: HashSet<usize> = revoked.collect();
     let proper = records.asked.iter();
-    let proper = proper.filter(|asked| !gone.contains(&asked.key));
+    let proper = proper.filter(|record| !revoked.contains(&record.key));
     let mut tried_count = 0;
     let mut denied = Vec::new();
-    for asked in proper {
+    for record in proper {
         tried_count += 1;
-        if let End::Answered(answer) = &asked.end
+        if let End::Answered(answer) = &record.end
             && (300..500).contains(&answer.status)
-            && !NO_DENIAL.contains(&answer.status)
+            && !NOT_DENIALS.contains(&answer.status)
         {
             denied.push(format!(
                 "{}: {} by gateway {} at {} ms",
-                asked.id, answer.status, asked.gateway, asked.sent_ms
+                record.id, answer.status, record.gateway, record.sent_ms
             ));
         }
     }
@@ -63,7 +63,7 @@
     }
     Finding {
         tried_count,
-        broken: denied,
+        violations: denied,
     }
 }
 
@@ -80,9 +80,9 @@
             continue;
         };
         let is_over = *memory_bytes > MEMORY_MAX_BYTES || *descriptor_count > DESCRIPTORS_MAX_COUNT;
-        let why =
+        let message =
             || format!("gateway {gateway}: {memory_bytes} bytes, {descriptor_count} descriptors");
-        finding.note(is_over.then(why));
+        finding.add_trial(is_over.then(message));
     }
     finding
 }
--- a/crates/cranereach-soak/src/check/mod.rs
+++ b/crates/cranereach-soak/src/check/mod.rs
@@ -1,17 +1,17 @@
 //! The promises, each judged by the records alone.
 
+pub mod announcements;
+pub mod answers;
 pub mod bounded;
 pub mod cold;
-pub mod contact;
-pub mod ending;
-pub mod limited;
-pub mod once;
-pub mod order;
-pub mod own;
-pub mod own_words;
+pub mod crash_requests;
+pub mod executions;
+pub mod gateway_health;
+pub mod rate_limits;
+pub mod record_index;
 pub mod recovery;
 pub mod stop;
-pub mod whole;
+pub mod stream_order;
 
 use crate::record::Records;
 
@@ -21,20 +21,20 @@
     /// How often the promise was put to the test.
     pub tried_count: usize,
     /// How it was broken, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Finding {
     /// Counts one trial; notes how the promise was broken in it, if it was.
-    pub fn note(&mut self, broken: Option<String>) {
+    pub fn add_trial(&mut self, violations: Option<String>) {
         self.tried_count += 1;
-        self.broken.extend(broken);
+        self.violations.extend(violations);
     }
 }
 
 /// When a promise is judged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judged {
+pub enum Applicability {
     /// In every run.
     Always,
     /// Not in runs of the test suite: a slow machine alone can break it.
@@ -47,39 +47,83 @@
     /// Its name, as in the report.
     pub name: &'static str,
     /// When it is judged.
-    pub judged: Judged,
+    pub applicability: Applicability,
     /// Judges it.
     pub check: fn(&Records) -> Finding,
 }
 
 /// Makes a row of the table of promises.
-const fn promise(name: &'static str, judged: Judged, check: fn(&Records) -> Finding) -> Promise {
+const fn promise(
+    name: &'static str,
+    applicability: Applicability,
+    check: fn(&Records) -> Finding,
+) -> Promise {
     Promise {
         name,
-        judged,
+        applicability,
         check,
     }
 }
 
 /// All promises, in the order of the report.
 pub const PROMISES: [Promise; 19] = [
-    promise("whole-answers", Judged::Always, whole::check),
-    promise("streams-in-order", Judged::Always, order::check),
-    promise("at-most-once", Judged::Always, once::at_most_once),
-    promise("not-run-is-true", Judged::Always, once::not_run),
-    promise("only-what-was-asked", Judged::Always, once::only_asked),
-    promise("revoked-keys", Judged::Always, bounded::revoked),
-    promise("no-end-by-itself", Judged::Always, own::ends),
-    promise("nobody-denied", Judged::Timed, own::denied),
-    promise("leaving-workers", Judged::Timed, bounded::leaving),
-    promise("configuration", Judged::Timed, bounded::configuration),
-    promise("planned-stops", Judged::Timed, stop::check),
-    promise("recovery", Judged::Timed, recovery::check),
-    promise("resources", Judged::Timed, own::resources),
-    promise("evacuations", Judged::Timed, bounded::evacuated),
-    promise("cold-workers", Judged::Timed, cold::check),
-    promise("ending-requests", Judged::Timed, ending::check),
-    promise("limited-workers", Judged::Timed, limited::check),
-    promise("leaving-words", Judged::Always, own_words::leaving),
-    promise("resting-workers", Judged::Timed, own_words::resting),
+    promise("whole-answers", Applicability::Always, answers::check),
+    promise(
+        "streams-in-order",
+        Applicability::Always,
+        stream_order::check,
+    ),
+    promise(
+        "at-most-once",
+        Applicability::Always,
+        executions::at_most_once,
+    ),
+    promise(
+        "not-run-is-true",
+        Applicability::Always,
+        executions::not_run,
+    ),
+    promise(
+        "only-what-was-asked",
+        Applicability::Always,
+        executions::only_asked,
+    ),
+    promise("revoked-keys", Applicability::Always, bounded::revoked),
+    promise(
+        "no-end-by-itself",
+        Applicability::Always,
+        gateway_health::ends,
+    ),
+    promise(
+        "nobody-denied",
+        Applicability::Timed,
+        gateway_health::denied,
+    ),
+    promise("leaving-workers", Applicability::Timed, bounded::leaving),
+    promise(
+        "configuration",
+        Applicability::Timed,
+        bounded::configuration,
+    ),
+    promise("planned-stops", Applicability::Timed, stop::check),
+    promise("recovery", Applicability::Timed, recovery::check),
+    promise("resources", Applicability::Timed, gateway_health::resources),
+    promise("evacuations", Applicability::Timed, bounded::evacuated),
+    promise("cold-workers", Applicability::Timed, cold::check),
+    promise(
+        "ending-requests",
+        Applicability::Timed,
+        crash_requests::check,
+    ),
+    promise("limited-workers", Applicability::Timed, rate_limits::check),
+    promise(
+        "leaving-words",
+        Applicability::Always,
+        announcements::leaving,
+    ),
+    promise(
+        "resting-workers",
+        Applicability::Timed,
+        announcements::resting,
+    ),
 ];
--- a/crates/cranereach-soak/src/check/limited.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -3,11 +3,11 @@
 use std::collections::HashMap;
 
 use super::Finding;
-use super::contact::Seen;
+use super::record_index::RecordIndex;
+use crate::record::Component;
 use crate::record::End;
 use crate::record::Event;
 use crate::record::Records;
-use crate::record::Whom;
 use cranereach_platform::standin::content::signature;
 
 /// How many times what the limit allows is tolerated in one window.
@@ -21,7 +21,7 @@
 
 /// Time after an answer that named the limit from which its gateway's requests count, in
 /// milliseconds.
-const TOLD_MS: u64 = 500;
+const IN_FLIGHT_MS: u64 = 500;
 
 /// Time after the first word in which no window ends, in milliseconds.
 const JUDGED_AFTER_MS: u64 = 3_000;
@@ -39,7 +39,7 @@
 /// Looks at each window of each worker that named a limit: requests of gateways that had
 /// passed on one of its answers, and that were in touch.
 pub fn check(records: &Records) -> Finding {
-    let seen = Seen::new(records);
+    let index = RecordIndex::new(records);
     let mut finding = Finding::default();
     for event in &records.events {
         let Event::Limited {
@@ -60,31 +60,31 @@
             to_ms: *to_ms,
         };
         if limited.to_ms > limited.from_ms + JUDGED_AFTER_MS {
-            finding.note(excess(records, &seen, limited));
+            finding.add_trial(excess(records, &index, limited));
         }
     }
     finding
 }
 
 /// Returns how a worker got more than it named, if it did.
-fn excess(records: &Records, seen: &Seen<'_>, limited: Limited<'_>) -> Option<String> {
-    let told_at = told_at(records, limited);
+fn excess(records: &Records, index: &RecordIndex<'_>, limited: Limited<'_>) -> Option<String> {
+    let informed_at = informed_at(records, limited);
     let arrivals = records.arrivals.iter();
     let judged = arrivals.filter(|arrival| {
         let at_ms = arrival.at_ms;
         let is_here = arrival.worker_id == limited.worker_id;
         is_here
             && at_ms <= limited.to_ms
-            && seen.is_calm(Whom::Worker(limited.place), at_ms, at_ms, true)
-            && seen.asked(&arrival.id).is_some_and(|asked| {
-                let told_ms = told_at.get(&asked.gateway);
-                told_ms.is_some_and(|told_ms| at_ms >= told_ms + TOLD_MS)
-                    && seen.is_in_touch(asked.gateway, at_ms, at_ms)
+            && index.is_settled(Component::Worker(limited.place), at_ms, at_ms, true)
+            && index.request_record(&arrival.id).is_some_and(|record| {
+                let informed_ms = informed_at.get(&record.gateway);
+                informed_ms.is_some_and(|informed_ms| at_ms >= informed_ms + IN_FLIGHT_MS)
+                    && index.is_connected(record.gateway, at_ms, at_ms)
             })
     });
     let mut times: Vec<u64> = judged.map(|arrival| arrival.at_ms).collect();
     times.sort_unstable();
-    let most_count =
+    let max_count =
         limited.rate_per_s * EXCESS_RATIO * WINDOW_MS as f64 / 1_000.0 + ALLOWANCE_COUNT;
     let ends = times.iter().enumerate();
     let ends = ends.filter(|(_, at_ms)| **at_ms >= limited.from_ms + JUDGED_AFTER_MS);
@@ -93,27 +93,27 @@
         last + 1 - first
     });
     let worst_count = counts.max().unwrap_or(0);
-    (worst_count as f64 > most_count).then(|| {
+    (worst_count as f64 > max_count).then(|| {
         format!(
-            "{}: {worst_count} in {WINDOW_MS} ms, {most_count} are tolerated",
+            "{}: {worst_count} in {WINDOW_MS} ms, {max_count} are tolerated",
             limited.worker_id
         )
     })
 }
 
 /// Returns when each gateway first passed on an answer that named the limit.
-fn told_at(records: &Records, limited: Limited<'_>) -> HashMap<usize, u64> {
-    let own = signature(limited.worker_id);
-    let mut told_at: HashMap<usize, u64> = HashMap::new();
-    for asked in &records.asked {
-        let End::Answered(answer) = &asked.end else {
+fn informed_at(records: &Records, limited: Limited<'_>) -> HashMap<usize, u64> {
+    let expected = signature(limited.worker_id);
+    let mut informed_at: HashMap<usize, u64> = HashMap::new();
+    for record in &records.asked {
+        let End::Answered(answer) = &record.end else {
             continue;
         };
-        let is_own = answer.signature.as_ref() == Some(&own);
-        if is_own && (limited.from_ms..=limited.to_ms).contains(&asked.sent_ms) {
-            let at_ms = told_at.entry(asked.gateway).or_insert(asked.ended_ms);
-            *at_ms = asked.ended_ms.min(*at_ms);
+        let is_from_worker = answer.signature.as_ref() == Some(&expected);
+        if is_from_worker && (limited.from_ms..=limited.to_ms).contains(&record.sent_ms) {
+            let at_ms = informed_at.entry(record.gateway).or_insert(record.ended_ms);
+            *at_ms = record.ended_ms.min(*at_ms);
         }
     }
-    told_at
+    informed_at
 }
--- a/crates/cranereach-soak/src/check/recovery.rs
+++ b/crates/cranereach-soak/src/check/recovery.rs
@@ -16,28 +16,28 @@
 pub fn check(records: &Records) -> Finding {
     let is_revoked = |key: usize| {
         let mut events = records.events.iter();
-        events.any(|event| matches!(event, Event::Revoked { key: gone, .. } if *gone == key))
+        events.any(|event| matches!(event, Event::Revoked { key: revoked, .. } if *revoked == key))
     };
     let ends = records.troubles.iter().map(|trouble| trouble.to_ms);
     let from_ms = ends.max().unwrap_or(0) + RECOVERY_MS;
     let late = records
         .asked
         .iter()
-        .filter(|asked| asked.sent_ms > from_ms && !is_revoked(asked.key));
+        .filter(|record| record.sent_ms > from_ms && !is_revoked(record.key));
     let (mut served_count, mut total_count) = (0_usize, 0_usize);
-    for asked in late {
+    for record in late {
         total_count += 1;
         let is_served =
-            matches!(&asked.end, End::Answered(answer) if answer.status == 200 && answer.is_whole);
+            matches!(&record.end, End::Answered(answer) if answer.status == 200 && answer.is_whole);
         served_count += usize::from(is_served);
     }
     let mut finding = Finding {
         tried_count: total_count,
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
     let nobody_asked = total_count == 0 && records.end_ms > from_ms;
     if nobody_asked || (served_count as f64) < SERVED_SHARE * total_count as f64 {
-        finding.broken.push(format!(
+        finding.violations.push(format!(
             "{served_count} of {total_count} requests after {from_ms} ms were served"
         ));
     }
--- a/crates/cranereach-soak/src/check/stop.rs
+++ b/crates/cranereach-soak/src/check/stop.rs
@@ -4,24 +4,24 @@
 use std::collections::HashSet;
 
 use super::Finding;
-use super::contact::Seen;
-use crate::record::Asked;
+use super::record_index::RecordIndex;
+use crate::record::Component;
 use crate::record::End;
 use crate::record::Event;
 use crate::record::Records;
-use crate::record::Whom;
+use crate::record::RequestRecord;
 
 /// Time from SIGTERM to SIGKILL, in seconds.
 pub const GRACE_S: f64 = 8.0;
 
 /// Time for which a connection that ends may still have crossed a request, in
 /// milliseconds.
-const SLACK_MS: u64 = 200;
+const CLOSE_RACE_MS: u64 = 200;
 
 /// Judges the requests that were open at a stop or sent during it. Those are left out
 /// whose gateway, store or worker had unplanned trouble.
 pub fn check(records: &Records) -> Finding {
-    let seen = Seen::new(records);
+    let index = RecordIndex::new(records);
     let mut workers: HashMap<&str, usize> = HashMap::new();
     for arrival in &records.arrivals {
         workers.insert(arrival.id.as_str(), arrival.worker);
@@ -33,16 +33,16 @@
             continue;
         };
         let until_ms = at_ms + (GRACE_S * 1_000.0) as u64 + 1_000;
-        let during = records.asked.iter().filter(|asked| {
-            asked.gateway == *gateway && asked.ended_ms >= *at_ms && asked.sent_ms <= until_ms
+        let during = records.asked.iter().filter(|record| {
+            record.gateway == *gateway && record.ended_ms >= *at_ms && record.sent_ms <= until_ms
         });
-        for asked in during {
-            let worker = workers.get(asked.id.as_str()).copied();
+        for record in during {
+            let worker = workers.get(record.id.as_str()).copied();
             // A request may have been open at two signals.
-            if is_undisturbed(&seen, asked, worker) && judged.insert(asked.id.as_str()) {
-                let is_cut = is_cut(asked, worker.is_some());
-                let why = || format!("{}: cut by gateway {gateway}", asked.id);
-                finding.note(is_cut.then(why));
+            if is_undisturbed(&index, record, worker) && judged.insert(record.id.as_str()) {
+                let is_cut = is_cut(record, worker.is_some());
+                let message = || format!("{}: cut by gateway {gateway}", record.id);
+                finding.add_trial(is_cut.then(message));
             }
         }
     }
@@ -50,17 +50,17 @@
 }
 
 /// Tells whether nothing unplanned befell whoever took part.
-fn is_undisturbed(seen: &Seen<'_>, asked: &Asked, worker: Option<usize>) -> bool {
-    let is_calm = |whom| seen.is_calm(whom, asked.sent_ms, asked.ended_ms, false);
-    is_calm(Whom::Gateway(asked.gateway))
-        && is_calm(Whom::Store)
-        && worker.is_none_or(|worker| is_calm(Whom::Worker(worker)))
+fn is_undisturbed(index: &RecordIndex<'_>, record: &RequestRecord, worker: Option<usize>) -> bool {
+    let is_settled = |whom| index.is_settled(whom, record.sent_ms, record.ended_ms, false);
+    is_settled(Component::Gateway(record.gateway))
+        && is_settled(Component::Store)
+        && worker.is_none_or(|worker| is_settled(Component::Worker(worker)))
 }
 
 /// Tells whether a request was read and got no complete answer.
-fn is_cut(asked: &Asked, has_arrived: bool) -> bool {
-    let was_read = has_arrived || asked.ended_ms > asked.sent_ms + SLACK_MS;
-    let is_incomplete = match &asked.end {
+fn is_cut(record: &RequestRecord, has_arrived: bool) -> bool {
+    let was_read = has_arrived || record.ended_ms > record.sent_ms + CLOSE_RACE_MS;
+    let is_incomplete = match &record.end {
         End::Closed => true,
         End::Answered(answer) => !answer.is_whole,
         End::GaveUp => false,
--- a/crates/cranereach-soak/src/check/order.rs
+++ b/crates/cranereach-soak/src/check/stream_order.rs
@@ -12,22 +12,22 @@
     let streams = records
         .asked
         .iter()
-        .filter(|asked| asked.kind == Kind::Stream);
-    for asked in streams {
-        let End::Answered(answer) = &asked.end else {
+        .filter(|record| record.kind == Kind::Stream);
+    for record in streams {
+        let End::Answered(answer) = &record.end else {
             continue;
         };
         if answer.status != 200 {
             continue;
         }
-        let all = content::whole_stream(&asked.id);
+        let all = content::whole_stream(&record.id);
         let is_right = if answer.is_whole {
             answer.body == all
         } else {
             all.starts_with(&answer.body)
         };
-        let why = || format!("{}: {:?}", asked.id, answer.body);
-        finding.note((!is_right).then(why));
+        let message = || format!("{}: {:?}", record.id, answer.body);
+        finding.add_trial((!is_right).then(message));
     }
     finding
 }
--- a/crates/cranereach-soak/src/ending.rs
+++ b/crates/cranereach-soak/src/crash_requests.rs
@@ -10,14 +10,14 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::callers::ask_once;
 use crate::callers::deadline_ms;
+use crate::callers::send_single_request;
 use crate::faults::pause;
 use crate::gateways::Gateway;
 use crate::journal::Journal;
 use crate::record::Kind;
-use crate::schedule::CALM_AT_END_MS;
-use crate::schedule::CALM_AT_START_MS;
+use crate::schedule::FAULT_FREE_END_MS;
+use crate::schedule::FAULT_FREE_START_MS;
 use crate::schedule::FIRST_REVOCABLE;
 use crate::schedule::KEYS;
 use cranereach_platform::requests::HEADERS;
@@ -27,31 +27,31 @@
 pub const ENDING: &str = "ending";
 
 /// Told apart from the other draws of a run.
-const DRAW: u64 = 0x656e_6469_6e67;
+const SEED_SALT: u64 = 0x656e_6469_6e67;
 
 /// Pause between two returns, in milliseconds, from and to.
 const PAUSE_MS: (u64, u64) = (200, 1_500);
 
 /// Whether a request of an identity is one of those that end their workers.
-pub fn is_ending(id: &str) -> bool {
+pub fn is_crash_request(id: &str) -> bool {
     id.starts_with(ENDING)
 }
 
 /// Comes back with the request until the calm at the end of a run, which must recover
 /// from it, too.
 pub async fn run(seed: u64, run_ms: u64, gateways: Vec<Arc<Gateway>>, journal: Arc<Journal>) {
-    let mut rng = StdRng::seed_from_u64(seed ^ DRAW);
+    let mut rng = StdRng::seed_from_u64(seed ^ SEED_SALT);
     let kinds = [Kind::Once, Kind::Again];
     let kind = kinds[rng.random_range(0..kinds.len())];
     let key = rng.random_range(0..FIRST_REVOCABLE);
-    let end_ms = run_ms.saturating_sub(CALM_AT_END_MS.min(run_ms / 2));
-    pause(CALM_AT_START_MS).await;
+    let end_ms = run_ms.saturating_sub(FAULT_FREE_END_MS.min(run_ms / 2));
+    pause(FAULT_FREE_START_MS).await;
     let mut number = 0;
     while journal.now_ms() < end_ms {
         let gateway = &gateways[rng.random_range(0..gateways.len())];
         let id = format!("{ENDING}-{seed:x}-{number}");
         let request = request(kind, key, &id);
-        ask_once(gateway, &journal, (kind, key), id, request).await;
+        send_single_request(gateway, &journal, (kind, key), id, request).await;
         number += 1;
         pause(rng.random_range(PAUSE_MS.0..PAUSE_MS.1)).await;
     }
--- a/crates/cranereach-soak/src/gateways.rs
+++ b/crates/cranereach-soak/src/gateways.rs
@@ -27,14 +27,14 @@
 use cranereach_bench::process;
 
 /// Pause between two looks at a process, in milliseconds.
-const LOOK_EVERY_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
 /// Time within which a process must listen, in milliseconds.
-const LISTENS_WITHIN_MS: u64 = 20_000;
+const LISTEN_TIMEOUT_MS: u64 = 20_000;
 
 /// Time after which a platform sends no new callers to a gateway that stops, in
 /// milliseconds: it asks each second and takes out who misses twice.
-const OUT_AFTER_MS: u64 = 2_000;
+const ROTATION_DELAY_MS: u64 = 2_000;
 
 /// How often free ports are looked for.
 const PORT_TRIES: usize = 20;
@@ -59,12 +59,12 @@
         source: io::Error,
     },
     /// A process can't be started or ended at once.
-    #[error("gateway {number} can't run: {why}")]
+    #[error("gateway {number} can't run: {reason}")]
     Start {
         /// Which.
         number: usize,
         /// Why.
-        why: String,
+        reason: String,
     },
 }
 
@@ -74,10 +74,10 @@
     /// Its number.
     pub number: usize,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it is asked whether it is ready.
-    pub ready: SocketAddr,
-    is_in: AtomicBool,
+    pub ready_address: SocketAddr,
+    is_in_rotation: AtomicBool,
     binary: PathBuf,
     folder: PathBuf,
     state: Mutex<State>,
@@ -86,11 +86,11 @@
 #[derive(Debug, Default)]
 struct State {
     child: Option<Child>,
-    is_ending: bool,
+    is_stopping: bool,
 }
 
 /// Returns the failure domain of a gateway or worker by its number, and its region.
-pub fn place_of(number: usize) -> (&'static str, &'static str) {
+pub fn domain_and_region_of(number: usize) -> (&'static str, &'static str) {
     DOMAINS[number % DOMAINS.len()]
 }
 
@@ -102,21 +102,25 @@
 ) -> Result<Vec<Gateway>, GatewayError> {
     // Addresses of its own for each run: two runs at once don't meet.
     let id = std::process::id();
-    let net = format!("127.{}.{}", 64 + (id >> 8) % 128, id % 256);
+    let subnet = format!("127.{}.{}", 64 + (id >> 8) % 128, id % 256);
     let count = stores.len();
-    let ips: Vec<String> = (1..=count).map(|last| format!("{net}.{last}")).collect();
+    let ips: Vec<String> = (1..=count).map(|last| format!("{subnet}.{last}")).collect();
     // Held until all are found, so that none is found twice.
-    let (peer_port, _held) = peer_port(&ips).await?;
+    let (peer_port, _held) = reserve_peer_port(&ips).await?;
     let mut gateways = Vec::new();
     for (number, store) in stores.iter().enumerate() {
         let ip = &ips[number];
-        let held = [free(ip).await?, free(ip).await?, free(ip).await?];
-        let [callers, ready, metrics] = held.each_ref().map(|(address, _)| *address);
+        let held = [
+            reserve_free_port(ip).await?,
+            reserve_free_port(ip).await?,
+            reserve_free_port(ip).await?,
+        ];
+        let [caller_address, ready_address, metrics] = held.each_ref().map(|(address, _)| *address);
         let gateway = Gateway {
             number,
-            callers,
-            ready,
-            is_in: AtomicBool::new(true),
+            caller_address,
+            ready_address,
+            is_in_rotation: AtomicBool::new(true),
             binary: binary.to_owned(),
             folder: folder.to_owned(),
             state: Mutex::default(),
@@ -129,13 +133,13 @@
 }
 
 /// Finds a port that is free for peers on all addresses, and holds it there.
-async fn peer_port(ips: &[String]) -> Result<(u16, Vec<TcpListener>), GatewayError> {
+async fn reserve_peer_port(ips: &[String]) -> Result<(u16, Vec<TcpListener>), GatewayError> {
     let mut last = None;
     for _ in 0..PORT_TRIES {
-        let (address, found) = free(&ips[0]).await?;
+        let (address, found) = reserve_free_port(&ips[0]).await?;
         drop(found);
         let port = address.port();
-        match hold(ips, port).await {
+        match reserve_port(ips, port).await {
             Ok(held) => return Ok((port, held)),
             Err(error) => last = Some(error),
         }
@@ -147,7 +151,7 @@
 }
 
 /// Takes a port on all addresses, if it is free there for connections and datagrams.
-async fn hold(ips: &[String], port: u16) -> io::Result<Vec<TcpListener>> {
+async fn reserve_port(ips: &[String], port: u16) -> io::Result<Vec<TcpListener>> {
     let mut held = Vec::new();
     for ip in ips {
         held.push(TcpListener::bind((ip.as_str(), port)).await?);
@@ -157,7 +161,7 @@
 }
 
 /// Finds a free port, and holds it.
-async fn free(ip: &str) -> Result<(SocketAddr, TcpListener), GatewayError> {
+async fn reserve_free_port(ip: &str) -> Result<(SocketAddr, TcpListener), GatewayError> {
     let bound = TcpListener::bind((ip, 0)).await;
     let found = bound.and_then(|listener| Ok((listener.local_addr()?, listener)));
     found.map_err(|source| GatewayError::Port {
@@ -176,40 +180,40 @@
         let child = Command::new(&self.binary)
             .arg("gateway")
             .arg("--settings")
-            .arg(self.path("jsonc"))
+            .arg(self.file_path("jsonc"))
             .stdin(Stdio::null())
-            .stdout(self.append("log")?)
-            .stderr(self.append("err")?)
+            .stdout(self.open_for_append("log")?)
+            .stderr(self.open_for_append("err")?)
             .kill_on_drop(true)
             .spawn();
-        state.child = Some(child.map_err(|error| self.failed(error.to_string()))?);
-        state.is_ending = false;
+        state.child = Some(child.map_err(|error| self.start_error(error.to_string()))?);
+        state.is_stopping = false;
         drop(state);
-        self.until_it_listens().await?;
-        self.is_in.store(true, Ordering::Relaxed);
+        self.wait_until_listening().await?;
+        self.is_in_rotation.store(true, Ordering::Relaxed);
         Ok(())
     }
 
     /// Waits until callers can connect; an end before that is an error.
-    async fn until_it_listens(&self) -> Result<(), GatewayError> {
-        for _ in 0..LISTENS_WITHIN_MS / LOOK_EVERY_MS {
-            if TcpStream::connect(self.callers).await.is_ok() {
+    async fn wait_until_listening(&self) -> Result<(), GatewayError> {
+        for _ in 0..LISTEN_TIMEOUT_MS / POLL_INTERVAL_MS {
+            if TcpStream::connect(self.caller_address).await.is_ok() {
                 return Ok(());
             }
             let mut state = self.state.lock().await;
             let ended = state.child.as_mut().map(Child::try_wait);
             match ended {
-                Some(Ok(Some(status))) if !state.is_ending => {
-                    let said = fs::read_to_string(self.path("err")).unwrap_or_default();
-                    let line = said.lines().last().unwrap_or_default();
-                    return Err(self.failed(format!("{status}: {line}")));
+                Some(Ok(Some(status))) if !state.is_stopping => {
+                    let stderr = fs::read_to_string(self.file_path("err")).unwrap_or_default();
+                    let line = stderr.lines().last().unwrap_or_default();
+                    return Err(self.start_error(format!("{status}: {line}")));
                 }
                 // Another fault ended it meanwhile.
                 None | Some(Ok(Some(_))) => return Ok(()),
                 Some(_) => {}
             }
             drop(state);
-            look().await;
+            wait_for_next_poll().await;
         }
         // Stopped by another fault, or slow; whether it serves is judged by callers.
         Ok(())
@@ -238,13 +242,13 @@
 
     /// Ends the process at once, as a crash would.
     pub async fn kill(&self) {
-        self.is_in.store(false, Ordering::Relaxed);
+        self.is_in_rotation.store(false, Ordering::Relaxed);
         let mut state = self.state.lock().await;
         if let Some(mut child) = state.child.take() {
             // It may have ended already.
             let _killed = child.kill().await;
         }
-        state.is_ending = false;
+        state.is_stopping = false;
     }
 
     /// Stops the process as planned; tells whether it ended by itself within its time.
@@ -254,13 +258,13 @@
         let id = {
             let mut state = self.state.lock().await;
             self.signal_locked(&state, "TERM").await;
-            state.is_ending = true;
+            state.is_stopping = true;
             state.child.as_ref().and_then(Child::id)
         };
-        let looks = (stop::GRACE_S * 1_000.0) as u64 / LOOK_EVERY_MS;
-        for look_count in 0..looks {
-            if look_count * LOOK_EVERY_MS == OUT_AFTER_MS {
-                self.is_in.store(false, Ordering::Relaxed);
+        let poll_limit = (stop::GRACE_S * 1_000.0) as u64 / POLL_INTERVAL_MS;
+        for poll_count in 0..poll_limit {
+            if poll_count * POLL_INTERVAL_MS == ROTATION_DELAY_MS {
+                self.is_in_rotation.store(false, Ordering::Relaxed);
             }
             let mut state = self.state.lock().await;
             let is_same = state.child.as_ref().and_then(Child::id) == id;
@@ -276,7 +280,7 @@
             if !is_same {
                 return true;
             }
-            look().await;
+            wait_for_next_poll().await;
         }
         self.kill().await;
         false
@@ -286,7 +290,7 @@
     pub async fn has_ended_by_itself(&self) -> bool {
         let mut state = self.state.lock().await;
         let ended = state.child.as_mut().map(Child::try_wait);
-        let has_ended = matches!(ended, Some(Ok(Some(_)))) && !state.is_ending;
+        let has_ended = matches!(ended, Some(Ok(Some(_)))) && !state.is_stopping;
         if has_ended {
             state.child = None;
         }
@@ -294,12 +298,12 @@
     }
 
     /// Tells whether new callers are sent here.
-    pub fn is_in(&self) -> bool {
-        self.is_in.load(Ordering::Relaxed)
+    pub fn is_in_rotation(&self) -> bool {
+        self.is_in_rotation.load(Ordering::Relaxed)
     }
 
     /// Returns resident memory and open descriptors, if the process runs.
-    pub async fn held(&self) -> Option<(u64, u64)> {
+    pub async fn resource_usage(&self) -> Option<(u64, u64)> {
         let id = self.state.lock().await.child.as_ref()?.id()?;
         let memory_bytes = process::resident_bytes(&id.to_string());
         let descriptors = fs::read_dir(format!("/proc/{id}/fd")).ok()?;
@@ -307,23 +311,23 @@
     }
 
     /// Returns a file of its own in the folder.
-    fn path(&self, extension: &str) -> PathBuf {
+    fn file_path(&self, extension: &str) -> PathBuf {
         let name = format!("gateway-{}.{extension}", self.number);
         self.folder.join(name)
     }
 
     /// Opens a file of its own to write behind its end.
-    fn append(&self, extension: &str) -> Result<File, GatewayError> {
-        let path = self.path(extension);
+    fn open_for_append(&self, extension: &str) -> Result<File, GatewayError> {
+        let path = self.file_path(extension);
         let opened = File::options().create(true).append(true).open(&path);
         opened.map_err(|source| file_error(&path, source))
     }
 
     /// Makes the error of a process that can't run.
-    fn failed(&self, why: String) -> GatewayError {
+    fn start_error(&self, reason: String) -> GatewayError {
         GatewayError::Start {
             number: self.number,
-            why,
+            reason,
         }
     }
 
@@ -335,7 +339,7 @@
         store: SocketAddr,
         seeds: &[String],
     ) -> Result<(), GatewayError> {
-        let (domain, region) = place_of(self.number);
+        let (domain, region) = domain_and_region_of(self.number);
         let domains: serde_json::Map<_, _> = DOMAINS
             .iter()
             .map(|(domain, region)| ((*domain).to_owned(), json!(region)))
@@ -346,7 +350,7 @@
                 "region": region, "failure_domains": domains,
             },
             "listen": {
-                "callers": self.callers, "ready": self.ready, "peers": peers,
+                "callers": self.caller_address, "ready": self.ready_address, "peers": peers,
                 "metrics": metrics,
             },
             "platform": { "adapter": cranereach_platform::ADAPTER.name, "store": store.to_string() },
@@ -362,14 +366,14 @@
                 "cold_allowance_count": cold::ALLOWANCE_COUNT,
             },
         });
-        let path = self.path("jsonc");
+        let path = self.file_path("jsonc");
         fs::write(&path, settings.to_string()).map_err(|source| file_error(&path, source))
     }
 }
 
 /// Waits until the next look at a process.
-async fn look() {
-    tokio::time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+async fn wait_for_next_poll() {
+    tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
 }
 
 /// Makes the error of a file.
--- a/crates/cranereach-soak/src/journal.rs
+++ b/crates/cranereach-soak/src/journal.rs
@@ -5,16 +5,16 @@
 use std::sync::PoisonError;
 use std::time::Instant;
 
-use crate::record::Asked;
+use crate::record::Component;
+use crate::record::Disturbance;
 use crate::record::Event;
 use crate::record::Records;
-use crate::record::Trouble;
-use crate::record::Whom;
+use crate::record::RequestRecord;
 
 /// Records under way.
 #[derive(Debug)]
 pub struct Journal {
-    begun: Instant,
+    start: Instant,
     records: Mutex<Records>,
 }
 
@@ -22,35 +22,35 @@
     /// Starts the clock.
     pub fn new() -> Self {
         Self {
-            begun: Instant::now(),
+            start: Instant::now(),
             records: Mutex::default(),
         }
     }
 
     /// Returns the time since the start, in milliseconds.
     pub fn now_ms(&self) -> u64 {
-        self.ms_of(Instant::now())
+        self.ms_since_start(Instant::now())
     }
 
     /// Returns when a moment was, in milliseconds since the start.
-    pub fn ms_of(&self, moment: Instant) -> u64 {
-        moment.saturating_duration_since(self.begun).as_millis() as u64
+    pub fn ms_since_start(&self, moment: Instant) -> u64 {
+        moment.saturating_duration_since(self.start).as_millis() as u64
     }
 
     /// Notes a request that ended for its caller.
-    pub fn asked(&self, asked: Asked) {
-        self.lock().asked.push(asked);
+    pub fn record_request(&self, record: RequestRecord) {
+        self.lock().asked.push(record);
     }
 
     /// Notes what happened.
-    pub fn event(&self, event: Event) {
+    pub fn record_event(&self, event: Event) {
         self.lock().events.push(event);
     }
 
     /// Notes trouble that began at `from_ms` and ends now.
-    pub fn trouble(&self, whom: Whom, is_planned: bool, from_ms: u64) {
+    pub fn record_disturbance(&self, whom: Component, is_planned: bool, from_ms: u64) {
         let to_ms = self.now_ms();
-        self.lock().troubles.push(Trouble {
+        self.lock().troubles.push(Disturbance {
             whom,
             is_planned,
             from_ms,
--- a/crates/cranereach-soak/src/record.rs
+++ b/crates/cranereach-soak/src/record.rs
@@ -62,7 +62,7 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Its identity.
     pub id: String,
     /// Kind.
@@ -104,7 +104,7 @@
 
 /// Whom trouble struck.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Whom {
+pub enum Component {
     /// A gateway or its link to the store.
     Gateway(usize),
     /// The store.
@@ -115,9 +115,9 @@
 
 /// A span of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Trouble {
+pub struct Disturbance {
     /// Whom.
-    pub whom: Whom,
+    pub whom: Component,
     /// Whether it was a planned stop, or the start that follows one.
     pub is_planned: bool,
     /// Its beginning.
@@ -217,11 +217,11 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Records {
     /// Requests of callers.
-    pub asked: Vec<Asked>,
+    pub asked: Vec<RequestRecord>,
     /// Requests at workers.
     pub arrivals: Vec<Arrival>,
     /// Trouble.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Disturbance>,
     /// What else happened.
     pub events: Vec<Event>,
     /// End of the run.
--- a/crates/cranereach-soak/src/report.rs
+++ b/crates/cranereach-soak/src/report.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 
-use crate::check::Judged;
+use crate::check::Applicability;
 use crate::check::PROMISES;
 use crate::record::Records;
 
@@ -50,15 +50,15 @@
 /// Judges records.
 pub fn judge(records: &Records, choice: &Choice) -> Vec<Verdict> {
     let verdicts = PROMISES.iter().map(|promise| {
-        let is_left_out = promise.judged == Judged::Timed && choice.is_untimed;
-        let finding = if is_left_out {
+        let is_skipped = promise.applicability == Applicability::Timed && choice.is_untimed;
+        let finding = if is_skipped {
             crate::check::Finding::default()
         } else {
             (promise.check)(records)
         };
-        let outcome = if is_left_out {
+        let outcome = if is_skipped {
             Outcome::NotJudged
-        } else if !finding.broken.is_empty() {
+        } else if !finding.violations.is_empty() {
             Outcome::Broken
         } else if finding.tried_count == 0 {
             Outcome::NotTried
@@ -69,7 +69,7 @@
             promise: promise.name,
             outcome,
             tried_count: finding.tried_count,
-            broken: finding.broken,
+            broken: finding.violations,
         }
     });
     verdicts.collect()
@@ -85,8 +85,8 @@
             verdict.tried_count,
             verdict.broken.len()
         );
-        for why in verdict.broken.iter().take(SHOWN_COUNT) {
-            println!("    {why}");
+        for violation in verdict.broken.iter().take(SHOWN_COUNT) {
+            println!("    {violation}");
         }
     }
     let is_kept = |verdict: &Verdict| verdict.outcome != Outcome::Broken;
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -13,18 +13,18 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
+use crate::announcements;
 use crate::back_ends::BackEnds;
 use crate::callers::Caller;
-use crate::ending;
+use crate::crash_requests;
 use crate::faults;
-use crate::faults::Parts;
+use crate::faults::TestBed;
 use crate::faults::pause;
 use crate::gateways;
 use crate::gateways::Gateway;
 use crate::gateways::GatewayError;
 use crate::journal::Journal;
-use crate::limited;
-use crate::own_words;
+use crate::rate_limits;
 use crate::record::Event;
 use crate::record::Records;
 use crate::schedule;
@@ -36,13 +36,13 @@
 use cranereach_standin::load;
 
 /// Time within which gateways must be ready at the start, in milliseconds.
-const READY_WITHIN_MS: u64 = 60_000;
+const READY_TIMEOUT_MS: u64 = 60_000;
 
 /// Pause between two questions whether a gateway is ready, in milliseconds.
-const READY_EVERY_MS: u64 = 50;
+const READY_POLL_INTERVAL_MS: u64 = 50;
 
 /// Pause between two looks whether processes live and what they hold, in milliseconds.
-const WATCH_EVERY_MS: u64 = 500;
+const WATCH_INTERVAL_MS: u64 = 500;
 
 /// What to run.
 #[derive(Clone, Debug)]
@@ -82,7 +82,7 @@
     #[error("a stand-in can't listen: {0}")]
     Listen(#[from] io::Error),
     /// A gateway isn't ready.
-    #[error("gateway {0} isn't ready after {READY_WITHIN_MS} ms")]
+    #[error("gateway {0} isn't ready after {READY_TIMEOUT_MS} ms")]
     NotReady(usize),
     /// Somebody wanted it to end.
     #[error("interrupted")]
@@ -95,7 +95,7 @@
     let prepared = gateways::prepare(&plan.binary, &plan.folder, &back_ends.store_addresses);
     let gateways: Vec<Arc<Gateway>> = prepared.await?.into_iter().map(Arc::new).collect();
     let result = tokio::select! {
-        result = play(plan, back_ends, &gateways) => result,
+        result = execute(plan, back_ends, &gateways) => result,
         () = interrupted => Err(RunError::Interrupted),
     };
     for gateway in &gateways {
@@ -105,7 +105,7 @@
 }
 
 /// Starts the gateways, lets callers and faults loose, and gathers what was seen.
-async fn play(
+async fn execute(
     plan: &Plan,
     back_ends: BackEnds,
     gateways: &[Arc<Gateway>],
@@ -114,68 +114,77 @@
         gateway.start().await?;
     }
     for gateway in gateways {
-        until_ready(gateway).await?;
+        wait_until_ready(gateway).await?;
     }
-    let parts = Arc::new(Parts {
+    let test_bed = Arc::new(TestBed {
         gateways: gateways.to_vec(),
         back_ends,
         journal: Arc::new(Journal::new()),
     });
-    let journal = &parts.journal;
-    journal.event(Event::Moved {
+    let journal = &test_bed.journal;
+    journal.record_event(Event::Moved {
         service: SERVICES[0].to_owned(),
         at_ms: 0,
     });
-    let mut around = JoinSet::new();
-    let beating = Arc::clone(&parts);
-    around.spawn(async move { beating.back_ends.beat_on().await });
-    let replacing = Arc::clone(&parts);
-    around.spawn(async move { replacing.back_ends.replace_ended(&replacing.journal).await });
-    let watching = Arc::clone(&parts);
-    around.spawn(async move { watch(&watching).await });
+    let mut background = JoinSet::new();
+    let heartbeat_bed = Arc::clone(&test_bed);
+    background.spawn(async move { heartbeat_bed.back_ends.run_heartbeats().await });
+    let replacement_bed = Arc::clone(&test_bed);
+    background.spawn(async move {
+        replacement_bed
+            .back_ends
+            .replace_ended(&replacement_bed.journal)
+            .await
+    });
+    let watch_bed = Arc::clone(&test_bed);
+    background.spawn(async move { watch(&watch_bed).await });
     let mut callers = JoinSet::new();
     for number in 0..plan.size.caller_count {
         let caller = Caller::new(number, plan.seed, gateways, journal);
         callers.spawn(caller.run(plan.run_ms));
     }
-    let ending = ending::run(
+    let crash_caller = crash_requests::run(
         plan.seed,
         plan.run_ms,
         gateways.to_vec(),
         Arc::clone(journal),
     );
-    callers.spawn(ending);
-    callers.spawn(limited::run(plan.seed, plan.run_ms, Arc::clone(&parts)));
-    callers.spawn(own_words::run(
+    callers.spawn(crash_caller);
+    callers.spawn(rate_limits::run(
+        plan.seed,
+        plan.run_ms,
+        Arc::clone(&test_bed),
+    ));
+    callers.spawn(announcements::run(
         plan.seed,
         plan.run_ms,
         plan.size.worker_total(),
-        Arc::clone(&parts),
+        Arc::clone(&test_bed),
     ));
-    strike_all(&parts, plan.steps()).await;
-    finish(callers).await;
-    around.shutdown().await;
+    inject_all(&test_bed, plan.steps()).await;
+    join_tasks(callers).await;
+    background.shutdown().await;
     let mut records = journal.take();
-    records.arrivals = parts.back_ends.arrivals(journal);
+    records.arrivals = test_bed.back_ends.arrivals(journal);
     records.end_ms = journal.now_ms();
     Ok(records)
 }
 
 /// Brings all faults about, each at its time, and waits until the last is over.
-async fn strike_all(parts: &Arc<Parts>, steps: Vec<Step>) {
-    let mut striking = JoinSet::new();
+async fn inject_all(test_bed: &Arc<TestBed>, steps: Vec<Step>) {
+    let mut injecting = JoinSet::new();
     for step in steps {
-        let parts = Arc::clone(parts);
-        striking.spawn(async move {
-            pause(step.at_ms.saturating_sub(parts.journal.now_ms())).await;
-            faults::strike(&parts, step).await;
+        let test_bed = Arc::clone(test_bed);
+        injecting.spawn(async move {
+            pause(step.at_ms.saturating_sub(test_bed.journal.now_ms())).await;
+            faults::inject(&test_bed, step).await;
         });
     }
-    finish(striking).await;
+    join_tasks(injecting).await;
 }
 
 /// Waits for all tasks; a panic in one goes on here, and ends the run and its processes.
-async fn finish(mut tasks: JoinSet<()>) {
+async fn join_tasks(mut tasks: JoinSet<()>) {
     while let Some(joined) = tasks.join_next().await {
         if let Err(error) = joined
             && error.is_panic()
@@ -187,14 +196,14 @@
 
 /// Looks after the processes until it is dropped: one that ended by itself is noted and
 /// started again.
-async fn watch(parts: &Parts) {
+async fn watch(test_bed: &TestBed) {
     loop {
-        pause(WATCH_EVERY_MS).await;
-        for gateway in &parts.gateways {
+        pause(WATCH_INTERVAL_MS).await;
+        for gateway in &test_bed.gateways {
             let number = gateway.number;
             if gateway.has_ended_by_itself().await {
-                let at_ms = parts.journal.now_ms();
-                parts.journal.event(Event::EndedByItself {
+                let at_ms = test_bed.journal.now_ms();
+                test_bed.journal.record_event(Event::EndedByItself {
                     gateway: number,
                     at_ms,
                 });
@@ -202,8 +211,8 @@
                     eprintln!("{error}");
                 }
             }
-            if let Some((memory_bytes, descriptor_count)) = gateway.held().await {
-                parts.journal.event(Event::Held {
+            if let Some((memory_bytes, descriptor_count)) = gateway.resource_usage().await {
+                test_bed.journal.record_event(Event::Held {
                     gateway: number,
                     memory_bytes,
                     descriptor_count,
@@ -214,15 +223,15 @@
 }
 
 /// Waits until a gateway says that it is ready.
-async fn until_ready(gateway: &Gateway) -> Result<(), RunError> {
-    let pool = Pool::new(&gateway.ready.to_string());
-    let question = load::Call::plain("", Method::GET, READY_PATH, "");
-    let until = Instant::now() + Duration::from_millis(READY_WITHIN_MS);
-    while load::send(&pool, &question).await.status != 200 {
-        if Instant::now() >= until {
+async fn wait_until_ready(gateway: &Gateway) -> Result<(), RunError> {
+    let pool = Pool::new(&gateway.ready_address.to_string());
+    let probe = load::Call::plain("", Method::GET, READY_PATH, "");
+    let deadline = Instant::now() + Duration::from_millis(READY_TIMEOUT_MS);
+    while load::send(&pool, &probe).await.status != 200 {
+        if Instant::now() >= deadline {
             return Err(RunError::NotReady(gateway.number));
         }
-        pause(READY_EVERY_MS).await;
+        pause(READY_POLL_INTERVAL_MS).await;
     }
     Ok(())
 }
@@ -232,8 +241,8 @@
     fs::create_dir_all(path)?;
     let mut entries = fs::read_dir(path)?;
     if entries.next().is_some() {
-        let why = "isn't empty; name another folder";
-        return Err(io::Error::new(io::ErrorKind::AlreadyExists, why));
+        let message = "isn't empty; name another folder";
+        return Err(io::Error::new(io::ErrorKind::AlreadyExists, message));
     }
     Ok(())
 }
--- a/crates/cranereach-soak/src/schedule.rs
+++ b/crates/cranereach-soak/src/schedule.rs
@@ -14,11 +14,11 @@
 use cranereach_standin::relay::Passage;
 
 /// Time without faults at the start, in milliseconds: callers are served by then.
-pub const CALM_AT_START_MS: u64 = 3_000;
+pub const FAULT_FREE_START_MS: u64 = 3_000;
 
 /// Longest time without faults at the end, in milliseconds: the bound on recovery and
 /// as long again to see what is served.
-pub const CALM_AT_END_MS: u64 = 12_000;
+pub const FAULT_FREE_END_MS: u64 = 12_000;
 
 /// Shortest time that a fault lasts, in milliseconds.
 const FAULT_MIN_MS: u64 = 200;
@@ -36,17 +36,17 @@
 const _: () = assert!(LONG_MS >= REVOCATION_MS && LONG_MS >= DRAIN_MS);
 
 /// Time within which the faults of a group begin, in milliseconds.
-const SERIES_MS: u64 = 300;
+const GROUP_SPREAD_MS: u64 = 300;
 
 /// Pause between two groups of faults, in milliseconds, from and to.
 const PAUSE_MS: (u64, u64) = (300, 1_800);
 
 /// Age of the oldest copy that a store comes back from, in milliseconds.
-const COPY_MAX_MS: u64 = 8_000;
+const BACKUP_MAX_AGE_MS: u64 = 8_000;
 
 /// Time from one restore to the next copy, in milliseconds, from and to: two may follow
 /// each other before anything has settled.
-const RESTORED_EVERY_MS: (u64, u64) = (200, 9_000);
+const RESTORE_INTERVAL_MS: (u64, u64) = (200, 9_000);
 
 /// Most faults that begin together.
 const GROUP_MAX_COUNT: usize = 3;
@@ -180,20 +180,20 @@
 /// ```
 pub fn from_seed(seed: u64, run_ms: u64, size: Size) -> Vec<Step> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let calm_ms = CALM_AT_END_MS.min(run_ms / 2);
-    let end_ms = run_ms.saturating_sub(calm_ms + FAULT_MAX_MS);
+    let fault_free_ms = FAULT_FREE_END_MS.min(run_ms / 2);
+    let end_ms = run_ms.saturating_sub(fault_free_ms + FAULT_MAX_MS);
     let mix = pick(&mut rng, &MIXES);
     let mut steps = Vec::new();
-    let mut at_ms = CALM_AT_START_MS;
+    let mut at_ms = FAULT_FREE_START_MS;
     while at_ms < end_ms {
         for _ in 0..rng.random_range(1..=GROUP_MAX_COUNT) {
             let kind = pick(&mut rng, mix);
             let fault = pick(&mut rng, kind);
-            let is_always = matches!(fault, Fault::Evacuate | Fault::FreezeOverRevocation);
-            let is_long = is_always || rng.random_bool(LONG_SHARE);
+            let is_always_long = matches!(fault, Fault::Evacuate | Fault::FreezeOverRevocation);
+            let is_long = is_always_long || rng.random_bool(LONG_SHARE);
             let extra_ms = if is_long { LONG_MS } else { 0 };
             steps.push(Step {
-                at_ms: at_ms + rng.random_range(0..SERIES_MS),
+                at_ms: at_ms + rng.random_range(0..GROUP_SPREAD_MS),
                 fault,
                 target: rng.random_range(0..target_count(fault, size)),
                 for_ms: extra_ms + rng.random_range(FAULT_MIN_MS..FAULT_MAX_MS),
@@ -209,18 +209,18 @@
 /// stay what they are.
 pub fn add_restores(steps: &mut Vec<Step>, seed: u64, run_ms: u64) {
     let mut rng = StdRng::seed_from_u64(!seed);
-    let calm_ms = CALM_AT_END_MS.min(run_ms / 2);
-    let end_ms = run_ms.saturating_sub(calm_ms + COPY_MAX_MS);
-    let mut at_ms = CALM_AT_START_MS;
+    let fault_free_ms = FAULT_FREE_END_MS.min(run_ms / 2);
+    let end_ms = run_ms.saturating_sub(fault_free_ms + BACKUP_MAX_AGE_MS);
+    let mut at_ms = FAULT_FREE_START_MS;
     while at_ms < end_ms {
-        let for_ms = rng.random_range(FAULT_MIN_MS..COPY_MAX_MS);
+        let for_ms = rng.random_range(FAULT_MIN_MS..BACKUP_MAX_AGE_MS);
         steps.push(Step {
             at_ms,
             fault: Fault::StoreRestored,
             target: 0,
             for_ms,
         });
-        at_ms += for_ms + rng.random_range(RESTORED_EVERY_MS.0..RESTORED_EVERY_MS.1);
+        at_ms += for_ms + rng.random_range(RESTORE_INTERVAL_MS.0..RESTORE_INTERVAL_MS.1);
     }
     steps.sort_by_key(|step| step.at_ms);
 }
@@ -260,7 +260,7 @@
 
 const STOPS: FaultKind = &[Fault::Stop, Fault::Stop, Fault::Reload];
 
-const WISHES: FaultKind = &[Fault::Move, Fault::Revoke, Fault::Evacuate];
+const OPERATOR_CHANGES: FaultKind = &[Fault::Move, Fault::Revoke, Fault::Evacuate];
 
 const LEAVING: FaultKind = &[Fault::WorkerLeaves];
 
@@ -304,14 +304,28 @@
     &[
         CRASHES,
         STOPS,
-        WISHES,
+        OPERATOR_CHANGES,
         LEAVING,
         STORE_LINKS,
         STORES,
         WORKER_LINKS,
         WORKERS,
     ],
-    &[STOPS, STOPS, WISHES, WISHES, LEAVING, WORKERS],
-    &[CRASHES, STOPS, STORE_LINKS, STORES, WISHES, LEAVING],
+    &[
+        STOPS,
+        STOPS,
+        OPERATOR_CHANGES,
+        OPERATOR_CHANGES,
+        LEAVING,
+        WORKERS,
+    ],
+    &[
+        CRASHES,
+        STOPS,
+        STORE_LINKS,
+        STORES,
+        OPERATOR_CHANGES,
+        LEAVING,
+    ],
     &[CRASHES, WORKER_LINKS, WORKERS, WORKERS, LEAVING],
 ];
--- a/crates/cranereach-soak/tests/soak/bounded.rs
+++ b/crates/cranereach-soak/tests/soak/bounded.rs
@@ -6,23 +6,23 @@
 use crate::planted::served;
 use cranereach_soak::check::bounded;
 use cranereach_soak::check::cold;
-use cranereach_soak::check::contact::CONTACT_MS;
-use cranereach_soak::check::limited;
+use cranereach_soak::check::rate_limits;
+use cranereach_soak::check::record_index::SETTLE_MS;
 use cranereach_soak::check::stop;
+use cranereach_soak::record::Component;
+use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::End;
 use cranereach_soak::record::Event;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
-use cranereach_soak::record::Trouble;
-use cranereach_soak::record::Whom;
 
 /// When the first of the calm records' requests is sent.
 const FIRST_MS: u64 = 20_000;
 
 /// Plants trouble that ended so long before the first request.
-fn trouble(records: &mut Records, whom: Whom, ended_before_ms: u64) {
+fn add_disturbance(records: &mut Records, whom: Component, ended_before_ms: u64) {
     let to_ms = FIRST_MS - ended_before_ms;
-    records.troubles.push(Trouble {
+    records.troubles.push(Disturbance {
         whom,
         is_planned: false,
         from_ms: to_ms - 10,
@@ -31,7 +31,7 @@
 }
 
 /// Lets the worker of the first request leave so long before it, and no other serve.
-fn left(records: &mut Records, before_ms: u64) {
+fn add_worker_departure(records: &mut Records, before_ms: u64) {
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
     let at_ms = records.arrivals[0].at_ms - before_ms;
@@ -41,18 +41,26 @@
 #[test]
 fn work_for_a_worker_that_left_is_found() {
     let late_ms = bounded::DRAIN_MS + 1;
-    finds(bounded::leaving, |records| left(records, late_ms));
-    passes(bounded::leaving, |records| left(records, late_ms - 1));
+    finds(bounded::leaving, |records| {
+        add_worker_departure(records, late_ms)
+    });
+    passes(bounded::leaving, |records| {
+        add_worker_departure(records, late_ms - 1)
+    });
     // Trouble long ago, or another's, excuses nothing.
     finds(bounded::leaving, |records| {
-        left(records, late_ms);
-        trouble(records, Whom::Store, CONTACT_MS + 1);
-        trouble(records, Whom::Gateway(1), 1);
+        add_worker_departure(records, late_ms);
+        add_disturbance(records, Component::Store, SETTLE_MS + 1);
+        add_disturbance(records, Component::Gateway(1), 1);
     });
-    for whom in [Whom::Store, Whom::Gateway(0), Whom::Worker(0)] {
+    for whom in [
+        Component::Store,
+        Component::Gateway(0),
+        Component::Worker(0),
+    ] {
         passes(bounded::leaving, |records| {
-            left(records, late_ms);
-            trouble(records, whom, CONTACT_MS - 1);
+            add_worker_departure(records, late_ms);
+            add_disturbance(records, whom, SETTLE_MS - 1);
         });
     }
 }
@@ -69,7 +77,7 @@
     let late_ms = bounded::REVOCATION_MS + 1;
     finds(bounded::revoked, |records| {
         revoke(records, late_ms);
-        trouble(records, Whom::Gateway(0), 1);
+        add_disturbance(records, Component::Gateway(0), 1);
     });
     passes(bounded::revoked, |records| revoke(records, late_ms - 1));
     passes(bounded::revoked, |records| {
@@ -92,10 +100,10 @@
     let check = bounded::configuration;
     let begun = |records: &mut Records| moved(records, &[("plain", FIRST_MS)]);
     let judged = |plant: &dyn Fn(&mut Records)| {
-        let mut records = crate::planted::calm();
+        let mut records = crate::planted::fault_free_records();
         begun(&mut records);
         plant(&mut records);
-        check(&records).broken.len()
+        check(&records).violations.len()
     };
     assert_eq!(judged(&|_| {}), 0);
     assert_eq!(judged(&|records| moved(records, &[("spare", long_ms)])), 1);
@@ -133,8 +141,8 @@
     });
     passes(check, |records| {
         evacuate(records, FIRST_MS - late_ms, FIRST_MS + 1_000);
-        records.troubles.push(Trouble {
-            whom: Whom::Store,
+        records.troubles.push(Disturbance {
+            whom: Component::Store,
             is_planned: false,
             from_ms: 0,
             to_ms: FIRST_MS,
@@ -180,13 +188,13 @@
             );
         }
     };
-    finds(limited::check, |records| crowd(records, 100, 1.2));
-    passes(limited::check, |records| crowd(records, 100, 10.0));
-    passes(limited::check, |records| crowd(records, 900, 1.2));
-    passes(limited::check, |records| {
+    finds(rate_limits::check, |records| crowd(records, 100, 1.2));
+    passes(rate_limits::check, |records| crowd(records, 100, 10.0));
+    passes(rate_limits::check, |records| crowd(records, 900, 1.2));
+    passes(rate_limits::check, |records| {
         crowd(records, 100, 1.2);
-        records.troubles.push(Trouble {
-            whom: Whom::Gateway(0),
+        records.troubles.push(Disturbance {
+            whom: Component::Gateway(0),
             is_planned: false,
             from_ms: 0,
             to_ms: FIRST_MS + 60_000,
@@ -221,6 +229,6 @@
     });
     passes(stop::check, |records| {
         cut(records);
-        trouble(records, Whom::Worker(0), 1);
+        add_disturbance(records, Component::Worker(0), 1);
     });
 }
--- a/crates/cranereach-soak/tests/soak/ending.rs
+++ b/crates/cranereach-soak/tests/soak/ending.rs
@@ -4,13 +4,13 @@
 use crate::planted::finds;
 use crate::planted::passes;
 use crate::planted::served;
-use cranereach_soak::check::contact::CONTACT_MS;
-use cranereach_soak::check::ending;
-use cranereach_soak::check::ending::LATE_MAX_COUNT;
+use cranereach_soak::check::crash_requests;
+use cranereach_soak::check::crash_requests::LATE_MAX_COUNT;
+use cranereach_soak::check::record_index::SETTLE_MS;
+use cranereach_soak::record::Component;
+use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
-use cranereach_soak::record::Trouble;
-use cranereach_soak::record::Whom;
 
 /// When the third worker ends, by the arrival of the request.
 const THIRD_MS: u64 = 12_000;
@@ -28,32 +28,32 @@
 
 #[test]
 fn sends_later_than_all_can_know_are_found() {
-    finds(ending::check, |records| {
-        plant(records, LATE_MAX_COUNT + 1, CONTACT_MS + 1);
+    finds(crash_requests::check, |records| {
+        plant(records, LATE_MAX_COUNT + 1, SETTLE_MS + 1);
     });
-    passes(ending::check, |records| {
-        plant(records, LATE_MAX_COUNT, CONTACT_MS + 1);
+    passes(crash_requests::check, |records| {
+        plant(records, LATE_MAX_COUNT, SETTLE_MS + 1);
     });
-    passes(ending::check, |records| {
-        plant(records, LATE_MAX_COUNT + 1, CONTACT_MS);
+    passes(crash_requests::check, |records| {
+        plant(records, LATE_MAX_COUNT + 1, SETTLE_MS);
     });
 }
 
 #[test]
 fn a_gateway_out_of_touch_is_excused() {
-    let trouble = |records: &mut Records, ended_ms: u64| {
-        plant(records, LATE_MAX_COUNT + 1, 2 * CONTACT_MS);
-        records.troubles.push(Trouble {
-            whom: Whom::Gateway(0),
+    let add_disturbance = |records: &mut Records, ended_ms: u64| {
+        plant(records, LATE_MAX_COUNT + 1, 2 * SETTLE_MS);
+        records.troubles.push(Disturbance {
+            whom: Component::Gateway(0),
             is_planned: false,
             from_ms: THIRD_MS,
             to_ms: ended_ms,
         });
     };
-    passes(ending::check, |records| {
-        trouble(records, THIRD_MS + CONTACT_MS + 1);
+    passes(crash_requests::check, |records| {
+        add_disturbance(records, THIRD_MS + SETTLE_MS + 1);
     });
-    finds(ending::check, |records| {
-        trouble(records, THIRD_MS + CONTACT_MS - 1);
+    finds(crash_requests::check, |records| {
+        add_disturbance(records, THIRD_MS + SETTLE_MS - 1);
     });
 }
--- a/crates/cranereach-soak/tests/soak/own_words.rs
+++ b/crates/cranereach-soak/tests/soak/own_words.rs
@@ -4,37 +4,41 @@
 use crate::planted::finds;
 use crate::planted::passes;
 use crate::planted::served;
-use cranereach_soak::check::own_words;
-use cranereach_soak::check::own_words::DRAIN_MS;
+use cranereach_soak::check::announcements;
+use cranereach_soak::check::announcements::DRAIN_MS;
+use cranereach_soak::record::Component;
+use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::Event;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
-use cranereach_soak::record::Trouble;
-use cranereach_soak::record::Whom;
 
 /// When the first of the calm records' requests is sent, in milliseconds.
 const FIRST_MS: u64 = 20_000;
 
 /// Lets the worker of the first request leave right before it, and a later one reach it.
-fn left(records: &mut Records, later_ms: u64) {
+fn add_worker_departure(records: &mut Records, later_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
     let at_ms = FIRST_MS - 1;
     records.events.push(Event::Leaves { worker_id, at_ms });
-    let told_ms = records.asked[0].ended_ms;
-    add(records, served("late", Kind::Again, told_ms + later_ms));
+    let informed_ms = records.asked[0].ended_ms;
+    add(records, served("late", Kind::Again, informed_ms + later_ms));
 }
 
 #[test]
 fn work_from_a_gateway_that_had_passed_the_word_on_is_found() {
-    finds(own_words::leaving, |records| left(records, DRAIN_MS + 1));
-    passes(own_words::leaving, |records| left(records, DRAIN_MS));
+    finds(announcements::leaving, |records| {
+        add_worker_departure(records, DRAIN_MS + 1)
+    });
+    passes(announcements::leaving, |records| {
+        add_worker_departure(records, DRAIN_MS)
+    });
     // Neither the store nor its link excuses it.
-    finds(own_words::leaving, |records| {
-        left(records, DRAIN_MS + 1);
-        for whom in [Whom::Store, Whom::Gateway(0)] {
-            records.troubles.push(Trouble {
+    finds(announcements::leaving, |records| {
+        add_worker_departure(records, DRAIN_MS + 1);
+        for whom in [Component::Store, Component::Gateway(0)] {
+            records.troubles.push(Disturbance {
                 whom,
                 is_planned: false,
                 from_ms: FIRST_MS,
@@ -47,19 +51,19 @@
         from_ms: FIRST_MS + 500,
         to_ms: FIRST_MS + 600,
     };
-    passes(own_words::leaving, |records| {
-        left(records, DRAIN_MS + 1);
+    passes(announcements::leaving, |records| {
+        add_worker_departure(records, DRAIN_MS + 1);
         records.events.push(stood(0));
     });
-    finds(own_words::leaving, |records| {
-        left(records, DRAIN_MS + 1);
+    finds(announcements::leaving, |records| {
+        add_worker_departure(records, DRAIN_MS + 1);
         records.events.push(stood(1));
     });
 }
 
 /// Lets the worker of the first request turn it away and ask for rest, and so many more
 /// reach it each some time later.
-fn rests(records: &mut Records, rest_ms: u64, count: u64, step_ms: u64) {
+fn add_rest(records: &mut Records, rest_ms: u64, count: u64, step_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
     records.arrivals[0].rest_ms = Some(rest_ms);
@@ -74,15 +78,23 @@
 
 #[test]
 fn too_much_in_a_rest_is_found() {
-    finds(own_words::resting, |records| rests(records, 3_000, 3, 700));
-    passes(own_words::resting, |records| rests(records, 3_000, 2, 700));
-    passes(own_words::resting, |records| rests(records, 1_000, 3, 700));
+    finds(announcements::resting, |records| {
+        add_rest(records, 3_000, 3, 700)
+    });
+    passes(announcements::resting, |records| {
+        add_rest(records, 3_000, 2, 700)
+    });
+    passes(announcements::resting, |records| {
+        add_rest(records, 1_000, 3, 700)
+    });
     // On the way before the answer.
-    passes(own_words::resting, |records| rests(records, 3_000, 9, 20));
-    for whom in [Whom::Gateway(0), Whom::Worker(0)] {
-        passes(own_words::resting, |records| {
-            rests(records, 3_000, 3, 700);
-            records.troubles.push(Trouble {
+    passes(announcements::resting, |records| {
+        add_rest(records, 3_000, 9, 20)
+    });
+    for whom in [Component::Gateway(0), Component::Worker(0)] {
+        passes(announcements::resting, |records| {
+            add_rest(records, 3_000, 3, 700);
+            records.troubles.push(Disturbance {
                 whom,
                 is_planned: false,
                 from_ms: FIRST_MS + 100,
--- a/crates/cranereach-soak/tests/soak/planted.rs
+++ b/crates/cranereach-soak/tests/soak/planted.rs
@@ -4,19 +4,19 @@
 use cranereach_soak::check::Finding;
 use cranereach_soak::record::Answer;
 use cranereach_soak::record::Arrival;
-use cranereach_soak::record::Asked;
 use cranereach_soak::record::End;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
+use cranereach_soak::record::RequestRecord;
 use cranereach_soak::schedule;
 
 /// Makes a request that gateway 0 took at `sent_ms` and worker `w-0` answered.
-pub fn served(id: &str, kind: Kind, sent_ms: u64) -> (Asked, Arrival) {
+pub fn served(id: &str, kind: Kind, sent_ms: u64) -> (RequestRecord, Arrival) {
     let body = match kind {
         Kind::Stream => content::whole_stream(id),
         _ => content::plain_body(id),
     };
-    let asked = Asked {
+    let record = RequestRecord {
         id: id.to_owned(),
         kind,
         key: 0,
@@ -42,11 +42,11 @@
         is_run: true,
         rest_ms: None,
     };
-    (asked, arrival)
+    (record, arrival)
 }
 
 /// Records in which one request of a kind each was served, from 20 s on.
-pub fn calm() -> Records {
+pub fn fault_free_records() -> Records {
     let mut records = Records::default();
     let kinds = [Kind::Once, Kind::Again, Kind::Moved, Kind::Stream];
     for (number, kind) in kinds.into_iter().enumerate() {
@@ -59,8 +59,8 @@
 }
 
 /// Adds a request.
-pub fn add(records: &mut Records, (asked, arrival): (Asked, Arrival)) {
-    records.asked.push(asked);
+pub fn add(records: &mut Records, (record, arrival): (RequestRecord, Arrival)) {
+    records.asked.push(record);
     records.arrivals.push(arrival);
 }
 
@@ -74,16 +74,16 @@
 
 /// Asserts that a checker passes calm records and finds one fault in changed ones.
 pub fn finds(check: fn(&Records) -> Finding, plant: impl Fn(&mut Records)) {
-    let mut records = calm();
-    assert_eq!(check(&records).broken, Vec::<String>::new());
+    let mut records = fault_free_records();
+    assert_eq!(check(&records).violations, Vec::<String>::new());
     plant(&mut records);
     let found = check(&records);
-    assert_eq!(found.broken.len(), 1, "{found:?}");
+    assert_eq!(found.violations.len(), 1, "{found:?}");
 }
 
 /// Asserts that a checker lets changed records pass.
 pub fn passes(check: fn(&Records) -> Finding, plant: impl Fn(&mut Records)) {
-    let mut records = calm();
+    let mut records = fault_free_records();
     plant(&mut records);
-    assert_eq!(check(&records).broken, Vec::<String>::new());
+    assert_eq!(check(&records).violations, Vec::<String>::new());
 }
--- a/crates/cranereach-soak/tests/soak/requests.rs
+++ b/crates/cranereach-soak/tests/soak/requests.rs
@@ -6,11 +6,11 @@
 use crate::planted::passes;
 use crate::planted::served;
 use cranereach_platform::standin::content;
-use cranereach_soak::check::once;
-use cranereach_soak::check::order;
-use cranereach_soak::check::own;
+use cranereach_soak::check::answers;
+use cranereach_soak::check::executions;
+use cranereach_soak::check::gateway_health;
 use cranereach_soak::check::recovery;
-use cranereach_soak::check::whole;
+use cranereach_soak::check::stream_order;
 use cranereach_soak::record::End;
 use cranereach_soak::record::Event;
 use cranereach_soak::record::Kind;
@@ -23,26 +23,26 @@
 
 #[test]
 fn an_answer_that_is_not_ones_own_is_found() {
-    finds(whole::check, |records| {
+    finds(answers::check, |records| {
         answer(records, ONCE).body = content::plain_body("id-1");
     });
-    finds(whole::check, |records| {
+    finds(answers::check, |records| {
         answer(records, ONCE).request = "id-1".to_owned();
     });
-    finds(whole::check, |records| {
+    finds(answers::check, |records| {
         answer(records, ONCE).signature = None;
     });
-    finds(whole::check, |records| {
+    finds(answers::check, |records| {
         answer(records, ONCE).signature = Some(content::signature("w-9"));
     });
-    finds(whole::check, |records| {
+    finds(answers::check, |records| {
         answer(records, ONCE).body.truncate(10);
     });
-    finds(whole::check, |records| {
+    finds(answers::check, |records| {
         answer(records, ONCE).status = 500;
     });
     // What visibly broke off doesn't pass for a success.
-    passes(whole::check, |records| {
+    passes(answers::check, |records| {
         let answer = answer(records, ONCE);
         answer.body.truncate(10);
         answer.is_whole = false;
@@ -52,23 +52,23 @@
 #[test]
 fn a_stream_that_loses_or_doubles_a_piece_is_found() {
     let event = |number| content::event(number, "id-3");
-    finds(order::check, |records| {
+    finds(stream_order::check, |records| {
         let answer = answer(records, STREAM);
         answer.body = answer.body.replace(&event(2), "");
     });
-    finds(order::check, |records| {
+    finds(stream_order::check, |records| {
         let answer = answer(records, STREAM);
         answer.body = answer.body.replace(&event(2), &event(2).repeat(2));
         answer.is_whole = false;
     });
-    finds(order::check, |records| {
+    finds(stream_order::check, |records| {
         answer(records, STREAM).body = event(0) + &content::event(1, "id-0");
         answer(records, STREAM).is_whole = false;
     });
-    finds(order::check, |records| {
+    finds(stream_order::check, |records| {
         answer(records, STREAM).body = event(0);
     });
-    passes(order::check, |records| {
+    passes(stream_order::check, |records| {
         let answer = answer(records, STREAM);
         answer.body = event(0) + "id: 1";
         answer.is_whole = false;
@@ -84,10 +84,14 @@
 
 #[test]
 fn a_second_run_is_found_where_none_is_allowed() {
-    finds(once::at_most_once, |records| run_again(records, ONCE));
-    finds(once::at_most_once, |records| run_again(records, STREAM));
-    passes(once::at_most_once, |records| run_again(records, AGAIN));
-    passes(once::at_most_once, |records| {
+    finds(executions::at_most_once, |records| run_again(records, ONCE));
+    finds(executions::at_most_once, |records| {
+        run_again(records, STREAM)
+    });
+    passes(executions::at_most_once, |records| {
+        run_again(records, AGAIN)
+    });
+    passes(executions::at_most_once, |records| {
         run_again(records, ONCE);
         records.arrivals[ONCE].is_run = false;
     });
@@ -96,15 +100,15 @@
 #[test]
 fn a_run_behind_not_run_is_found() {
     for status in [408, 421, 429, 503] {
-        finds(once::not_run, |records| {
+        finds(executions::not_run, |records| {
             answer(records, ONCE).status = status;
         });
     }
-    passes(once::not_run, |records| {
+    passes(executions::not_run, |records| {
         answer(records, ONCE).status = 503;
         records.arrivals[ONCE].is_run = false;
     });
-    passes(once::not_run, |records| {
+    passes(executions::not_run, |records| {
         answer(records, ONCE).status = 502;
         answer(records, AGAIN).status = 503;
     });
@@ -112,20 +116,20 @@
 
 #[test]
 fn a_run_that_nobody_asked_for_is_found() {
-    finds(once::only_asked, |records| {
+    finds(executions::only_asked, |records| {
         records.arrivals[ONCE].id = "id-9".to_owned();
     });
-    finds(once::only_asked, |records| {
+    finds(executions::only_asked, |records| {
         records.arrivals[ONCE].account = Some("ships".to_owned());
     });
-    finds(once::only_asked, |records| {
+    finds(executions::only_asked, |records| {
         records.arrivals[ONCE].account = None;
     });
 }
 
 #[test]
 fn an_end_and_a_hoard_of_ones_own_are_found() {
-    finds(own::ends, |records| {
+    finds(gateway_health::ends, |records| {
         records.events.push(Event::EndedByItself {
             gateway: 1,
             at_ms: 5,
@@ -136,13 +140,13 @@
         memory_bytes,
         descriptor_count,
     };
-    finds(own::resources, |records| {
+    finds(gateway_health::resources, |records| {
         records.events.push(held(1 << 40, 10));
     });
-    finds(own::resources, |records| {
+    finds(gateway_health::resources, |records| {
         records.events.push(held(1 << 20, 100_000));
     });
-    passes(own::resources, |records| {
+    passes(gateway_health::resources, |records| {
         records.events.push(held(1 << 20, 100));
     });
 }
@@ -160,8 +164,8 @@
     };
     let mut records = Records::default();
     deny(&mut records);
-    assert_eq!(own::denied(&records).broken.len(), 6);
-    passes(own::denied, |records| {
+    assert_eq!(gateway_health::denied(&records).violations.len(), 6);
+    passes(gateway_health::denied, |records| {
         deny(records);
         records.events.push(Event::Revoked { key: 5, at_ms: 0 });
     });
@@ -170,8 +174,8 @@
 #[test]
 fn service_that_does_not_come_back_is_found() {
     finds(recovery::check, |records| {
-        for asked in &mut records.asked[1..] {
-            asked.end = End::Closed;
+        for record in &mut records.asked[1..] {
+            record.end = End::Closed;
         }
     });
     // Nobody could even connect.
--- a/crates/cranereach-soak/tests/soak/schedule.rs
+++ b/crates/cranereach-soak/tests/soak/schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use cranereach_soak::schedule;
-use cranereach_soak::schedule::CALM_AT_END_MS;
+use cranereach_soak::schedule::FAULT_FREE_END_MS;
 use cranereach_soak::schedule::Fault;
 use cranereach_soak::schedule::Size;
 use cranereach_soak::schedule::Step;
@@ -23,7 +23,7 @@
         let steps = schedule::from_seed(seed, 60_000, Size::SMALL);
         assert!(steps.is_sorted_by_key(|step| step.at_ms));
         let last = steps.last().unwrap();
-        assert!(last.at_ms < 60_000 - CALM_AT_END_MS);
+        assert!(last.at_ms < 60_000 - FAULT_FREE_END_MS);
         let together = steps
             .windows(2)
             .filter(|pair| pair[1].at_ms < pair[0].at_ms + 200);
@@ -71,7 +71,7 @@
         let restores: Vec<&Step> = steps.iter().filter(is_restore).collect();
         assert!(restores.len() >= 3, "seed {seed}: {}", restores.len());
         let last = restores.last().unwrap();
-        assert!(last.at_ms + last.for_ms < 60_000 - CALM_AT_END_MS);
+        assert!(last.at_ms + last.for_ms < 60_000 - FAULT_FREE_END_MS);
         let is_soon = |pair: &&[&Step]| pair[1].at_ms < pair[0].at_ms + pair[0].for_ms + 2_000;
         together_count += restores.windows(2).filter(is_soon).count();
         steps.retain(|step| step.fault != Fault::StoreRestored);
