--- a/crates/cranereach-soak/src/callers.rs
+++ b/crates/cranereach-soak/src/callers.rs
@@ -89,17 +89,14 @@
                 None
             };
             match connected {
-                Some(connection) => {
-                    self.send_until_closed(gateway.number, connection, end_ms)
-                        .await
-                }
+                Some(connection) => self.send_over(gateway.number, connection, end_ms).await,
                 None => pause(RECONNECT_DELAY_MS).await,
             }
         }
     }
 
     /// Asks on one connection until it ends.
-    async fn send_until_closed(
+    async fn send_over(
         &mut self,
         gateway: usize,
         mut connection: SendRequest<Full<Bytes>>,
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -73,15 +73,13 @@
         }
         Fault::Stop => stop(test_bed, target).await,
         Fault::Reload => gateways[target].signal("HUP").await,
-        Fault::StoreLink(passage) => {
-            disturb_store_links(test_bed, &[target], passage, for_ms).await
-        }
+        Fault::StoreLink(passage) => impair_store_links(test_bed, &[target], passage, for_ms).await,
         Fault::CutRegion => {
             let (_domain, region) = DOMAINS[DOMAINS.len() - 1];
             let cut: Vec<usize> = (0..gateways.len())
                 .filter(|gateway| gateways::domain_and_region_of(*gateway).1 == region)
                 .collect();
-            disturb_store_links(test_bed, &cut, Passage::Held, for_ms).await;
+            impair_store_links(test_bed, &cut, Passage::Held, for_ms).await;
         }
         Fault::WorkerLink(passage) => {
             back_ends.set_worker_link(target, passage);
@@ -100,10 +98,10 @@
             journal.record_disturbance(Component::Store, false, from_ms);
         }
         Fault::StoreRestored => restore(test_bed, for_ms).await,
-        Fault::Worker(behaviour) => disturb_workers(test_bed, &[target], behaviour, for_ms).await,
+        Fault::Worker(behaviour) => impair_workers(test_bed, &[target], behaviour, for_ms).await,
         Fault::ServiceFull => {
             let all = back_ends.slots_of(target);
-            disturb_workers(test_bed, &all, Behaviour::Sheds, for_ms / 2).await;
+            impair_workers(test_bed, &all, Behaviour::Sheds, for_ms / 2).await;
         }
         Fault::WorkerCrashes => {
             back_ends.crash(target, for_ms / 2, journal).await;
@@ -214,12 +212,7 @@
 }
 
 /// Sets what links to the store pass, for a time.
-async fn disturb_store_links(
-    test_bed: &TestBed,
-    gateways: &[usize],
-    passage: Passage,
-    for_ms: u64,
-) {
+async fn impair_store_links(test_bed: &TestBed, gateways: &[usize], passage: Passage, for_ms: u64) {
     let from_ms = test_bed.journal.now_ms();
     for gateway in gateways {
         test_bed.back_ends.store_links[*gateway].set(passage);
@@ -233,7 +226,7 @@
 }
 
 /// Makes workers do something with requests, for a time.
-async fn disturb_workers(test_bed: &TestBed, workers: &[usize], behaviour: Behaviour, for_ms: u64) {
+async fn impair_workers(test_bed: &TestBed, workers: &[usize], behaviour: Behaviour, for_ms: u64) {
     let from_ms = test_bed.journal.now_ms();
     for worker in workers {
         test_bed.back_ends.set_behaviour(*worker, behaviour);
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -127,17 +127,12 @@
         at_ms: 0,
     });
     let mut background = JoinSet::new();
-    let heartbeat_bed = Arc::clone(&test_bed);
-    background.spawn(async move { heartbeat_bed.back_ends.run_heartbeats().await });
-    let replacement_bed = Arc::clone(&test_bed);
-    background.spawn(async move {
-        replacement_bed
-            .back_ends
-            .replace_ended(&replacement_bed.journal)
-            .await
-    });
-    let watch_bed = Arc::clone(&test_bed);
-    background.spawn(async move { watch(&watch_bed).await });
+    let heartbeats = Arc::clone(&test_bed);
+    background.spawn(async move { heartbeats.back_ends.run_heartbeats().await });
+    let replacer = Arc::clone(&test_bed);
+    background.spawn(async move { replacer.back_ends.replace_ended(&replacer.journal).await });
+    let watcher = Arc::clone(&test_bed);
+    background.spawn(async move { watch(&watcher).await });
     let mut callers = JoinSet::new();
     for number in 0..plan.size.caller_count {
         let caller = Caller::new(number, plan.seed, gateways, journal);
