--- a/crates/cranereach-soak/src/check/mod.rs
+++ b/crates/cranereach-soak/src/check/mod.rs
@@ -1,15 +1,15 @@
 //! The promises, each judged by the records alone.
 
-pub mod announcements;
 pub mod answers;
 pub mod bounded;
 pub mod cold;
 pub mod crash_requests;
-pub mod executions;
 pub mod gateway_health;
+pub mod notices;
 pub mod rate_limits;
 pub mod record_index;
 pub mod recovery;
+pub mod runs;
 pub mod stop;
 pub mod stream_order;
 
@@ -73,20 +73,12 @@
         Applicability::Always,
         stream_order::check,
     ),
-    promise(
-        "at-most-once",
-        Applicability::Always,
-        executions::at_most_once,
-    ),
-    promise(
-        "not-run-is-true",
-        Applicability::Always,
-        executions::not_run,
-    ),
+    promise("at-most-once", Applicability::Always, runs::at_most_once),
+    promise("not-run-is-true", Applicability::Always, runs::not_run),
     promise(
         "only-what-was-asked",
         Applicability::Always,
-        executions::only_asked,
+        runs::only_asked,
     ),
     promise("revoked-keys", Applicability::Always, bounded::revoked),
     promise(
@@ -116,14 +108,6 @@
         crash_requests::check,
     ),
     promise("limited-workers", Applicability::Timed, rate_limits::check),
-    promise(
-        "leaving-words",
-        Applicability::Always,
-        announcements::leaving,
-    ),
-    promise(
-        "resting-workers",
-        Applicability::Timed,
-        announcements::resting,
-    ),
+    promise("leaving-words", Applicability::Always, notices::leaving),
+    promise("resting-workers", Applicability::Timed, notices::resting),
 ];
--- a/crates/cranereach-soak/src/lib.rs
+++ b/crates/cranereach-soak/src/lib.rs
@@ -7,7 +7,6 @@
 //! [`run`] lets them meet, [`faults`] strikes them. All write down what they saw ([`journal`], [`record`]), and each module
 //! of [`check`] judges one promise by these records alone.
 
-pub mod announcements;
 pub mod back_ends;
 pub mod callers;
 pub mod check;
@@ -15,6 +14,7 @@
 pub mod faults;
 pub mod gateways;
 pub mod journal;
+pub mod notices;
 pub mod rate_limits;
 pub mod record;
 pub mod report;
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -13,7 +13,6 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::announcements;
 use crate::back_ends::BackEnds;
 use crate::callers::Caller;
 use crate::crash_requests;
@@ -24,6 +23,7 @@
 use crate::gateways::Gateway;
 use crate::gateways::GatewayError;
 use crate::journal::Journal;
+use crate::notices;
 use crate::rate_limits;
 use crate::record::Event;
 use crate::record::Records;
@@ -150,7 +150,7 @@
         plan.run_ms,
         Arc::clone(&test_bed),
     ));
-    callers.spawn(announcements::run(
+    callers.spawn(notices::run(
         plan.seed,
         plan.run_ms,
         plan.size.worker_total(),
--- a/crates/cranereach-soak/tests/soak/bounded.rs
+++ b/crates/cranereach-soak/tests/soak/bounded.rs
@@ -31,7 +31,7 @@
 }
 
 /// Lets the worker of the first request leave so long before it, and no other serve.
-fn add_worker_departure(records: &mut Records, before_ms: u64) {
+fn depart(records: &mut Records, before_ms: u64) {
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
     let at_ms = records.arrivals[0].at_ms - before_ms;
@@ -41,15 +41,11 @@
 #[test]
 fn work_for_a_worker_that_left_is_found() {
     let late_ms = bounded::DRAIN_MS + 1;
-    finds(bounded::leaving, |records| {
-        add_worker_departure(records, late_ms)
-    });
-    passes(bounded::leaving, |records| {
-        add_worker_departure(records, late_ms - 1)
-    });
+    finds(bounded::leaving, |records| depart(records, late_ms));
+    passes(bounded::leaving, |records| depart(records, late_ms - 1));
     // Trouble long ago, or another's, excuses nothing.
     finds(bounded::leaving, |records| {
-        add_worker_departure(records, late_ms);
+        depart(records, late_ms);
         add_disturbance(records, Component::Store, SETTLE_MS + 1);
         add_disturbance(records, Component::Gateway(1), 1);
     });
@@ -59,7 +55,7 @@
         Component::Worker(0),
     ] {
         passes(bounded::leaving, |records| {
-            add_worker_departure(records, late_ms);
+            depart(records, late_ms);
             add_disturbance(records, whom, SETTLE_MS - 1);
         });
     }
--- a/crates/cranereach-soak/tests/soak/own_words.rs
+++ b/crates/cranereach-soak/tests/soak/own_words.rs
@@ -4,8 +4,8 @@
 use crate::planted::finds;
 use crate::planted::passes;
 use crate::planted::served;
-use cranereach_soak::check::announcements;
-use cranereach_soak::check::announcements::DRAIN_MS;
+use cranereach_soak::check::notices;
+use cranereach_soak::check::notices::DRAIN_MS;
 use cranereach_soak::record::Component;
 use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::Event;
@@ -16,7 +16,7 @@
 const FIRST_MS: u64 = 20_000;
 
 /// Lets the worker of the first request leave right before it, and a later one reach it.
-fn add_worker_departure(records: &mut Records, later_ms: u64) {
+fn depart(records: &mut Records, later_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
@@ -28,15 +28,11 @@
 
 #[test]
 fn work_from_a_gateway_that_had_passed_the_word_on_is_found() {
-    finds(announcements::leaving, |records| {
-        add_worker_departure(records, DRAIN_MS + 1)
-    });
-    passes(announcements::leaving, |records| {
-        add_worker_departure(records, DRAIN_MS)
-    });
+    finds(notices::leaving, |records| depart(records, DRAIN_MS + 1));
+    passes(notices::leaving, |records| depart(records, DRAIN_MS));
     // Neither the store nor its link excuses it.
-    finds(announcements::leaving, |records| {
-        add_worker_departure(records, DRAIN_MS + 1);
+    finds(notices::leaving, |records| {
+        depart(records, DRAIN_MS + 1);
         for whom in [Component::Store, Component::Gateway(0)] {
             records.troubles.push(Disturbance {
                 whom,
@@ -51,12 +47,12 @@
         from_ms: FIRST_MS + 500,
         to_ms: FIRST_MS + 600,
     };
-    passes(announcements::leaving, |records| {
-        add_worker_departure(records, DRAIN_MS + 1);
+    passes(notices::leaving, |records| {
+        depart(records, DRAIN_MS + 1);
         records.events.push(stood(0));
     });
-    finds(announcements::leaving, |records| {
-        add_worker_departure(records, DRAIN_MS + 1);
+    finds(notices::leaving, |records| {
+        depart(records, DRAIN_MS + 1);
         records.events.push(stood(1));
     });
 }
@@ -78,21 +74,13 @@
 
 #[test]
 fn too_much_in_a_rest_is_found() {
-    finds(announcements::resting, |records| {
-        add_rest(records, 3_000, 3, 700)
-    });
-    passes(announcements::resting, |records| {
-        add_rest(records, 3_000, 2, 700)
-    });
-    passes(announcements::resting, |records| {
-        add_rest(records, 1_000, 3, 700)
-    });
+    finds(notices::resting, |records| add_rest(records, 3_000, 3, 700));
+    passes(notices::resting, |records| add_rest(records, 3_000, 2, 700));
+    passes(notices::resting, |records| add_rest(records, 1_000, 3, 700));
     // On the way before the answer.
-    passes(announcements::resting, |records| {
-        add_rest(records, 3_000, 9, 20)
-    });
+    passes(notices::resting, |records| add_rest(records, 3_000, 9, 20));
     for whom in [Component::Gateway(0), Component::Worker(0)] {
-        passes(announcements::resting, |records| {
+        passes(notices::resting, |records| {
             add_rest(records, 3_000, 3, 700);
             records.troubles.push(Disturbance {
                 whom,
--- a/crates/cranereach-soak/tests/soak/requests.rs
+++ b/crates/cranereach-soak/tests/soak/requests.rs
@@ -7,9 +7,9 @@
 use crate::planted::served;
 use cranereach_platform::standin::content;
 use cranereach_soak::check::answers;
-use cranereach_soak::check::executions;
 use cranereach_soak::check::gateway_health;
 use cranereach_soak::check::recovery;
+use cranereach_soak::check::runs;
 use cranereach_soak::check::stream_order;
 use cranereach_soak::record::End;
 use cranereach_soak::record::Event;
@@ -84,14 +84,10 @@
 
 #[test]
 fn a_second_run_is_found_where_none_is_allowed() {
-    finds(executions::at_most_once, |records| run_again(records, ONCE));
-    finds(executions::at_most_once, |records| {
-        run_again(records, STREAM)
-    });
-    passes(executions::at_most_once, |records| {
-        run_again(records, AGAIN)
-    });
-    passes(executions::at_most_once, |records| {
+    finds(runs::at_most_once, |records| run_again(records, ONCE));
+    finds(runs::at_most_once, |records| run_again(records, STREAM));
+    passes(runs::at_most_once, |records| run_again(records, AGAIN));
+    passes(runs::at_most_once, |records| {
         run_again(records, ONCE);
         records.arrivals[ONCE].is_run = false;
     });
@@ -100,15 +96,15 @@
 #[test]
 fn a_run_behind_not_run_is_found() {
     for status in [408, 421, 429, 503] {
-        finds(executions::not_run, |records| {
+        finds(runs::not_run, |records| {
             answer(records, ONCE).status = status;
         });
     }
-    passes(executions::not_run, |records| {
+    passes(runs::not_run, |records| {
         answer(records, ONCE).status = 503;
         records.arrivals[ONCE].is_run = false;
     });
-    passes(executions::not_run, |records| {
+    passes(runs::not_run, |records| {
         answer(records, ONCE).status = 502;
         answer(records, AGAIN).status = 503;
     });
@@ -116,13 +112,13 @@
 
 #[test]
 fn a_run_that_nobody_asked_for_is_found() {
-    finds(executions::only_asked, |records| {
+    finds(runs::only_asked, |records| {
         records.arrivals[ONCE].id = "id-9".to_owned();
     });
-    finds(executions::only_asked, |records| {
+    finds(runs::only_asked, |records| {
         records.arrivals[ONCE].account = Some("ships".to_owned());
     });
-    finds(executions::only_asked, |records| {
+    finds(runs::only_asked, |records| {
         records.arrivals[ONCE].account = None;
     });
 }
