--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -1,4 +1,4 @@
-//! The platform's store and workers of a run, with relays before them.
+//! The store and workers of a run, each behind a relay that can impair its link.
 
 mod arrivals;
 
@@ -38,53 +38,53 @@
 use cranereach_standin::relay::Passage;
 use cranereach_standin::relay::Relay;
 
-/// Time that a plain call takes, in milliseconds.
+/// Duration of a plain call, in milliseconds.
 const CALL_DURATION_MS: u64 = 25;
 
-/// Pauses between two events of a stream, by worker, in milliseconds: the slow ones'
-/// streams are still under way when a gateway that stops has sent its callers elsewhere.
+/// Pauses between two events of a stream, by worker, in milliseconds. Streams of the slow workers
+/// are still open when a stopping gateway is out of rotation.
 const EVENT_PAUSES_MS: [u64; 3] = [60, 200, 550];
 
-/// Time between two heartbeats of a worker, in milliseconds.
+/// Interval of the workers' heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Time until the entry of a worker that says nothing more goes, in milliseconds.
+/// Time after which the store entry of a worker without heartbeats is removed, in milliseconds.
 const ENTRY_EXPIRY_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
 
-/// Time between two looks whether workers have ended by themselves, in milliseconds.
+/// Interval of the checks for workers that ended on their own, in milliseconds.
 const CRASH_CHECK_INTERVAL_MS: u64 = 300;
 
-/// Time for which a leaving worker serves beyond its bound, in milliseconds.
+/// Time for which a leaving worker keeps serving after the drain bound, in milliseconds.
 const SERVE_PAST_DRAIN_MS: u64 = 1_500;
 
-/// State of a worker that leaves.
+/// State of a leaving worker in its store entry.
 const LEAVING: &str = "draining";
 
-/// Store, workers and links of a run.
+/// The store, the workers and their links.
 #[derive(Debug)]
 pub struct BackEnds {
     /// The store.
     pub store: Store,
-    /// Links of the gateways to the store.
+    /// Links of the gateways to the store, by gateway.
     pub store_links: Vec<Relay>,
-    /// Where the gateways find the store.
+    /// Addresses at which the gateways reach the store, by gateway.
     pub store_addresses: Vec<SocketAddr>,
     slots: Vec<WorkerSlot>,
     declared: Mutex<DeclaredState>,
 }
 
-/// A place that a worker fills, one after the other.
+/// A position that is filled by one worker at a time.
 #[derive(Debug)]
 struct WorkerSlot {
     number: usize,
     service: &'static str,
     start_count: AtomicU64,
     current: Mutex<Option<RunningWorker>>,
-    /// Every worker that was ever here.
+    /// All workers that were ever started in this slot.
     started_workers: Mutex<Vec<Worker>>,
 }
 
-/// The worker that fills a place.
+/// The worker that currently fills a slot.
 #[derive(Clone, Debug)]
 struct RunningWorker {
     worker: Worker,
@@ -94,7 +94,7 @@
     last_row: Option<Value>,
 }
 
-/// What the operator has declared.
+/// State that the operator has declared.
 #[derive(Debug)]
 struct DeclaredState {
     version: u64,
@@ -141,7 +141,7 @@
         Ok(back_ends)
     }
 
-    /// Writes what changed of the workers' entries, as their heartbeats do.
+    /// Writes the workers' store entries that have changed, as their heartbeats would.
     pub fn send_heartbeats(&self) {
         for slot in &self.slots {
             let mut current = lock(&slot.current);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Beats until it is dropped.
+    /// Sends heartbeats until dropped.
     pub async fn run_heartbeats(&self) {
         loop {
             tokio::time::sleep(Duration::from_millis(HEARTBEAT_INTERVAL_MS)).await;
@@ -163,15 +163,15 @@
         }
     }
 
-    /// Sets what the worker at a place does with requests.
+    /// Sets how the worker in a slot handles requests.
     pub fn set_behaviour(&self, number: usize, behaviour: Behaviour) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
             running.worker.set(behaviour);
         }
     }
 
-    /// Lets the worker at a place name a limit, or none any more; returns it, if there is
-    /// one.
+    /// Makes the worker in a slot announce a rate limit, or none. Returns the worker, if the slot is
+    /// filled.
     pub fn name_limit(&self, number: usize, rate_per_s: Option<f64>) -> Option<Worker> {
         let current = lock(&self.slots[number].current);
         let worker = &current.as_ref()?.worker;
@@ -180,7 +180,8 @@
         Some(worker.clone())
     }
 
-    /// Lets the worker at a place turn everything away and ask for rest, or serve again.
+    /// Makes the worker in a slot shed all requests and ask for a rest, a time in which it wants no
+    /// more of them; `None` makes it serve again.
     pub fn ask_for_rest(&self, number: usize, rest_ms: Option<u64>) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
             let rest = rest_ms.map(|rest_ms| (rest_ms as f64 / 1_000.0).to_string());
@@ -193,21 +194,21 @@
         }
     }
 
-    /// Returns the places of a service.
+    /// Returns the numbers of a service's slots.
     pub fn slots_of(&self, service: usize) -> Vec<usize> {
         let slots = self.slots.iter();
         let of_service = slots.filter(|slot| slot.service == SERVICES[service]);
         of_service.map(|slot| slot.number).collect()
     }
 
-    /// Sets what a worker's link passes.
+    /// Sets what the link to the worker in a slot passes.
     pub fn set_worker_link(&self, number: usize, passage: Passage) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
             running.link.set(passage);
         }
     }
 
-    /// Ends a worker as a crash does; another comes after `down_ms`, cold.
+    /// Ends a worker as a crash would, and starts a cold replacement after `down_ms`.
     pub async fn crash(&self, number: usize, down_ms: u64, journal: &Journal) {
         let slot = &self.slots[number];
         let Some(running) = lock(&slot.current).take() else {
@@ -221,7 +222,7 @@
         self.store.remove("servers", &running.worker.id);
     }
 
-    /// Replaces workers that ended under what they ran, until it is dropped.
+    /// Replaces workers that crashed while running a request, until dropped.
     pub async fn replace_ended(&self, journal: &Journal) {
         loop {
             tokio::time::sleep(Duration::from_millis(CRASH_CHECK_INTERVAL_MS)).await;
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Replaces the worker at a place if it has ended by itself.
+    /// Replaces the worker in a slot if it has ended on its own.
     async fn replace_if_ended(&self, slot: &WorkerSlot, journal: &Journal) {
         let ended = lock(&slot.current).take_if(|running| running.worker.has_ended());
         let Some(running) = ended else { return };
@@ -244,7 +245,7 @@
         journal.record_disturbance(Component::Worker(slot.number), false, from_ms);
     }
 
-    /// Lets a worker leave as it should, and another take its place.
+    /// Makes a worker leave in an orderly way, and replaces it.
     pub async fn leave(&self, number: usize, journal: &Journal) {
         let slot = &self.slots[number];
         let worker = {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Starts another worker, cold.
+    /// Starts a cold replacement in a slot.
     async fn start_replacement(&self, slot: &WorkerSlot, journal: &Journal) {
         match slot.start_worker(Duration::from_millis(COLD_FOR_MS)).await {
             Ok(worker_id) => journal.record_event(Event::Cold {
@@ -290,7 +291,7 @@
         self.send_heartbeats();
     }
 
-    /// Sends the route that moves to the other service.
+    /// Points the `moved` route at the other service, and returns that service.
     pub fn move_route(&self) -> &'static str {
         let mut declared = lock(&self.declared);
         let is_first = declared.moved_to == SERVICES[0];
@@ -302,7 +303,7 @@
         moved_to
     }
 
-    /// Takes a key away; tells whether it was in force.
+    /// Revokes a key; returns whether it was valid before.
     pub fn revoke(&self, key: usize) -> bool {
         let mut declared = lock(&self.declared);
         let was_revoked = std::mem::replace(&mut declared.revoked[key], true);
@@ -312,7 +313,7 @@
         !was_revoked
     }
 
-    /// Asks for the evacuation of a failure domain; false if that is under way already.
+    /// Requests the evacuation of a failure domain; returns false if it was already requested.
     pub fn evacuate(&self, domain: usize) -> bool {
         let was_requested = std::mem::replace(&mut lock(&self.declared).evacuated[domain], true);
         if !was_requested {
@@ -321,13 +322,13 @@
         !was_requested
     }
 
-    /// Takes the wish for an evacuation back.
+    /// Cancels the evacuation of a failure domain.
     pub fn cancel_evacuation(&self, domain: usize) {
         lock(&self.declared).evacuated[domain] = false;
         self.store.remove("op", &evacuation_key(domain));
     }
 
-    /// Writes the configuration as it is declared now.
+    /// Writes the currently declared configuration to the store.
     fn write_configuration(&self) {
         let declared = lock(&self.declared);
         let accounts = [0, 1].map(|first| DeclaredAccount {
@@ -344,7 +345,7 @@
 }
 
 impl RunningWorker {
-    /// Returns the worker's entry.
+    /// Returns the worker's store entry.
     fn row(&self, slot: &WorkerSlot) -> Value {
         let cold = self.cold_until.saturating_duration_since(Instant::now());
         let (domain, _region) = gateways::domain_and_region_of(slot.number);
@@ -354,7 +355,7 @@
 }
 
 impl WorkerSlot {
-    /// Starts a worker here that stays cold for a time; returns its identity.
+    /// Starts a worker in this slot that is cold for `cold_for`, and returns its ID.
     async fn start_worker(&self, cold_for: Duration) -> std::io::Result<String> {
         let start = self.start_count.fetch_add(1, Ordering::Relaxed);
         let id = format!("w-{}-{start}", self.number);
@@ -380,19 +381,19 @@
     }
 }
 
-/// Returns the key of the row that asks for an evacuation.
+/// Returns the key of the store row that requests an evacuation.
 fn evacuation_key(domain: usize) -> String {
     format!("evacuate/{}", DOMAINS[domain].0)
 }
 
-/// Starts a relay to an address; returns where it listens.
+/// Starts a relay to an address; returns it with the address that it listens on.
 async fn start_relay(to: SocketAddr) -> std::io::Result<(Relay, SocketAddr)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     Ok((Relay::start(listener, &to.to_string()), address))
 }
 
-/// Locks a mutex, also after a panic elsewhere.
+/// Locks a mutex, ignoring poisoning by a panic in another thread.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/cranereach-soak/src/back_ends/arrivals.rs
+++ b/crates/cranereach-soak/src/back_ends/arrivals.rs
@@ -1,4 +1,4 @@
-//! What the workers of a run saw arrive.
+//! Collects the requests that arrived at the workers of a run.
 
 use super::BackEnds;
 use super::lock;
--- a/crates/cranereach-soak/src/callers.rs
+++ b/crates/cranereach-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until the other side is gone.
+//! Callers, which reuse a connection until the gateway closes it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,25 +31,25 @@
 use cranereach_platform::standin::declared::HOST;
 use cranereach_platform::standin::declared::MODELS;
 
-/// Time that callers say they wait, in milliseconds.
+/// Deadline that callers state in their requests, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
 
-/// The same of streams, which take longer.
+/// Deadline that callers state for streams, which take longer, in milliseconds.
 const STREAM_DEADLINE_MS: u64 = 5_000;
 
-/// Time after their deadline at which callers leave, in milliseconds.
+/// Time after the deadline at which a caller gives up, in milliseconds.
 const GIVE_UP_DELAY_MS: u64 = 1_000;
 
-/// Time for a connection to come up, in milliseconds.
+/// Time-out for opening a connection, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Pause between two requests of a caller, in milliseconds, from and to.
+/// Range of the pause between two requests of a caller, in milliseconds.
 const PAUSE_MS: (u64, u64) = (5, 60);
 
-/// Pause after a connection that could not be had, in milliseconds.
+/// Pause after a failed attempt to connect, in milliseconds.
 const RECONNECT_DELAY_MS: u64 = 50;
 
-/// A caller with one connection at a time.
+/// A caller that uses one connection at a time.
 #[derive(Debug)]
 pub struct Caller {
     number: usize,
@@ -61,7 +61,7 @@
 }
 
 impl Caller {
-    /// Makes a caller; what it asks for follows from the seed and its number.
+    /// Creates a caller whose requests are determined by the seed and its number.
     pub fn new(
         number: usize,
         seed: u64,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Asks until `end_ms`.
+    /// Sends requests until `end_ms`.
     pub async fn run(mut self, end_ms: u64) {
         while self.journal.now_ms() < end_ms {
             let gateway = self.rng.random_range(0..self.gateways.len());
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Asks on one connection until it ends.
+    /// Sends requests over a connection until it closes or an answer fails.
     async fn send_over(
         &mut self,
         gateway: usize,
@@ -128,18 +128,18 @@
         }
     }
 
-    /// Returns the identity of the newest request.
+    /// Returns the ID of the latest request.
     fn id(&self) -> String {
         format!("{:x}-{}-{}", self.seed, self.number, self.sent_count)
     }
 
-    /// Draws what to ask for.
+    /// Picks the kind of the next request.
     fn draw_kind(&mut self) -> Kind {
         let kinds = [Kind::Once, Kind::Again, Kind::Moved, Kind::Stream];
         kinds[self.rng.random_range(0..kinds.len())]
     }
 
-    /// Makes the next request.
+    /// Builds the next request.
     fn request(&mut self, kind: Kind, key: usize) -> Request<Full<Bytes>> {
         self.sent_count += 1;
         let id = self.id();
@@ -163,7 +163,7 @@
     }
 }
 
-/// Sends one request on a connection of its own, and writes down what became of it.
+/// Sends one request over a connection of its own, and records how it ended.
 pub async fn send_single_request(
     gateway: &Gateway,
     journal: &Journal,
@@ -188,7 +188,7 @@
     });
 }
 
-/// Returns how long a caller says that it waits, in milliseconds.
+/// Returns the deadline that callers state for a kind of request, in milliseconds.
 pub fn deadline_ms(kind: Kind) -> u64 {
     match kind {
         Kind::Stream => STREAM_DEADLINE_MS,
@@ -196,7 +196,7 @@
     }
 }
 
-/// Connects, if that can be had soon.
+/// Opens a connection; returns `None` on an error or time-out.
 async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
     let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let stream = timeout(limit, TcpStream::connect(address))
@@ -204,12 +204,12 @@
         .ok()?
         .ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // It ends with the connection; what went wrong shows at the request.
+    // The task ends with the connection. Its errors also surface at the request.
     tokio::spawn(connection);
     Some(sender)
 }
 
-/// Sends one request and reads the answer as far as it comes.
+/// Sends one request and reads as much of the answer as arrives.
 async fn exchange(connection: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>) -> End {
     match connection.send_request(request).await {
         Ok(response) => End::Answered(read_answer(response).await),
@@ -217,7 +217,7 @@
     }
 }
 
-/// Reads an answer as far as it comes.
+/// Reads as much of an answer as arrives.
 async fn read_answer(response: Response<Incoming>) -> Answer {
     let (head, mut incoming) = response.into_parts();
     let header = |name: &str| {
@@ -241,7 +241,7 @@
     }
 }
 
-/// Waits for a time.
+/// Sleeps for `pause_ms`.
 async fn pause(pause_ms: u64) {
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
--- a/crates/cranereach-soak/src/crash_requests.rs
+++ b/crates/cranereach-soak/src/crash_requests.rs
@@ -1,5 +1,5 @@
-//! A request that ends each worker that begins to run it, and its caller, who comes back
-//! with it at one gateway after the other.
+//! A request that crashes each worker that starts to run it, and a caller that keeps resending it
+//! through randomly chosen gateways.
 
 use std::sync::Arc;
 
@@ -23,22 +23,22 @@
 use cranereach_platform::requests::HEADERS;
 use cranereach_platform::standin::declared::HOST;
 
-/// Word in the path of the request; workers end under it.
+/// Word in the path of crash requests, which makes a worker crash. Their IDs start with it, too.
 pub const ENDING: &str = "ending";
 
-/// Told apart from the other draws of a run.
+/// Mixed into the seed, so that these random draws are independent of others in the run.
 const SEED_SALT: u64 = 0x656e_6469_6e67;
 
-/// Pause between two returns, in milliseconds, from and to.
+/// Range of the pause between two attempts, in milliseconds.
 const PAUSE_MS: (u64, u64) = (200, 1_500);
 
-/// Whether a request of an identity is one of those that end their workers.
+/// Returns whether an ID belongs to a crash request.
 pub fn is_crash_request(id: &str) -> bool {
     id.starts_with(ENDING)
 }
 
-/// Comes back with the request until the calm at the end of a run, which must recover
-/// from it, too.
+/// Resends the request until the fault-free time at the end of a run, so that recovery from it is
+/// checked as well.
 pub async fn run(seed: u64, run_ms: u64, gateways: Vec<Arc<Gateway>>, journal: Arc<Journal>) {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_SALT);
     let kinds = [Kind::Once, Kind::Again];
@@ -57,7 +57,7 @@
     }
 }
 
-/// Makes the request; only its identity is new each time.
+/// Builds the request. Only its ID differs between attempts.
 fn request(kind: Kind, key: usize, id: &str) -> Request<Full<Bytes>> {
     let builder = Request::builder()
         .method("POST")
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Brings one fault about, and writes down whom it struck and for how long.
+//! Injects faults, and records which component each one disturbed and for how long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,30 +18,30 @@
 use cranereach_platform::standin::worker::Behaviour;
 use cranereach_standin::relay::Passage;
 
-/// Pause between the end of a planned stop and the next start, in milliseconds.
+/// Pause between a planned stop and the restart, in milliseconds.
 const RESTART_DELAY_MS: u64 = 300;
 
-/// Time for which the store is away before it comes back from a copy, in milliseconds.
+/// Time for which the store is silent before it is restored from a backup, in milliseconds.
 const RESTORE_DOWNTIME_MS: u64 = 700;
 
-/// Time until what it has lost is written again, in milliseconds.
+/// Time after a restore at which the lost rows are written again, in milliseconds.
 const REWRITE_DELAY_MS: u64 = 1_500;
 
-/// Time that a gateway has been frozen for when a key is taken away, in milliseconds.
+/// Time between freezing a gateway and revoking a key, in milliseconds.
 const REVOKE_DELAY_MS: u64 = 100;
 
-/// Everybody that faults can strike.
+/// Everything that faults can affect, and the journal.
 #[derive(Debug)]
 pub struct TestBed {
     /// Gateways.
     pub gateways: Vec<Arc<Gateway>>,
     /// Store and workers.
     pub back_ends: BackEnds,
-    /// Where all is written down.
+    /// Journal of the run.
     pub journal: Arc<Journal>,
 }
 
-/// Brings a fault about and waits until it is over.
+/// Injects a fault and waits until it is over.
 pub async fn inject(test_bed: &TestBed, step: Step) {
     let Step {
         fault,
@@ -118,8 +118,8 @@
     }
 }
 
-/// Lets the store come back from a copy of an age, silent for a moment before; operator
-/// and workers write again a while later what it has lost.
+/// Restores the store from a backup that is `age_ms` old, after a short silence. The operator and
+/// the workers write the lost rows again some time later.
 async fn restore(test_bed: &TestBed, age_ms: u64) {
     let store = &test_bed.back_ends.store;
     let backup_version = store.version();
@@ -136,7 +136,7 @@
         .record_disturbance(Component::Store, false, from_ms);
 }
 
-/// Freezes a gateway for a time.
+/// Freezes a gateway for `for_ms`.
 async fn freeze(test_bed: &TestBed, gateway: usize, for_ms: u64) {
     let from_ms = test_bed.journal.now_ms();
     test_bed.gateways[gateway].signal("STOP").await;
@@ -145,7 +145,7 @@
     record_interruption(test_bed, gateway, from_ms);
 }
 
-/// Notes that a gateway stood still or was started again.
+/// Records that a gateway was frozen or restarted.
 fn record_interruption(test_bed: &TestBed, gateway: usize, from_ms: u64) {
     let journal = &test_bed.journal;
     journal.record_disturbance(Component::Gateway(gateway), false, from_ms);
@@ -156,7 +156,7 @@
     });
 }
 
-/// Takes a key away.
+/// Revokes a key.
 fn revoke(test_bed: &TestBed, key: usize) {
     let was_in_force = test_bed.back_ends.revoke(key);
     let at_ms = test_bed.journal.now_ms();
@@ -165,7 +165,8 @@
     }
 }
 
-/// Asks for an evacuation, unless one of that domain is under way, and takes it back.
+/// Requests an evacuation and cancels it after `for_ms`. Does nothing if that domain is already
+/// being evacuated.
 async fn evacuate(test_bed: &TestBed, domain: usize, for_ms: u64) {
     if !test_bed.back_ends.evacuate(domain) {
         return;
@@ -181,7 +182,7 @@
     });
 }
 
-/// Stops a gateway as planned and starts it again.
+/// Stops a gateway in an orderly way and restarts it.
 async fn stop(test_bed: &TestBed, gateway: usize) {
     let journal = &test_bed.journal;
     let from_ms = journal.now_ms();
@@ -203,15 +204,15 @@
     });
 }
 
-/// Starts a gateway that ended.
+/// Restarts a gateway that has ended.
 async fn restart(gateway: &Gateway) {
     if let Err(error) = gateway.start().await {
-        // The watch over the processes counts it as one that ended by itself.
+        // The process watch records it as one that exited on its own.
         eprintln!("{error}");
     }
 }
 
-/// Sets what links to the store pass, for a time.
+/// Sets what the gateways' links to the store pass, for `for_ms`.
 async fn impair_store_links(test_bed: &TestBed, gateways: &[usize], passage: Passage, for_ms: u64) {
     let from_ms = test_bed.journal.now_ms();
     for gateway in gateways {
@@ -225,7 +226,7 @@
     }
 }
 
-/// Makes workers do something with requests, for a time.
+/// Sets how workers handle requests, for `for_ms`.
 async fn impair_workers(test_bed: &TestBed, workers: &[usize], behaviour: Behaviour, for_ms: u64) {
     let from_ms = test_bed.journal.now_ms();
     for worker in workers {
@@ -240,7 +241,7 @@
     }
 }
 
-/// Waits for a time.
+/// Sleeps for `pause_ms`.
 pub async fn pause(pause_ms: u64) {
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
--- a/crates/cranereach-soak/src/gateways.rs
+++ b/crates/cranereach-soak/src/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes of their own: started, signalled by id, ended.
+//! Runs gateways as separate processes: starts them, signals them by process ID, ends them.
 
 use std::fs;
 use std::fs::File;
@@ -26,56 +26,56 @@
 use crate::schedule::DOMAINS;
 use cranereach_bench::process;
 
-/// Pause between two looks at a process, in milliseconds.
+/// Interval at which a process is polled, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 20;
 
-/// Time within which a process must listen, in milliseconds.
+/// Time to wait for a started process to listen, in milliseconds.
 const LISTEN_TIMEOUT_MS: u64 = 20_000;
 
-/// Time after which a platform sends no new callers to a gateway that stops, in
-/// milliseconds: it asks each second and takes out who misses twice.
+/// Time after which a platform sends no new callers to a stopping gateway, in milliseconds: it
+/// probes each second and takes a gateway out of rotation after two failed probes.
 const ROTATION_DELAY_MS: u64 = 2_000;
 
-/// How often free ports are looked for.
+/// Number of attempts to find a port that is free on all addresses.
 const PORT_TRIES: usize = 20;
 
-/// Why gateways can't be run.
+/// Error of running a gateway.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// No ports are free.
+    /// No free port was found.
     #[error("no free ports on {ip}: {source}")]
     Port {
-        /// Address.
+        /// IP address, or several.
         ip: String,
-        /// What the system said.
+        /// Underlying error.
         source: io::Error,
     },
-    /// A file can't be written.
+    /// A file cannot be written.
     #[error("{path}: {source}")]
     File {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Underlying error.
         source: io::Error,
     },
-    /// A process can't be started or ended at once.
+    /// A process cannot be started, or exited right after its start.
     #[error("gateway {number} can't run: {reason}")]
     Start {
-        /// Which.
+        /// Number of the gateway.
         number: usize,
-        /// Why.
+        /// Reason.
         reason: String,
     },
 }
 
-/// One gateway, whose process may come and go.
+/// A gateway, whose process may be stopped and restarted.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Its number.
+    /// Number of the gateway.
     pub number: usize,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Address of the readiness probe.
     pub ready_address: SocketAddr,
     is_in_rotation: AtomicBool,
     binary: PathBuf,
@@ -89,23 +89,23 @@
     is_stopping: bool,
 }
 
-/// Returns the failure domain of a gateway or worker by its number, and its region.
+/// Returns the failure domain and region of the gateway or worker with a number.
 pub fn domain_and_region_of(number: usize) -> (&'static str, &'static str) {
     DOMAINS[number % DOMAINS.len()]
 }
 
-/// Finds ports and writes settings for gateways whose stores are at `stores`.
+/// Finds free ports and writes settings for one gateway per address in `stores`.
 pub async fn prepare(
     binary: &Path,
     folder: &Path,
     stores: &[SocketAddr],
 ) -> Result<Vec<Gateway>, GatewayError> {
-    // Addresses of its own for each run: two runs at once don't meet.
+    // Each run has its own loopback addresses, so that concurrent runs don't collide.
     let id = std::process::id();
     let subnet = format!("127.{}.{}", 64 + (id >> 8) % 128, id % 256);
     let count = stores.len();
     let ips: Vec<String> = (1..=count).map(|last| format!("{subnet}.{last}")).collect();
-    // Held until all are found, so that none is found twice.
+    // Kept bound until all ports are found, so that none is found twice.
     let (peer_port, _held) = reserve_peer_port(&ips).await?;
     let mut gateways = Vec::new();
     for (number, store) in stores.iter().enumerate() {
@@ -132,7 +132,7 @@
     Ok(gateways)
 }
 
-/// Finds a port that is free for peers on all addresses, and holds it there.
+/// Finds a port for peers that is free on all addresses, and keeps it bound.
 async fn reserve_peer_port(ips: &[String]) -> Result<(u16, Vec<TcpListener>), GatewayError> {
     let mut last = None;
     for _ in 0..PORT_TRIES {
@@ -150,7 +150,7 @@
     })
 }
 
-/// Takes a port on all addresses, if it is free there for connections and datagrams.
+/// Binds a port on all addresses, if it is free there for both TCP and UDP.
 async fn reserve_port(ips: &[String], port: u16) -> io::Result<Vec<TcpListener>> {
     let mut held = Vec::new();
     for ip in ips {
@@ -160,7 +160,7 @@
     Ok(held)
 }
 
-/// Finds a free port, and holds it.
+/// Finds a free port, and keeps it bound.
 async fn reserve_free_port(ip: &str) -> Result<(SocketAddr, TcpListener), GatewayError> {
     let bound = TcpListener::bind((ip, 0)).await;
     let found = bound.and_then(|listener| Ok((listener.local_addr()?, listener)));
@@ -171,7 +171,7 @@
 }
 
 impl Gateway {
-    /// Starts the process, unless it runs, and waits until it listens.
+    /// Starts the process unless it is running, and waits until it listens.
     pub async fn start(&self) -> Result<(), GatewayError> {
         let mut state = self.state.lock().await;
         if state.child.is_some() {
@@ -194,7 +194,7 @@
         Ok(())
     }
 
-    /// Waits until callers can connect; an end before that is an error.
+    /// Waits until callers can connect; returns an error if the process exits before that.
     async fn wait_until_listening(&self) -> Result<(), GatewayError> {
         for _ in 0..LISTEN_TIMEOUT_MS / POLL_INTERVAL_MS {
             if TcpStream::connect(self.caller_address).await.is_ok() {
@@ -208,24 +208,24 @@
                     let line = stderr.lines().last().unwrap_or_default();
                     return Err(self.start_error(format!("{status}: {line}")));
                 }
-                // Another fault ended it meanwhile.
+                // Another fault has ended it meanwhile.
                 None | Some(Ok(Some(_))) => return Ok(()),
                 Some(_) => {}
             }
             drop(state);
             wait_for_next_poll().await;
         }
-        // Stopped by another fault, or slow; whether it serves is judged by callers.
+        // Another fault has frozen it, or it is slow. Callers' requests show whether it serves.
         Ok(())
     }
 
-    /// Sends a signal by name; nothing happens if the process is gone.
+    /// Sends a signal by name; does nothing if the process is gone.
     pub async fn signal(&self, name: &str) {
         let state = self.state.lock().await;
         self.signal_locked(&state, name).await;
     }
 
-    /// Sends a signal while the process can't be replaced by another.
+    /// Sends a signal while the state is locked, so that the process cannot be replaced meanwhile.
     async fn signal_locked(&self, state: &State, name: &str) {
         let Some(id) = state.child.as_ref().and_then(Child::id) else {
             return;
@@ -240,20 +240,21 @@
         }
     }
 
-    /// Ends the process at once, as a crash would.
+    /// Kills the process at once, as a crash would.
     pub async fn kill(&self) {
         self.is_in_rotation.store(false, Ordering::Relaxed);
         let mut state = self.state.lock().await;
         if let Some(mut child) = state.child.take() {
-            // It may have ended already.
+            // It may have exited already.
             let _killed = child.kill().await;
         }
         state.is_stopping = false;
     }
 
-    /// Stops the process as planned; tells whether it ended by itself within its time.
+    /// Sends SIGTERM to the process; returns whether it exited within its grace time, and kills it
+    /// otherwise.
     ///
-    /// New callers are kept away after a while, as the platform does.
+    /// Takes it out of rotation after `ROTATION_DELAY_MS`, as the platform would.
     pub async fn stop(&self) -> bool {
         let id = {
             let mut state = self.state.lock().await;
@@ -286,7 +287,7 @@
         false
     }
 
-    /// Tells whether the process ended though nobody ended it; it is forgotten then.
+    /// Returns whether the process exited although nothing had stopped it, and forgets it if so.
     pub async fn has_ended_by_itself(&self) -> bool {
         let mut state = self.state.lock().await;
         let ended = state.child.as_mut().map(Child::try_wait);
@@ -297,12 +298,13 @@
         has_ended
     }
 
-    /// Tells whether new callers are sent here.
+    /// Returns whether new callers are sent to this gateway.
     pub fn is_in_rotation(&self) -> bool {
         self.is_in_rotation.load(Ordering::Relaxed)
     }
 
-    /// Returns resident memory and open descriptors, if the process runs.
+    /// Returns the resident memory in bytes and the number of open file descriptors, if the process
+    /// runs.
     pub async fn resource_usage(&self) -> Option<(u64, u64)> {
         let id = self.state.lock().await.child.as_ref()?.id()?;
         let memory_bytes = process::resident_bytes(&id.to_string());
@@ -310,20 +312,20 @@
         Some((memory_bytes, descriptors.count() as u64))
     }
 
-    /// Returns a file of its own in the folder.
+    /// Returns the path of this gateway's file with an extension.
     fn file_path(&self, extension: &str) -> PathBuf {
         let name = format!("gateway-{}.{extension}", self.number);
         self.folder.join(name)
     }
 
-    /// Opens a file of its own to write behind its end.
+    /// Opens this gateway's file with an extension for appending.
     fn open_for_append(&self, extension: &str) -> Result<File, GatewayError> {
         let path = self.file_path(extension);
         let opened = File::options().create(true).append(true).open(&path);
         opened.map_err(|source| file_error(&path, source))
     }
 
-    /// Makes the error of a process that can't run.
+    /// Returns the error of a process that cannot run.
     fn start_error(&self, reason: String) -> GatewayError {
         GatewayError::Start {
             number: self.number,
@@ -331,7 +333,7 @@
         }
     }
 
-    /// Writes the settings.
+    /// Writes the settings file.
     fn write_settings(
         &self,
         peers: &str,
@@ -371,12 +373,12 @@
     }
 }
 
-/// Waits until the next look at a process.
+/// Waits until the next poll of a process.
 async fn wait_for_next_poll() {
     tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
 }
 
-/// Makes the error of a file.
+/// Returns the error of a file that cannot be written.
 fn file_error(path: &Path, source: io::Error) -> GatewayError {
     GatewayError::File {
         path: path.display().to_string(),
--- a/crates/cranereach-soak/src/journal.rs
+++ b/crates/cranereach-soak/src/journal.rs
@@ -1,4 +1,4 @@
-//! Where the parts of a run write down what they see, under one clock.
+//! Collects the records of all parts of a run under one clock.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,7 +11,7 @@
 use crate::record::Records;
 use crate::record::RequestRecord;
 
-/// Records under way.
+/// Records of a run in progress.
 #[derive(Debug)]
 pub struct Journal {
     start: Instant,
@@ -32,22 +32,22 @@
         self.ms_since_start(Instant::now())
     }
 
-    /// Returns when a moment was, in milliseconds since the start.
+    /// Converts an instant to milliseconds since the start.
     pub fn ms_since_start(&self, moment: Instant) -> u64 {
         moment.saturating_duration_since(self.start).as_millis() as u64
     }
 
-    /// Notes a request that ended for its caller.
+    /// Records a request that ended for its caller.
     pub fn record_request(&self, record: RequestRecord) {
         self.lock().asked.push(record);
     }
 
-    /// Notes what happened.
+    /// Records an event.
     pub fn record_event(&self, event: Event) {
         self.lock().events.push(event);
     }
 
-    /// Notes trouble that began at `from_ms` and ends now.
+    /// Records a disturbance that began at `from_ms` and ends now.
     pub fn record_disturbance(&self, whom: Component, is_planned: bool, from_ms: u64) {
         let to_ms = self.now_ms();
         self.lock().troubles.push(Disturbance {
@@ -58,12 +58,12 @@
         });
     }
 
-    /// Takes everything that was noted.
+    /// Takes all records out of the journal.
     pub fn take(&self) -> Records {
         std::mem::take(&mut *self.lock())
     }
 
-    /// Locks the records, also after a panic elsewhere.
+    /// Locks the records, ignoring poisoning by a panic in another thread.
     fn lock(&self) -> MutexGuard<'_, Records> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/cranereach-soak/src/lib.rs
+++ b/crates/cranereach-soak/src/lib.rs
@@ -1,11 +1,15 @@
-//! A soak: gateways as real processes, faults from outside, promises seen by callers.
+//! A soak test: runs gateways as real processes, injects faults from outside and checks the
+//! promises that callers rely on.
 //!
-//! [`schedule`] makes the faults from a seed. [`gateways`] starts, signals and ends the
-//! processes, [`back_ends`] plays the platform's store and workers, [`callers`] asks,
-//! [`ending`] comes back with a request that ends its workers, [`limited`] lets workers name limits,
-//! [`own_words`] lets them leave unseen by the store and ask for rest.
-//! [`run`] lets them meet, [`faults`] strikes them. All write down what they saw ([`journal`], [`record`]), and each module
-//! of [`check`] judges one promise by these records alone.
+//! - [`schedule`] derives the faults from a seed, and [`faults`] injects them.
+//! - [`gateways`] starts, signals and stops the gateway processes.
+//! - [`back_ends`] stands in for the platform's store and workers.
+//! - [`callers`] sends requests; [`crash_requests`] keeps resending one that crashes every worker
+//!   that runs it.
+//! - [`rate_limits`] makes workers announce rate limits; [`notices`] makes them leave during a
+//!   store outage and ask for a rest.
+//! - [`run`] puts the parts together. They record what they observe ([`journal`], [`record`]).
+//! - The modules of [`check`] judge the promises by these records alone.
 
 pub mod back_ends;
 pub mod callers;
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -1,5 +1,5 @@
-//! Workers that say they leave while the store is silent, and workers that ask for rest,
-//! beside all that strikes them and the gateways.
+//! Makes workers leave while the store is silent, or ask for a rest, alongside the scheduled
+//! faults. Gateways can learn of either only from the workers' own answers.
 
 use std::sync::Arc;
 
@@ -16,29 +16,29 @@
 use crate::schedule::Step;
 use cranereach_platform::standin::store;
 
-/// Told apart from the other draws of a run.
+/// Mixed into the seed, so that these random draws are independent of others in the run.
 const SEED_SALT: u64 = 0x776f_7264_7300;
 
-/// Rests that are drawn, in milliseconds.
+/// Rests to choose from, in milliseconds.
 const REST_DURATIONS_MS: [u64; 3] = [700, 2_000, 4_000];
 
-/// Time for which a worker turns everything away, in milliseconds, from and to.
+/// Range of the time for which a worker sheds all requests, in milliseconds.
 const SHED_DURATION_MS: (u64, u64) = (3_000, 7_000);
 
-/// Time for which the store is silent, in milliseconds, from and to: longer than a leaving
-/// worker gets requests of those who have heard it.
+/// Range of the time for which the store is silent, in milliseconds: longer than gateways that know
+/// that a worker leaves may still send requests to it.
 const STORE_SILENCE_MS: (u64, u64) = (4_000, 7_000);
 
-/// Time after the store fell silent at which a worker leaves, in milliseconds.
+/// Time from the start of the store's silence until a worker leaves, in milliseconds.
 const LEAVE_DELAY_MS: u64 = 200;
 
-/// Time between two of either, in milliseconds.
+/// Pause between two of these events, in milliseconds.
 const PAUSE_MS: u64 = 2_500;
 
-/// Share of rests among both.
+/// Share of rests among these events.
 const REST_SHARE: f64 = 0.7;
 
-/// Lets workers leave and rest until the calm at the end of a run.
+/// Makes workers leave or ask for a rest until the fault-free time at the end of a run.
 pub async fn run(seed: u64, run_ms: u64, worker_count: usize, test_bed: Arc<TestBed>) {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_SALT);
     let end_ms = run_ms.saturating_sub(FAULT_FREE_END_MS.min(run_ms / 2));
@@ -65,7 +65,7 @@
     }
 }
 
-/// Lets a worker leave while the store is silent.
+/// Makes a worker leave while the store is silent.
 async fn leave_during_store_outage(test_bed: &TestBed, slot: usize, for_ms: u64) {
     let store_silence = Step {
         at_ms: test_bed.journal.now_ms(),
--- a/crates/cranereach-soak/src/rate_limits.rs
+++ b/crates/cranereach-soak/src/rate_limits.rs
@@ -1,4 +1,4 @@
-//! A worker that names a limit for a while, beside all that strikes it and the gateways.
+//! Makes workers announce a rate limit for a time, alongside the scheduled faults.
 
 use std::sync::Arc;
 
@@ -12,23 +12,23 @@
 use crate::schedule::FAULT_FREE_END_MS;
 use crate::schedule::FAULT_FREE_START_MS;
 
-/// Told apart from the other draws of a run.
+/// Mixed into the seed, so that these random draws are independent of others in the run.
 const SEED_SALT: u64 = 0x6c69_6d69_7465;
 
-/// Limits that are drawn, in requests a second.
+/// Limits to choose from, in requests per second.
 const RATES_PER_S: [f64; 3] = [0.5, 1.2, 4.0];
 
-/// Time for which one holds, in milliseconds, from and to.
+/// Range of the time for which a limit holds, in milliseconds.
 const LIMIT_DURATION_MS: (u64, u64) = (8_000, 16_000);
 
-/// Time between two, in milliseconds.
+/// Pause between two limits, in milliseconds.
 const PAUSE_MS: u64 = 1_500;
 
-/// Service whose workers name limits: nobody gives them orders, so that callers' requests
-/// are all they get.
+/// Index of the service whose workers announce limits. Its workers get no orders from the gateways,
+/// so that callers' requests are all that counts against a limit.
 const SERVICE: usize = 0;
 
-/// Lets one worker after the other name a limit until the calm at the end of a run.
+/// Makes one worker after another announce a limit until the fault-free time at the end of a run.
 pub async fn run(seed: u64, run_ms: u64, test_bed: Arc<TestBed>) {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_SALT);
     let slots = test_bed.back_ends.slots_of(SERVICE);
--- a/crates/cranereach-soak/src/record.rs
+++ b/crates/cranereach-soak/src/record.rs
@@ -1,29 +1,29 @@
-//! What callers, workers and the driver of a run wrote down.
+//! Records of what callers, workers and the driver of a run observed.
 //!
-//! All times are in milliseconds since callers began, by the clock of the soak.
+//! All times are in milliseconds since callers began, by the clock of the soak process.
 
 use serde::Serialize;
 
-/// Kind of a request, by its route.
+/// Kind of a request, which determines its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Kind {
-    /// May run once at the most.
+    /// Must run at most once.
     Once,
     /// May be repeated.
     Again,
-    /// May be repeated; its route changes services.
+    /// May be repeated; its route is moved between services.
     Moved,
-    /// A stream; runs once at the most.
+    /// A stream; must run at most once.
     Stream,
 }
 
 impl Kind {
-    /// Tells whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Again | Self::Moved)
     }
 
-    /// Returns the route's name, which is also its path.
+    /// Returns the name of the route, which is also its path.
     pub fn route(self) -> &'static str {
         match self {
             Self::Once => "once",
@@ -34,196 +34,197 @@
     }
 }
 
-/// How a request ended for its caller.
+/// How a request ended from its caller's point of view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum End {
-    /// With an answer.
+    /// The caller got an answer.
     Answered(Answer),
-    /// The connection ended without one.
+    /// The connection closed without an answer.
     Closed,
-    /// The caller left, some time after its deadline.
+    /// The caller gave up some time after its deadline.
     GaveUp,
 }
 
-/// An answer as a caller got it.
+/// An answer as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Whether it ended as the protocol says.
+    /// Whether it was complete by the rules of HTTP.
     pub is_whole: bool,
-    /// Identity of the request that it belongs to.
+    /// ID of the request that it answers, as it states.
     pub request: String,
-    /// Signature of a worker.
+    /// Signature of the worker that answered.
     pub signature: Option<String>,
-    /// Body as far as it came.
+    /// Body, as far as it was received.
     pub body: String,
 }
 
-/// A request of a caller.
+/// A request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RequestRecord {
-    /// Its identity.
+    /// ID of the request.
     pub id: String,
     /// Kind.
     pub kind: Kind,
-    /// Key, by number.
+    /// Index of the key.
     pub key: usize,
-    /// The gateway that took it.
+    /// Number of the gateway that it was sent to.
     pub gateway: usize,
-    /// When it was sent.
+    /// Time of sending.
     pub sent_ms: u64,
-    /// When the caller was through with it.
+    /// Time at which it ended for the caller.
     pub ended_ms: u64,
-    /// How.
+    /// How it ended.
     pub end: End,
 }
 
-/// A request as it arrived at a worker.
+/// A request as a worker received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Arrival {
-    /// Identity of the request.
+    /// ID of the request.
     pub id: String,
-    /// The worker's place.
+    /// Number of the worker slot.
     pub worker: usize,
-    /// The worker's own identity, another one with each start.
+    /// ID of the worker, new with each start.
     pub worker_id: String,
-    /// Service that it serves.
+    /// Service of the worker.
     pub service: String,
-    /// Failure domain, by number.
+    /// Index of the failure domain.
     pub domain: usize,
-    /// Client account that the worker was told.
+    /// Client account that the gateway stated to the worker.
     pub account: Option<String>,
-    /// When.
+    /// Time of arrival.
     pub at_ms: u64,
-    /// Whether it was run.
+    /// Whether the worker ran it.
     pub is_run: bool,
-    /// Rest that the worker asked for as it turned it away.
+    /// Rest that the worker asked for when it shed the request.
     pub rest_ms: Option<u64>,
 }
 
-/// Whom trouble struck.
+/// Component that a disturbance affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Component {
     /// A gateway or its link to the store.
     Gateway(usize),
     /// The store.
     Store,
-    /// A worker's place or its links.
+    /// A worker slot or its links.
     Worker(usize),
 }
 
-/// A span of trouble.
+/// A period in which a component was disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Disturbance {
-    /// Whom.
+    /// Affected component.
     pub whom: Component,
-    /// Whether it was a planned stop, or the start that follows one.
+    /// Whether it was a planned stop, including the restart after it.
     pub is_planned: bool,
-    /// Its beginning.
+    /// Start.
     pub from_ms: u64,
-    /// Its end.
+    /// End.
     pub to_ms: u64,
 }
 
-/// What the operator, workers or signals asked for, and when that was acknowledged.
+/// An event caused by the operator, a worker or a signal. Changes in the store are timed from the
+/// store's acknowledgement.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Event {
-    /// A gateway got SIGTERM.
+    /// A gateway was sent SIGTERM.
     StopAsked {
-        /// Who.
+        /// Number of the gateway.
         gateway: usize,
-        /// When.
+        /// Time.
         at_ms: u64,
     },
-    /// A worker said that it leaves.
+    /// A worker announced that it leaves.
     Leaves {
-        /// Its identity.
+        /// ID of the worker.
         worker_id: String,
-        /// When.
+        /// Time.
         at_ms: u64,
     },
-    /// A gateway stood still, or was ended and started again.
+    /// A gateway was frozen, or ended and restarted.
     Stood {
-        /// Who.
+        /// Number of the gateway.
         gateway: usize,
-        /// From when.
+        /// Start.
         from_ms: u64,
-        /// Until when.
+        /// End.
         to_ms: u64,
     },
     /// A worker started cold.
     Cold {
-        /// Its identity.
+        /// ID of the worker.
         worker_id: String,
-        /// When.
+        /// Time.
         at_ms: u64,
     },
-    /// A worker named a limit for a while.
+    /// A worker announced a rate limit for a time.
     Limited {
-        /// Its identity.
+        /// ID of the worker.
         worker_id: String,
-        /// Its place.
+        /// Number of the worker slot.
         place: usize,
-        /// Requests a second.
+        /// Announced limit, in requests per second.
         rate_per_s: f64,
-        /// When it began to.
+        /// Time at which the limit began.
         from_ms: u64,
-        /// When it ended.
+        /// Time at which the limit ended.
         to_ms: u64,
     },
-    /// A key was taken away.
+    /// A key was revoked.
     Revoked {
-        /// Which.
+        /// Index of the key.
         key: usize,
-        /// When.
+        /// Time.
         at_ms: u64,
     },
-    /// The route that moves leads to a service.
+    /// The `moved` route was pointed at a service.
     Moved {
-        /// Which.
+        /// Service.
         service: String,
-        /// When.
+        /// Time.
         at_ms: u64,
     },
-    /// An evacuation was asked for.
+    /// The evacuation of a failure domain was requested, and cancelled later.
     Evacuated {
-        /// Failure domain.
+        /// Index of the failure domain.
         domain: usize,
-        /// When.
+        /// Time.
         from_ms: u64,
-        /// When it was taken back.
+        /// Time of the cancellation.
         to_ms: u64,
     },
-    /// A gateway ended though nobody ended it.
+    /// A gateway exited although nothing had stopped it.
     EndedByItself {
-        /// Who.
+        /// Number of the gateway.
         gateway: usize,
-        /// When.
+        /// Time.
         at_ms: u64,
     },
-    /// Memory and open descriptors of a gateway.
+    /// Memory and open file descriptors of a gateway.
     Held {
-        /// Who.
+        /// Number of the gateway.
         gateway: usize,
-        /// Resident memory.
+        /// Resident memory, in bytes.
         memory_bytes: u64,
-        /// Descriptors.
+        /// Number of open file descriptors.
         descriptor_count: u64,
     },
 }
 
-/// Everything that was written down.
+/// All records of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Records {
-    /// Requests of callers.
+    /// Requests as callers saw them.
     pub asked: Vec<RequestRecord>,
-    /// Requests at workers.
+    /// Requests as workers received them.
     pub arrivals: Vec<Arrival>,
-    /// Trouble.
+    /// Disturbances.
     pub troubles: Vec<Disturbance>,
-    /// What else happened.
+    /// Other events.
     pub events: Vec<Event>,
-    /// End of the run.
+    /// Time at which the run ended.
     pub end_ms: u64,
 }
--- a/crates/cranereach-soak/src/report.rs
+++ b/crates/cranereach-soak/src/report.rs
@@ -1,4 +1,4 @@
-//! The verdict on each promise.
+//! Judges each promise and reports the verdicts.
 
 use std::fs;
 use std::io;
@@ -10,44 +10,44 @@
 use crate::check::PROMISES;
 use crate::record::Records;
 
-/// How many ways in which a promise was broken are printed; the file has them all.
+/// Maximum number of printed violations per promise; the verdicts file lists all.
 const SHOWN_COUNT: usize = 5;
 
-/// What came of one promise.
+/// Outcome for one promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Tried and kept.
+    /// Tested and kept.
     Kept,
-    /// Broken.
+    /// Violated.
     Broken,
-    /// Nothing in the run put it to the test.
+    /// Nothing in the run tested it.
     NotTried,
-    /// Left out of a run that judges nothing that depends on speed.
+    /// Skipped because timed promises were left out.
     NotJudged,
 }
 
 /// The verdict on one promise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The promise.
+    /// Name of the promise.
     pub promise: &'static str,
-    /// What came of it.
+    /// Outcome.
     pub outcome: Outcome,
-    /// How often it was tried.
+    /// How often it was tested.
     pub tried_count: usize,
-    /// How it was broken.
+    /// Descriptions of the violations.
     pub broken: Vec<String>,
 }
 
-/// What to judge.
+/// Options of judging.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Choice {
-    /// Leaves out what depends on speed.
+    /// Skips the promises that depend on the speed of the machine.
     pub is_untimed: bool,
 }
 
-/// Judges records.
+/// Judges the records by each promise.
 pub fn judge(records: &Records, choice: &Choice) -> Vec<Verdict> {
     let verdicts = PROMISES.iter().map(|promise| {
         let is_skipped = promise.applicability == Applicability::Timed && choice.is_untimed;
@@ -75,7 +75,7 @@
     verdicts.collect()
 }
 
-/// Prints verdicts; tells whether no promise was broken.
+/// Prints the verdicts; returns whether no promise was violated.
 pub fn print(verdicts: &[Verdict]) -> bool {
     for verdict in verdicts {
         println!(
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: everything is started, struck, watched and ended.
+//! A run from start to end: starts the processes, injects the faults, watches and stops.
 
 use std::fs;
 use std::io;
@@ -35,34 +35,34 @@
 use cranereach_platform::requests::READY_PATH;
 use cranereach_standin::load;
 
-/// Time within which gateways must be ready at the start, in milliseconds.
+/// Time-out for a gateway to become ready at the start, in milliseconds.
 const READY_TIMEOUT_MS: u64 = 60_000;
 
-/// Pause between two questions whether a gateway is ready, in milliseconds.
+/// Pause between two readiness probes, in milliseconds.
 const READY_POLL_INTERVAL_MS: u64 = 50;
 
-/// Pause between two looks whether processes live and what they hold, in milliseconds.
+/// Pause between two checks of the processes and their resource usage, in milliseconds.
 const WATCH_INTERVAL_MS: u64 = 500;
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The binary whose `gateway` is run.
+    /// Binary whose `gateway` command is run.
     pub binary: PathBuf,
-    /// Folder of settings and logs.
+    /// Folder for settings and logs.
     pub folder: PathBuf,
-    /// Seed of faults and callers.
+    /// Seed of the faults and callers.
     pub seed: u64,
-    /// For how long callers ask, in milliseconds.
+    /// Time during which callers send requests, in milliseconds.
     pub run_ms: u64,
-    /// How large.
+    /// Size of the run.
     pub size: Size,
-    /// Whether the store comes back from copies besides.
+    /// Whether the schedule also restores the store from backups.
     pub is_restored: bool,
 }
 
 impl Plan {
-    /// Returns the faults of the run.
+    /// Returns the fault schedule of the run.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = schedule::from_seed(self.seed, self.run_ms, self.size);
         if self.is_restored {
@@ -72,24 +72,24 @@
     }
 }
 
-/// Why a run came to nothing.
+/// Reason why a run failed before it could be judged.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A gateway.
+    /// A gateway could not be run.
     #[error(transparent)]
     Gateway(#[from] GatewayError),
-    /// A stand-in can't listen.
+    /// A stand-in cannot listen.
     #[error("a stand-in can't listen: {0}")]
     Listen(#[from] io::Error),
-    /// A gateway isn't ready.
+    /// A gateway did not become ready in time.
     #[error("gateway {0} isn't ready after {READY_TIMEOUT_MS} ms")]
     NotReady(usize),
-    /// Somebody wanted it to end.
+    /// The run was interrupted.
     #[error("interrupted")]
     Interrupted,
 }
 
-/// Runs a plan; ends every process that it started, also when `interrupted` comes true.
+/// Runs a plan. Ends every process that it started, also when `interrupted` completes first.
 pub async fn run(plan: &Plan, interrupted: impl Future<Output = ()>) -> Result<Records, RunError> {
     let back_ends = BackEnds::start(plan.size).await?;
     let prepared = gateways::prepare(&plan.binary, &plan.folder, &back_ends.store_addresses);
@@ -104,7 +104,7 @@
     result
 }
 
-/// Starts the gateways, lets callers and faults loose, and gathers what was seen.
+/// Starts the gateways, runs callers and faults, and collects the records.
 async fn execute(
     plan: &Plan,
     back_ends: BackEnds,
@@ -165,7 +165,7 @@
     Ok(records)
 }
 
-/// Brings all faults about, each at its time, and waits until the last is over.
+/// Injects each fault at its scheduled time and waits until all have ended.
 async fn inject_all(test_bed: &Arc<TestBed>, steps: Vec<Step>) {
     let mut injecting = JoinSet::new();
     for step in steps {
@@ -178,7 +178,7 @@
     join_tasks(injecting).await;
 }
 
-/// Waits for all tasks; a panic in one goes on here, and ends the run and its processes.
+/// Waits for all tasks. Resumes a panic of a task here, so that it ends the run and its processes.
 async fn join_tasks(mut tasks: JoinSet<()>) {
     while let Some(joined) = tasks.join_next().await {
         if let Err(error) = joined
@@ -189,8 +189,8 @@
     }
 }
 
-/// Looks after the processes until it is dropped: one that ended by itself is noted and
-/// started again.
+/// Watches the processes until dropped: records and restarts those that exited on their own, and
+/// records the resource usage of all.
 async fn watch(test_bed: &TestBed) {
     loop {
         pause(WATCH_INTERVAL_MS).await;
@@ -217,7 +217,7 @@
     }
 }
 
-/// Waits until a gateway says that it is ready.
+/// Waits until a gateway reports that it is ready.
 async fn wait_until_ready(gateway: &Gateway) -> Result<(), RunError> {
     let pool = Pool::new(&gateway.ready_address.to_string());
     let probe = load::Call::plain("", Method::GET, READY_PATH, "");
@@ -231,7 +231,7 @@
     Ok(())
 }
 
-/// Makes the folder of a run, empty of an earlier one's logs.
+/// Creates the folder of a run. Fails if it isn't empty, so that logs of two runs never mix.
 pub fn make_folder(path: &Path) -> io::Result<()> {
     fs::create_dir_all(path)?;
     let mut entries = fs::read_dir(path)?;
--- a/crates/cranereach-soak/src/schedule.rs
+++ b/crates/cranereach-soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, made from its seed alone.
+//! The fault schedule of a run, derived from its seed alone.
 
 use std::fmt;
 
@@ -13,86 +13,88 @@
 use cranereach_platform::standin::worker::Behaviour;
 use cranereach_standin::relay::Passage;
 
-/// Time without faults at the start, in milliseconds: callers are served by then.
+/// Time without faults at the start of a run, in milliseconds, long enough for callers to be
+/// served.
 pub const FAULT_FREE_START_MS: u64 = 3_000;
 
-/// Longest time without faults at the end, in milliseconds: the bound on recovery and
-/// as long again to see what is served.
+/// Longest time without faults at the end of a run, in milliseconds: the bound on recovery and
+/// as long again to measure how many requests are served after it.
 pub const FAULT_FREE_END_MS: u64 = 12_000;
 
-/// Shortest time that a fault lasts, in milliseconds.
+/// Shortest duration of a fault, in milliseconds.
 const FAULT_MIN_MS: u64 = 200;
 
-/// Time up to which most faults last, in milliseconds.
+/// Longest duration of an ordinary fault, in milliseconds.
 const FAULT_MAX_MS: u64 = 4_000;
 
-/// Share of the faults that last longer, beside those that are about a bound.
+/// Share of faults that are extended by `LONG_MS`, besides the kinds that always are because they
+/// test a bound.
 const LONG_SHARE: f64 = 0.2;
 
-/// Time by which these last longer, in milliseconds: beyond every bound, so that whoever
-/// was away must not act by what was known before.
+/// Extra duration of these faults, in milliseconds. It reaches past every bound, so that a gateway
+/// that was cut off must not act on the state that it knew before the fault.
 const LONG_MS: u64 = EVACUATION_MS;
 
 const _: () = assert!(LONG_MS >= REVOCATION_MS && LONG_MS >= DRAIN_MS);
 
-/// Time within which the faults of a group begin, in milliseconds.
+/// Time span in which the faults of a group begin, in milliseconds.
 const GROUP_SPREAD_MS: u64 = 300;
 
-/// Pause between two groups of faults, in milliseconds, from and to.
+/// Range of the pause between two groups of faults, in milliseconds.
 const PAUSE_MS: (u64, u64) = (300, 1_800);
 
-/// Age of the oldest copy that a store comes back from, in milliseconds.
+/// Maximum age of the backup that the store is restored from, in milliseconds.
 const BACKUP_MAX_AGE_MS: u64 = 8_000;
 
-/// Time from one restore to the next copy, in milliseconds, from and to: two may follow
-/// each other before anything has settled.
+/// Range of the time from a restore to the next backup, in milliseconds. Its low end lets two
+/// restores follow each other before the gateways have settled.
 const RESTORE_INTERVAL_MS: (u64, u64) = (200, 9_000);
 
-/// Most faults that begin together.
+/// Maximum number of faults in a group.
 const GROUP_MAX_COUNT: usize = 3;
 
-/// How large a run is.
+/// Size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Gateways.
+    /// Number of gateways.
     pub gateway_count: usize,
-    /// Workers of each service.
+    /// Number of workers of each service.
     pub worker_count: usize,
-    /// Callers with a connection each.
+    /// Number of callers, each with one connection.
     pub caller_count: usize,
 }
 
 impl Size {
-    /// The usual size.
+    /// Default size.
     pub const SMALL: Self = Self {
         gateway_count: 4,
         worker_count: 3,
         caller_count: 40,
     };
 
-    /// As large as a shared machine bears.
+    /// Largest size that a shared machine can carry.
     pub const LARGE: Self = Self {
         gateway_count: 12,
         worker_count: 6,
         caller_count: 96,
     };
 
-    /// Returns how many workers there are of all services.
+    /// Returns the number of workers of all services.
     pub fn worker_total(&self) -> usize {
         SERVICES.len() * self.worker_count
     }
 }
 
-/// Services; each has as many workers.
+/// Services, each with the same number of workers.
 pub const SERVICES: [&str; 3] = ["plain", "spare", "models"];
 
-/// Failure domains with the region of each.
+/// Failure domains, each with its region.
 pub const DOMAINS: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "south")];
 
-/// Keys that callers use; all but the first three may be taken away.
+/// Keys that callers use. Faults may revoke those from `FIRST_REVOCABLE` on.
 pub const KEYS: [&str; 6] = ["key-0", "key-1", "key-2", "key-3", "key-4", "key-5"];
 
-/// Returns the client account that a key opens.
+/// Returns the client account that a key belongs to.
 pub fn account_of(key: usize) -> &'static str {
     if key.is_multiple_of(2) {
         "crews"
@@ -101,61 +103,62 @@
     }
 }
 
-/// First key that may be taken away.
+/// Index of the first key that a fault may revoke.
 pub const FIRST_REVOCABLE: usize = 3;
 
-/// A fault from outside; [`Step::target`] says whom it strikes, [`Step::for_ms`] how long.
+/// A fault injected from outside. [`Step::target`] selects what it affects, [`Step::for_ms`] sets
+/// its duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A gateway gets SIGSTOP, and SIGCONT later.
+    /// Sends SIGSTOP to a gateway, and SIGCONT later.
     Freeze,
-    /// A gateway is frozen, and a key is taken away from the others meanwhile; it wakes
-    /// up later than the key's bound.
+    /// Freezes a gateway and revokes a key meanwhile. The gateway resumes after the bound on
+    /// revocation has passed.
     FreezeOverRevocation,
-    /// A gateway gets SIGKILL, and is started later.
+    /// Sends SIGKILL to a gateway and restarts it later.
     Kill,
-    /// A gateway gets SIGTERM, and is started after its end.
+    /// Sends SIGTERM to a gateway and restarts it after it has ended.
     Stop,
-    /// A gateway gets SIGHUP.
+    /// Sends SIGHUP to a gateway.
     Reload,
-    /// What the link of a gateway to the store passes.
+    /// Impairs the link between a gateway and the store.
     StoreLink(Passage),
-    /// What the link of all gateways to a worker passes.
+    /// Impairs the link between all gateways and a worker.
     WorkerLink(Passage),
-    /// What the store does.
+    /// Makes the store misbehave.
     Store(store::Fault),
-    /// The store forgets its history.
+    /// Makes the store forget its change history.
     StoreForgets,
-    /// The store comes back from a copy that is as old as the fault lasts.
+    /// Restores the store from a backup whose age is the duration of the fault.
     StoreRestored,
-    /// What a worker does with requests.
+    /// Changes how a worker handles requests.
     Worker(Behaviour),
-    /// All workers of a service say that they are full.
+    /// Makes all workers of a service shed requests.
     ServiceFull,
-    /// A worker ends; another starts in its place, cold.
+    /// Crashes a worker; a cold one replaces it.
     WorkerCrashes,
-    /// A worker says that it leaves, serves on for its time, and is replaced.
+    /// Makes a worker announce that it leaves, drain and be replaced.
     WorkerLeaves,
-    /// The configuration sends a route to another service.
+    /// Changes the configuration so that a route leads to another service.
     Move,
-    /// A key is taken away.
+    /// Revokes a key.
     Revoke,
-    /// The evacuation of a failure domain is asked for, and taken back.
+    /// Requests the evacuation of a failure domain, and cancels it later.
     Evacuate,
-    /// Everybody in the region without the store loses it.
+    /// Cuts all gateways in the region without the store off from the store.
     CutRegion,
 }
 
-/// A fault and when it begins.
+/// A fault with its start, target and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Time since callers began, in milliseconds.
+    /// Start, in milliseconds since callers began.
     pub at_ms: u64,
-    /// What happens.
+    /// Fault.
     pub fault: Fault,
-    /// Number of the gateway, worker, service, key or failure domain.
+    /// Index of the gateway, worker, service, revocable key or failure domain.
     pub target: usize,
-    /// How long it lasts, in milliseconds; what has no end of its own passes it over.
+    /// Duration, in milliseconds. Faults without a duration, such as a reload, ignore it.
     pub for_ms: u64,
 }
 
@@ -169,7 +172,7 @@
     }
 }
 
-/// Makes the schedule of a run of `run_ms`; the same arguments make the same one.
+/// Returns the schedule of a run of `run_ms`. The same arguments always give the same schedule.
 ///
 /// ```
 /// use cranereach_soak::schedule;
@@ -205,8 +208,8 @@
     steps
 }
 
-/// Adds restores of the store to a schedule; they are drawn apart, so that its other faults
-/// stay what they are.
+/// Adds restores of the store to a schedule. They use a random generator of their own, so that the
+/// other faults of the seed stay the same.
 pub fn add_restores(steps: &mut Vec<Step>, seed: u64, run_ms: u64) {
     let mut rng = StdRng::seed_from_u64(!seed);
     let fault_free_ms = FAULT_FREE_END_MS.min(run_ms / 2);
@@ -225,7 +228,7 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Returns how many there are whom a fault can strike.
+/// Returns the number of possible targets of a fault.
 fn target_count(fault: Fault, size: Size) -> usize {
     match fault {
         Fault::Freeze
@@ -248,12 +251,12 @@
     }
 }
 
-/// Draws one of several.
+/// Picks one of the choices at random.
 fn pick<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
     choices[rng.random_range(0..choices.len())]
 }
 
-/// Faults of one kind, one of which is drawn.
+/// Faults of one kind, from which one is picked.
 type FaultKind = &'static [Fault];
 
 const CRASHES: FaultKind = &[Fault::Freeze, Fault::FreezeOverRevocation, Fault::Kill];
@@ -298,8 +301,8 @@
     Fault::WorkerCrashes,
 ];
 
-/// Kinds that a run draws from: all, what is planned beside workers that fail, the store
-/// under gateways that come and go, workers.
+/// Sets of fault kinds, one of which a run uses: all kinds; planned operations with failing
+/// workers; store faults with gateways that crash and restart; worker faults.
 const MIXES: [&[FaultKind]; 4] = [
     &[
         CRASHES,
