--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Makes the worker in a slot announce a rate limit, or none. Returns the worker, if the slot is
-    /// filled.
+    /// Makes the worker in a slot announce a rate limit, or none. Returns the worker, if there
+    /// is one.
     pub fn name_limit(&self, number: usize, rate_per_s: Option<f64>) -> Option<Worker> {
         let current = lock(&self.slots[number].current);
         let worker = &current.as_ref()?.worker;
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -20,17 +20,17 @@
 const SEED_SALT: u64 = 0x776f_7264_7300;
 
 /// Rests to choose from, in milliseconds.
-const REST_DURATIONS_MS: [u64; 3] = [700, 2_000, 4_000];
+const RESTS_MS: [u64; 3] = [700, 2_000, 4_000];
 
 /// Range of the time for which a worker sheds all requests, in milliseconds.
-const SHED_DURATION_MS: (u64, u64) = (3_000, 7_000);
+const SHEDS_MS: (u64, u64) = (3_000, 7_000);
 
 /// Range of the time for which the store is silent, in milliseconds: longer than gateways that know
 /// that a worker leaves may still send requests to it.
-const STORE_SILENCE_MS: (u64, u64) = (4_000, 7_000);
+const SILENT_MS: (u64, u64) = (4_000, 7_000);
 
 /// Time from the start of the store's silence until a worker leaves, in milliseconds.
-const LEAVE_DELAY_MS: u64 = 200;
+const LEAVES_AFTER_MS: u64 = 200;
 
 /// Pause between two of these events, in milliseconds.
 const PAUSE_MS: u64 = 2_500;
@@ -46,15 +46,11 @@
     while test_bed.journal.now_ms() < end_ms {
         let slot = rng.random_range(0..worker_count);
         let is_rest = rng.random_bool(REST_SHARE);
-        let (from_ms, to_ms) = if is_rest {
-            SHED_DURATION_MS
-        } else {
-            STORE_SILENCE_MS
-        };
+        let (from_ms, to_ms) = if is_rest { SHEDS_MS } else { SILENT_MS };
         let remaining_ms = end_ms.saturating_sub(test_bed.journal.now_ms());
         let for_ms = rng.random_range(from_ms..to_ms).min(remaining_ms);
         if is_rest {
-            let rest_ms = REST_DURATIONS_MS[rng.random_range(0..REST_DURATIONS_MS.len())];
+            let rest_ms = RESTS_MS[rng.random_range(0..RESTS_MS.len())];
             test_bed.back_ends.ask_for_rest(slot, Some(rest_ms));
             pause(for_ms).await;
             test_bed.back_ends.ask_for_rest(slot, None);
@@ -67,15 +63,15 @@
 
 /// Makes a worker leave while the store is silent.
 async fn leave_during_store_outage(test_bed: &TestBed, slot: usize, for_ms: u64) {
-    let store_silence = Step {
+    let silent = Step {
         at_ms: test_bed.journal.now_ms(),
         fault: Fault::Store(store::Fault::Silent),
         target: 0,
         for_ms,
     };
     let leaving = async {
-        pause(LEAVE_DELAY_MS).await;
+        pause(LEAVES_AFTER_MS).await;
         test_bed.back_ends.leave(slot, &test_bed.journal).await;
     };
-    tokio::join!(faults::inject(test_bed, store_silence), leaving);
+    tokio::join!(faults::inject(test_bed, silent), leaving);
 }
