--- a/crates/cranereach-soak/src/check/answers.rs
+++ b/crates/cranereach-soak/src/check/answers.rs
@@ -1,4 +1,4 @@
-//! An answer is a worker's whole answer to the caller's own request, or no success.
+//! Checks that each successful answer is a worker's complete answer to the caller's own request.
 
 use std::collections::HashSet;
 
@@ -10,7 +10,7 @@
 use crate::record::RequestRecord;
 use cranereach_platform::standin::content;
 
-/// Judges every answer.
+/// Judges each answer.
 pub fn check(records: &Records) -> Finding {
     let runs = records.arrivals.iter().filter(|arrival| arrival.is_run);
     let runs: HashSet<(&str, String)> = runs
@@ -27,7 +27,7 @@
     finding
 }
 
-/// Says what is wrong with an answer.
+/// Describes what is wrong with an answer, if anything is.
 fn violation(
     record: &RequestRecord,
     answer: &Answer,
@@ -36,7 +36,7 @@
     let is_success = (200..300).contains(&answer.status);
     match (is_success, &answer.signature) {
         (false, None) => return None,
-        // No worker of a soak fails with an answer of its own.
+        // Workers of a soak never answer with an error of their own.
         (false, Some(_)) => return Some(format!("{} with a worker's signature", answer.status)),
         (true, None) => return Some("a success without a worker's signature".to_owned()),
         (true, Some(signature)) if !ran(signature) => {
@@ -47,7 +47,7 @@
     if answer.request != record.id {
         return Some(format!("the answer to {}", answer.request));
     }
-    // Streams are judged piece by piece on their own.
+    // The bodies of streams are judged by `stream_order`.
     let is_plain = record.kind != Kind::Stream;
     let is_right = answer.body == content::plain_body(&record.id);
     (is_plain && answer.is_whole && !is_right)
--- a/crates/cranereach-soak/src/check/bounded.rs
+++ b/crates/cranereach-soak/src/check/bounded.rs
@@ -1,12 +1,12 @@
-//! What must be in force everywhere within a bound.
+//! Checks that changes take effect at all gateways within a time bound.
 //!
-//! But for keys, only gateways that were in touch are bound. A bound runs from the
-//! moment at which the store has taken the change.
+//! Except for revoked keys, only gateways that were connected to the store are judged. A bound
+//! starts when the store has accepted the change.
 
 use std::collections::HashMap;
 
 use super::Finding;
-use super::record_index::RecordIndex;
+use super::contact::RecordIndex;
 use crate::record::Arrival;
 use crate::record::Component;
 use crate::record::Event;
@@ -14,20 +14,20 @@
 use crate::record::Records;
 use crate::record::RequestRecord;
 
-/// Bound of a leaving worker, in milliseconds.
+/// Bound on the time until a leaving worker gets no more requests, in milliseconds.
 pub const DRAIN_MS: u64 = 3_000;
 
-/// Bound of a configuration, in milliseconds.
+/// Bound on the time until a configuration takes effect, in milliseconds.
 pub const CONFIGURATION_MS: u64 = 3_000;
 
-/// Bound of a key that was taken away, in milliseconds.
+/// Bound on the time until a revoked key is refused, in milliseconds.
 pub const REVOCATION_MS: u64 = 5_000;
 
-/// Bound of an evacuation, in milliseconds.
+/// Bound on the time until an evacuation takes effect, in milliseconds.
 pub const EVACUATION_MS: u64 = 5_000;
 
-/// Returns the arrivals from gateways in touch, over links that were well, with what
-/// was asked.
+/// Returns the arrivals from connected gateways over undisturbed links, with the callers' records
+/// of their requests.
 fn judged_arrivals<'a>(
     records: &'a Records,
     index: &'a RecordIndex<'a>,
@@ -41,7 +41,7 @@
     })
 }
 
-/// A worker that said that it leaves gets nothing after the bound.
+/// Checks that a leaving worker gets no request after the bound.
 pub fn leaving(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let departures = records.events.iter().filter_map(|event| match event {
@@ -54,7 +54,7 @@
         let after = judged_arrivals(records, &index)
             .filter(|(_, arrival)| arrival.at_ms > at_ms + DRAIN_MS);
         let mut after = after.peekable();
-        // Without anybody who was in touch, nothing was tried.
+        // Without requests of connected gateways, nothing was tested.
         if after.peek().is_none() {
             continue;
         }
@@ -72,7 +72,8 @@
     finding
 }
 
-/// A key opens nothing that is sent later than the bound, whatever befell the gateway.
+/// Checks that no request runs that was sent with a revoked key after the bound, whatever faults
+/// affected the gateway.
 pub fn revoked(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let revocations = records.events.iter().filter_map(|event| match event {
@@ -107,7 +108,8 @@
     finding
 }
 
-/// A route leads where some configuration says that may be in force.
+/// Checks that requests of a moved route reach a service that a configuration names which may be in
+/// force.
 pub fn configuration(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let moves = records.events.iter().filter_map(|event| match event {
@@ -119,7 +121,7 @@
     let moved_arrivals =
         judged_arrivals(records, &index).filter(|(record, _)| record.kind == Kind::Moved);
     for (record, arrival) in moved_arrivals {
-        // The last one that is in force for sure, and all that came later.
+        // The last move that must be in force, and all later ones.
         let settled = moves
             .iter()
             .rposition(|(_, at_ms)| at_ms + CONFIGURATION_MS < record.sent_ms);
@@ -133,7 +135,7 @@
                 record.id, record.gateway, arrival.service, arrival.at_ms
             )
         };
-        // Until a move is in force for sure, any way but an unknown one will do.
+        // Until a move must be in force, a request to an allowed service doesn't count as a trial.
         if settled.is_some_and(|settled| settled > 0) || !is_allowed {
             finding.add_trial((!is_allowed).then(message));
         }
@@ -141,7 +143,8 @@
     finding
 }
 
-/// A failure domain gets nothing from the bound until its evacuation is taken back.
+/// Checks that no request runs in an evacuated failure domain from the bound until the evacuation
+/// is cancelled.
 pub fn evacuated(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut finding = Finding::default();
--- a/crates/cranereach-soak/src/check/cold.rs
+++ b/crates/cranereach-soak/src/check/cold.rs
@@ -1,25 +1,25 @@
-//! What all gateways send to a cold worker stays within what it bears.
+//! Checks that all gateways together send a cold worker no more than its tolerated rate.
 
 use std::collections::BTreeMap;
 
 use super::Finding;
-use super::record_index::RecordIndex;
+use super::contact::RecordIndex;
 use crate::record::Event;
 use crate::record::Records;
 use cranereach_platform::standin::declared::COLD_FOR_MS;
 use cranereach_platform::standin::declared::COLD_PER_S;
 
-/// How many times the rate that a cold worker bears is tolerated in one second.
+/// Tolerated rate in one second, as a multiple of the rate that a cold worker can handle.
 pub const EXCESS_RATIO: f64 = 1.5;
 
-/// Requests that are tolerated besides.
+/// Number of requests that are tolerated in addition.
 pub const ALLOWANCE_COUNT: f64 = 5.0;
 
 /// Length of the sliding window, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 
-/// Looks at each second of each cold worker. Requests that were sent before the second
-/// began don't count: a relay may have held them.
+/// Judges a sliding window of one second over each worker's cold time. Requests that were sent
+/// before a window began don't count in it: a relay may have held them back.
 pub fn check(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut arrivals: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
--- a/crates/cranereach-soak/src/check/record_index.rs
+++ b/crates/cranereach-soak/src/check/contact.rs
@@ -1,4 +1,5 @@
-//! Who was in touch, and so bound by promises with a time limit.
+//! Finds requests by ID, and tells which gateways were in contact with the store and so are judged
+//! by promises with a time bound.
 
 use std::collections::HashMap;
 
@@ -7,34 +8,36 @@
 use crate::record::Records;
 use crate::record::RequestRecord;
 
-/// Time without trouble after which a gateway is in touch, in milliseconds; the
-/// platform's own figure.
+/// Time without disturbance after which a gateway counts as connected, in milliseconds. The
+/// platform defines it.
 pub const SETTLE_MS: u64 = 4_000;
 
-/// Records, looked at by identity and time.
+/// Records of a run, indexed for the checks.
 #[derive(Debug)]
 pub struct RecordIndex<'a> {
-    record: HashMap<&'a str, &'a RequestRecord>,
+    requests: HashMap<&'a str, &'a RequestRecord>,
     troubles: &'a [Disturbance],
 }
 
 impl<'a> RecordIndex<'a> {
-    /// Looks at records.
+    /// Indexes records.
     pub fn new(records: &'a Records) -> Self {
-        let record = records.asked.iter();
+        let requests = records.asked.iter();
         Self {
-            record: record.map(|record| (record.id.as_str(), record)).collect(),
+            requests: requests
+                .map(|record| (record.id.as_str(), record))
+                .collect(),
             troubles: &records.troubles,
         }
     }
 
-    /// Returns the request with an identity.
+    /// Returns the caller's record of the request with an ID.
     pub fn request_record(&self, id: &str) -> Option<&'a RequestRecord> {
-        self.record.get(id).copied()
+        self.requests.get(id).copied()
     }
 
-    /// Tells whether somebody had no trouble from `CONTACT_MS` before a span until its
-    /// end; planned trouble can be left out.
+    /// Returns whether a component was undisturbed from `SETTLE_MS` before a period until its end.
+    /// Planned disturbances count only with `include_planned`.
     pub fn is_settled(
         &self,
         whom: Component,
@@ -50,15 +53,15 @@
         })
     }
 
-    /// Tells whether somebody had no trouble within a span.
+    /// Returns whether a component was undisturbed within a period.
     pub fn is_undisturbed(&self, whom: Component, from_ms: u64, to_ms: u64) -> bool {
         !self.troubles.iter().any(|trouble| {
             trouble.whom == whom && trouble.from_ms <= to_ms && from_ms <= trouble.to_ms
         })
     }
 
-    /// Tells whether a gateway was in touch during a span: it ran all the while, with
-    /// its link to the store and the store itself well.
+    /// Returns whether a gateway was connected during a period: the gateway, its link to the store
+    /// and the store were settled throughout.
     pub fn is_connected(&self, gateway: usize, from_ms: u64, to_ms: u64) -> bool {
         self.is_settled(Component::Gateway(gateway), from_ms, to_ms, true)
             && self.is_settled(Component::Store, from_ms, to_ms, true)
--- a/crates/cranereach-soak/src/check/crash_requests.rs
+++ b/crates/cranereach-soak/src/check/crash_requests.rs
@@ -1,19 +1,19 @@
-//! Requests that end their workers reach few.
+//! Checks that a request that crashes its workers reaches few of them.
 
 use super::Finding;
-use super::record_index::RecordIndex;
-use super::record_index::SETTLE_MS;
+use super::contact::RecordIndex;
+use super::contact::SETTLE_MS;
 use crate::crash_requests::is_crash_request;
 use crate::record::Records;
 
-/// Ends of workers after which a request is to be sent to none.
+/// Number of worker crashes after which a request must not be sent to any worker.
 const CRASH_LIMIT_COUNT: usize = 3;
 
-/// Sends that are tolerated later than that is known.
+/// Number of sends that are tolerated after all gateways must know of these crashes.
 pub const LATE_MAX_COUNT: usize = 3;
 
-/// A request under which three workers ended is sent to no more than a few others, by
-/// gateways that were in touch, later than all can know of it.
+/// Checks that connected gateways send a request that crashed `CRASH_LIMIT_COUNT` workers at most
+/// `LATE_MAX_COUNT` times after all of them must know of the crashes.
 pub fn check(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let arrivals = records.arrivals.iter();
--- a/crates/cranereach-soak/src/check/gateway_health.rs
+++ b/crates/cranereach-soak/src/check/gateway_health.rs
@@ -1,4 +1,4 @@
-//! What a gateway does of its own accord: end, deny, hold on to things.
+//! Checks that gateways don't exit on their own, refuse valid requests or leak resources.
 
 use std::collections::HashSet;
 
@@ -7,20 +7,20 @@
 use crate::record::Event;
 use crate::record::Records;
 
-/// Most memory that a gateway may hold, in bytes.
+/// Maximum resident memory of a gateway, in bytes.
 const MEMORY_MAX_BYTES: u64 = 200 * 1024 * 1024;
 
-/// Most descriptors that a gateway may hold; callers, workers and peers of a large run
-/// take some 150.
+/// Maximum number of open file descriptors of a gateway. Callers, workers and peers of a large run
+/// need about 150.
 const DESCRIPTORS_MAX_COUNT: u64 = 600;
 
-/// Statuses of one's own that say nothing of the request itself.
+/// Statuses of a gateway's own answers that don't depend on the request itself.
 const NOT_DENIALS: [u16; 3] = [408, 421, 429];
 
-/// Denials that are tolerated in a run, beside one in 500 requests.
+/// Number of refusals that are tolerated in a run, in addition to one in 500 requests.
 const DENIED_MAX_COUNT: usize = 5;
 
-/// No gateway ends unless it was told to.
+/// Checks that no gateway exits unless it was stopped.
 pub fn ends(records: &Records) -> Finding {
     let mut finding = Finding {
         tried_count: 1,
@@ -35,7 +35,7 @@
     finding
 }
 
-/// Proper requests with a key in force aren't refused as improper.
+/// Checks that valid requests with a valid key aren't refused as invalid.
 pub fn denied(records: &Records) -> Finding {
     let revoked = records.events.iter().filter_map(|event| match event {
         Event::Revoked { key, .. } => Some(*key),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Memory and descriptors of each gateway stay bounded.
+/// Checks that the memory and file descriptors of each gateway stay bounded.
 pub fn resources(records: &Records) -> Finding {
     let mut finding = Finding::default();
     for event in &records.events {
--- a/crates/cranereach-soak/src/check/mod.rs
+++ b/crates/cranereach-soak/src/check/mod.rs
@@ -1,13 +1,13 @@
-//! The promises, each judged by the records alone.
+//! The promises, each judged by the records of a run alone.
 
 pub mod answers;
 pub mod bounded;
 pub mod cold;
+pub mod contact;
 pub mod crash_requests;
 pub mod gateway_health;
 pub mod notices;
 pub mod rate_limits;
-pub mod record_index;
 pub mod recovery;
 pub mod runs;
 pub mod stop;
@@ -15,44 +15,44 @@
 
 use crate::record::Records;
 
-/// What a checker found.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Finding {
-    /// How often the promise was put to the test.
+    /// How often the promise was tested.
     pub tried_count: usize,
-    /// How it was broken, in words.
+    /// Descriptions of its violations.
     pub violations: Vec<String>,
 }
 
 impl Finding {
-    /// Counts one trial; notes how the promise was broken in it, if it was.
+    /// Counts one trial, and adds the violation in it, if any.
     pub fn add_trial(&mut self, violations: Option<String>) {
         self.tried_count += 1;
         self.violations.extend(violations);
     }
 }
 
-/// When a promise is judged.
+/// Runs in which a promise is judged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applicability {
-    /// In every run.
+    /// All runs.
     Always,
-    /// Not in runs of the test suite: a slow machine alone can break it.
+    /// All but those of the test suite, where a slow machine alone could violate it.
     Timed,
 }
 
-/// A promise and who judges it.
+/// A promise with its check.
 #[derive(Clone, Copy, Debug)]
 pub struct Promise {
-    /// Its name, as in the report.
+    /// Name in the report.
     pub name: &'static str,
-    /// When it is judged.
+    /// Runs in which it is judged.
     pub applicability: Applicability,
-    /// Judges it.
+    /// Judges the records by it.
     pub check: fn(&Records) -> Finding,
 }
 
-/// Makes a row of the table of promises.
+/// Builds a row of `PROMISES`.
 const fn promise(
     name: &'static str,
     applicability: Applicability,
--- a/crates/cranereach-soak/src/check/notices.rs
+++ b/crates/cranereach-soak/src/check/notices.rs
@@ -1,10 +1,10 @@
-//! What workers say of themselves in their answers is kept by each gateway that has passed
-//! one on, in touch or not.
+//! Checks that a gateway heeds the notices in workers' answers (leaving, asking for a rest) once it
+//! has passed such an answer on, whether it is connected to the store or not.
 
 use std::collections::HashMap;
 
 use super::Finding;
-use super::record_index::RecordIndex;
+use super::contact::RecordIndex;
 use crate::record::Arrival;
 use crate::record::Component;
 use crate::record::End;
@@ -12,16 +12,18 @@
 use crate::record::Records;
 use cranereach_platform::standin::content::signature;
 
-/// Bound of a leaving worker at a gateway that has passed its word on, in milliseconds.
+/// Time after which a gateway that has passed on a worker's notice of leaving must send it nothing,
+/// in milliseconds.
 pub const DRAIN_MS: u64 = 2_000;
 
-/// Time after an answer that asks for rest from which requests count, in milliseconds.
+/// Time after an answer that asks for a rest from which requests count, in milliseconds. Earlier
+/// ones may have been in flight.
 pub const IN_FLIGHT_MS: u64 = 500;
 
-/// Requests that are tolerated in a rest.
+/// Number of requests that are tolerated during a rest.
 const TOLERATED_COUNT: usize = 2;
 
-/// Gateways and spans in which they stood still or were started again.
+/// Returns the gateways and periods in which they were frozen or restarted.
 fn interruptions(records: &Records) -> Vec<(usize, u64, u64)> {
     let interruptions = records.events.iter().filter_map(|event| match event {
         Event::Stood {
@@ -35,8 +37,8 @@
     interruptions.collect()
 }
 
-/// A gateway that has passed on that a worker leaves sends it nothing that callers send
-/// later than the bound.
+/// Checks that a gateway that has passed on a worker's notice of leaving sends it no request that a
+/// caller sent after the bound.
 pub fn leaving(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let interruptions = interruptions(records);
@@ -72,7 +74,7 @@
     finding
 }
 
-/// Returns when each gateway first passed on an answer of a worker that leaves.
+/// Returns when each gateway first passed on an answer of a leaving worker.
 fn informed_at(records: &Records, worker_id: &str, leaves_ms: u64) -> HashMap<usize, u64> {
     let expected = signature(worker_id);
     let mut informed_at: HashMap<usize, u64> = HashMap::new();
@@ -88,7 +90,8 @@
     informed_at
 }
 
-/// A worker that asked a gateway for rest gets next to nothing of it until the end.
+/// Checks that a worker gets almost no requests from a gateway that it has asked for a rest, until
+/// the rest ends.
 pub fn resting(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let gateway_of = |arrival: &Arrival| {
--- a/crates/cranereach-soak/src/check/rate_limits.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -1,32 +1,33 @@
-//! What all gateways send to a worker that names a limit stays within what is tolerated.
+//! Checks that all gateways together keep to the rate limit that a worker announces, within a
+//! tolerance.
 
 use std::collections::HashMap;
 
 use super::Finding;
-use super::record_index::RecordIndex;
+use super::contact::RecordIndex;
 use crate::record::Component;
 use crate::record::End;
 use crate::record::Event;
 use crate::record::Records;
 use cranereach_platform::standin::content::signature;
 
-/// How many times what the limit allows is tolerated in one window.
+/// Tolerated number of requests in a window, as a multiple of what the limit allows.
 const EXCESS_RATIO: f64 = 1.5;
 
-/// Requests that are tolerated besides.
+/// Number of requests that are tolerated in addition.
 const ALLOWANCE_COUNT: f64 = 5.0;
 
 /// Length of the sliding window, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// Time after an answer that named the limit from which its gateway's requests count, in
-/// milliseconds.
+/// Time after the first answer with the limit from which a gateway's requests count, in
+/// milliseconds. Earlier ones may have been in flight.
 const IN_FLIGHT_MS: u64 = 500;
 
-/// Time after the first word in which no window ends, in milliseconds.
+/// Time after the announcement before which no window ends, in milliseconds.
 const JUDGED_AFTER_MS: u64 = 3_000;
 
-/// A worker and the span in which it named a limit.
+/// A worker and the period in which it announced a limit.
 #[derive(Clone, Copy, Debug)]
 struct Limited<'a> {
     worker_id: &'a str,
@@ -36,8 +37,8 @@
     to_ms: u64,
 }
 
-/// Looks at each window of each worker that named a limit: requests of gateways that had
-/// passed on one of its answers, and that were in touch.
+/// Judges a sliding window over the requests to each worker that announced a limit. Only requests
+/// count of connected gateways that had already passed on one of its answers with the limit.
 pub fn check(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut finding = Finding::default();
@@ -66,7 +67,7 @@
     finding
 }
 
-/// Returns how a worker got more than it named, if it did.
+/// Describes by how much a worker's limit was exceeded, if it was.
 fn excess(records: &Records, index: &RecordIndex<'_>, limited: Limited<'_>) -> Option<String> {
     let informed_at = informed_at(records, limited);
     let arrivals = records.arrivals.iter();
@@ -101,7 +102,7 @@
     })
 }
 
-/// Returns when each gateway first passed on an answer that named the limit.
+/// Returns when each gateway first passed on an answer with the limit.
 fn informed_at(records: &Records, limited: Limited<'_>) -> HashMap<usize, u64> {
     let expected = signature(limited.worker_id);
     let mut informed_at: HashMap<usize, u64> = HashMap::new();
--- a/crates/cranereach-soak/src/check/recovery.rs
+++ b/crates/cranereach-soak/src/check/recovery.rs
@@ -1,18 +1,18 @@
-//! Service is back within a bound after the last fault.
+//! Checks that service recovers within a time bound after the last fault.
 
 use super::Finding;
 use crate::record::End;
 use crate::record::Event;
 use crate::record::Records;
 
-/// Bound of the recovery, in milliseconds: shorter than any deployment's own, which are
-/// 15 s, so that a run of half a minute can show it.
+/// Bound on the time to recover, in milliseconds. It is shorter than the 15 s of the deployments,
+/// so that a run of half a minute can test it.
 pub const RECOVERY_MS: u64 = 6_000;
 
-/// Share of the requests that must be served then.
+/// Share of the requests that must be served after the bound.
 const SERVED_SHARE: f64 = 0.5;
 
-/// Judges the requests that were sent after the bound with keys in force.
+/// Judges the requests that were sent with valid keys after the bound.
 pub fn check(records: &Records) -> Finding {
     let is_revoked = |key: usize| {
         let mut events = records.events.iter();
--- a/crates/cranereach-soak/src/check/runs.rs
+++ b/crates/cranereach-soak/src/check/runs.rs
@@ -1,15 +1,15 @@
-//! How often requests run, and whose.
+//! Checks how often requests run, and for which client account.
 
 use std::collections::HashMap;
 
 use super::Finding;
-use super::record_index::RecordIndex;
+use super::contact::RecordIndex;
 use crate::record::Arrival;
 use crate::record::End;
 use crate::record::Records;
 use crate::schedule;
 
-/// Statuses that promise that a request has not run and never will.
+/// Statuses that guarantee that a request has not run and never will.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
 /// Counts the runs of each request.
@@ -21,7 +21,8 @@
     counts
 }
 
-/// What may not be repeated runs once at the most, whatever its caller was told.
+/// Checks that a request that must not be repeated runs at most once, whatever its caller was
+/// answered.
 pub fn at_most_once(records: &Records) -> Finding {
     let counts = run_counts(records);
     let mut finding = Finding::default();
@@ -37,7 +38,7 @@
     finding
 }
 
-/// What may not be repeated and was answered "not run" has not run.
+/// Checks that a request that must not be repeated has not run if the answer says so.
 pub fn not_run(records: &Records) -> Finding {
     let counts = run_counts(records);
     let mut finding = Finding::default();
@@ -54,7 +55,7 @@
     finding
 }
 
-/// Each run is of a request that a caller sent, under the account of its key.
+/// Checks that each run belongs to a request of a caller, under the account of its key.
 pub fn only_asked(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut finding = Finding::default();
@@ -64,7 +65,7 @@
     finding
 }
 
-/// Says what nobody asked for in a run.
+/// Describes what differs in a run from what was requested, if anything does.
 fn unexpected_run(index: &RecordIndex<'_>, run: &Arrival) -> Option<String> {
     let Some(record) = index.request_record(&run.id) else {
         return Some(format!("{}: nobody asked", run.id));
--- a/crates/cranereach-soak/src/check/stop.rs
+++ b/crates/cranereach-soak/src/check/stop.rs
@@ -1,25 +1,25 @@
-//! A planned stop finishes what the gateway has read.
+//! Checks that a planned stop finishes the requests that the gateway has read.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
 
 use super::Finding;
-use super::record_index::RecordIndex;
+use super::contact::RecordIndex;
 use crate::record::Component;
 use crate::record::End;
 use crate::record::Event;
 use crate::record::Records;
 use crate::record::RequestRecord;
 
-/// Time from SIGTERM to SIGKILL, in seconds.
+/// Grace time from SIGTERM to SIGKILL, in seconds.
 pub const GRACE_S: f64 = 8.0;
 
-/// Time for which a connection that ends may still have crossed a request, in
-/// milliseconds.
+/// Time within which a connection may close without an answer because the close crossed the
+/// request on the wire, in milliseconds.
 const CLOSE_RACE_MS: u64 = 200;
 
-/// Judges the requests that were open at a stop or sent during it. Those are left out
-/// whose gateway, store or worker had unplanned trouble.
+/// Judges the requests that were open at the start of a stop or sent during it, except those
+/// whose gateway, store or worker had an unplanned disturbance.
 pub fn check(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut workers: HashMap<&str, usize> = HashMap::new();
@@ -38,7 +38,7 @@
         });
         for record in during {
             let worker = workers.get(record.id.as_str()).copied();
-            // A request may have been open at two signals.
+            // A request may have been open at two stop signals.
             if is_undisturbed(&index, record, worker) && judged.insert(record.id.as_str()) {
                 let is_cut = is_cut(record, worker.is_some());
                 let message = || format!("{}: cut by gateway {gateway}", record.id);
@@ -49,7 +49,7 @@
     finding
 }
 
-/// Tells whether nothing unplanned befell whoever took part.
+/// Returns whether no component that took part had an unplanned disturbance.
 fn is_undisturbed(index: &RecordIndex<'_>, record: &RequestRecord, worker: Option<usize>) -> bool {
     let is_settled = |whom| index.is_settled(whom, record.sent_ms, record.ended_ms, false);
     is_settled(Component::Gateway(record.gateway))
@@ -57,7 +57,7 @@
         && worker.is_none_or(|worker| is_settled(Component::Worker(worker)))
 }
 
-/// Tells whether a request was read and got no complete answer.
+/// Returns whether a request was read by the gateway but got no complete answer.
 fn is_cut(record: &RequestRecord, has_arrived: bool) -> bool {
     let was_read = has_arrived || record.ended_ms > record.sent_ms + CLOSE_RACE_MS;
     let is_incomplete = match &record.end {
--- a/crates/cranereach-soak/src/check/stream_order.rs
+++ b/crates/cranereach-soak/src/check/stream_order.rs
@@ -1,4 +1,4 @@
-//! A stream brings its own pieces in order, and looks complete only if it is.
+//! Checks that a stream delivers its own events in order, and looks complete only if it is.
 
 use super::Finding;
 use crate::record::End;
@@ -6,7 +6,7 @@
 use crate::record::Records;
 use cranereach_platform::standin::content;
 
-/// Judges every stream that began.
+/// Judges each stream that was answered with status 200.
 pub fn check(records: &Records) -> Finding {
     let mut finding = Finding::default();
     let streams = records
--- a/crates/cranereach-soak/tests/soak/bounded.rs
+++ b/crates/cranereach-soak/tests/soak/bounded.rs
@@ -1,4 +1,4 @@
-//! Checkers of what must be in force within a bound, and of planned stops.
+//! Tests of the checks with time bounds or rates, and of planned stops.
 
 use crate::planted::add;
 use crate::planted::finds;
@@ -6,8 +6,8 @@
 use crate::planted::served;
 use cranereach_soak::check::bounded;
 use cranereach_soak::check::cold;
+use cranereach_soak::check::contact::SETTLE_MS;
 use cranereach_soak::check::rate_limits;
-use cranereach_soak::check::record_index::SETTLE_MS;
 use cranereach_soak::check::stop;
 use cranereach_soak::record::Component;
 use cranereach_soak::record::Disturbance;
@@ -16,10 +16,10 @@
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
 
-/// When the first of the calm records' requests is sent.
+/// Time at which the first request of the fault-free records is sent, in milliseconds.
 const FIRST_MS: u64 = 20_000;
 
-/// Plants trouble that ended so long before the first request.
+/// Plants a disturbance that ended `ended_before_ms` before the first request.
 fn add_disturbance(records: &mut Records, whom: Component, ended_before_ms: u64) {
     let to_ms = FIRST_MS - ended_before_ms;
     records.troubles.push(Disturbance {
@@ -30,7 +30,7 @@
     });
 }
 
-/// Lets the worker of the first request leave so long before it, and no other serve.
+/// Makes the worker of the first request leave `before_ms` before it, and drops all other arrivals.
 fn depart(records: &mut Records, before_ms: u64) {
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
@@ -43,7 +43,7 @@
     let late_ms = bounded::DRAIN_MS + 1;
     finds(bounded::leaving, |records| depart(records, late_ms));
     passes(bounded::leaving, |records| depart(records, late_ms - 1));
-    // Trouble long ago, or another's, excuses nothing.
+    // A disturbance that is long past, or of another gateway, is no excuse.
     finds(bounded::leaving, |records| {
         depart(records, late_ms);
         add_disturbance(records, Component::Store, SETTLE_MS + 1);
@@ -108,7 +108,7 @@
         judged(&|records| records.arrivals[2].service = "spare".to_owned()),
         1
     );
-    // It came back before the old way was due to end.
+    // The route came back before the first move had to be in force.
     assert_eq!(
         judged(&|records| moved(records, &[("spare", long_ms), ("plain", 10)])),
         0
@@ -208,7 +208,7 @@
         });
     };
     finds(stop::check, cut);
-    // A second signal makes no second fault of it.
+    // A second signal doesn't make a second violation of it.
     finds(stop::check, |records| {
         cut(records);
         cut(records);
--- a/crates/cranereach-soak/tests/soak/ending.rs
+++ b/crates/cranereach-soak/tests/soak/ending.rs
@@ -1,21 +1,21 @@
-//! Checker of requests that end their workers.
+//! Tests of the check of requests that crash their workers.
 
 use crate::planted::add;
 use crate::planted::finds;
 use crate::planted::passes;
 use crate::planted::served;
+use cranereach_soak::check::contact::SETTLE_MS;
 use cranereach_soak::check::crash_requests;
 use cranereach_soak::check::crash_requests::LATE_MAX_COUNT;
-use cranereach_soak::check::record_index::SETTLE_MS;
 use cranereach_soak::record::Component;
 use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
 
-/// When the third worker ends, by the arrival of the request.
+/// Time of the third crash, when the request arrives at the third worker, in milliseconds.
 const THIRD_MS: u64 = 12_000;
 
-/// Plants three ends, and sends so long after the third.
+/// Plants three crashes, and `late_count` sends `after_ms` after the third.
 fn plant(records: &mut Records, late_count: usize, after_ms: u64) {
     let ends = [10_000, 11_000, THIRD_MS - 2];
     let late = std::iter::repeat_n(THIRD_MS + after_ms, late_count);
--- a/crates/cranereach-soak/tests/soak/failing.rs
+++ b/crates/cranereach-soak/tests/soak/failing.rs
@@ -1,4 +1,4 @@
-//! Runs that can't begin.
+//! Tests of runs that cannot start.
 
 use std::future::pending;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use cranereach_soak::run::RunError;
 use cranereach_soak::schedule::Size;
 
-/// A plan whose gateways are another program.
+/// Returns a plan that runs another program as the gateway.
 fn plan(name: &str, binary: &str) -> Plan {
     let id = std::process::id();
     let folder = std::env::temp_dir().join(format!("cranereach-soak-test-{name}-{id}"));
--- a/crates/cranereach-soak/tests/soak/main.rs
+++ b/crates/cranereach-soak/tests/soak/main.rs
@@ -1,4 +1,5 @@
-//! The schedule is its seed's; each checker finds what is planted and nothing else.
+//! Tests that the schedule depends on the seed alone, and that each check finds the violations
+//! that are planted into records and nothing else.
 
 mod bounded;
 mod ending;
--- a/crates/cranereach-soak/tests/soak/own_words.rs
+++ b/crates/cranereach-soak/tests/soak/own_words.rs
@@ -1,4 +1,4 @@
-//! Checkers of what workers say of themselves.
+//! Tests of the checks of notices in workers' answers.
 
 use crate::planted::add;
 use crate::planted::finds;
@@ -12,10 +12,11 @@
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
 
-/// When the first of the calm records' requests is sent, in milliseconds.
+/// Time at which the first request of the fault-free records is sent, in milliseconds.
 const FIRST_MS: u64 = 20_000;
 
-/// Lets the worker of the first request leave right before it, and a later one reach it.
+/// Makes the worker of the first request leave right before it, and sends it another request
+/// `later_ms` after the first answer.
 fn depart(records: &mut Records, later_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
@@ -30,7 +31,7 @@
 fn work_from_a_gateway_that_had_passed_the_word_on_is_found() {
     finds(notices::leaving, |records| depart(records, DRAIN_MS + 1));
     passes(notices::leaving, |records| depart(records, DRAIN_MS));
-    // Neither the store nor its link excuses it.
+    // Disturbances of the store or of the gateway's link to it are no excuse.
     finds(notices::leaving, |records| {
         depart(records, DRAIN_MS + 1);
         for whom in [Component::Store, Component::Gateway(0)] {
@@ -57,8 +58,8 @@
     });
 }
 
-/// Lets the worker of the first request turn it away and ask for rest, and so many more
-/// reach it each some time later.
+/// Makes the worker of the first request ask for a rest in its answer, and sends it `count` more
+/// requests `step_ms` apart.
 fn add_rest(records: &mut Records, rest_ms: u64, count: u64, step_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
@@ -77,7 +78,7 @@
     finds(notices::resting, |records| add_rest(records, 3_000, 3, 700));
     passes(notices::resting, |records| add_rest(records, 3_000, 2, 700));
     passes(notices::resting, |records| add_rest(records, 1_000, 3, 700));
-    // On the way before the answer.
+    // Requests that were in flight before the answer arrived are tolerated.
     passes(notices::resting, |records| add_rest(records, 3_000, 9, 20));
     for whom in [Component::Gateway(0), Component::Worker(0)] {
         passes(notices::resting, |records| {
--- a/crates/cranereach-soak/tests/soak/planted.rs
+++ b/crates/cranereach-soak/tests/soak/planted.rs
@@ -1,4 +1,4 @@
-//! Small records of runs in which all went well, to plant violations into.
+//! Small records of fault-free runs, into which tests plant violations.
 
 use cranereach_platform::standin::content;
 use cranereach_soak::check::Finding;
@@ -10,7 +10,8 @@
 use cranereach_soak::record::RequestRecord;
 use cranereach_soak::schedule;
 
-/// Makes a request that gateway 0 took at `sent_ms` and worker `w-0` answered.
+/// Returns the records of a request that is sent to gateway 0 at `sent_ms` and answered by worker
+/// `w-0`.
 pub fn served(id: &str, kind: Kind, sent_ms: u64) -> (RequestRecord, Arrival) {
     let body = match kind {
         Kind::Stream => content::whole_stream(id),
@@ -45,7 +46,7 @@
     (record, arrival)
 }
 
-/// Records in which one request of a kind each was served, from 20 s on.
+/// Returns records in which one request of each kind was served, from 20 s on.
 pub fn fault_free_records() -> Records {
     let mut records = Records::default();
     let kinds = [Kind::Once, Kind::Again, Kind::Moved, Kind::Stream];
@@ -72,7 +73,7 @@
     }
 }
 
-/// Asserts that a checker passes calm records and finds one fault in changed ones.
+/// Asserts that a check passes fault-free records and finds one violation after `plant`.
 pub fn finds(check: fn(&Records) -> Finding, plant: impl Fn(&mut Records)) {
     let mut records = fault_free_records();
     assert_eq!(check(&records).violations, Vec::<String>::new());
@@ -81,7 +82,7 @@
     assert_eq!(found.violations.len(), 1, "{found:?}");
 }
 
-/// Asserts that a checker lets changed records pass.
+/// Asserts that a check still passes after `plant`.
 pub fn passes(check: fn(&Records) -> Finding, plant: impl Fn(&mut Records)) {
     let mut records = fault_free_records();
     plant(&mut records);
--- a/crates/cranereach-soak/tests/soak/requests.rs
+++ b/crates/cranereach-soak/tests/soak/requests.rs
@@ -1,4 +1,4 @@
-//! Checkers of single requests and answers.
+//! Tests of the checks of single requests and answers, of gateways' health and of recovery.
 
 use crate::planted::add;
 use crate::planted::answer;
@@ -16,7 +16,7 @@
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
 
-/// Positions in the calm records.
+/// Positions in the fault-free records.
 const ONCE: usize = 0;
 const AGAIN: usize = 1;
 const STREAM: usize = 3;
@@ -41,7 +41,7 @@
     finds(answers::check, |records| {
         answer(records, ONCE).status = 500;
     });
-    // What visibly broke off doesn't pass for a success.
+    // An answer that was visibly cut off doesn't pass for a success.
     passes(answers::check, |records| {
         let answer = answer(records, ONCE);
         answer.body.truncate(10);
@@ -75,7 +75,7 @@
     });
 }
 
-/// Lets a request arrive at another worker, too.
+/// Makes a request arrive at another worker as well.
 fn run_again(records: &mut Records, number: usize) {
     let mut again = records.arrivals[number].clone();
     "w-1".clone_into(&mut again.worker_id);
@@ -174,7 +174,7 @@
             record.end = End::Closed;
         }
     });
-    // Nobody could even connect.
+    // No caller could even connect.
     finds(recovery::check, |records| {
         records.asked.clear();
         records.end_ms = 30_000;
--- a/crates/cranereach-soak/tests/soak/schedule.rs
+++ b/crates/cranereach-soak/tests/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule is made from the seed alone.
+//! Tests that the schedule depends on the seed alone.
 
 use std::collections::HashSet;
 
@@ -41,8 +41,8 @@
     assert_eq!(faults.len(), 31);
 }
 
-/// The first faults of a seed. They change with the draw, and old seeds would be other
-/// runs then.
+/// First faults of a seed. If they change, the way in which faults are drawn has changed, and
+/// earlier seeds no longer reproduce their runs.
 const PINNED: [&str; 5] = [
     "  3033 ms  WorkerLeaves, target 4, for 1664 ms",
     "  3052 ms  Worker(Sheds), target 6, for 2168 ms",
