--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -286,7 +286,7 @@
                 worker_id,
                 at_ms: journal.now_ms(),
             }),
-            Err(error) => eprintln!("worker {} can't start: {error}", slot.number),
+            Err(error) => eprintln!("replacement worker {} cannot start: {error}", slot.number),
         }
         self.send_heartbeats();
     }
--- a/crates/cranereach-soak/src/callers.rs
+++ b/crates/cranereach-soak/src/callers.rs
@@ -157,9 +157,7 @@
                 .header(HEADERS.tokens, "10,50");
         }
         let body = Full::new(Bytes::from(id));
-        builder
-            .body(body)
-            .expect("requests are made of valid parts")
+        builder.body(body).expect("request parts are valid")
     }
 }
 
--- a/crates/cranereach-soak/src/check/answers.rs
+++ b/crates/cranereach-soak/src/check/answers.rs
@@ -37,19 +37,25 @@
     match (is_success, &answer.signature) {
         (false, None) => return None,
         // Workers of a soak never answer with an error of their own.
-        (false, Some(_)) => return Some(format!("{} with a worker's signature", answer.status)),
-        (true, None) => return Some("a success without a worker's signature".to_owned()),
+        (false, Some(_)) => {
+            return Some(format!("{} with a worker's signature", answer.status));
+        }
+        (true, None) => return Some("success without a worker's signature".to_owned()),
         (true, Some(signature)) if !ran(signature) => {
-            return Some(format!("{signature} did not run it"));
+            return Some(format!("signed as {signature}, which did not run it"));
         }
         (true, Some(_)) => {}
     }
     if answer.request != record.id {
-        return Some(format!("the answer to {}", answer.request));
+        return Some(format!("answer belongs to request {}", answer.request));
     }
     // The bodies of streams are judged by `stream_order`.
     let is_plain = record.kind != Kind::Stream;
     let is_right = answer.body == content::plain_body(&record.id);
-    (is_plain && answer.is_whole && !is_right)
-        .then(|| format!("a body of {} bytes that isn't its own", answer.body.len()))
+    (is_plain && answer.is_whole && !is_right).then(|| {
+        format!(
+            "body of {} bytes belongs to another request or is incomplete",
+            answer.body.len()
+        )
+    })
 }
--- a/crates/cranereach-soak/src/check/bounded.rs
+++ b/crates/cranereach-soak/src/check/bounded.rs
@@ -61,7 +61,7 @@
         let late = after.find(|(_, arrival)| arrival.worker_id == worker_id);
         let message = |(record, arrival): (&RequestRecord, &Arrival)| {
             format!(
-                "{}: from gateway {} to {worker_id}, {} ms after it left",
+                "{}: sent by gateway {} to {worker_id} {} ms after it announced that it leaves",
                 record.id,
                 record.gateway,
                 arrival.at_ms - at_ms
@@ -100,7 +100,7 @@
             .filter(|record| is_late(record))
         {
             finding.violations.push(format!(
-                "{}: key {} opened gateway {} at {} ms",
+                "{}: revoked key {} was accepted by gateway {} at {} ms",
                 record.id, record.key, record.gateway, record.sent_ms
             ));
         }
@@ -131,7 +131,7 @@
             .any(|(service, at_ms)| *service == arrival.service && *at_ms <= arrival.at_ms);
         let message = || {
             format!(
-                "{}: gateway {} sent it to {} at {} ms",
+                "{}: sent by gateway {} to service {} at {} ms",
                 record.id, record.gateway, arrival.service, arrival.at_ms
             )
         };
@@ -167,7 +167,7 @@
         let late = after.find(|(_, arrival)| arrival.is_run && arrival.domain == *domain);
         let message = |(record, arrival): (&RequestRecord, &Arrival)| {
             format!(
-                "{}: gateway {} sent it to domain {domain} at {} ms, evacuated since {from_ms} ms",
+                "{}: sent by gateway {} to domain {domain} at {} ms, evacuated since {from_ms} ms",
                 record.id, record.gateway, arrival.at_ms
             )
         };
--- a/crates/cranereach-soak/src/check/cold.rs
+++ b/crates/cranereach-soak/src/check/cold.rs
@@ -48,7 +48,9 @@
             in_window.count()
         });
         let worst_count = counts.max().unwrap_or(0);
-        let message = || format!("{worker_id}: {worst_count} in one second, {max_count} are borne");
+        let message = || {
+            format!("{worker_id}: {worst_count} requests in one second, {max_count} are tolerated")
+        };
         finding.add_trial((worst_count as f64 > max_count).then(message));
     }
     finding
--- a/crates/cranereach-soak/src/check/crash_requests.rs
+++ b/crates/cranereach-soak/src/check/crash_requests.rs
@@ -39,7 +39,7 @@
             let gateway = is_late(&arrival.id)?;
             let at_ms = arrival.at_ms;
             Some(format!(
-                "{} from gateway {gateway} at {at_ms} ms",
+                "{} sent by gateway {gateway}, arrived at {at_ms} ms",
                 arrival.id
             ))
         })
--- a/crates/cranereach-soak/src/check/gateway_health.rs
+++ b/crates/cranereach-soak/src/check/gateway_health.rs
@@ -28,7 +28,7 @@
     };
     for event in &records.events {
         if let Event::EndedByItself { gateway, at_ms } = event {
-            let message = format!("gateway {gateway} at {at_ms} ms");
+            let message = format!("gateway {gateway} exited at {at_ms} ms");
             finding.violations.push(message);
         }
     }
@@ -53,7 +53,7 @@
             && !NOT_DENIALS.contains(&answer.status)
         {
             denied.push(format!(
-                "{}: {} by gateway {} at {} ms",
+                "{}: refused with {} by gateway {} at {} ms",
                 record.id, answer.status, record.gateway, record.sent_ms
             ));
         }
@@ -80,8 +80,11 @@
             continue;
         };
         let is_over = *memory_bytes > MEMORY_MAX_BYTES || *descriptor_count > DESCRIPTORS_MAX_COUNT;
-        let message =
-            || format!("gateway {gateway}: {memory_bytes} bytes, {descriptor_count} descriptors");
+        let message = || {
+            format!(
+                "gateway {gateway}: {memory_bytes} bytes of memory, {descriptor_count} descriptors"
+            )
+        };
         finding.add_trial(is_over.then(message));
     }
     finding
--- a/crates/cranereach-soak/src/check/notices.rs
+++ b/crates/cranereach-soak/src/check/notices.rs
@@ -65,7 +65,7 @@
             finding.add_trial(late.map(|late| {
                 let after_ms = late.at_ms - informed_ms;
                 format!(
-                    "{}: {worker_id} {after_ms} ms after {gateway} knew",
+                    "{}: sent to leaving {worker_id} {after_ms} ms after gateway {gateway} knew",
                     late.id
                 )
             }));
@@ -118,7 +118,7 @@
         let count = during.count();
         finding.add_trial((count > TOLERATED_COUNT).then(|| {
             format!(
-                "{}: {count} of {gateway} in {rest_ms} ms of rest",
+                "{}: {count} requests of gateway {gateway} in a rest of {rest_ms} ms",
                 first.worker_id
             )
         }));
--- a/crates/cranereach-soak/src/check/rate_limits.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -96,7 +96,7 @@
     let worst_count = counts.max().unwrap_or(0);
     (worst_count as f64 > max_count).then(|| {
         format!(
-            "{}: {worst_count} in {WINDOW_MS} ms, {max_count} are tolerated",
+            "{}: {worst_count} requests in {WINDOW_MS} ms, {max_count} are tolerated",
             limited.worker_id
         )
     })
--- a/crates/cranereach-soak/src/check/recovery.rs
+++ b/crates/cranereach-soak/src/check/recovery.rs
@@ -38,7 +38,7 @@
     let nobody_asked = total_count == 0 && records.end_ms > from_ms;
     if nobody_asked || (served_count as f64) < SERVED_SHARE * total_count as f64 {
         finding.violations.push(format!(
-            "{served_count} of {total_count} requests after {from_ms} ms were served"
+            "only {served_count} of {total_count} requests after {from_ms} ms were served"
         ));
     }
     finding
--- a/crates/cranereach-soak/src/check/runs.rs
+++ b/crates/cranereach-soak/src/check/runs.rs
@@ -48,7 +48,7 @@
         };
         if NOT_RUN.contains(&answer.status) && !record.kind.is_repeatable() {
             let has_run = counts.contains_key(record.id.as_str());
-            let message = || format!("{}: {} though it ran", record.id, answer.status);
+            let message = || format!("{}: answered {} although it ran", record.id, answer.status);
             finding.add_trial(has_run.then(message));
         }
     }
@@ -68,9 +68,14 @@
 /// Describes what differs in a run from what was requested, if anything does.
 fn unexpected_run(index: &RecordIndex<'_>, run: &Arrival) -> Option<String> {
     let Some(record) = index.request_record(&run.id) else {
-        return Some(format!("{}: nobody asked", run.id));
+        return Some(format!("{}: ran but no caller sent it", run.id));
     };
     let expected = schedule::account_of(record.key);
     let stated = run.account.as_deref();
-    (stated != Some(expected)).then(|| format!("{}: under {stated:?}, asked by {expected}", run.id))
+    (stated != Some(expected)).then(|| {
+        format!(
+            "{}: ran under account {stated:?}, sent by {expected}",
+            run.id
+        )
+    })
 }
--- a/crates/cranereach-soak/src/check/stop.rs
+++ b/crates/cranereach-soak/src/check/stop.rs
@@ -41,7 +41,7 @@
             // A request may have been open at two stop signals.
             if is_undisturbed(&index, record, worker) && judged.insert(record.id.as_str()) {
                 let is_cut = is_cut(record, worker.is_some());
-                let message = || format!("{}: cut by gateway {gateway}", record.id);
+                let message = || format!("{}: cut off by the stop of gateway {gateway}", record.id);
                 finding.add_trial(is_cut.then(message));
             }
         }
--- a/crates/cranereach-soak/src/check/stream_order.rs
+++ b/crates/cranereach-soak/src/check/stream_order.rs
@@ -26,7 +26,7 @@
         } else {
             all.starts_with(&answer.body)
         };
-        let message = || format!("{}: {:?}", record.id, answer.body);
+        let message = || format!("{}: wrong stream body {:?}", record.id, answer.body);
         finding.add_trial((!is_right).then(message));
     }
     finding
--- a/crates/cranereach-soak/src/crash_requests.rs
+++ b/crates/cranereach-soak/src/crash_requests.rs
@@ -68,5 +68,5 @@
         .header(HEADERS.deadline_ms, deadline_ms(kind));
     builder
         .body(Full::new(Bytes::from_static(b"the same each time")))
-        .expect("requests are made of valid parts")
+        .expect("request parts are valid")
 }
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -194,7 +194,7 @@
     pause(RESTART_DELAY_MS).await;
     restart(&test_bed.gateways[gateway]).await;
     if !was_in_time {
-        eprintln!("gateway {gateway}: still there at the end of its grace time, killed");
+        eprintln!("gateway {gateway}: still running at the end of its grace time; killed");
     }
     journal.record_disturbance(Component::Gateway(gateway), true, from_ms);
     journal.record_event(Event::Stood {
--- a/crates/cranereach-soak/src/gateways.rs
+++ b/crates/cranereach-soak/src/gateways.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Error)]
 pub enum GatewayError {
     /// No free port was found.
-    #[error("no free ports on {ip}: {source}")]
+    #[error("no free port found on {ip}: {source}")]
     Port {
         /// IP address, or several.
         ip: String,
@@ -59,7 +59,7 @@
         source: io::Error,
     },
     /// A process cannot be started, or exited right after its start.
-    #[error("gateway {number} can't run: {reason}")]
+    #[error("gateway {number} cannot run: {reason}")]
     Start {
         /// Number of the gateway.
         number: usize,
@@ -236,7 +236,7 @@
             .status()
             .await;
         if !sent.is_ok_and(|status| status.success()) {
-            eprintln!("gateway {}: signal {name} not sent", self.number);
+            eprintln!("gateway {}: sending signal {name} failed", self.number);
         }
     }
 
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -79,10 +79,10 @@
     #[error(transparent)]
     Gateway(#[from] GatewayError),
     /// A stand-in cannot listen.
-    #[error("a stand-in can't listen: {0}")]
+    #[error("cannot start the stand-ins: {0}")]
     Listen(#[from] io::Error),
     /// A gateway did not become ready in time.
-    #[error("gateway {0} isn't ready after {READY_TIMEOUT_MS} ms")]
+    #[error("gateway {0} did not become ready within {READY_TIMEOUT_MS} ms")]
     NotReady(usize),
     /// The run was interrupted.
     #[error("interrupted")]
@@ -236,7 +236,7 @@
     fs::create_dir_all(path)?;
     let mut entries = fs::read_dir(path)?;
     if entries.next().is_some() {
-        let message = "isn't empty; name another folder";
+        let message = "isn't empty; choose another folder";
         return Err(io::Error::new(io::ErrorKind::AlreadyExists, message));
     }
     Ok(())
