--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -286,7 +286,10 @@
                 worker_id,
                 at_ms: journal.now_ms(),
             }),
-            Err(error) => eprintln!("replacement worker {} cannot start: {error}", slot.number),
+            Err(error) => eprintln!(
+                "replacement of worker {} cannot start: {error}",
+                slot.number
+            ),
         }
         self.send_heartbeats();
     }
--- a/crates/cranereach-soak/src/check/answers.rs
+++ b/crates/cranereach-soak/src/check/answers.rs
@@ -37,9 +37,7 @@
     match (is_success, &answer.signature) {
         (false, None) => return None,
         // Workers of a soak never answer with an error of their own.
-        (false, Some(_)) => {
-            return Some(format!("{} with a worker's signature", answer.status));
-        }
+        (false, Some(_)) => return Some(format!("{} with a worker's signature", answer.status)),
         (true, None) => return Some("success without a worker's signature".to_owned()),
         (true, Some(signature)) if !ran(signature) => {
             return Some(format!("signed as {signature}, which did not run it"));
--- a/crates/cranereach-soak/src/check/bounded.rs
+++ b/crates/cranereach-soak/src/check/bounded.rs
@@ -108,8 +108,8 @@
     finding
 }
 
-/// Checks that requests of a moved route reach a service that a configuration names which may be in
-/// force.
+/// Checks that requests of the `moved` route reach a service that is named by a configuration that
+/// may be in force.
 pub fn configuration(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let moves = records.events.iter().filter_map(|event| match event {
--- a/crates/cranereach-soak/src/check/crash_requests.rs
+++ b/crates/cranereach-soak/src/check/crash_requests.rs
@@ -44,7 +44,7 @@
             ))
         })
         .collect();
-    let broken = late.len() > LATE_MAX_COUNT;
-    finding.add_trial(broken.then(|| late.join(", ")));
+    let is_exceeded = late.len() > LATE_MAX_COUNT;
+    finding.add_trial(is_exceeded.then(|| late.join(", ")));
     finding
 }
--- a/crates/cranereach-soak/src/record.rs
+++ b/crates/cranereach-soak/src/record.rs
@@ -191,7 +191,7 @@
     Evacuated {
         /// Index of the failure domain.
         domain: usize,
-        /// Time.
+        /// Time of the request.
         from_ms: u64,
         /// Time of the cancellation.
         to_ms: u64,
