--- a/crates/cranereach-soak/src/check/contact.rs
+++ b/crates/cranereach-soak/src/check/contact.rs
@@ -40,23 +40,25 @@
     /// Planned disturbances count only with `include_planned`.
     pub fn is_settled(
         &self,
-        whom: Component,
+        component: Component,
         from_ms: u64,
         to_ms: u64,
         include_planned: bool,
     ) -> bool {
-        !self.troubles.iter().any(|trouble| {
-            trouble.whom == whom
-                && (include_planned || !trouble.is_planned)
-                && trouble.from_ms <= to_ms
-                && from_ms <= trouble.to_ms + SETTLE_MS
+        !self.troubles.iter().any(|disturbance| {
+            disturbance.whom == component
+                && (include_planned || !disturbance.is_planned)
+                && disturbance.from_ms <= to_ms
+                && from_ms <= disturbance.to_ms + SETTLE_MS
         })
     }
 
     /// Returns whether a component was undisturbed within a period.
-    pub fn is_undisturbed(&self, whom: Component, from_ms: u64, to_ms: u64) -> bool {
-        !self.troubles.iter().any(|trouble| {
-            trouble.whom == whom && trouble.from_ms <= to_ms && from_ms <= trouble.to_ms
+    pub fn is_undisturbed(&self, component: Component, from_ms: u64, to_ms: u64) -> bool {
+        !self.troubles.iter().any(|disturbance| {
+            disturbance.whom == component
+                && disturbance.from_ms <= to_ms
+                && from_ms <= disturbance.to_ms
         })
     }
 
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -1,5 +1,5 @@
 //! Makes workers leave while the store is silent, or ask for a rest, alongside the scheduled
-//! faults. Gateways can learn of either only from the workers' own answers.
+//! faults.
 
 use std::sync::Arc;
 
--- a/crates/cranereach-soak/src/rate_limits.rs
+++ b/crates/cranereach-soak/src/rate_limits.rs
@@ -24,8 +24,8 @@
 /// Pause between two limits, in milliseconds.
 const PAUSE_MS: u64 = 1_500;
 
-/// Index of the service whose workers announce limits. Its workers get no orders from the gateways,
-/// so that callers' requests are all that counts against a limit.
+/// Index of the service whose workers announce limits. No orders are sent to its workers, so that
+/// they get nothing but callers' requests.
 const SERVICE: usize = 0;
 
 /// Makes one worker after another announce a limit until the fault-free time at the end of a run.
--- a/crates/cranereach-soak/tests/soak/bounded.rs
+++ b/crates/cranereach-soak/tests/soak/bounded.rs
@@ -84,7 +84,7 @@
 
 #[test]
 fn an_old_or_unknown_way_of_a_route_is_found() {
-    let moved = |records: &mut Records, services: &[(&str, u64)]| {
+    let add_moves = |records: &mut Records, services: &[(&str, u64)]| {
         for (service, before_ms) in services {
             records.events.push(Event::Moved {
                 service: (*service).to_owned(),
@@ -94,23 +94,29 @@
     };
     let long_ms = bounded::CONFIGURATION_MS + 1;
     let check = bounded::configuration;
-    let begun = |records: &mut Records| moved(records, &[("plain", FIRST_MS)]);
-    let judged = |plant: &dyn Fn(&mut Records)| {
+    let add_first_move = |records: &mut Records| add_moves(records, &[("plain", FIRST_MS)]);
+    let violation_count = |plant: &dyn Fn(&mut Records)| {
         let mut records = crate::planted::fault_free_records();
-        begun(&mut records);
+        add_first_move(&mut records);
         plant(&mut records);
         check(&records).violations.len()
     };
-    assert_eq!(judged(&|_| {}), 0);
-    assert_eq!(judged(&|records| moved(records, &[("spare", long_ms)])), 1);
-    assert_eq!(judged(&|records| moved(records, &[("spare", 10)])), 0);
+    assert_eq!(violation_count(&|_| {}), 0);
     assert_eq!(
-        judged(&|records| records.arrivals[2].service = "spare".to_owned()),
+        violation_count(&|records| add_moves(records, &[("spare", long_ms)])),
+        1
+    );
+    assert_eq!(
+        violation_count(&|records| add_moves(records, &[("spare", 10)])),
+        0
+    );
+    assert_eq!(
+        violation_count(&|records| records.arrivals[2].service = "spare".to_owned()),
         1
     );
     // The route came back before the first move had to be in force.
     assert_eq!(
-        judged(&|records| moved(records, &[("spare", long_ms), ("plain", 10)])),
+        violation_count(&|records| add_moves(records, &[("spare", long_ms), ("plain", 10)])),
         0
     );
 }
--- a/crates/cranereach-soak/tests/soak/own_words.rs
+++ b/crates/cranereach-soak/tests/soak/own_words.rs
@@ -43,18 +43,18 @@
             });
         }
     });
-    let stood = |gateway| Event::Stood {
+    let interruption = |gateway| Event::Stood {
         gateway,
         from_ms: FIRST_MS + 500,
         to_ms: FIRST_MS + 600,
     };
     passes(notices::leaving, |records| {
         depart(records, DRAIN_MS + 1);
-        records.events.push(stood(0));
+        records.events.push(interruption(0));
     });
     finds(notices::leaving, |records| {
         depart(records, DRAIN_MS + 1);
-        records.events.push(stood(1));
+        records.events.push(interruption(1));
     });
 }
 
--- a/crates/cranereach-soak/tests/soak/requests.rs
+++ b/crates/cranereach-soak/tests/soak/requests.rs
@@ -131,19 +131,19 @@
             at_ms: 5,
         });
     });
-    let held = |memory_bytes, descriptor_count| Event::Held {
+    let usage = |memory_bytes, descriptor_count| Event::Held {
         gateway: 1,
         memory_bytes,
         descriptor_count,
     };
     finds(gateway_health::resources, |records| {
-        records.events.push(held(1 << 40, 10));
+        records.events.push(usage(1 << 40, 10));
     });
     finds(gateway_health::resources, |records| {
-        records.events.push(held(1 << 20, 100_000));
+        records.events.push(usage(1 << 20, 100_000));
     });
     passes(gateway_health::resources, |records| {
-        records.events.push(held(1 << 20, 100));
+        records.events.push(usage(1 << 20, 100));
     });
 }
 
