--- a/crates/cranereach-soak/src/callers.rs
+++ b/crates/cranereach-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until the other side is gone.
+//! Callers, which reuse a connection until the gateway closes it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,34 +22,34 @@
 use crate::gateways::Gateway;
 use crate::journal::Journal;
 use crate::record::Answer;
-use crate::record::Asked;
 use crate::record::End;
 use crate::record::Kind;
+use crate::record::RequestRecord;
 use crate::schedule::KEYS;
 use cranereach_platform::requests::HEADERS;
 use cranereach_platform::standin::content::SIGNATURE;
 use cranereach_platform::standin::declared::HOST;
 use cranereach_platform::standin::declared::MODELS;
 
-/// Time that callers say they wait, in milliseconds.
+/// Deadline that callers state in their requests, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
 
-/// The same of streams, which take longer.
+/// Deadline that callers state for streams, which take longer, in milliseconds.
 const STREAM_DEADLINE_MS: u64 = 5_000;
 
-/// Time after their deadline at which callers leave, in milliseconds.
-const LEAVES_AFTER_MS: u64 = 1_000;
+/// Time after the deadline at which a caller gives up, in milliseconds.
+const GIVE_UP_DELAY_MS: u64 = 1_000;
 
-/// Time for a connection to come up, in milliseconds.
-const CONNECTS_WITHIN_MS: u64 = 1_000;
+/// Time-out for opening a connection, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Pause between two requests of a caller, in milliseconds, from and to.
+/// Range of the pause between two requests of a caller, in milliseconds.
 const PAUSE_MS: (u64, u64) = (5, 60);
 
-/// Pause after a connection that could not be had, in milliseconds.
-const RECONNECTS_AFTER_MS: u64 = 50;
+/// Pause after a failed attempt to connect, in milliseconds.
+const RECONNECT_DELAY_MS: u64 = 50;
 
-/// A caller with one connection at a time.
+/// A caller that uses one connection at a time.
 #[derive(Debug)]
 pub struct Caller {
     number: usize,
@@ -57,11 +57,11 @@
     rng: StdRng,
     gateways: Vec<Arc<Gateway>>,
     journal: Arc<Journal>,
-    asked_count: u64,
+    sent_count: u64,
 }
 
 impl Caller {
-    /// Makes a caller; what it asks for follows from the seed and its number.
+    /// Creates a caller whose requests are determined by the seed and its number.
     pub fn new(
         number: usize,
         seed: u64,
@@ -74,29 +74,29 @@
             rng: StdRng::seed_from_u64(seed ^ (number as u64) << 32),
             gateways: gateways.to_vec(),
             journal: Arc::clone(journal),
-            asked_count: 0,
+            sent_count: 0,
         }
     }
 
-    /// Asks until `end_ms`.
+    /// Sends requests until `end_ms`.
     pub async fn run(mut self, end_ms: u64) {
         while self.journal.now_ms() < end_ms {
             let gateway = self.rng.random_range(0..self.gateways.len());
             let gateway = Arc::clone(&self.gateways[gateway]);
-            let connected = if gateway.is_in() {
-                connect(gateway.callers).await
+            let connected = if gateway.is_in_rotation() {
+                connect(gateway.caller_address).await
             } else {
                 None
             };
             match connected {
-                Some(connection) => self.use_up(gateway.number, connection, end_ms).await,
-                None => pause(RECONNECTS_AFTER_MS).await,
+                Some(connection) => self.send_over(gateway.number, connection, end_ms).await,
+                None => pause(RECONNECT_DELAY_MS).await,
             }
         }
     }
 
-    /// Asks on one connection until it ends.
-    async fn use_up(
+    /// Sends requests over a connection until it closes or an answer fails.
+    async fn send_over(
         &mut self,
         gateway: usize,
         mut connection: SendRequest<Full<Bytes>>,
@@ -108,11 +108,11 @@
             let request = self.request(kind, key);
             let id = self.id();
             let sent_ms = self.journal.now_ms();
-            let limit = Duration::from_millis(deadline_ms(kind) + LEAVES_AFTER_MS);
+            let limit = Duration::from_millis(deadline_ms(kind) + GIVE_UP_DELAY_MS);
             let end = timeout(limit, exchange(&mut connection, request)).await;
             let end = end.unwrap_or(End::GaveUp);
             let is_usable = matches!(&end, End::Answered(answer) if answer.is_whole);
-            self.journal.asked(Asked {
+            self.journal.record_request(RequestRecord {
                 id,
                 kind,
                 key,
@@ -128,20 +128,20 @@
         }
     }
 
-    /// Returns the identity of the newest request.
+    /// Returns the ID of the latest request.
     fn id(&self) -> String {
-        format!("{:x}-{}-{}", self.seed, self.number, self.asked_count)
+        format!("{:x}-{}-{}", self.seed, self.number, self.sent_count)
     }
 
-    /// Draws what to ask for.
+    /// Picks the kind of the next request.
     fn draw_kind(&mut self) -> Kind {
         let kinds = [Kind::Once, Kind::Again, Kind::Moved, Kind::Stream];
         kinds[self.rng.random_range(0..kinds.len())]
     }
 
-    /// Makes the next request.
+    /// Builds the next request.
     fn request(&mut self, kind: Kind, key: usize) -> Request<Full<Bytes>> {
-        self.asked_count += 1;
+        self.sent_count += 1;
         let id = self.id();
         let mut builder = Request::builder()
             .method("POST")
@@ -157,27 +157,25 @@
                 .header(HEADERS.tokens, "10,50");
         }
         let body = Full::new(Bytes::from(id));
-        builder
-            .body(body)
-            .expect("requests are made of valid parts")
+        builder.body(body).expect("request parts are valid")
     }
 }
 
-/// Sends one request on a connection of its own, and writes down what became of it.
-pub async fn ask_once(
+/// Sends one request over a connection of its own, and records how it ended.
+pub async fn send_single_request(
     gateway: &Gateway,
     journal: &Journal,
     (kind, key): (Kind, usize),
     id: String,
     request: Request<Full<Bytes>>,
 ) {
-    let Some(mut connection) = connect(gateway.callers).await else {
+    let Some(mut connection) = connect(gateway.caller_address).await else {
         return;
     };
     let sent_ms = journal.now_ms();
-    let limit = Duration::from_millis(deadline_ms(kind) + LEAVES_AFTER_MS);
+    let limit = Duration::from_millis(deadline_ms(kind) + GIVE_UP_DELAY_MS);
     let end = timeout(limit, exchange(&mut connection, request)).await;
-    journal.asked(Asked {
+    journal.record_request(RequestRecord {
         id,
         kind,
         key,
@@ -188,7 +186,7 @@
     });
 }
 
-/// Returns how long a caller says that it waits, in milliseconds.
+/// Returns the deadline that callers state for a kind of request, in milliseconds.
 pub fn deadline_ms(kind: Kind) -> u64 {
     match kind {
         Kind::Stream => STREAM_DEADLINE_MS,
@@ -196,29 +194,29 @@
     }
 }
 
-/// Connects, if that can be had soon.
+/// Opens a connection; returns `None` on an error or time-out.
 async fn connect(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let limit = Duration::from_millis(CONNECTS_WITHIN_MS);
+    let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let stream = timeout(limit, TcpStream::connect(address))
         .await
         .ok()?
         .ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // It ends with the connection; what went wrong shows at the request.
+    // The task ends with the connection. Its errors also surface at the request.
     tokio::spawn(connection);
     Some(sender)
 }
 
-/// Sends one request and reads the answer as far as it comes.
+/// Sends one request and reads as much of the answer as arrives.
 async fn exchange(connection: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>) -> End {
     match connection.send_request(request).await {
-        Ok(response) => End::Answered(read(response).await),
+        Ok(response) => End::Answered(read_answer(response).await),
         Err(_closed) => End::Closed,
     }
 }
 
-/// Reads an answer as far as it comes.
-async fn read(response: Response<Incoming>) -> Answer {
+/// Reads as much of an answer as arrives.
+async fn read_answer(response: Response<Incoming>) -> Answer {
     let (head, mut incoming) = response.into_parts();
     let header = |name: &str| {
         let value = head.headers.get(name)?;
@@ -241,7 +239,7 @@
     }
 }
 
-/// Waits for a time.
+/// Sleeps for `pause_ms`.
 async fn pause(pause_ms: u64) {
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
--- a/crates/cranereach-soak/src/check/contact.rs
+++ b/crates/cranereach-soak/src/check/contact.rs
@@ -1,60 +1,71 @@
-//! Who was in touch, and so bound by promises with a time limit.
+//! Finds requests by ID, and tells which gateways were in contact with the store and so are judged
+//! by promises with a time bound.
 
 use std::collections::HashMap;
 
-use crate::record::Asked;
+use crate::record::Component;
+use crate::record::Disturbance;
 use crate::record::Records;
-use crate::record::Trouble;
-use crate::record::Whom;
+use crate::record::RequestRecord;
 
-/// Time without trouble after which a gateway is in touch, in milliseconds; the
-/// platform's own figure.
-pub const CONTACT_MS: u64 = 4_000;
+/// Time without disturbance after which a gateway counts as connected, in milliseconds. The
+/// platform defines it.
+pub const SETTLE_MS: u64 = 4_000;
 
-/// Records, looked at by identity and time.
+/// Records of a run, indexed for the checks.
 #[derive(Debug)]
-pub struct Seen<'a> {
-    asked: HashMap<&'a str, &'a Asked>,
-    troubles: &'a [Trouble],
+pub struct RecordIndex<'a> {
+    requests: HashMap<&'a str, &'a RequestRecord>,
+    troubles: &'a [Disturbance],
 }
 
-impl<'a> Seen<'a> {
-    /// Looks at records.
+impl<'a> RecordIndex<'a> {
+    /// Indexes records.
     pub fn new(records: &'a Records) -> Self {
-        let asked = records.asked.iter();
+        let requests = records.asked.iter();
         Self {
-            asked: asked.map(|asked| (asked.id.as_str(), asked)).collect(),
+            requests: requests
+                .map(|record| (record.id.as_str(), record))
+                .collect(),
             troubles: &records.troubles,
         }
     }
 
-    /// Returns the request with an identity.
-    pub fn asked(&self, id: &str) -> Option<&'a Asked> {
-        self.asked.get(id).copied()
+    /// Returns the caller's record of the request with an ID.
+    pub fn request_record(&self, id: &str) -> Option<&'a RequestRecord> {
+        self.requests.get(id).copied()
     }
 
-    /// Tells whether somebody had no trouble from `CONTACT_MS` before a span until its
-    /// end; planned trouble can be left out.
-    pub fn is_calm(&self, whom: Whom, from_ms: u64, to_ms: u64, counts_planned: bool) -> bool {
-        !self.troubles.iter().any(|trouble| {
-            trouble.whom == whom
-                && (counts_planned || !trouble.is_planned)
-                && trouble.from_ms <= to_ms
-                && from_ms <= trouble.to_ms + CONTACT_MS
+    /// Returns whether a component was undisturbed from `SETTLE_MS` before a period until its end.
+    /// Planned disturbances count only with `include_planned`.
+    pub fn is_settled(
+        &self,
+        component: Component,
+        from_ms: u64,
+        to_ms: u64,
+        include_planned: bool,
+    ) -> bool {
+        !self.troubles.iter().any(|disturbance| {
+            disturbance.whom == component
+                && (include_planned || !disturbance.is_planned)
+                && disturbance.from_ms <= to_ms
+                && from_ms <= disturbance.to_ms + SETTLE_MS
         })
     }
 
-    /// Tells whether somebody had no trouble within a span.
-    pub fn is_undisturbed(&self, whom: Whom, from_ms: u64, to_ms: u64) -> bool {
-        !self.troubles.iter().any(|trouble| {
-            trouble.whom == whom && trouble.from_ms <= to_ms && from_ms <= trouble.to_ms
+    /// Returns whether a component was undisturbed within a period.
+    pub fn is_undisturbed(&self, component: Component, from_ms: u64, to_ms: u64) -> bool {
+        !self.troubles.iter().any(|disturbance| {
+            disturbance.whom == component
+                && disturbance.from_ms <= to_ms
+                && from_ms <= disturbance.to_ms
         })
     }
 
-    /// Tells whether a gateway was in touch during a span: it ran all the while, with
-    /// its link to the store and the store itself well.
-    pub fn is_in_touch(&self, gateway: usize, from_ms: u64, to_ms: u64) -> bool {
-        self.is_calm(Whom::Gateway(gateway), from_ms, to_ms, true)
-            && self.is_calm(Whom::Store, from_ms, to_ms, true)
+    /// Returns whether a gateway was connected during a period: the gateway, its link to the store
+    /// and the store were settled throughout.
+    pub fn is_connected(&self, gateway: usize, from_ms: u64, to_ms: u64) -> bool {
+        self.is_settled(Component::Gateway(gateway), from_ms, to_ms, true)
+            && self.is_settled(Component::Store, from_ms, to_ms, true)
     }
 }
--- a/crates/cranereach-soak/src/check/order.rs
+++ b/crates/cranereach-soak/src/check/stream_order.rs
@@ -1,4 +1,4 @@
-//! A stream brings its own pieces in order, and looks complete only if it is.
+//! Checks that a stream delivers its own events in order, and looks complete only if it is.
 
 use super::Finding;
 use crate::record::End;
@@ -6,28 +6,28 @@
 use crate::record::Records;
 use cranereach_platform::standin::content;
 
-/// Judges every stream that began.
+/// Judges each stream that was answered with status 200.
 pub fn check(records: &Records) -> Finding {
     let mut finding = Finding::default();
     let streams = records
         .asked
         .iter()
-        .filter(|asked| asked.kind == Kind::Stream);
-    for asked in streams {
-        let End::Answered(answer) = &asked.end else {
+        .filter(|record| record.kind == Kind::Stream);
+    for record in streams {
+        let End::Answered(answer) = &record.end else {
             continue;
         };
         if answer.status != 200 {
             continue;
         }
-        let all = content::whole_stream(&asked.id);
+        let all = content::whole_stream(&record.id);
         let is_right = if answer.is_whole {
             answer.body == all
         } else {
             all.starts_with(&answer.body)
         };
-        let why = || format!("{}: {:?}", asked.id, answer.body);
-        finding.note((!is_right).then(why));
+        let message = || format!("{}: wrong stream body {:?}", record.id, answer.body);
+        finding.add_trial((!is_right).then(message));
     }
     finding
 }
