--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -10,13 +10,13 @@
 /// Time that the machine was suspended for, in milliseconds; timers stood still.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
-fn with_suspension() -> u64 {
+fn simulated_boottime_ms() -> u64 {
     boot_ms() + SUSPENDED_MS.load(Ordering::Acquire)
 }
 
 #[test]
 fn what_was_due_while_the_machine_was_suspended_is_due_at_once() {
-    let clock = Clock::of(with_suspension);
+    let clock = Clock::of(simulated_boottime_ms);
     let due_ms = clock.now_ms() + 30_000;
     let before = clock.instant(due_ms);
     assert!(before > tokio::time::Instant::now() + Duration::from_secs(20));
--- a/crates/cranereach-http/tests/connecting.rs
+++ b/crates/cranereach-http/tests/connecting.rs
@@ -13,33 +13,33 @@
 use cranereach_http::client::JsonClient;
 
 /// Connections that more than fill the queue of a listener that takes none.
-const FILLING_COUNT: usize = 8;
+const PENDING_COUNT: usize = 8;
 
 /// Time that the call may take, in milliseconds; far longer than connecting may.
-const WITHIN_MS: u64 = 20_000;
+const CALL_TIMEOUT_MS: u64 = 20_000;
 
 /// Makes a listener whose queue is full, with the connections that fill it.
 fn full_listener() -> (Socket, Vec<Socket>, SocketAddr) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    listener.bind(&SockAddr::from(any)).unwrap();
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    listener.bind(&SockAddr::from(any_port)).unwrap();
     listener.listen(0).unwrap();
     let address = listener.local_addr().unwrap();
-    let filling = (0..FILLING_COUNT).map(|_| {
+    let pending = (0..PENDING_COUNT).map(|_| {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
         // It stays under way, or waits in the queue: both fill it.
         let _begun = socket.connect(&address);
         socket
     });
-    let filling = filling.collect();
-    (listener, filling, address.as_socket().unwrap())
+    let pending = pending.collect();
+    (listener, pending, address.as_socket().unwrap())
 }
 
 #[tokio::test]
 async fn a_connection_that_nobody_takes_ends_long_before_the_call() {
-    let (_listener, _filling, address) = full_listener();
+    let (_listener, _pending, address) = full_listener();
     let client = JsonClient::new(&address.to_string());
-    let got = client.get("/", WITHIN_MS).await;
-    assert_matches!(got, Err(CallError::NotSent { .. }));
+    let result = client.get("/", CALL_TIMEOUT_MS).await;
+    assert_matches!(result, Err(CallError::NotSent { .. }));
 }
--- a/crates/cranereach-http/tests/events.rs
+++ b/crates/cranereach-http/tests/events.rs
@@ -22,7 +22,7 @@
             events.forget_part();
             assert!(stream.starts_with(&passed));
             assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
-            let whole_count = stream[..cut_at].windows(2).filter(|two| two == b"\n\n");
+            let whole_count = stream[..cut_at].windows(2).filter(|pair| pair == b"\n\n");
             let whole_count = whole_count.count();
             let expected = match whole_count {
                 0 => Reached::Start,
@@ -30,9 +30,10 @@
             };
             assert_eq!(events.reached(), &expected);
             // The rest from another worker makes the stream whole.
-            let next = format!("id: {whole_count}\n");
-            let rest_at = (0..stream.len()).find(|at| stream[*at..].starts_with(next.as_bytes()));
-            passed.extend_from_slice(&events.take(&stream[rest_at.unwrap_or(stream.len())..]));
+            let next_id_line = format!("id: {whole_count}\n");
+            let resume_at =
+                (0..stream.len()).find(|at| stream[*at..].starts_with(next_id_line.as_bytes()));
+            passed.extend_from_slice(&events.take(&stream[resume_at.unwrap_or(stream.len())..]));
             assert_eq!(passed, stream);
             assert!(!events.has_gone_back());
         }
--- a/crates/cranereach-http/tests/giving_up.rs
+++ b/crates/cranereach-http/tests/giving_up.rs
@@ -11,18 +11,18 @@
 use cranereach_http::client::JsonClient;
 
 /// Time that the test allows for anything to come about.
-const GENEROUS: Duration = Duration::from_mins(1);
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 #[tokio::test]
 async fn a_call_without_an_answer_in_time_resets_its_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = JsonClient::new(&listener.local_addr().unwrap().to_string());
     let body = Bytes::from_static(b"order");
-    let (called, accepted) =
+    let (result, accepted) =
         tokio::join!(client.post_bytes("/order", body, 200), listener.accept());
-    assert_matches!(called, Err(CallError::Unanswered { .. }));
+    assert_matches!(result, Err(CallError::Unanswered { .. }));
     let (stream, _) = accepted.unwrap();
     // An end without a reset is no error at the other side.
-    let reset = tokio::time::timeout(GENEROUS, stream.ready(Interest::ERROR)).await;
-    assert!(reset.is_ok(), "the connection is not reset");
+    let reset_seen = tokio::time::timeout(WAIT_TIMEOUT, stream.ready(Interest::ERROR)).await;
+    assert!(reset_seen.is_ok(), "the connection is not reset");
 }
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -7,8 +7,8 @@
 use tokio::net::UdpSocket;
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::Shape;
+use crate::fixture::WAIT_TIMEOUT_MS;
 use cranereach_bench::deployment::Deployment;
 use cranereach_entry::settings::LimitSettings;
 use cranereach_standin::load::Call;
@@ -19,15 +19,16 @@
 }
 
 /// Sends bytes and returns whatever comes back until the end.
-async fn raw(deployment: &Deployment, bytes: &[u8]) -> String {
+async fn send_raw(deployment: &Deployment, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addresses(deployment).callers)
         .await
         .unwrap();
     // The other side may close before all is written.
     let _written = stream.write_all(bytes).await;
     let mut answer = Vec::new();
-    let reading = stream.read_to_end(&mut answer);
-    let _ended = tokio::time::timeout(std::time::Duration::from_millis(GENEROUS_MS), reading).await;
+    let read_all = stream.read_to_end(&mut answer);
+    let _ended =
+        tokio::time::timeout(std::time::Duration::from_millis(WAIT_TIMEOUT_MS), read_all).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
@@ -35,7 +36,7 @@
 async fn bad_requests_get_their_codes_and_others_are_served_meanwhile() {
     let deployment = fixture::start(Shape::default()).await;
     let good = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, 0, &good).await;
+    fixture::assert_served(&deployment, 0, &good).await;
     let large = "x".repeat(5 * 1024 * 1024);
     let chat = |body: &str| Call::plain("a", Method::POST, "/v1/chat/completions", body);
     let rows = [
@@ -70,12 +71,12 @@
         "y".repeat(100_000)
     );
     assert!(
-        raw(&deployment, huge_header.as_bytes())
+        send_raw(&deployment, huge_header.as_bytes())
             .await
             .starts_with("HTTP/1.1 431")
     );
     assert!(
-        raw(&deployment, b"nonsense\r\n\r\n")
+        send_raw(&deployment, b"nonsense\r\n\r\n")
             .await
             .starts_with("HTTP/1.1 400")
     );
@@ -97,12 +98,15 @@
         })
         .await
         .unwrap();
-    deployment.wait_for_version(1, GENEROUS_MS).await.unwrap();
+    deployment
+        .wait_for_version(1, WAIT_TIMEOUT_MS)
+        .await
+        .unwrap();
     let good = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, entry, &good).await;
+    fixture::assert_served(&deployment, entry, &good).await;
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer a\r\nconnection: close\r\ncontent-length: 100\r\n\r\n{";
     let (slow, outcome) = tokio::join!(
-        raw(&deployment, head.as_bytes()),
+        send_raw(&deployment, head.as_bytes()),
         deployment.call(entry, &good)
     );
     assert!(slow.contains("\"code\":1005"), "{slow}");
@@ -125,19 +129,19 @@
     let mut stream = TcpStream::connect(peers).await.unwrap();
     stream.write_all(&u32::MAX.to_be_bytes()).await.unwrap();
     let shared = deployment.entries[0].as_ref().unwrap().shared();
-    let dropped = |reason: &str| {
+    let drop_count = |reason: &str| {
         shared
             .metrics
             .peer_dropped_total
             .with_label_values(&[reason])
             .get()
     };
-    let is_counted = || dropped("unsealed") >= 2 && dropped("tcp") >= 1;
-    cranereach_bench::waiting::wait_until("drops counted", GENEROUS_MS, is_counted)
+    let is_counted = || drop_count("unsealed") >= 2 && drop_count("tcp") >= 1;
+    cranereach_bench::waiting::wait_until("drops counted", WAIT_TIMEOUT_MS, is_counted)
         .await
         .unwrap();
     let good = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, 0, &good).await;
+    fixture::assert_served(&deployment, 0, &good).await;
     deployment.stop().await;
 }
 
@@ -145,7 +149,7 @@
 async fn an_answer_before_the_whole_body_ends_the_connection() {
     let deployment = fixture::start(Shape::default()).await;
     let good = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, 0, &good).await;
+    fixture::assert_served(&deployment, 0, &good).await;
     // Found beside load: the next call was sent on the connection that was ending.
     // One byte too many is read and answered; the rest of the body never comes.
     let max_bytes = LimitSettings::default().body_max_bytes;
@@ -154,7 +158,7 @@
         2 * max_bytes
     );
     request.push_str(&"x".repeat(max_bytes + 1));
-    let answer = raw(&deployment, request.as_bytes()).await;
+    let answer = send_raw(&deployment, request.as_bytes()).await;
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
     assert!(body.contains("1004"), "{answer}");
     assert!(
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -7,7 +7,7 @@
 
 use crate::fixture;
 use crate::harness;
-use crate::harness::Path;
+use crate::harness::ProcessDeployment;
 
 /// One row: what is changed in good declarations, the code, a part of the message.
 type Row = (&'static str, fn(&mut Value), u16, &'static str);
@@ -87,8 +87,8 @@
 
 #[test]
 fn check_names_code_file_line_and_valid_choices() {
-    for (name, change, code, part) in ROWS {
-        let folder = harness::scratch("check");
+    for (name, change, code, expected_text) in ROWS {
+        let folder = harness::scratch_folder("check");
         let mut declared = fixture::declarations(true);
         change(&mut declared);
         let text = serde_json::to_string_pretty(&declared).unwrap();
@@ -99,7 +99,10 @@
         assert_eq!(exit, 1, "{name}: {output}");
         assert_eq!(findings[0]["code"], json!(code), "{name}: {output}");
         assert!(
-            findings[0]["detail"].as_str().unwrap().contains(part),
+            findings[0]["detail"]
+                .as_str()
+                .unwrap()
+                .contains(expected_text),
             "{name}: {output}"
         );
         assert!(
@@ -115,7 +118,7 @@
 
 #[test]
 fn check_passes_good_declarations_and_the_sample_settings() {
-    let folder = harness::scratch("check-good");
+    let folder = harness::scratch_folder("check-good");
     fs::write(
         folder.join("all.jsonc"),
         fixture::declarations(true).to_string(),
@@ -129,9 +132,9 @@
 
 #[test]
 fn settings_with_faults_are_refused_with_the_valid_choices() {
-    let folder = harness::scratch("settings");
+    let folder = harness::scratch_folder("settings");
     let file = folder.join("settings.jsonc");
-    let good =
+    let valid =
         fs::read_to_string(harness::write_settings(&folder, "entry-1", "127.0.0.1:1")).unwrap();
     let rows: [SettingsRow; 4] = [
         ("unknown key", |s| s["listn"] = json!({}), "listen"),
@@ -147,22 +150,26 @@
             "can't read",
         ),
     ];
-    for (name, change, part) in rows {
-        let mut settings: Value = serde_json::from_str(&good).unwrap();
+    for (name, change, expected_text) in rows {
+        let mut settings: Value = serde_json::from_str(&valid).unwrap();
         change(&mut settings);
         fs::write(&file, settings.to_string()).unwrap();
         let (exit, _output, errors) =
             harness::run(&["check", "--settings", &file.display().to_string()]);
         assert_eq!(exit, 3, "{name}: {errors}");
-        assert!(errors.contains(part), "{name}: {errors}");
+        assert!(errors.contains(expected_text), "{name}: {errors}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn plan_apply_pull_and_status_work_together() {
-    let path = Path::start("operators").await;
-    let settings = path.folder.join("entry-1.jsonc").display().to_string();
-    let pulled = path.folder.join("pulled");
+    let deployment = ProcessDeployment::start("operators").await;
+    let settings = deployment
+        .folder
+        .join("entry-1.jsonc")
+        .display()
+        .to_string();
+    let pulled = deployment.folder.join("pulled");
     let folder = pulled.display().to_string();
     let (exit, output, errors) = harness::run(&["pull", "--settings", &settings, &folder]);
     assert_eq!(exit, 0, "{output}{errors}");
@@ -196,7 +203,7 @@
         harness::run(&["status", "--settings", &settings, "--change", "c-1"]);
     assert_eq!(exit, 0, "{output}");
     assert!(output.contains("version 2"), "{output}");
-    let instance = path.entry.address_of("operators");
+    let instance = deployment.entry.address_of("operators");
     let (exit, output, _errors) = harness::run(&[
         "status",
         "--settings",
@@ -211,16 +218,16 @@
         json!("entry-1")
     );
     // The first folder was begun from version 1 and changes the same file.
-    let first = path.folder.join("declared");
-    let text = fs::read_to_string(first.join("all.jsonc"))
+    let stale_folder = deployment.folder.join("declared");
+    let text = fs::read_to_string(stale_folder.join("all.jsonc"))
         .unwrap()
         .replace("\"deferrable\"", "\"standard\"");
-    fs::write(first.join("all.jsonc"), text).unwrap();
+    fs::write(stale_folder.join("all.jsonc"), text).unwrap();
     let (exit, _output, errors) = harness::run(&[
         "apply",
         "--settings",
         &settings,
-        &first.display().to_string(),
+        &stale_folder.display().to_string(),
     ]);
     assert_eq!(exit, 4, "{errors}");
     assert!(
@@ -231,7 +238,7 @@
 
 #[test]
 fn an_unreachable_platform_is_an_exit_code_of_its_own() {
-    let folder = harness::scratch("unreachable");
+    let folder = harness::scratch_folder("unreachable");
     let settings = harness::write_settings(&folder, "entry-1", "127.0.0.1:1");
     let declared = folder.join("declared");
     fs::create_dir_all(&declared).unwrap();
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::Shape;
+use crate::fixture::WAIT_TIMEOUT_MS;
 use cranereach_bench::deployment::Deployment;
 use cranereach_bench::waiting::wait_until;
 use cranereach_core::codes::ResultCode;
@@ -15,21 +15,21 @@
 use cranereach_wire::folder::Folder;
 
 /// A store that refuses.
-const REFUSES: StoreFaults = StoreFaults {
+const REFUSING_STORE: StoreFaults = StoreFaults {
     refuses: true,
     holds: false,
     slow_ms: 0,
 };
 
 /// Takes account a's key away and gives it another.
-fn rotated() -> Folder {
+fn folder_with_rotated_key() -> Folder {
     let mut declared = fixture::declarations(true);
     declared["accounts"][0]["key_hashes"] = json!([fixture::key_hash("new-key")]);
     fixture::folder(&declared)
 }
 
 /// Sets the platform's faults.
-fn set(deployment: &Deployment, faults: PlatformFaults) {
+fn set_faults(deployment: &Deployment, faults: PlatformFaults) {
     *deployment.platform.state().faults.lock().unwrap() = faults;
 }
 
@@ -40,15 +40,21 @@
         ..Shape::default()
     })
     .await;
-    let version = deployment.apply(&rotated()).await.unwrap();
+    let version = deployment.apply(&folder_with_rotated_key()).await.unwrap();
     deployment
-        .wait_for_version(version, GENEROUS_MS)
+        .wait_for_version(version, WAIT_TIMEOUT_MS)
         .await
         .unwrap();
     for entry in 0..3 {
-        let models = |key: &str| Call::plain(key, hyper::Method::GET, "/v1/models", "");
-        assert_eq!(deployment.call(entry, &models("a")).await.code, Some(1002));
-        assert_eq!(deployment.call(entry, &models("new-key")).await.status, 200);
+        let list_models = |key: &str| Call::plain(key, hyper::Method::GET, "/v1/models", "");
+        assert_eq!(
+            deployment.call(entry, &list_models("a")).await.code,
+            Some(1002)
+        );
+        assert_eq!(
+            deployment.call(entry, &list_models("new-key")).await.status,
+            200
+        );
     }
     deployment.stop().await;
 }
@@ -60,28 +66,28 @@
         ..Shape::default()
     })
     .await;
-    let version = deployment.apply(&rotated()).await.unwrap();
-    let has_it = |entry: &Option<cranereach_entry::entry::Entry>| {
+    let version = deployment.apply(&folder_with_rotated_key()).await.unwrap();
+    let has_version = |entry: &Option<cranereach_entry::entry::Entry>| {
         entry
             .as_ref()
             .is_some_and(|entry| entry.shared().config().held().version == version)
     };
-    wait_until("one instance", GENEROUS_MS, || {
-        deployment.entries.iter().any(has_it)
+    wait_until("one instance", WAIT_TIMEOUT_MS, || {
+        deployment.entries.iter().any(has_version)
     })
     .await
     .unwrap();
-    set(
+    set_faults(
         &deployment,
         PlatformFaults {
-            table: REFUSES,
-            objects: REFUSES,
-            list: REFUSES,
+            table: REFUSING_STORE,
+            objects: REFUSING_STORE,
+            list: REFUSING_STORE,
             ..PlatformFaults::default()
         },
     );
     deployment
-        .wait_for_version(version, GENEROUS_MS)
+        .wait_for_version(version, WAIT_TIMEOUT_MS)
         .await
         .unwrap();
     deployment.stop().await;
@@ -94,22 +100,22 @@
         ..Shape::default()
     })
     .await;
-    let version = deployment.apply(&rotated()).await.unwrap();
+    let version = deployment.apply(&folder_with_rotated_key()).await.unwrap();
     deployment
-        .wait_for_version(version, GENEROUS_MS)
+        .wait_for_version(version, WAIT_TIMEOUT_MS)
         .await
         .unwrap();
-    set(
+    set_faults(
         &deployment,
         PlatformFaults {
-            table: REFUSES,
-            objects: REFUSES,
+            table: REFUSING_STORE,
+            objects: REFUSING_STORE,
             ..PlatformFaults::default()
         },
     );
     deployment.add_entry("d0").await.unwrap();
     deployment
-        .wait_for_version(version, GENEROUS_MS)
+        .wait_for_version(version, WAIT_TIMEOUT_MS)
         .await
         .unwrap();
     deployment.stop().await;
@@ -118,7 +124,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_commit_whose_answer_is_lost_is_reported_rightly_and_once() {
     let deployment = fixture::start(Shape::default()).await;
-    set(
+    set_faults(
         &deployment,
         PlatformFaults {
             lose_answer_count: 1,
@@ -126,11 +132,17 @@
         },
     );
     let stores = deployment.stores();
-    let accepted = stores.apply(&rotated(), 1, "change-1").await.unwrap();
+    let accepted = stores
+        .apply(&folder_with_rotated_key(), 1, "change-1")
+        .await
+        .unwrap();
     assert_eq!(accepted.version, 2);
     // The operator asks again with the same identity: nothing is applied twice.
-    let again = stores.apply(&rotated(), 1, "change-1").await.unwrap();
-    assert_eq!(again.version, 2);
+    let retried = stores
+        .apply(&folder_with_rotated_key(), 1, "change-1")
+        .await
+        .unwrap();
+    assert_eq!(retried.version, 2);
     assert_eq!(stores.current().await.unwrap().head.version, 2);
     deployment.stop().await;
 }
@@ -142,26 +154,26 @@
         (
             "table",
             PlatformFaults {
-                table: REFUSES,
+                table: REFUSING_STORE,
                 ..PlatformFaults::default()
             },
         ),
         (
             "objects",
             PlatformFaults {
-                objects: REFUSES,
+                objects: REFUSING_STORE,
                 ..PlatformFaults::default()
             },
         ),
     ] {
-        set(&deployment, faults);
+        set_faults(&deployment, faults);
         let error = deployment
             .stores()
-            .apply(&rotated(), 1, "change-1")
+            .apply(&folder_with_rotated_key(), 1, "change-1")
             .await
             .unwrap_err();
         assert_eq!(error.code(), ResultCode::StoreUnavailable, "{name}");
-        set(&deployment, PlatformFaults::default());
+        set_faults(&deployment, PlatformFaults::default());
         assert_eq!(
             deployment.stores().current().await.unwrap().head.version,
             1,
@@ -174,7 +186,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_racing_on_the_same_file_lose_cleanly_on_others_both_win() {
     let deployment = fixture::start(Shape::default()).await;
-    let mine = rotated();
+    let mine = folder_with_rotated_key();
     let mut theirs = fixture::declarations(true);
     theirs["accounts"][1]["parameters"] = json!({ "share": 3.0 });
     let theirs = fixture::folder(&theirs);
@@ -225,7 +237,10 @@
         })
         .await
         .unwrap();
-    deployment.wait_for_version(1, GENEROUS_MS).await.unwrap();
+    deployment
+        .wait_for_version(1, WAIT_TIMEOUT_MS)
+        .await
+        .unwrap();
     let ready = |index: usize| {
         deployment.entries[index]
             .as_ref()
@@ -233,21 +248,21 @@
             .shared()
             .is_ready()
     };
-    wait_until("all ready", GENEROUS_MS, || (0..3).all(ready))
+    wait_until("all ready", WAIT_TIMEOUT_MS, || (0..3).all(ready))
         .await
         .unwrap();
     relay.set(Passage::Cut);
-    wait_until("the third out", GENEROUS_MS, || !ready(third))
+    wait_until("the third out", WAIT_TIMEOUT_MS, || !ready(third))
         .await
         .unwrap();
-    let models = Call::plain("a", hyper::Method::GET, "/v1/models", "");
-    assert_eq!(deployment.call(third, &models).await.code, Some(2008));
-    deployment.platform.state().faults.lock().unwrap().table = REFUSES;
+    let models_call = Call::plain("a", hyper::Method::GET, "/v1/models", "");
+    assert_eq!(deployment.call(third, &models_call).await.code, Some(2008));
+    deployment.platform.state().faults.lock().unwrap().table = REFUSING_STORE;
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
     assert!(ready(0) && ready(1));
     relay.set(Passage::Open);
     deployment.platform.state().faults.lock().unwrap().table = StoreFaults::default();
-    wait_until("the third back", GENEROUS_MS, || ready(third))
+    wait_until("the third back", WAIT_TIMEOUT_MS, || ready(third))
         .await
         .unwrap();
     deployment.stop().await;
--- a/tests/testsuite/docs.rs
+++ b/tests/testsuite/docs.rs
@@ -45,7 +45,7 @@
 #[test]
 fn every_test_named_in_the_proofs_exists() {
     let text = page("docs/PROOFS.md");
-    let mut names = 0;
+    let mut name_count = 0;
     for name in text
         .split('`')
         .skip(1)
@@ -65,9 +65,9 @@
         };
         let source = page(&format!("{folder}/{module}.rs"));
         assert!(source.contains(&format!("fn {function}(")), "{name}");
-        names += 1;
+        name_count += 1;
     }
-    assert!(names > 30, "{names}");
+    assert!(name_count > 30, "{name_count}");
 }
 
 #[test]
@@ -85,12 +85,13 @@
 #[test]
 fn the_sample_settings_load_and_show_every_default() {
     let sample = Settings::read(&root("docs/settings.sample.jsonc")).unwrap();
-    let mut bare: serde_json::Value = serde_json::to_value(&sample).unwrap();
-    let keep = ["instance", "platform", "peers", "operators"];
-    bare.as_object_mut()
+    let mut without_defaults: serde_json::Value = serde_json::to_value(&sample).unwrap();
+    let required_keys = ["instance", "platform", "peers", "operators"];
+    without_defaults
+        .as_object_mut()
         .unwrap()
-        .retain(|key, _| keep.contains(&key.as_str()));
-    let defaults: Settings = serde_json::from_value(bare).unwrap();
+        .retain(|key, _| required_keys.contains(&key.as_str()));
+    let defaults: Settings = serde_json::from_value(without_defaults).unwrap();
     assert_eq!(
         serde_json::to_value(defaults).unwrap(),
         serde_json::to_value(sample).unwrap()
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -87,7 +87,7 @@
     assert_eq!(output.status.code(), Some(2));
 }
 
-const EQUAL_LOG: &str = r#"
+const SAME_FINGERPRINT_LOG: &str = r#"
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","request":"r1","worker":"w1","fingerprint":"f1"}
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-2","request":"r2","worker":"w2","fingerprint":"f1"}
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-2","request":"r3","worker":"w2","fingerprint":"f3"}
@@ -96,7 +96,7 @@
 
 #[test]
 fn the_story_of_a_quarantined_request_names_the_ends_under_equal_ones() {
-    let output = explain("equal.log", EQUAL_LOG, &["--request", "r4"]);
+    let output = explain("equal.log", SAME_FINGERPRINT_LOG, &["--request", "r4"]);
     let text = String::from_utf8(output.stdout).unwrap();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 5, "{text}");
--- a/tests/testsuite/fixture.rs
+++ b/tests/testsuite/fixture.rs
@@ -15,7 +15,7 @@
 pub const MODEL_COUNT: usize = 4;
 
 /// Time that a test allows for anything to come about, in milliseconds.
-pub const GENEROUS_MS: u64 = 60_000;
+pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
 /// What a test varies.
 #[derive(Clone, Copy, Debug)]
@@ -109,7 +109,7 @@
             .expect("an instance starts");
     }
     deployment
-        .wait_for_version(version, GENEROUS_MS)
+        .wait_for_version(version, WAIT_TIMEOUT_MS)
         .await
         .expect("the version is in force");
     deployment
@@ -125,8 +125,10 @@
 }
 
 /// Sends a call until it is served with a whole answer; fails the test if it isn't.
-pub async fn served(deployment: &Deployment, entry: usize, call: &Call) -> Outcome {
-    let outcome = deployment.call_until_served(entry, call, GENEROUS_MS).await;
+pub async fn assert_served(deployment: &Deployment, entry: usize, call: &Call) -> Outcome {
+    let outcome = deployment
+        .call_until_served(entry, call, WAIT_TIMEOUT_MS)
+        .await;
     assert!(
         outcome.status == 200 && outcome.is_whole,
         "{} {}: {outcome:?}",
--- a/tests/testsuite/gateway_settings.rs
+++ b/tests/testsuite/gateway_settings.rs
@@ -30,7 +30,7 @@
 }
 
 /// Bounds that a deployment may leave out.
-const BOUNDS: [&str; 15] = [
+const OPTIONAL_BOUNDS: [&str; 15] = [
     "graceS",
     "drainMs",
     "configurationMs",
@@ -49,9 +49,9 @@
 ];
 
 /// Fills the template as the platform does, with figures of a test.
-fn filled() -> String {
+fn filled_template() -> String {
     let template = fs::read_to_string(root("deploy/settings.jsonc")).unwrap();
-    let gaps = [
+    let placeholders = [
         ("{{nodeName|json}}", "\"edge-1\""),
         ("{{zone|json}}", "\"a\""),
         ("{{region|json}}", "\"north\""),
@@ -79,17 +79,17 @@
         ("{{bounds.quotaAllowance}}", "17000"),
     ];
     let mut text = template;
-    for (gap, value) in gaps {
-        assert!(text.contains(gap), "the template has {gap}");
-        text = text.replace(gap, value);
+    for (placeholder, value) in placeholders {
+        assert!(text.contains(placeholder), "the template has {placeholder}");
+        text = text.replace(placeholder, value);
     }
-    for bound in BOUNDS {
-        for mark in [
+    for bound in OPTIONAL_BOUNDS {
+        for tag in [
             format!("{{{{#bounds.{bound}}}}}"),
             format!("{{{{/bounds.{bound}}}}}"),
         ] {
-            assert!(text.contains(&mark), "the template has {mark}");
-            text = text.replace(&mark, "");
+            assert!(text.contains(&tag), "the template has {tag}");
+            text = text.replace(&tag, "");
         }
     }
     assert!(!text.contains("{{"), "{text}");
@@ -100,13 +100,13 @@
 fn the_sample_and_the_filled_template_are_accepted() {
     let sample = check(&root("docs/settings.gateway.sample.jsonc"));
     assert!(sample.status.success(), "{sample:?}");
-    let template = check_text("filled", &filled());
+    let template = check_text("filled", &filled_template());
     assert!(template.status.success(), "{template:?}");
 }
 
 #[test]
 fn bounds_that_a_deployment_does_not_name_keep_their_defaults() {
-    let text: Vec<String> = filled()
+    let text: Vec<String> = filled_template()
         .lines()
         .filter(|line| {
             !["_ms\"", "retry_", "limit_", "is_"]
@@ -128,13 +128,13 @@
         ("\"127.0.0.1:1\"", "\"nowhere\"", "filled"),
         ("{", "[", "filled"),
     ];
-    for (number, (from, to, said)) in table.into_iter().enumerate() {
-        let text = filled().replacen(from, to, 1);
+    for (number, (from, to, expected_text)) in table.into_iter().enumerate() {
+        let text = filled_template().replacen(from, to, 1);
         let output = check_text(&format!("filled-fault-{number}"), &text);
         assert_eq!(output.status.code(), Some(3), "{to}");
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(error.lines().count(), 1, "{error}");
-        assert!(error.contains(said), "{to}: {error}");
+        assert!(error.contains(expected_text), "{to}: {error}");
         assert!(error.contains("filled-fault-"), "{error}");
     }
 }
--- a/tests/testsuite/harness.rs
+++ b/tests/testsuite/harness.rs
@@ -25,14 +25,14 @@
 pub const DECLARATIONS: &str = include_str!("golden/declarations.jsonc");
 
 /// Time that a test allows for anything to come about, in milliseconds.
-pub const GENEROUS_MS: u64 = 60_000;
+pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
 /// A process, ended when dropped.
 pub struct Process {
     child: Child,
     output: BufReader<std::process::ChildStdout>,
     /// The first line that it printed.
-    pub started: Value,
+    pub startup_line: Value,
 }
 
 impl Process {
@@ -48,14 +48,14 @@
         let mut process = Self {
             child,
             output: BufReader::new(output),
-            started: Value::Null,
+            startup_line: Value::Null,
         };
-        process.started = process.line();
+        process.startup_line = process.next_line();
         process
     }
 
     /// Reads the next line of its output.
-    pub fn line(&mut self) -> Value {
+    pub fn next_line(&mut self) -> Value {
         let mut line = String::new();
         self.output
             .read_line(&mut line)
@@ -65,7 +65,7 @@
 
     /// Returns its address, for a stand-in.
     pub fn address(&self) -> String {
-        self.started["address"]
+        self.startup_line["address"]
             .as_str()
             .expect("stand-ins print it")
             .to_owned()
@@ -73,7 +73,7 @@
 
     /// Returns one of its addresses, for an entry instance.
     pub fn address_of(&self, kind: &str) -> String {
-        self.started["addresses"][kind]
+        self.startup_line["addresses"][kind]
             .as_str()
             .expect("instances print them")
             .to_owned()
@@ -117,7 +117,7 @@
 }
 
 /// Makes an empty folder for one test.
-pub fn scratch(name: &str) -> PathBuf {
+pub fn scratch_folder(name: &str) -> PathBuf {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
@@ -140,17 +140,17 @@
 }
 
 /// Lists an instance with the platform's stand-in.
-pub async fn list(platform: &str, listed: &Value) {
+pub async fn list_instance(platform: &str, listed: &Value) {
     let client = JsonClient::new(platform);
     let answer = client
-        .post("/instances", listed, GENEROUS_MS)
+        .post("/instances", listed, WAIT_TIMEOUT_MS)
         .await
         .expect("the platform answers");
     assert_eq!(answer.status, 200);
 }
 
 /// The thin path in separate processes: platform, engine, service, entry instance.
-pub struct Path {
+pub struct ProcessDeployment {
     /// Folder of its settings.
     pub folder: PathBuf,
     /// The platform.
@@ -163,10 +163,10 @@
     pub entry: Process,
 }
 
-impl Path {
+impl ProcessDeployment {
     /// Starts everything, applies the golden declarations, waits until ready.
     pub async fn start(name: &str) -> Self {
-        let folder = scratch(name);
+        let folder = scratch_folder(name);
         let platform = Process::start(&["stand-in", "platform"]);
         let engine = Process::start(&[
             "stand-in",
@@ -189,16 +189,16 @@
         ]);
         assert_eq!(code, 0, "{errors}");
         let entry = Process::start(&["serve", "--settings", &settings]);
-        let path = Self {
+        let deployment = Self {
             folder,
             platform,
             engine,
             service,
             entry,
         };
-        path.list_all().await;
-        path.wait_until_ready().await;
-        path
+        deployment.list_all().await;
+        deployment.wait_until_ready().await;
+        deployment
     }
 
     /// Lists everything with the platform.
@@ -209,17 +209,17 @@
             })
         };
         let platform = self.platform.address();
-        list(
+        list_instance(
             &platform,
             &listed("w1", "worker", self.engine.address(), Some("text")),
         )
         .await;
-        list(
+        list_instance(
             &platform,
             &listed("s1", "worker", self.service.address(), Some("ledger")),
         )
         .await;
-        list(
+        list_instance(
             &platform,
             &listed("entry-1", "entry", self.entry.address_of("peers"), None),
         )
@@ -232,7 +232,7 @@
         let mut is_ready = false;
         while !is_ready {
             is_ready = operators
-                .get("/health/ready", GENEROUS_MS)
+                .get("/health/ready", WAIT_TIMEOUT_MS)
                 .await
                 .is_ok_and(|answer| answer.status == 200);
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -244,7 +244,7 @@
         let engine = JsonClient::new(&self.engine.address());
         loop {
             let answer = engine
-                .get("/stand-in/ledger", GENEROUS_MS)
+                .get("/stand-in/ledger", WAIT_TIMEOUT_MS)
                 .await
                 .expect("the engine answers");
             let ledger: Value = engine.read(&answer).expect("the ledger is JSON");
@@ -257,7 +257,7 @@
 }
 
 /// Calls a process until the answer has a status and is whole; gives up only with the test.
-pub async fn until_status(pool: &Pool<Full<Bytes>>, call: &Call, status: u16) -> Outcome {
+pub async fn call_until_status(pool: &Pool<Full<Bytes>>, call: &Call, status: u16) -> Outcome {
     loop {
         let outcome = load::send(pool, call).await;
         if outcome.status == status && outcome.is_whole {
--- a/tests/testsuite/memory.rs
+++ b/tests/testsuite/memory.rs
@@ -1,9 +1,9 @@
 //! Memory is never overcommitted, on real sockets, while orders go wrong.
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::MODEL_COUNT;
 use crate::fixture::Shape;
+use crate::fixture::WAIT_TIMEOUT_MS;
 use cranereach_standin::engine::state::EngineFaults;
 use cranereach_standin::load::Call;
 
@@ -13,7 +13,7 @@
         "orders lost",
         EngineFaults {
             lose_order_count: 3,
-            ..NONE
+            ..NO_FAULTS
         },
     ),
     (
@@ -21,14 +21,14 @@
         EngineFaults {
             delay_order_count: 3,
             delay_order_ms: 1_500,
-            ..NONE
+            ..NO_FAULTS
         },
     ),
     (
         "orders doubled",
         EngineFaults {
             repeat_order_count: 6,
-            ..NONE
+            ..NO_FAULTS
         },
     ),
     (
@@ -37,13 +37,13 @@
             lose_order_count: 2,
             delay_order_count: 2,
             delay_order_ms: 700,
-            ..NONE
+            ..NO_FAULTS
         },
     ),
 ];
 
 /// No faults.
-const NONE: EngineFaults = EngineFaults {
+const NO_FAULTS: EngineFaults = EngineFaults {
     lose_order_count: 0,
     delay_order_count: 0,
     delay_order_ms: 0,
@@ -57,11 +57,11 @@
 };
 
 /// Asks for each model in turn, each of which must be loaded in another's place.
-async fn swap_all(deployment: &cranereach_bench::deployment::Deployment, entry: usize) {
+async fn load_all_models(deployment: &cranereach_bench::deployment::Deployment, entry: usize) {
     for number in 0..MODEL_COUNT {
         let call = Call::chat("a", &format!("m{number}"), "hello", 2, true);
         let outcome = deployment
-            .call_until_served(entry, &call, GENEROUS_MS)
+            .call_until_served(entry, &call, WAIT_TIMEOUT_MS)
             .await;
         assert!(
             outcome.status == 200 && outcome.is_whole,
@@ -84,7 +84,7 @@
             .faults
             .lock()
             .unwrap() = faults;
-        swap_all(&deployment, 1).await;
+        load_all_models(&deployment, 1).await;
         assert_eq!(fixture::excess_count(&deployment), 0, "{name}");
         deployment.stop().await;
     }
@@ -99,7 +99,7 @@
     .await;
     let faults = EngineFaults {
         repeat_order_count: 4,
-        ..NONE
+        ..NO_FAULTS
     };
     *deployment.engines[0]
         .stand_in
@@ -110,7 +110,7 @@
     for number in 0..2 {
         let call = Call::chat("a", &format!("m{number}"), "hello", 2, true);
         let outcome = deployment
-            .call_until_served(0, &call, 2 * GENEROUS_MS)
+            .call_until_served(0, &call, 2 * WAIT_TIMEOUT_MS)
             .await;
         assert_eq!(outcome.status, 200, "m{number}: {outcome:?}");
     }
@@ -126,19 +126,19 @@
     })
     .await;
     let first = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, 0, &first).await;
-    let is_holder =
+    fixture::assert_served(&deployment, 0, &first).await;
+    let holds_lease =
         |entry: &cranereach_entry::entry::Entry| entry.shared().metrics.cells_held.get() > 0;
-    let holder = deployment
+    let lease_holder = deployment
         .entries
         .iter()
-        .position(|entry| entry.as_ref().is_some_and(is_holder));
-    let holder = holder.expect("somebody loaded m0");
-    deployment.kill_entry(holder).await;
-    let other = (holder + 1) % 3;
+        .position(|entry| entry.as_ref().is_some_and(holds_lease));
+    let lease_holder = lease_holder.expect("somebody loaded m0");
+    deployment.kill_entry(lease_holder).await;
+    let other = (lease_holder + 1) % 3;
     let next = Call::chat("a", "m1", "hello", 2, true);
     let outcome = deployment
-        .call_until_served(other, &next, GENEROUS_MS)
+        .call_until_served(other, &next, WAIT_TIMEOUT_MS)
         .await;
     assert_eq!(outcome.status, 200, "{outcome:?}");
     assert_eq!(fixture::excess_count(&deployment), 0);
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -9,16 +9,16 @@
 use crate::harness;
 
 /// Answers each request with one of some bodies by its path; 404 for others.
-fn instance(bodies: &'static [(&'static str, &'static str)]) -> SocketAddr {
+fn start_fake_instance(bodies: &'static [(&'static str, &'static str)]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let mut asked = [0; 4_096];
-            let length = stream.read(&mut asked).unwrap();
-            let asked = String::from_utf8_lossy(&asked[..length]).into_owned();
-            let path = asked.split(' ').nth(1).unwrap_or_default();
-            let body = bodies.iter().find(|(known, _)| *known == path);
+            let mut request = [0; 4_096];
+            let length = stream.read(&mut request).unwrap();
+            let request = String::from_utf8_lossy(&request[..length]).into_owned();
+            let path = request.split(' ').nth(1).unwrap_or_default();
+            let body = bodies.iter().find(|(known_path, _)| *known_path == path);
             let (status, body) = match body {
                 Some((_, body)) => ("200 OK", *body),
                 None => ("404 Not Found", ""),
@@ -33,21 +33,21 @@
 }
 
 /// Runs a subcommand against an instance; returns its exit code and output.
-fn ask(command: &str, instance: SocketAddr, further: &[&str]) -> (i32, String) {
+fn run_command(command: &str, instance: SocketAddr, options: &[&str]) -> (i32, String) {
     let address = instance.to_string();
     let mut arguments = vec![command, "--instance", &address];
-    arguments.extend(further);
+    arguments.extend(options);
     let (exit, output, errors) = harness::run(&arguments);
     (exit, format!("{output}{errors}"))
 }
 
 #[test]
 fn limits_shows_each_worker_that_names_one() {
-    let instance = instance(&[(
+    let instance = start_fake_instance(&[(
         "/limits",
         r#"[{"worker":"w-1","service":"plain","rate_per_s":1.5,"for_ms":4200,"granted_count":7,"refused_count":2}]"#,
     )]);
-    let (exit, output) = ask("limits", instance, &[]);
+    let (exit, output) = run_command("limits", instance, &[]);
     assert_eq!(exit, 0, "{output}");
     let line = "w-1 of plain: 1.5 a second, for 4 s; granted here 7, refused 2\n";
     assert_eq!(output, line);
@@ -55,12 +55,12 @@
 
 #[test]
 fn workers_shows_who_leaves_and_who_rests() {
-    let instance = instance(&[(
+    let instance = start_fake_instance(&[(
         "/workers",
         r#"[{"worker":"w-1","service":"plain","leaving":{"by":"peer","for_ms":1200},"rest":null},
             {"worker":"w-2","service":"models","leaving":{"by":"row","for_ms":null},"rest":{"for_ms":500,"ends_in_ms":2500}}]"#,
     )]);
-    let (exit, output) = ask("workers", instance, &[]);
+    let (exit, output) = run_command("workers", instance, &[]);
     assert_eq!(exit, 0, "{output}");
     let lines = [
         "w-1 of plain: leaves by the word of peer, known for 1.2 s",
@@ -68,7 +68,7 @@
         "w-2 of models: rests for 0.5 s, 2.5 s more",
     ];
     assert_eq!(output.lines().collect::<Vec<_>>(), lines);
-    let (exit, output) = ask("workers", instance, &["--json"]);
+    let (exit, output) = run_command("workers", instance, &["--json"]);
     assert_eq!(exit, 0, "{output}");
     assert!(output.contains(r#""ends_in_ms":2500"#), "{output}");
 }
@@ -76,10 +76,10 @@
 #[test]
 fn an_instance_that_does_not_answer_is_said_to() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let gone = listener.local_addr().unwrap();
+    let closed_address = listener.local_addr().unwrap();
     drop(listener);
     for command in ["limits", "workers"] {
-        let (exit, output) = ask(command, gone, &[]);
+        let (exit, output) = run_command(command, closed_address, &[]);
         assert_ne!(exit, 0);
         assert!(output.contains("could not be reached"), "{output}");
     }
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::Shape;
+use crate::fixture::WAIT_TIMEOUT_MS;
 use cranereach_standin::engine::state::EngineFaults;
 use cranereach_standin::load::Call;
 
@@ -14,9 +14,9 @@
 async fn a_flood_is_refused_at_once_and_the_other_account_is_served() {
     let deployment = Arc::new(fixture::start(Shape::default()).await);
     let warm = Call::chat("b", "m0", "warm", 2, true);
-    fixture::served(&deployment, 0, &warm).await;
+    fixture::assert_served(&deployment, 0, &warm).await;
     let stop = Arc::new(AtomicBool::new(false));
-    let flood: Vec<_> = (0..400)
+    let flood_tasks: Vec<_> = (0..400)
         .map(|_| {
             let deployment = Arc::clone(&deployment);
             let stop = Arc::clone(&stop);
@@ -36,9 +36,9 @@
             })
         })
         .collect();
-    let queues = deployment.entries[0].as_ref().unwrap().shared();
-    let is_full = || queues.metrics.queue_waiting.get() >= 256;
-    cranereach_bench::waiting::wait_until("a full queue", GENEROUS_MS, is_full)
+    let entry_state = deployment.entries[0].as_ref().unwrap().shared();
+    let is_full = || entry_state.metrics.queue_waiting.get() >= 256;
+    cranereach_bench::waiting::wait_until("a full queue", WAIT_TIMEOUT_MS, is_full)
         .await
         .unwrap();
     for number in 0..10 {
@@ -52,7 +52,7 @@
     }
     stop.store(true, Ordering::Relaxed);
     let mut codes = Vec::new();
-    for task in flood {
+    for task in flood_tasks {
         codes.extend(task.await.unwrap());
     }
     assert!(codes.contains(&2001), "{codes:?}");
@@ -62,22 +62,22 @@
 async fn a_worker_that_refuses_everything_causes_no_storm() {
     let deployment = fixture::start(Shape::default()).await;
     let call = Call::chat("a", "m0", "hello", 1, true);
-    fixture::served(&deployment, 0, &call).await;
+    fixture::assert_served(&deployment, 0, &call).await;
     let engine = deployment.engines[0].stand_in.state();
     *engine.faults.lock().unwrap() = EngineFaults {
         refuse_count: u32::MAX,
         ..EngineFaults::default()
     };
-    let calls = 300;
-    for _call in 0..calls {
+    let call_count = 300;
+    for _call in 0..call_count {
         let outcome = deployment.call(0, &call).await;
         assert_ne!(outcome.status, 200);
     }
-    let arrived = u32::MAX - engine.faults.lock().unwrap().refuse_count;
+    let arrived_count = u32::MAX - engine.faults.lock().unwrap().refuse_count;
     // A tenth more, and what quiet times had saved.
     assert!(
-        arrived <= calls + calls / 10 + 50,
-        "{arrived} attempts for {calls} calls"
+        arrived_count <= call_count + call_count / 10 + 50,
+        "{arrived_count} attempts for {call_count} calls"
     );
     deployment.stop().await;
 }
--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -5,10 +5,10 @@
 use hyper::Method;
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::Shape;
-use crate::harness::Path;
-use crate::harness::until_status;
+use crate::fixture::WAIT_TIMEOUT_MS;
+use crate::harness::ProcessDeployment;
+use crate::harness::call_until_status;
 use cranereach_bench::waiting::wait_until;
 use cranereach_http::pool::Pool;
 use cranereach_standin::load;
@@ -16,33 +16,33 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_finishes_open_streams_and_a_second_one_is_harmless() {
-    let mut path = Path::start("planned-stop").await;
-    let pool = Arc::new(Pool::new(&path.entry.address_of("callers")));
+    let mut deployment = ProcessDeployment::start("planned-stop").await;
+    let pool = Arc::new(Pool::new(&deployment.entry.address_of("callers")));
     let warm = Call::chat("crews-key", "harvest-a", "warm", 1, true);
-    until_status(&pool, &warm, 200).await;
+    call_until_status(&pool, &warm, 200).await;
     // 200 tokens of 20 ms and more: the stream outlives the announced phase.
     let stream = Call::chat("crews-key", "harvest-a", "long", 200, true);
     let whole = Call::chat("crews-key", "harvest-a", "long", 200, false);
-    let lookup = Call::plain("clerks-key", Method::POST, "/ledger/tickets", "{}");
-    let open: Vec<_> = [stream, whole]
+    let ledger_call = Call::plain("clerks-key", Method::POST, "/ledger/tickets", "{}");
+    let open_calls: Vec<_> = [stream, whole]
         .into_iter()
         .map(|call| {
             let pool = Arc::clone(&pool);
             tokio::spawn(async move { load::send(&pool, &call).await })
         })
         .collect();
-    path.wait_for_runs(3).await;
-    path.entry.signal("TERM");
+    deployment.wait_for_runs(3).await;
+    deployment.entry.signal("TERM");
     // The balancer hasn't moved yet: what arrives now is still served.
-    let late = until_status(&pool, &lookup, 200).await;
-    path.entry.signal("TERM");
-    assert_eq!(late.status, 200);
-    for call in open {
+    let late_outcome = call_until_status(&pool, &ledger_call, 200).await;
+    deployment.entry.signal("TERM");
+    assert_eq!(late_outcome.status, 200);
+    for call in open_calls {
         let outcome = call.await.unwrap();
         assert!(outcome.is_whole && outcome.status == 200, "{outcome:?}");
     }
-    assert_eq!(path.entry.line()["stopped"], "entry-1");
-    assert_eq!(path.entry.wait(), Some(0));
+    assert_eq!(deployment.entry.next_line()["stopped"], "entry-1");
+    assert_eq!(deployment.entry.wait(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -54,19 +54,20 @@
     .await;
     let call = Call::chat("a", "m0", "warm", 2, true);
     for entry in 0..3 {
-        fixture::served(&deployment, entry, &call).await;
+        fixture::assert_served(&deployment, entry, &call).await;
     }
     let callers = deployment.callers();
     let long = Call::chat("a", "m0", "long", 1_500, true);
-    let open: Vec<_> = (0..3)
+    let open_streams: Vec<_> = (0..3)
         .flat_map(|entry| std::iter::repeat_n(Arc::clone(&callers[entry]), 4))
         .map(|caller| {
             let long = long.clone();
             tokio::spawn(async move { caller.send(&long).await })
         })
         .collect();
-    let running = |count: u64| deployment.engines[0].stand_in.state().ledger().run_count >= count;
-    wait_until("twelve streams", GENEROUS_MS, || running(15))
+    let has_started =
+        |count: u64| deployment.engines[0].stand_in.state().ledger().run_count >= count;
+    wait_until("twelve streams", WAIT_TIMEOUT_MS, || has_started(15))
         .await
         .unwrap();
     // One of the two that stop holds the cell's lease, or the third does.
@@ -75,7 +76,7 @@
         deployment.entries[1].take().unwrap(),
     );
     tokio::join!(first.drain(), second.drain());
-    for stream in open {
+    for stream in open_streams {
         let outcome = stream.await.unwrap();
         assert!(
             outcome.is_whole && outcome.status == 200,
@@ -84,7 +85,7 @@
         );
     }
     let next = Call::chat("a", "m1", "hello", 2, true);
-    fixture::served(&deployment, 2, &next).await;
+    fixture::assert_served(&deployment, 2, &next).await;
     assert_eq!(fixture::excess_count(&deployment), 0);
     deployment.stop().await;
 }
--- a/tests/testsuite/reachable.rs
+++ b/tests/testsuite/reachable.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::Shape;
+use crate::fixture::WAIT_TIMEOUT_MS;
 use cranereach_bench::waiting::wait_until;
 use cranereach_standin::load::Call;
 use cranereach_standin::platform::state::PlatformFaults;
@@ -15,15 +15,15 @@
 
 /// All of the platform's stores refuse.
 const OUTAGE: PlatformFaults = PlatformFaults {
-    table: REFUSES,
-    objects: REFUSES,
-    list: REFUSES,
+    table: REFUSING_STORE,
+    objects: REFUSING_STORE,
+    list: REFUSING_STORE,
     list_frozen: false,
     lose_answer_count: 0,
 };
 
 /// A store refuses.
-const REFUSES: StoreFaults = StoreFaults {
+const REFUSING_STORE: StoreFaults = StoreFaults {
     refuses: true,
     holds: false,
     slow_ms: 0,
@@ -54,12 +54,14 @@
         .collect();
     for model in ["m0", "m1"] {
         deployment
-            .wait_for_resident(model, GENEROUS_MS)
+            .wait_for_resident(model, WAIT_TIMEOUT_MS)
             .await
             .unwrap();
     }
     let cold = Call::chat("b", "m3", "cold", 2, true);
-    let outcome = deployment.call_until_served(0, &cold, GENEROUS_MS).await;
+    let outcome = deployment
+        .call_until_served(0, &cold, WAIT_TIMEOUT_MS)
+        .await;
     stop.store(true, Ordering::Relaxed);
     for task in hot {
         task.await.unwrap();
@@ -77,16 +79,18 @@
     })
     .await;
     let call = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, 0, &call).await;
+    fixture::assert_served(&deployment, 0, &call).await;
     let holder = deployment
         .engines
         .iter()
         .position(|engine| engine.stand_in.state().is_resident("m0"))
         .unwrap();
     deployment.kill_engine(holder);
-    let dead = &deployment.engines[holder];
-    deployment.platform.state().unlist(&dead.id);
-    let outcome = deployment.call_until_served(0, &call, GENEROUS_MS).await;
+    let dead_engine = &deployment.engines[holder];
+    deployment.platform.state().unlist(&dead_engine.id);
+    let outcome = deployment
+        .call_until_served(0, &call, WAIT_TIMEOUT_MS)
+        .await;
     assert_eq!(outcome.status, 200, "{outcome:?}");
     deployment.stop().await;
 }
@@ -99,14 +103,14 @@
     })
     .await;
     let first = Call::chat("a", "m0", "hello", 2, true);
-    fixture::served(&deployment, 0, &first).await;
+    fixture::assert_served(&deployment, 0, &first).await;
     *deployment.platform.state().faults.lock().unwrap() = OUTAGE;
     // Longer than a term and than the time in which an instance must be confirmed.
     tokio::time::sleep(std::time::Duration::from_secs(9)).await;
     for entry in 0..3 {
         let next = Call::chat("a", &format!("m{}", entry + 1), "hello", 2, true);
         let outcome = deployment
-            .call_until_served(entry, &next, GENEROUS_MS)
+            .call_until_served(entry, &next, WAIT_TIMEOUT_MS)
             .await;
         assert_eq!(outcome.status, 200, "entry {entry}: {outcome:?}");
     }
@@ -123,7 +127,7 @@
     .await;
     let call = Call::chat("a", "m0", "hello", 2, true);
     for by_list in [true, false] {
-        fixture::served(&deployment, 0, &call).await;
+        fixture::assert_served(&deployment, 0, &call).await;
         let holder = deployment
             .engines
             .iter()
@@ -148,19 +152,21 @@
                     .iter()
                     .all(|listed| listed.state == ListState::Live)
             };
-            wait_until("all listed live", GENEROUS_MS, all_live)
+            wait_until("all listed live", WAIT_TIMEOUT_MS, all_live)
                 .await
                 .unwrap();
-            deployment.platform.state().faults.lock().unwrap().list = REFUSES;
+            deployment.platform.state().faults.lock().unwrap().list = REFUSING_STORE;
             engine.stand_in.state().leave();
         }
         tokio::time::sleep(std::time::Duration::from_secs(3)).await;
-        let before = engine.stand_in.state().ledger().run_count;
-        let outcome = deployment.call_until_served(0, &call, GENEROUS_MS).await;
+        let run_count_before = engine.stand_in.state().ledger().run_count;
+        let outcome = deployment
+            .call_until_served(0, &call, WAIT_TIMEOUT_MS)
+            .await;
         assert_eq!(outcome.status, 200, "by list {by_list}: {outcome:?}");
         assert_eq!(
             engine.stand_in.state().ledger().run_count,
-            before,
+            run_count_before,
             "by list {by_list}"
         );
         if by_list {
--- a/tests/testsuite/soak.rs
+++ b/tests/testsuite/soak.rs
@@ -21,8 +21,8 @@
 }
 
 /// Runs a soak of which nothing is judged that depends on speed; returns its folder.
-fn run(seed: u64, seconds: u64, size: &str, flags: &[&str]) -> PathBuf {
-    let folder = harness::scratch("soak").join("out");
+fn run_soak(seed: u64, seconds: u64, size: &str, flags: &[&str]) -> PathBuf {
+    let folder = harness::scratch_folder("soak").join("out");
     let (seed, seconds) = (seed.to_string(), seconds.to_string());
     let out = folder.display().to_string();
     let mut arguments = vec!["soak", "--seed", &seed, "--seconds", &seconds];
@@ -37,12 +37,12 @@
 /// from copies.
 #[test]
 fn a_short_run_over_restores_keeps_what_does_not_depend_on_speed() {
-    run(11, 30, "small", &["--restores"]);
+    run_soak(11, 30, "small", &["--restores"]);
 }
 
 #[test]
 fn a_short_run_keeps_what_does_not_depend_on_speed() {
-    let folder = run(7, 20, "small", &[]);
+    let folder = run_soak(7, 20, "small", &[]);
     let verdicts = fs::read(folder.join("verdicts.json")).unwrap();
     let verdicts: Vec<Value> = serde_json::from_slice(&verdicts).unwrap();
     let outcome = |name: &str| {
@@ -68,26 +68,26 @@
     let regressions: Vec<Regression> = cranereach_wire::jsonc::read_file(&path).unwrap();
     for regression in regressions {
         assert!(!regression.cause.is_empty());
-        run(regression.seed, regression.seconds, &regression.size, &[]);
+        run_soak(regression.seed, regression.seconds, &regression.size, &[]);
     }
 }
 
 #[test]
 fn bad_input_is_one_clear_line_with_a_code_of_its_own() {
-    let full = harness::scratch("soak-full");
-    fs::write(full.join("kept"), "").unwrap();
-    let full = full.display().to_string();
+    let non_empty = harness::scratch_folder("soak-full");
+    fs::write(non_empty.join("kept"), "").unwrap();
+    let non_empty = non_empty.display().to_string();
     let rows: [(&[&str], i32, &str); 4] = [
         (&["--seed", "many"], 2, "seed"),
         (&["--seed", "1", "--size", "huge"], 2, "large, small"),
         (&["--seed", "1", "--seconds", "1"], 2, "10 to 600"),
-        (&["--seed", "1", "--out", &full], 5, "isn't empty"),
+        (&["--seed", "1", "--out", &non_empty], 5, "isn't empty"),
     ];
-    for (given, code, part) in rows {
-        let arguments: Vec<&str> = ["soak"].iter().chain(given).copied().collect();
+    for (options, code, expected_text) in rows {
+        let arguments: Vec<&str> = ["soak"].iter().chain(options).copied().collect();
         let (exit, _output, errors) = harness::run(&arguments);
-        assert_eq!(exit, code, "{given:?}: {errors}");
-        assert!(errors.contains(part), "{given:?}: {errors}");
+        assert_eq!(exit, code, "{options:?}: {errors}");
+        assert!(errors.contains(expected_text), "{options:?}: {errors}");
         assert_eq!(errors.lines().count(), 1, "{errors}");
     }
 }
@@ -97,16 +97,16 @@
     let name = folder.display().to_string();
     let entries = fs::read_dir("/proc").unwrap().flatten();
     let ids = entries.map(|entry| entry.file_name().to_string_lossy().into_owned());
-    let is_of = |id: &String| {
-        let line = fs::read(format!("/proc/{id}/cmdline")).unwrap_or_default();
-        String::from_utf8_lossy(&line).contains(&name)
+    let names_folder = |id: &String| {
+        let command_line = fs::read(format!("/proc/{id}/cmdline")).unwrap_or_default();
+        String::from_utf8_lossy(&command_line).contains(&name)
     };
-    ids.filter(is_of).collect()
+    ids.filter(names_folder).collect()
 }
 
 #[test]
 fn an_interrupted_run_leaves_no_process() {
-    let folder = harness::scratch("soak-interrupted").join("out");
+    let folder = harness::scratch_folder("soak-interrupted").join("out");
     let path = folder.display().to_string();
     let mut soak = Process::start(&["soak", "--seed", "1", "--out", &path]);
     // The soak itself and all four of its gateways.
--- a/tests/testsuite/thin_path.rs
+++ b/tests/testsuite/thin_path.rs
@@ -5,8 +5,8 @@
 
 use hyper::Method;
 
-use crate::harness::Path;
-use crate::harness::until_status;
+use crate::harness::ProcessDeployment;
+use crate::harness::call_until_status;
 use cranereach_http::pool::Pool;
 use cranereach_standin::load;
 use cranereach_standin::load::Call;
@@ -16,9 +16,9 @@
 const GOLDEN: &str = include_str!("golden/session.txt");
 
 /// Adds one call and its outcome to the session's text.
-fn note(session: &mut String, title: &str, call: &Call, outcome: &Outcome) {
+fn append_exchange(session: &mut String, title: &str, call: &Call, outcome: &Outcome) {
     let text = outcome.text.replace('\n', "\\n");
-    let text = mask(&text);
+    let text = mask_request_ids(&text);
     writeln!(
         session,
         "# {title}\n> {} {}\n< {} {text}\n",
@@ -28,7 +28,7 @@
 }
 
 /// Replaces request names, which differ from run to run.
-fn mask(text: &str) -> String {
+fn mask_request_ids(text: &str) -> String {
     let mut masked = String::new();
     let mut rest = text;
     while let Some(at) = rest.find("entry-1-") {
@@ -45,16 +45,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_in_separate_processes_matches_its_golden_file() {
-    let path = Path::start("thin-path").await;
-    let pool = Pool::new(&path.entry.address_of("callers"));
+    let deployment = ProcessDeployment::start("thin-path").await;
+    let pool = Pool::new(&deployment.entry.address_of("callers"));
     let mut session = String::new();
     let first = Call::chat("crews-key", "harvest-a", "hello", 3, true);
     let title = "a cold model is loaded, then streams";
-    note(
+    append_exchange(
         &mut session,
         title,
         &first,
-        &until_status(&pool, &first, 200).await,
+        &call_until_status(&pool, &first, 200).await,
     );
     let get = |path| Call::plain("crews-key", Method::GET, path, "");
     let steps = [
@@ -86,33 +86,38 @@
         ),
     ];
     for (title, call) in &steps {
-        note(&mut session, title, call, &load::send(&pool, call).await);
+        append_exchange(&mut session, title, call, &load::send(&pool, call).await);
     }
     let lookup = Call::plain("clerks-key", Method::POST, "/ledger/tickets", "{}")
         .with_header("x-call", "c1");
-    note(
+    append_exchange(
         &mut session,
         "a ledger lookup",
         &lookup,
-        &until_status(&pool, &lookup, 200).await,
+        &call_until_status(&pool, &lookup, 200).await,
     );
     let keyed = lookup
         .with_header("x-call", "c2")
         .with_header("idempotency-key", "k1");
-    note(
+    append_exchange(
         &mut session,
         "a lookup with a key",
         &keyed,
         &load::send(&pool, &keyed).await,
     );
-    note(
+    append_exchange(
         &mut session,
         "its repeat gets the same answer",
         &keyed,
         &load::send(&pool, &keyed).await,
     );
     if session != GOLDEN {
-        fs::write(path.folder.join("session.txt"), &session).unwrap();
+        fs::write(deployment.folder.join("session.txt"), &session).unwrap();
     }
-    assert_eq!(session, GOLDEN, "written to {}", path.folder.display());
+    assert_eq!(
+        session,
+        GOLDEN,
+        "written to {}",
+        deployment.folder.display()
+    );
 }
--- a/tests/testsuite/whole_answers.rs
+++ b/tests/testsuite/whole_answers.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::fixture;
-use crate::fixture::GENEROUS_MS;
 use crate::fixture::Shape;
+use crate::fixture::WAIT_TIMEOUT_MS;
 use cranereach_standin::engine::state::EngineFaults;
 use cranereach_standin::load::Call;
 
@@ -13,13 +13,13 @@
 
 /// The fault table; no code means that a repeat by us brings a whole answer.
 fn rows() -> Vec<Row> {
-    let none = EngineFaults::default();
+    let no_faults = EngineFaults::default();
     vec![
         (
             "an answer to another request, stream",
             EngineFaults {
                 wrong_request_count: 1,
-                ..none
+                ..no_faults
             },
             true,
             None,
@@ -28,7 +28,7 @@
             "an answer to another request, whole",
             EngineFaults {
                 wrong_request_count: 1,
-                ..none
+                ..no_faults
             },
             false,
             None,
@@ -37,7 +37,7 @@
             "a garbled answer, stream",
             EngineFaults {
                 garble_count: 1,
-                ..none
+                ..no_faults
             },
             true,
             None,
@@ -46,7 +46,7 @@
             "a garbled answer, whole",
             EngineFaults {
                 garble_count: 1,
-                ..none
+                ..no_faults
             },
             false,
             None,
@@ -55,7 +55,7 @@
             "no answer after the request ran",
             EngineFaults {
                 close_unanswered_count: 1,
-                ..none
+                ..no_faults
             },
             true,
             None,
@@ -64,7 +64,7 @@
             "refused as not run",
             EngineFaults {
                 refuse_count: 1,
-                ..none
+                ..no_faults
             },
             true,
             None,
@@ -73,7 +73,7 @@
             "a stream that breaks midway",
             EngineFaults {
                 break_stream_count: 1,
-                ..none
+                ..no_faults
             },
             true,
             Some(3002),
@@ -82,7 +82,7 @@
             "garbled for good",
             EngineFaults {
                 garble_count: 100,
-                ..none
+                ..no_faults
             },
             false,
             Some(3005),
@@ -91,7 +91,7 @@
             "unanswered for good",
             EngineFaults {
                 close_unanswered_count: 100,
-                ..none
+                ..no_faults
             },
             false,
             Some(3001),
@@ -100,7 +100,7 @@
             "refused for good",
             EngineFaults {
                 refuse_count: 100,
-                ..none
+                ..no_faults
             },
             false,
             Some(2007),
@@ -112,7 +112,7 @@
 async fn a_broken_answer_never_passes_as_whole() {
     let deployment = fixture::start(Shape::default()).await;
     let warm = Call::chat("a", "m0", "warm", 1, true);
-    fixture::served(&deployment, 0, &warm).await;
+    fixture::assert_served(&deployment, 0, &warm).await;
     let engine = deployment.engines[0].stand_in.state();
     for (name, faults, stream, code) in rows() {
         *engine.faults.lock().unwrap() = faults;
@@ -149,25 +149,25 @@
         .await,
     );
     let warm = Call::chat("a", "m0", "warm", 1, true);
-    fixture::served(&deployment, 0, &warm).await;
+    fixture::assert_served(&deployment, 0, &warm).await;
     let calls: Vec<_> = (0..200)
         .map(|number| {
             let deployment = Arc::clone(&deployment);
             tokio::spawn(async move {
-                let own = format!("own words of caller {number}.");
-                let call = Call::chat("a", "m0", &own, 5, number % 2 == 0);
+                let own_prompt = format!("own words of caller {number}.");
+                let call = Call::chat("a", "m0", &own_prompt, 5, number % 2 == 0);
                 // Every seventh caller leaves early; others must not get its answer.
                 if number % 7 == 0 {
-                    let soon = std::time::Duration::from_millis(5);
+                    let leave_after = std::time::Duration::from_millis(5);
                     let _left =
-                        tokio::time::timeout(soon, deployment.call(number % 2, &call)).await;
+                        tokio::time::timeout(leave_after, deployment.call(number % 2, &call)).await;
                     return;
                 }
                 let outcome = deployment
-                    .call_until_served(number % 2, &call, GENEROUS_MS)
+                    .call_until_served(number % 2, &call, WAIT_TIMEOUT_MS)
                     .await;
                 assert!(
-                    outcome.is_whole && outcome.text.contains(&own),
+                    outcome.is_whole && outcome.text.contains(&own_prompt),
                     "{outcome:?}"
                 );
             })
