--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Time for which a machine is suspended counts.
+//! The clock keeps counting while the machine is suspended.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,9 +7,10 @@
 use cranereach_http::clock::Clock;
 use cranereach_http::clock::boot_ms;
 
-/// Time that the machine was suspended for, in milliseconds; timers stood still.
+/// Simulated suspension of the machine, in milliseconds, during which timers stood still.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
+/// Returns the time since boot with the simulated suspension added.
 fn simulated_boottime_ms() -> u64 {
     boot_ms() + SUSPENDED_MS.load(Ordering::Acquire)
 }
--- a/crates/cranereach-http/tests/connecting.rs
+++ b/crates/cranereach-http/tests/connecting.rs
@@ -1,4 +1,4 @@
-//! Calls to an address that takes no connections.
+//! Calls to an address that accepts no connections.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 
-/// Connections that more than fill the queue of a listener that takes none.
+/// Pending connections, more than the backlog of the listener holds.
 const PENDING_COUNT: usize = 8;
 
-/// Time that the call may take, in milliseconds; far longer than connecting may.
+/// Timeout of the whole call, in milliseconds; far longer than the connect timeout.
 const CALL_TIMEOUT_MS: u64 = 20_000;
 
-/// Makes a listener whose queue is full, with the connections that fill it.
+/// Creates a listener whose backlog is full, and the connections that fill it.
 fn full_listener() -> (Socket, Vec<Socket>, SocketAddr) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -28,7 +28,7 @@
     let pending = (0..PENDING_COUNT).map(|_| {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
-        // It stays under way, or waits in the queue: both fill it.
+        // The handshake stays incomplete or the connection waits in the backlog; both fill it.
         let _begun = socket.connect(&address);
         socket
     });
--- a/crates/cranereach-http/tests/events.rs
+++ b/crates/cranereach-http/tests/events.rs
@@ -1,9 +1,9 @@
-//! Events told apart, however the bytes of a stream are cut up.
+//! Event boundaries are found however the bytes of a stream are split.
 
 use cranereach_http::events::Reached;
 use cranereach_http::events::WholeEvents;
 
-/// Returns a stream with so many events.
+/// Returns the bytes of a stream of `event_count` events.
 fn stream(event_count: usize) -> Vec<u8> {
     let events = (0..event_count).map(|number| format!("id: {number}\ndata: piece {number}\n\n"));
     events.collect::<String>().into_bytes()
@@ -29,7 +29,7 @@
                 count => Reached::Event((count - 1).to_string()),
             };
             assert_eq!(events.reached(), &expected);
-            // The rest from another worker makes the stream whole.
+            // The stream is complete once another worker has resumed it after the last whole event.
             let next_id_line = format!("id: {whole_count}\n");
             let resume_at =
                 (0..stream.len()).find(|at| stream[*at..].starts_with(next_id_line.as_bytes()));
--- a/crates/cranereach-http/tests/giving_up.rs
+++ b/crates/cranereach-http/tests/giving_up.rs
@@ -1,4 +1,4 @@
-//! A call that was given up does not arrive later.
+//! A call that timed out resets its connection, so that the request cannot arrive later.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 
-/// Time that the test allows for anything to come about.
+/// Timeout for every condition that the test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 #[tokio::test]
@@ -22,7 +22,7 @@
         tokio::join!(client.post_bytes("/order", body, 200), listener.accept());
     assert_matches!(result, Err(CallError::Unanswered { .. }));
     let (stream, _) = accepted.unwrap();
-    // An end without a reset is no error at the other side.
+    // A close without a reset would not show as an error on the accepting side.
     let reset_seen = tokio::time::timeout(WAIT_TIMEOUT, stream.ready(Interest::ERROR)).await;
     assert!(reset_seen.is_ok(), "the connection is not reset");
 }
--- a/tests/testsuite/at_most_once.rs
+++ b/tests/testsuite/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A call that is unsafe to repeat runs at most once; "not run" means not run.
+//! A call that is unsafe to repeat runs at most once, and a refusal that says "not run" is true.
 
 use hyper::Method;
 
@@ -11,12 +11,12 @@
 use cranereach_standin::relay::Passage;
 use cranereach_standin::service::ServiceFaults;
 
-/// Makes a call of the ledger that is named, so that its runs are counted.
+/// Returns a call to the ledger service with a name, under which the service counts its runs.
 fn ledger_call(name: &str) -> Call {
     Call::plain("a", Method::POST, "/ledger/tickets", "{}").with_header("x-call", name)
 }
 
-/// Returns how often a named call ran.
+/// Returns how often the service ran the named call.
 fn run_count(deployment: &cranereach_bench::deployment::Deployment, name: &str) -> u32 {
     let run_counts = deployment.services[0].stand_in.state().runs.lock().unwrap();
     run_counts.get(name).copied().unwrap_or_default()
@@ -204,7 +204,7 @@
         if outcome.text.contains("\"ran\":\"no\"") {
             assert_eq!(ran, 0, "{name}: {outcome:?}");
         }
-        // The worker is left alone for a while after a cut.
+        // The worker gets no calls for a while after a cut, so wait until it is used again.
         deployment
             .call_until_served(0, &ledger_call("between"), WAIT_TIMEOUT_MS)
             .await;
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear code and harms nobody else.
+//! Bad input gets a specific result code and does not affect other callers.
 
 use hyper::Method;
 use tokio::io::AsyncReadExt;
@@ -13,17 +13,18 @@
 use cranereach_entry::settings::LimitSettings;
 use cranereach_standin::load::Call;
 
-/// Returns an address of the first entry instance.
+/// Returns the addresses of the first entry instance.
 fn addresses(deployment: &Deployment) -> cranereach_entry::entry::Addresses {
     deployment.entries[0].as_ref().unwrap().addresses()
 }
 
-/// Sends bytes and returns whatever comes back until the end.
+/// Sends raw bytes to the first entry instance and returns everything received until the
+/// connection closes.
 async fn send_raw(deployment: &Deployment, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addresses(deployment).callers)
         .await
         .unwrap();
-    // The other side may close before all is written.
+    // The server may close the connection before everything is written.
     let _written = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read_all = stream.read_to_end(&mut answer);
@@ -61,7 +62,7 @@
     ];
     for (name, call, code) in rows {
         let outcome = deployment.call(0, &call).await;
-        // A caller that still writes may miss the answer to a body too large.
+        // A caller that is still writing may miss the answer to a body that is too large.
         let is_expected = outcome.code == Some(code) || (code == 1004 && outcome.status == 0);
         assert!(is_expected, "{name}: {} {:?}", outcome.status, outcome.code);
         assert_eq!(deployment.call(0, &good).await.status, 200, "after {name}");
@@ -150,8 +151,9 @@
     let deployment = fixture::start(Shape::default()).await;
     let good = Call::chat("a", "m0", "hello", 2, true);
     fixture::assert_served(&deployment, 0, &good).await;
-    // Found beside load: the next call was sent on the connection that was ending.
-    // One byte too many is read and answered; the rest of the body never comes.
+    // Guards against a fault seen under load: the next call was sent on a connection that
+    // was about to close. One byte above the limit is sent, which is answered at once; the
+    // rest of the announced body never follows.
     let max_bytes = LimitSettings::default().body_max_bytes;
     let mut request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer a\r\ncontent-length: {}\r\n\r\n",
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: checks without a network, exit codes, diffs, the demo.
+//! The command line: offline checks, exit codes, diffs and the demo.
 
 use std::fs;
 
@@ -9,13 +9,15 @@
 use crate::harness;
 use crate::harness::ProcessDeployment;
 
-/// One row: what is changed in good declarations, the code, a part of the message.
+/// A test case: its name, a change that makes valid declarations invalid, the result code, and
+/// a part of the message.
 type Row = (&'static str, fn(&mut Value), u16, &'static str);
 
-/// One row of settings: what is changed, a part of the message.
+/// A test case of settings: its name, a change that makes valid settings invalid, and a part
+/// of the message.
 type SettingsRow = (&'static str, fn(&mut Value), &'static str);
 
-/// The fault table of declarations.
+/// Test cases of invalid declarations.
 const ROWS: [Row; 11] = [
     (
         "unknown key",
@@ -217,7 +219,8 @@
         serde_json::from_str::<Value>(&output).unwrap()["instance"],
         json!("entry-1")
     );
-    // The first folder was begun from version 1 and changes the same file.
+    // This folder is still based on version 1 and changes the same file: it conflicts with
+    // version 2.
     let stale_folder = deployment.folder.join("declared");
     let text = fs::read_to_string(stale_folder.join("all.jsonc"))
         .unwrap()
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration comes into force everywhere and never reverts.
+//! Accepted configuration takes effect on every instance and never reverts.
 
 use serde_json::json;
 
@@ -14,21 +14,21 @@
 use cranereach_standin::relay::Passage;
 use cranereach_wire::folder::Folder;
 
-/// A store that refuses.
+/// Faults of a store that refuses every request.
 const REFUSING_STORE: StoreFaults = StoreFaults {
     refuses: true,
     holds: false,
     slow_ms: 0,
 };
 
-/// Takes account a's key away and gives it another.
+/// Returns declarations in which account `a` has a new key instead of its old one.
 fn folder_with_rotated_key() -> Folder {
     let mut declared = fixture::declarations(true);
     declared["accounts"][0]["key_hashes"] = json!([fixture::key_hash("new-key")]);
     fixture::folder(&declared)
 }
 
-/// Sets the platform's faults.
+/// Injects faults into the platform.
 fn set_faults(deployment: &Deployment, faults: PlatformFaults) {
     *deployment.platform.state().faults.lock().unwrap() = faults;
 }
@@ -137,7 +137,7 @@
         .await
         .unwrap();
     assert_eq!(accepted.version, 2);
-    // The operator asks again with the same identity: nothing is applied twice.
+    // A retry with the same change id is not applied twice.
     let retried = stores
         .apply(&folder_with_rotated_key(), 1, "change-1")
         .await
@@ -202,7 +202,7 @@
     assert_eq!(errors.len(), 1, "{first:?} {second:?}");
     assert_eq!(errors[0].code(), ResultCode::RaceLost);
     assert!(errors[0].to_string().contains("version 2"), "{}", errors[0]);
-    // Two new files, both begun from version 2: the later is merged.
+    // Each adds another new file to version 2: the one that commits later is merged.
     let with_file = |name: &str, folder: &Folder| {
         let account = json!({ "accounts": [{ "name": name, "template": "all", "key_hashes": [fixture::key_hash(name)] }] });
         let mut folder = folder.clone();
@@ -228,8 +228,8 @@
         ..Shape::default()
     })
     .await;
-    // The third reaches the platform through a relay, and hears nobody else:
-    // it has another secret, so no digest of the others counts for it.
+    // The third instance reaches the platform through a relay and receives nothing from its
+    // peers: its peer secret differs, so it accepts no digest of theirs.
     let (relay, address) = deployment.relay_to_platform().await.unwrap();
     let third = deployment
         .add_entry_with("d0", &address, |settings| {
--- a/tests/testsuite/docs.rs
+++ b/tests/testsuite/docs.rs
@@ -1,4 +1,5 @@
-//! The book keeps to the source: codes, proofs, links, sample settings, capacity.
+//! The documentation matches the source: result codes, tests named as proofs, links, sample
+//! settings and capacity figures.
 
 use std::fs;
 use std::path::Path;
@@ -14,12 +15,12 @@
 use cranereach_wire::peer;
 use cranereach_wire::thinner;
 
-/// Returns a path from the project's root.
+/// Returns the absolute path of a file given relative to the project root.
 fn root(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Reads a page of the book.
+/// Reads a page of the documentation.
 fn page(path: &str) -> String {
     fs::read_to_string(root(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,11 +1,11 @@
-//! The story of a failed request, from logs of several instances.
+//! `explain` reconstructs the history of a failed request from the logs of several instances.
 
 use std::fs;
 use std::path::Path;
 use std::process::Command;
 use std::process::Output;
 
-/// Runs `explain` on a log of its own.
+/// Writes a log file and runs `explain` on it.
 fn explain(name: &str, text: &str, arguments: &[&str]) -> Output {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
@@ -17,6 +17,7 @@
         .unwrap()
 }
 
+/// Log of two instances, with lines in the wrong order, one prefixed and one truncated.
 const LOG: &str = r#"
   2.1 edge-1 {"msg":"refused","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-1","request":"r1","name":"outcome_unknown","detail":"no whole answer; offers 1"}
 {"msg":"offer failed","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","request":"r1","worker":"w1","failure":"Unknown"}
@@ -63,7 +64,7 @@
     assert!(text.contains("1 offer failed: Unknown"), "{text}");
 }
 
-/// Guards against a store that comes back from a copy and nobody can tell when.
+/// Guards against a store restored from a backup without a trace of when it happened.
 #[test]
 fn a_summary_tells_when_the_store_came_back_from_a_copy() {
     let log = r#"
@@ -87,6 +88,7 @@
     assert_eq!(output.status.code(), Some(2));
 }
 
+/// Log in which two workers ended under requests with the fingerprint of a quarantined one.
 const SAME_FINGERPRINT_LOG: &str = r#"
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","request":"r1","worker":"w1","fingerprint":"f1"}
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-2","request":"r2","worker":"w2","fingerprint":"f1"}
--- a/tests/testsuite/fixture.rs
+++ b/tests/testsuite/fixture.rs
@@ -1,4 +1,4 @@
-//! A small deployment within the test's process, with faults at hand.
+//! A small deployment within the process of the test, into which faults can be injected.
 
 use serde_json::Value;
 use serde_json::json;
@@ -11,22 +11,22 @@
 use cranereach_standin::platform::state::WeightLimits;
 use cranereach_wire::folder::Folder;
 
-/// Models of 60 bytes each, of which an engine of 100 bytes holds one.
+/// Number of models; each takes 60 bytes, so that an engine of 100 bytes holds one at a time.
 pub const MODEL_COUNT: usize = 4;
 
-/// Time that a test allows for anything to come about, in milliseconds.
+/// Timeout for every condition that a test waits for, in milliseconds.
 pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
-/// What a test varies.
+/// Size and properties of the deployment of a test.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Entry instances, one failure domain after the other.
+    /// Number of entry instances, assigned to the failure domains in turn.
     pub entry_count: usize,
-    /// Engines, one failure domain after the other.
+    /// Number of engines, assigned to the failure domains in turn.
     pub engine_count: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domain_count: usize,
-    /// Whether the engines check fences.
+    /// Whether the engines check fencing tokens.
     pub checks_fences: bool,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// Returns the hash of a key, as declarations carry it.
+/// Returns the hash of an API key in the form that declarations use.
 pub fn key_hash(key: &str) -> String {
     KeyHash::of(key).to_hex()
 }
 
-/// Returns declarations as JSON, for a test to change.
+/// Returns declarations as JSON that a test can modify.
 pub fn declarations(checks_fences: bool) -> Value {
     let models: Vec<Value> = (0..MODEL_COUNT)
         .map(|n| json!({ "name": format!("m{n}"), "pool": "text", "memory_bytes": 60 }))
@@ -68,14 +68,14 @@
     })
 }
 
-/// Returns a folder of one file.
+/// Returns a folder whose only file holds the declarations.
 pub fn folder(declared: &Value) -> Folder {
     Folder {
         files: [("all.jsonc".to_owned(), declared.to_string())].into(),
     }
 }
 
-/// Starts a deployment of a shape with one ledger, its declarations in force.
+/// Starts a deployment with one ledger service and waits until its declarations are in force.
 pub async fn start(shape: Shape) -> Deployment {
     let mut deployment = Deployment::start(WeightLimits::default())
         .await
@@ -115,7 +115,7 @@
     deployment
 }
 
-/// Returns how often any engine was overcommitted.
+/// Returns how often memory was overcommitted, summed over all engines.
 pub fn excess_count(deployment: &Deployment) -> u64 {
     deployment
         .engines
@@ -124,7 +124,7 @@
         .sum()
 }
 
-/// Sends a call until it is served with a whole answer; fails the test if it isn't.
+/// Repeats a call until it is served; fails the test unless the answer is complete.
 pub async fn assert_served(deployment: &Deployment, entry: usize, call: &Call) -> Outcome {
     let outcome = deployment
         .call_until_served(entry, call, WAIT_TIMEOUT_MS)
--- a/tests/testsuite/frozen.rs
+++ b/tests/testsuite/frozen.rs
@@ -1,4 +1,4 @@
-//! An entry instance that is frozen while the world goes on, as real processes.
+//! An entry instance is suspended with SIGSTOP while the other processes go on.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,7 +16,7 @@
 use cranereach_standin::load;
 use cranereach_standin::load::Call;
 
-/// Returns how often a named call ran at the service.
+/// Returns how often the service ran the named call.
 async fn run_count(deployment: &ProcessDeployment, name: &str) -> u64 {
     let service = JsonClient::new(&deployment.service.address());
     let answer = service
@@ -27,7 +27,7 @@
     run_counts[name].as_u64().unwrap_or_default()
 }
 
-/// Sets how long the service takes for each call.
+/// Sets how long the service takes for each call, in milliseconds.
 async fn set_delay(deployment: &ProcessDeployment, slow_ms: u64) {
     let service = JsonClient::new(&deployment.service.address());
     let set = service
@@ -40,7 +40,7 @@
     assert!(set.is_ok_and(|answer| answer.status == 200));
 }
 
-/// Starts a second instance beside a path's.
+/// Starts a second entry instance in the deployment; returns it with a pool for calling it.
 async fn start_second_entry(deployment: &ProcessDeployment) -> (Process, Pool<Full<Bytes>>) {
     let settings = harness::write_settings(
         &deployment.folder,
@@ -79,7 +79,7 @@
     deployment.entry.signal("CONT");
     let first_outcome = first_call.await.unwrap();
     assert_eq!(first_outcome.status, 200, "{first_outcome:?}");
-    // The first attempt's answer is known now, through either instance.
+    // The answer of the first attempt is now available through either instance.
     let retried = call_until_status(&second_pool, &keyed, 200).await;
     assert_eq!(retried.text, first_outcome.text);
     assert_eq!(run_count(&deployment, "c1").await, 1);
--- a/tests/testsuite/gateway_settings.rs
+++ b/tests/testsuite/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: the sample, the template, and what is said of faults.
+//! Settings of a gateway: the sample, the template, and the messages about faults.
 
 use std::fs;
 use std::path::Path;
@@ -6,12 +6,12 @@
 use std::process::Command;
 use std::process::Output;
 
-/// Returns a path from the project's root.
+/// Returns the absolute path of a file given relative to the project root.
 fn root(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Checks a settings file.
+/// Runs `check` on a gateway settings file.
 fn check(path: &Path) -> Output {
     Command::new(env!("CARGO_BIN_EXE_cranereach"))
         .arg("check")
@@ -21,7 +21,7 @@
         .unwrap()
 }
 
-/// Writes a settings file of its own for a test and checks it.
+/// Writes a settings file and runs `check` on it.
 fn check_text(name: &str, text: &str) -> Output {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join(format!("{name}.jsonc"));
@@ -29,7 +29,7 @@
     check(&path)
 }
 
-/// Bounds that a deployment may leave out.
+/// Bounds that a deployment may leave out; the template has a conditional section for each.
 const OPTIONAL_BOUNDS: [&str; 15] = [
     "graceS",
     "drainMs",
@@ -48,7 +48,7 @@
     "coldStartAllowance",
 ];
 
-/// Fills the template as the platform does, with figures of a test.
+/// Fills in the template as the platform does, with example values.
 fn filled_template() -> String {
     let template = fs::read_to_string(root("deploy/settings.jsonc")).unwrap();
     let placeholders = [
--- a/tests/testsuite/harness.rs
+++ b/tests/testsuite/harness.rs
@@ -1,4 +1,4 @@
-//! Processes of the binary, as a test starts and ends them.
+//! Starts and stops processes of the binary for tests.
 
 use std::fs;
 use std::io::BufRead;
@@ -21,17 +21,17 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::load::Outcome;
 
-/// Declarations of the thin path.
+/// Declarations that a [`ProcessDeployment`] applies.
 pub const DECLARATIONS: &str = include_str!("golden/declarations.jsonc");
 
-/// Time that a test allows for anything to come about, in milliseconds.
+/// Timeout for every condition that a test waits for, in milliseconds.
 pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
-/// A process, ended when dropped.
+/// A process of the binary, killed when dropped.
 pub struct Process {
     child: Child,
     output: BufReader<std::process::ChildStdout>,
-    /// The first line that it printed.
+    /// First line of its output.
     pub startup_line: Value,
 }
 
@@ -54,7 +54,7 @@
         process
     }
 
-    /// Reads the next line of its output.
+    /// Reads the next line of its output; null if it is not JSON.
     pub fn next_line(&mut self) -> Value {
         let mut line = String::new();
         self.output
@@ -63,7 +63,7 @@
         serde_json::from_str(&line).unwrap_or(Value::Null)
     }
 
-    /// Returns its address, for a stand-in.
+    /// Returns the address of a stand-in.
     pub fn address(&self) -> String {
         self.startup_line["address"]
             .as_str()
@@ -71,7 +71,7 @@
             .to_owned()
     }
 
-    /// Returns one of its addresses, for an entry instance.
+    /// Returns the address on which an entry instance listens for one kind of connection.
     pub fn address_of(&self, kind: &str) -> String {
         self.startup_line["addresses"][kind]
             .as_str()
@@ -79,7 +79,7 @@
             .to_owned()
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill")
@@ -88,7 +88,7 @@
         assert!(sent.is_ok_and(|status| status.success()), "signal {name}");
     }
 
-    /// Waits for its end and returns its exit code.
+    /// Waits until the process exits and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().expect("it can be waited for").code()
     }
@@ -96,13 +96,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _killed = self.child.kill();
         let _waited = self.child.wait();
     }
 }
 
-/// Runs the binary to its end; returns exit code, output and errors.
+/// Runs the binary until it exits; returns exit code, standard output and standard error.
 pub fn run(arguments: &[&str]) -> (i32, String, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_cranereach"))
         .args(arguments)
@@ -116,7 +116,7 @@
     )
 }
 
-/// Makes an empty folder for one test.
+/// Creates an empty folder with a unique name.
 pub fn scratch_folder(name: &str) -> PathBuf {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -126,7 +126,7 @@
     path
 }
 
-/// Writes the settings of an entry instance; returns the file.
+/// Writes the settings file of an entry instance; returns its path.
 pub fn write_settings(folder: &std::path::Path, id: &str, platform: &str) -> String {
     let settings = json!({
         "instance": { "id": id, "failure_domain": "d1" },
@@ -139,7 +139,7 @@
     file.display().to_string()
 }
 
-/// Lists an instance with the platform's stand-in.
+/// Adds an instance to the list of the platform's stand-in.
 pub async fn list_instance(platform: &str, listed: &Value) {
     let client = JsonClient::new(platform);
     let answer = client
@@ -149,22 +149,23 @@
     assert_eq!(answer.status, 200);
 }
 
-/// The thin path in separate processes: platform, engine, service, entry instance.
+/// A minimal deployment in separate processes: platform, engine, service, entry instance.
 pub struct ProcessDeployment {
-    /// Folder of its settings.
+    /// Folder of the settings files.
     pub folder: PathBuf,
     /// The platform.
     pub platform: Process,
     /// The engine.
     pub engine: Process,
-    /// The plain service.
+    /// The plain service (not a model engine).
     pub service: Process,
     /// The entry instance.
     pub entry: Process,
 }
 
 impl ProcessDeployment {
-    /// Starts everything, applies the golden declarations, waits until ready.
+    /// Starts all processes, applies [`DECLARATIONS`] and waits until the entry instance is
+    /// ready.
     pub async fn start(name: &str) -> Self {
         let folder = scratch_folder(name);
         let platform = Process::start(&["stand-in", "platform"]);
@@ -201,7 +202,7 @@
         deployment
     }
 
-    /// Lists everything with the platform.
+    /// Adds the engine, the service and the entry instance to the platform's list.
     async fn list_all(&self) {
         let listed = |id: &str, role: &str, address: String, pool: Option<&str>| {
             json!({
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Waits until the engine has begun to run this many requests.
+    /// Waits until the engine has started at least `count` requests.
     pub async fn wait_for_runs(&self, count: u64) {
         let engine = JsonClient::new(&self.engine.address());
         loop {
@@ -256,7 +257,7 @@
     }
 }
 
-/// Calls a process until the answer has a status and is whole; gives up only with the test.
+/// Repeats a call until the answer is complete and has the given status; has no timeout.
 pub async fn call_until_status(pool: &Pool<Full<Bytes>>, call: &Call, status: u16) -> Outcome {
     loop {
         let outcome = load::send(pool, call).await;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The test suite of the whole system, by feature.
+//! Test suite of the whole system, one module per feature.
 
 mod at_most_once;
 mod bad_input;
--- a/tests/testsuite/memory.rs
+++ b/tests/testsuite/memory.rs
@@ -1,4 +1,5 @@
-//! Memory is never overcommitted, on real sockets, while orders go wrong.
+//! Engine memory is never overcommitted, over real sockets, while load and unload orders are
+//! lost, late or duplicated.
 
 use crate::fixture;
 use crate::fixture::MODEL_COUNT;
@@ -7,7 +8,7 @@
 use cranereach_standin::engine::state::EngineFaults;
 use cranereach_standin::load::Call;
 
-/// The fault table: what happens to orders while models are swapped.
+/// Faults of load and unload orders that are injected while models are swapped.
 const ROWS: [(&str, EngineFaults); 4] = [
     (
         "orders lost",
@@ -56,7 +57,7 @@
     refuse_count: 0,
 };
 
-/// Asks for each model in turn, each of which must be loaded in another's place.
+/// Calls each model in turn; each has to be loaded in place of another.
 async fn load_all_models(deployment: &cranereach_bench::deployment::Deployment, entry: usize) {
     for number in 0..MODEL_COUNT {
         let call = Call::chat("a", &format!("m{number}"), "hello", 2, true);
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,4 +1,4 @@
-//! `limits` and `workers`, against an instance that answers what one would.
+//! `limits` and `workers`, run against a fake instance with fixed answers.
 
 use std::io::Read;
 use std::io::Write;
@@ -8,7 +8,7 @@
 
 use crate::harness;
 
-/// Answers each request with one of some bodies by its path; 404 for others.
+/// Starts a server that answers each of the given paths with its body, and others with 404.
 fn start_fake_instance(bodies: &'static [(&'static str, &'static str)]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -25,7 +25,7 @@
             };
             let length = body.len();
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n{body}");
-            // Whoever asked may have left.
+            // The client may have disconnected.
             let _sent = stream.write_all(answer.as_bytes());
         }
     });
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -1,4 +1,4 @@
-//! One account's flood fills its own queue; retries stay within their budget.
+//! A flood of one client account fills only its own queue; retries stay within the retry budget.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -74,7 +74,7 @@
         assert_ne!(outcome.status, 200);
     }
     let arrived_count = u32::MAX - engine.faults.lock().unwrap().refuse_count;
-    // A tenth more, and what quiet times had saved.
+    // The retry budget allows a tenth of the calls and up to 50 unused retries.
     assert!(
         arrived_count <= call_count + call_count / 10 + 50,
         "{arrived_count} attempts for {call_count} calls"
--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request in flight, in separate processes.
+//! A planned stop breaks off no request in flight.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     let pool = Arc::new(Pool::new(&deployment.entry.address_of("callers")));
     let warm = Call::chat("crews-key", "harvest-a", "warm", 1, true);
     call_until_status(&pool, &warm, 200).await;
-    // 200 tokens of 20 ms and more: the stream outlives the announced phase.
+    // At 20 ms or more per token, 200 tokens outlast the announcement phase of the stop.
     let stream = Call::chat("crews-key", "harvest-a", "long", 200, true);
     let whole = Call::chat("crews-key", "harvest-a", "long", 200, false);
     let ledger_call = Call::plain("clerks-key", Method::POST, "/ledger/tickets", "{}");
@@ -33,7 +33,7 @@
         .collect();
     deployment.wait_for_runs(3).await;
     deployment.entry.signal("TERM");
-    // The balancer hasn't moved yet: what arrives now is still served.
+    // The load balancer still sends calls here; they are served.
     let late_outcome = call_until_status(&pool, &ledger_call, 200).await;
     deployment.entry.signal("TERM");
     assert_eq!(late_outcome.status, 200);
@@ -70,7 +70,7 @@
     wait_until("twelve streams", WAIT_TIMEOUT_MS, || has_started(15))
         .await
         .unwrap();
-    // One of the two that stop holds the cell's lease, or the third does.
+    // The cell's lease may be held by one of the two stopping instances or by the third.
     let (first, second) = (
         deployment.entries[0].take().unwrap(),
         deployment.entries[1].take().unwrap(),
--- a/tests/testsuite/reachable.rs
+++ b/tests/testsuite/reachable.rs
@@ -1,4 +1,4 @@
-//! Every entitled model stays reachable.
+//! Every model that an account may use stays reachable.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -13,7 +13,7 @@
 use cranereach_standin::platform::state::StoreFaults;
 use cranereach_wire::platform::ListState;
 
-/// All of the platform's stores refuse.
+/// Faults of a platform whose stores all refuse every request.
 const OUTAGE: PlatformFaults = PlatformFaults {
     table: REFUSING_STORE,
     objects: REFUSING_STORE,
@@ -22,7 +22,7 @@
     lose_answer_count: 0,
 };
 
-/// A store refuses.
+/// Faults of a store that refuses every request.
 const REFUSING_STORE: StoreFaults = StoreFaults {
     refuses: true,
     holds: false,
@@ -105,7 +105,8 @@
     let first = Call::chat("a", "m0", "hello", 2, true);
     fixture::assert_served(&deployment, 0, &first).await;
     *deployment.platform.state().faults.lock().unwrap() = OUTAGE;
-    // Longer than a term and than the time in which an instance must be confirmed.
+    // Longer than a lease term and than the time within which an instance's configuration must
+    // be confirmed.
     tokio::time::sleep(std::time::Duration::from_secs(9)).await;
     for entry in 0..3 {
         let next = Call::chat("a", &format!("m{}", entry + 1), "hello", 2, true);
@@ -143,8 +144,8 @@
                 ListState::Leaving,
             );
         } else {
-            // The list is down meanwhile: the worker's own report has to do.
-            // What it said last is that all are live.
+            // With the list unavailable, only the worker's own report tells that it leaves. Wait
+            // first until the last list read shows all workers live.
             let shared = deployment.entries[0].as_ref().unwrap().shared();
             let all_live = || {
                 shared
--- a/tests/testsuite/soak.rs
+++ b/tests/testsuite/soak.rs
@@ -1,4 +1,4 @@
-//! The soak as a command: a short run, bad input, an interruption.
+//! The `soak` command: short runs, bad input, an interruption.
 
 use std::fs;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use crate::harness;
 use crate::harness::Process;
 
-/// A run that failed once, kept as it was.
+/// Parameters of a run that once failed.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Regression {
@@ -20,7 +20,7 @@
     cause: String,
 }
 
-/// Runs a soak of which nothing is judged that depends on speed; returns its folder.
+/// Runs a soak that judges nothing that depends on speed; returns its output folder.
 fn run_soak(seed: u64, seconds: u64, size: &str, flags: &[&str]) -> PathBuf {
     let folder = harness::scratch_folder("soak").join("out");
     let (seed, seconds) = (seed.to_string(), seconds.to_string());
@@ -33,8 +33,8 @@
     folder
 }
 
-/// Guards against answers that are lost, doubled or another's where the store comes back
-/// from copies.
+/// Guards against answers that are lost, duplicated or delivered to the wrong caller when the
+/// store is restored from backups.
 #[test]
 fn a_short_run_over_restores_keeps_what_does_not_depend_on_speed() {
     run_soak(11, 30, "small", &["--restores"]);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns the processes whose command line names a folder.
+/// Returns the ids of the processes whose command line contains a folder.
 fn processes_of(folder: &Path) -> Vec<String> {
     let name = folder.display().to_string();
     let entries = fs::read_dir("/proc").unwrap().flatten();
@@ -109,7 +109,7 @@
     let folder = harness::scratch_folder("soak-interrupted").join("out");
     let path = folder.display().to_string();
     let mut soak = Process::start(&["soak", "--seed", "1", "--out", &path]);
-    // The soak itself and all four of its gateways.
+    // The soak itself and its four gateways.
     while processes_of(&folder).len() < 5 {
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
--- a/tests/testsuite/style.rs
+++ b/tests/testsuite/style.rs
@@ -1,10 +1,10 @@
-//! What stable rustfmt can't check: one import a line, in three groups.
+//! Import rules that stable rustfmt cannot check: one import per line, in three groups.
 
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
-/// Lists the Rust sources below a folder.
+/// Collects the Rust source files below a folder.
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap().flatten() {
         let path = entry.path();
@@ -17,7 +17,8 @@
     }
 }
 
-/// Returns an import's group: the standard library's, others', ours.
+/// Returns the group of an import: 0 for the standard library, 1 for other crates, 2 for this
+/// project.
 fn group(import: &str) -> usize {
     let root = import.split("::").next().unwrap_or_default();
     match root {
--- a/tests/testsuite/thin_path.rs
+++ b/tests/testsuite/thin_path.rs
@@ -1,4 +1,4 @@
-//! The whole path in separate processes, compared with a golden session.
+//! A session with a deployment in separate processes, compared with a golden file.
 
 use std::fmt::Write;
 use std::fs;
@@ -12,10 +12,10 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::load::Outcome;
 
-/// What the session must look like.
+/// Expected text of the session.
 const GOLDEN: &str = include_str!("golden/session.txt");
 
-/// Adds one call and its outcome to the session's text.
+/// Appends one call and its outcome to the text of the session.
 fn append_exchange(session: &mut String, title: &str, call: &Call, outcome: &Outcome) {
     let text = outcome.text.replace('\n', "\\n");
     let text = mask_request_ids(&text);
@@ -27,7 +27,7 @@
     .expect("text can be written");
 }
 
-/// Replaces request names, which differ from run to run.
+/// Replaces request ids, which differ between runs, by `REQUEST`.
 fn mask_request_ids(text: &str) -> String {
     let mut masked = String::new();
     let mut rest = text;
--- a/tests/testsuite/whole_answers.rs
+++ b/tests/testsuite/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request, or a clear error.
+//! Each caller gets the complete answer to its own request, or a specific error.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use cranereach_standin::engine::state::EngineFaults;
 use cranereach_standin::load::Call;
 
-/// One row: a fault, whether the call streams, and the code that is due.
+/// A test case: its name, a fault, whether the call streams, and the expected result code.
 type Row = (&'static str, EngineFaults, bool, Option<u16>);
 
-/// The fault table; no code means that a repeat by us brings a whole answer.
+/// Test cases; without a code, a retry by the entry instance yields a complete answer.
 fn rows() -> Vec<Row> {
     let no_faults = EngineFaults::default();
     vec![
@@ -130,7 +130,7 @@
             code.is_none() || code == Some(3002),
             "{name}: {outcome:?}"
         );
-        // Fills the retry budget again for the next row.
+        // Refills the retry budget for the next case.
         for _call in 0..60 {
             deployment.call(0, &warm).await;
         }
@@ -156,7 +156,7 @@
             tokio::spawn(async move {
                 let own_prompt = format!("own words of caller {number}.");
                 let call = Call::chat("a", "m0", &own_prompt, 5, number % 2 == 0);
-                // Every seventh caller leaves early; others must not get its answer.
+                // Every seventh caller disconnects early; no other may get its answer.
                 if number % 7 == 0 {
                     let leave_after = std::time::Duration::from_millis(5);
                     let _left =
