--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -20,7 +20,8 @@
     let pool = Arc::new(Pool::new(&deployment.entry.address_of("callers")));
     let warm = Call::chat("crews-key", "harvest-a", "warm", 1, true);
     call_until_status(&pool, &warm, 200).await;
-    // At 20 ms or more per token, 200 tokens outlast the announcement phase of the stop.
+    // At 20 ms or more per token, 200 tokens outlast the phase of the shutdown in which new calls
+    // are still accepted.
     let stream = Call::chat("crews-key", "harvest-a", "long", 200, true);
     let whole = Call::chat("crews-key", "harvest-a", "long", 200, false);
     let ledger_call = Call::plain("clerks-key", Method::POST, "/ledger/tickets", "{}");
@@ -33,7 +34,7 @@
         .collect();
     deployment.wait_for_runs(3).await;
     deployment.entry.signal("TERM");
-    // The load balancer still sends calls here; they are served.
+    // The load balancer may still direct calls here; they are served.
     let late_outcome = call_until_status(&pool, &ledger_call, 200).await;
     deployment.entry.signal("TERM");
     assert_eq!(late_outcome.status, 200);
@@ -67,7 +68,7 @@
         .collect();
     let has_started =
         |count: u64| deployment.engines[0].stand_in.state().ledger().run_count >= count;
-    wait_until("twelve streams", WAIT_TIMEOUT_MS, || has_started(15))
+    wait_until("twelve open streams", WAIT_TIMEOUT_MS, || has_started(15))
         .await
         .unwrap();
     // The cell's lease may be held by one of the two stopping instances or by the third.
