--- a/crates/cranereach-http/tests/giving_up.rs
+++ b/crates/cranereach-http/tests/giving_up.rs
@@ -24,5 +24,5 @@
     let (stream, _) = accepted.unwrap();
     // A close without a reset would not show as an error on the accepting side.
     let reset_seen = tokio::time::timeout(WAIT_TIMEOUT, stream.ready(Interest::ERROR)).await;
-    assert!(reset_seen.is_ok(), "the connection is not reset");
+    assert!(reset_seen.is_ok(), "the connection was not reset");
 }
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -55,7 +55,7 @@
             1003,
         ),
         (
-            "a path of nobody",
+            "an unknown path",
             Call::plain("a", Method::GET, "/nowhere", ""),
             1006,
         ),
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -56,19 +56,19 @@
         "ledger, text",
     ),
     (
-        "beyond memory",
+        "model larger than memory",
         |d| d["models"][0]["memory_bytes"] = json!(101),
         4006,
         "needs 101 bytes",
     ),
     (
-        "base and adapter beyond memory",
+        "base and adapter larger than memory",
         |d| d["models"][1]["base"] = json!("m0"),
         4006,
         "needs 120 bytes",
     ),
     (
-        "no share",
+        "share of zero",
         |d| d["accounts"][0]["parameters"] = json!({ "share": 0.0 }),
         4007,
         "above zero",
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -72,7 +72,7 @@
             .as_ref()
             .is_some_and(|entry| entry.shared().config().held().version == version)
     };
-    wait_until("one instance", WAIT_TIMEOUT_MS, || {
+    wait_until("the version on one instance", WAIT_TIMEOUT_MS, || {
         deployment.entries.iter().any(has_version)
     })
     .await
@@ -248,13 +248,15 @@
             .shared()
             .is_ready()
     };
-    wait_until("all ready", WAIT_TIMEOUT_MS, || (0..3).all(ready))
+    wait_until("all instances ready", WAIT_TIMEOUT_MS, || (0..3).all(ready))
         .await
         .unwrap();
     relay.set(Passage::Cut);
-    wait_until("the third out", WAIT_TIMEOUT_MS, || !ready(third))
-        .await
-        .unwrap();
+    wait_until("the third instance not ready", WAIT_TIMEOUT_MS, || {
+        !ready(third)
+    })
+    .await
+    .unwrap();
     let models_call = Call::plain("a", hyper::Method::GET, "/v1/models", "");
     assert_eq!(deployment.call(third, &models_call).await.code, Some(2008));
     deployment.platform.state().faults.lock().unwrap().table = REFUSING_STORE;
@@ -262,8 +264,10 @@
     assert!(ready(0) && ready(1));
     relay.set(Passage::Open);
     deployment.platform.state().faults.lock().unwrap().table = StoreFaults::default();
-    wait_until("the third back", WAIT_TIMEOUT_MS, || ready(third))
-        .await
-        .unwrap();
+    wait_until("the third instance ready again", WAIT_TIMEOUT_MS, || {
+        ready(third)
+    })
+    .await
+    .unwrap();
     deployment.stop().await;
 }
--- a/tests/testsuite/frozen.rs
+++ b/tests/testsuite/frozen.rs
@@ -23,7 +23,7 @@
         .get("/stand-in/runs", WAIT_TIMEOUT_MS)
         .await
         .expect("the service answers");
-    let run_counts: Value = service.read(&answer).expect("runs are JSON");
+    let run_counts: Value = service.read(&answer).expect("the run counts are JSON");
     run_counts[name].as_u64().unwrap_or_default()
 }
 
--- a/tests/testsuite/harness.rs
+++ b/tests/testsuite/harness.rs
@@ -44,7 +44,7 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("the binary starts");
-        let output = child.stdout.take().expect("its output is piped");
+        let output = child.stdout.take().expect("the output is piped");
         let mut process = Self {
             child,
             output: BufReader::new(output),
@@ -59,7 +59,7 @@
         let mut line = String::new();
         self.output
             .read_line(&mut line)
-            .expect("its output can be read");
+            .expect("the output can be read");
         serde_json::from_str(&line).unwrap_or(Value::Null)
     }
 
@@ -67,7 +67,7 @@
     pub fn address(&self) -> String {
         self.startup_line["address"]
             .as_str()
-            .expect("stand-ins print it")
+            .expect("a stand-in prints its address")
             .to_owned()
     }
 
@@ -75,7 +75,7 @@
     pub fn address_of(&self, kind: &str) -> String {
         self.startup_line["addresses"][kind]
             .as_str()
-            .expect("instances print them")
+            .expect("an entry instance prints its addresses")
             .to_owned()
     }
 
@@ -85,12 +85,18 @@
         let sent = Command::new("kill")
             .args([&format!("-{name}"), &id])
             .status();
-        assert!(sent.is_ok_and(|status| status.success()), "signal {name}");
+        assert!(
+            sent.is_ok_and(|status| status.success()),
+            "signal {name} could not be sent"
+        );
     }
 
     /// Waits until the process exits and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        self.child.wait().expect("it can be waited for").code()
+        self.child
+            .wait()
+            .expect("the process can be waited for")
+            .code()
     }
 }
 
@@ -122,7 +128,7 @@
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("{name}-{}-{number}", std::process::id()));
-    fs::create_dir_all(&path).expect("a folder can be made");
+    fs::create_dir_all(&path).expect("the folder can be created");
     path
 }
 
@@ -135,7 +141,7 @@
         "operators": { "token": "operator" },
     });
     let file = folder.join(format!("{id}.jsonc"));
-    fs::write(&file, settings.to_string()).expect("a file can be written");
+    fs::write(&file, settings.to_string()).expect("the file can be written");
     file.display().to_string()
 }
 
@@ -180,8 +186,8 @@
         let service = Process::start(&["stand-in", "service"]);
         let settings = write_settings(&folder, "entry-1", &platform.address());
         let declared = folder.join("declared");
-        fs::create_dir_all(&declared).expect("a folder can be made");
-        fs::write(declared.join("all.jsonc"), DECLARATIONS).expect("a file can be written");
+        fs::create_dir_all(&declared).expect("the folder can be created");
+        fs::write(declared.join("all.jsonc"), DECLARATIONS).expect("the file can be written");
         let (code, _output, errors) = run(&[
             "apply",
             "--settings",
--- a/tests/testsuite/memory.rs
+++ b/tests/testsuite/memory.rs
@@ -26,14 +26,14 @@
         },
     ),
     (
-        "orders doubled",
+        "orders duplicated",
         EngineFaults {
             repeat_order_count: 6,
             ..NO_FAULTS
         },
     ),
     (
-        "lost and late",
+        "orders lost and late",
         EngineFaults {
             lose_order_count: 2,
             delay_order_count: 2,
@@ -134,7 +134,7 @@
         .entries
         .iter()
         .position(|entry| entry.as_ref().is_some_and(holds_lease));
-    let lease_holder = lease_holder.expect("somebody loaded m0");
+    let lease_holder = lease_holder.expect("an instance holds the lease of a cell");
     deployment.kill_entry(lease_holder).await;
     let other = (lease_holder + 1) % 3;
     let next = Call::chat("a", "m1", "hello", 2, true);
--- a/tests/testsuite/reachable.rs
+++ b/tests/testsuite/reachable.rs
@@ -164,11 +164,14 @@
         let outcome = deployment
             .call_until_served(0, &call, WAIT_TIMEOUT_MS)
             .await;
-        assert_eq!(outcome.status, 200, "by list {by_list}: {outcome:?}");
+        assert_eq!(
+            outcome.status, 200,
+            "leaving by list {by_list}: {outcome:?}"
+        );
         assert_eq!(
             engine.stand_in.state().ledger().run_count,
             run_count_before,
-            "by list {by_list}"
+            "leaving by list {by_list}"
         );
         if by_list {
             deployment.list_worker(
--- a/tests/testsuite/style.rs
+++ b/tests/testsuite/style.rs
@@ -48,13 +48,16 @@
                 continue;
             };
             let place = format!("{}:{}", file.display(), number + 1);
-            assert!(!import.contains('{'), "{place}: one import a line");
+            assert!(
+                !import.contains('{'),
+                "{place}: more than one import on a line"
+            );
             let group = group(import);
             if let Some((last_group, last_number)) = last {
                 assert!(group >= last_group, "{place}: groups out of order");
                 assert!(
                     group == last_group || number > last_number + 1,
-                    "{place}: a blank line between groups"
+                    "{place}: no blank line between groups"
                 );
             }
             last = Some((group, number));
