--- a/crates/cranereach-http/tests/giving_up.rs
+++ b/crates/cranereach-http/tests/giving_up.rs
@@ -10,7 +10,7 @@
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 
-/// Timeout for every condition that the test waits for.
+/// Generous timeout for whatever the test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 #[tokio::test]
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -88,7 +88,8 @@
     assert_eq!(output.status.code(), Some(2));
 }
 
-/// Log in which two workers ended under requests with the fingerprint of a quarantined one.
+/// Log in which workers ended under two requests with the fingerprint of a quarantined one, and
+/// under a request with another fingerprint.
 const SAME_FINGERPRINT_LOG: &str = r#"
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","request":"r1","worker":"w1","fingerprint":"f1"}
 {"msg":"worker ended under request","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-2","request":"r2","worker":"w2","fingerprint":"f1"}
--- a/tests/testsuite/fixture.rs
+++ b/tests/testsuite/fixture.rs
@@ -14,7 +14,7 @@
 /// Number of models; each takes 60 bytes, so that an engine of 100 bytes holds one at a time.
 pub const MODEL_COUNT: usize = 4;
 
-/// Timeout for every condition that a test waits for, in milliseconds.
+/// Generous timeout for whatever a test waits for, in milliseconds.
 pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
 /// Size and properties of the deployment of a test.
--- a/tests/testsuite/harness.rs
+++ b/tests/testsuite/harness.rs
@@ -24,7 +24,7 @@
 /// Declarations that a [`ProcessDeployment`] applies.
 pub const DECLARATIONS: &str = include_str!("golden/declarations.jsonc");
 
-/// Timeout for every condition that a test waits for, in milliseconds.
+/// Generous timeout for whatever a test waits for, in milliseconds.
 pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
 /// A process of the binary, killed when dropped.
--- a/tests/testsuite/soak.rs
+++ b/tests/testsuite/soak.rs
@@ -10,7 +10,7 @@
 use crate::harness;
 use crate::harness::Process;
 
-/// Parameters of a run that once failed.
+/// Parameters of a run that once failed, kept unchanged.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Regression {
