--- a/tests/testsuite/docs.rs
+++ b/tests/testsuite/docs.rs
@@ -1,4 +1,5 @@
-//! The book keeps to the source: codes, proofs, links, sample settings, capacity.
+//! The documentation matches the source: result codes, tests named as proofs, links, sample
+//! settings and capacity figures.
 
 use std::fs;
 use std::path::Path;
@@ -14,12 +15,12 @@
 use cranereach_wire::peer;
 use cranereach_wire::thinner;
 
-/// Returns a path from the project's root.
+/// Returns the absolute path of a file given relative to the project root.
 fn root(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Reads a page of the book.
+/// Reads a page of the documentation.
 fn page(path: &str) -> String {
     fs::read_to_string(root(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
@@ -45,7 +46,7 @@
 #[test]
 fn every_test_named_in_the_proofs_exists() {
     let text = page("docs/PROOFS.md");
-    let mut names = 0;
+    let mut name_count = 0;
     for name in text
         .split('`')
         .skip(1)
@@ -65,9 +66,9 @@
         };
         let source = page(&format!("{folder}/{module}.rs"));
         assert!(source.contains(&format!("fn {function}(")), "{name}");
-        names += 1;
+        name_count += 1;
     }
-    assert!(names > 30, "{names}");
+    assert!(name_count > 30, "{name_count}");
 }
 
 #[test]
@@ -85,12 +86,13 @@
 #[test]
 fn the_sample_settings_load_and_show_every_default() {
     let sample = Settings::read(&root("docs/settings.sample.jsonc")).unwrap();
-    let mut bare: serde_json::Value = serde_json::to_value(&sample).unwrap();
-    let keep = ["instance", "platform", "peers", "operators"];
-    bare.as_object_mut()
+    let mut without_defaults: serde_json::Value = serde_json::to_value(&sample).unwrap();
+    let required_keys = ["instance", "platform", "peers", "operators"];
+    without_defaults
+        .as_object_mut()
         .unwrap()
-        .retain(|key, _| keep.contains(&key.as_str()));
-    let defaults: Settings = serde_json::from_value(bare).unwrap();
+        .retain(|key, _| required_keys.contains(&key.as_str()));
+    let defaults: Settings = serde_json::from_value(without_defaults).unwrap();
     assert_eq!(
         serde_json::to_value(defaults).unwrap(),
         serde_json::to_value(sample).unwrap()
