--- a/crates/cranereach-http/src/client.rs
+++ b/crates/cranereach-http/src/client.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
     /// Nothing was sent: there was no connection, or the permit was refused.
-    #[error("{address}: request not sent (no connection, or sending not permitted)")]
+    #[error("{address}: could not be reached")]
     NotSent {
         /// Whom the call was for.
         address: String,
