--- a/crates/cranereach-bench/src/path_cost.rs
+++ b/crates/cranereach-bench/src/path_cost.rs
@@ -1,7 +1,7 @@
-//! What the entry instance adds: time per call, calls and tokens per core, memory.
+//! Overhead of an entry instance: added latency, calls and tokens per core, memory.
 //!
-//! The instance and the engine are processes of their own; this caller talks to
-//! the instance and, for comparison in the same run, to the engine directly.
+//! The instance and the engine run as separate processes. The calls go through
+//! the instance and, for comparison in the same run, directly to the engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,83 +16,85 @@
 use cranereach_standin::load;
 use cranereach_standin::load::Call;
 
-/// Calls one after the other, each way, for the added time.
-const LONE_CALLS: usize = 3_000;
+/// Sequential calls on each path, for the added latency.
+const SEQUENTIAL_CALL_COUNT: usize = 3_000;
 
-/// Callers at once, for calls and tokens per core.
-const BUSY_CALLERS: usize = 64;
+/// Concurrent callers, for calls and tokens per core.
+const CONCURRENT_CALLER_COUNT: usize = 64;
 
-/// Time of each busy part, in milliseconds.
-const BUSY_MS: u64 = 5_000;
+/// Duration of each phase with concurrent callers, in milliseconds.
+const LOAD_PHASE_MS: u64 = 5_000;
 
-/// Tokens of a streamed answer in the busy part.
+/// Tokens of a streamed answer in the phase with concurrent callers.
 const STREAM_TOKENS: u32 = 400;
 
-/// Streams held open for the memory per stream.
-const OPEN_STREAMS: usize = 1_000;
+/// Streams held open to measure the memory per stream.
+const OPEN_STREAM_COUNT: usize = 1_000;
 
-/// What is called.
+/// The instance and the engine to measure, and how to call them.
 #[derive(Clone, Debug)]
 pub struct Path {
-    /// Callers' address of the instance.
+    /// Address on which the instance accepts calls.
     pub through: String,
     /// Address of the engine.
     pub direct: String,
     /// Process id of the instance.
     pub process: String,
-    /// Bearer key.
+    /// API key, sent as a bearer token.
     pub key: String,
-    /// Model, resident on the engine.
+    /// Model to call, resident on the engine.
     pub model: String,
 }
 
-/// What was measured.
+/// Measured overhead of an entry instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct PathCost {
-    /// Time of a small call, in microseconds: median, 95 and 99 in 100.
+    /// Duration of a small call through the instance, in microseconds: 50th, 95th and 99th
+    /// percentile.
     pub through_us: [u64; 3],
-    /// The same, directly.
+    /// Duration of a small call sent directly to the engine, with the same percentiles.
     pub direct_us: [u64; 3],
-    /// Small calls a second, with all callers busy.
+    /// Small calls per second with concurrent callers.
     pub calls_per_s: f64,
-    /// Cores that the instance used meanwhile.
+    /// Processor cores that the instance used during these calls.
     pub calls_cores: f64,
-    /// Streamed tokens a second, with all callers busy.
+    /// Streamed tokens per second with concurrent callers.
     pub tokens_per_s: f64,
-    /// Cores that the instance used meanwhile.
+    /// Processor cores that the instance used during these streams.
     pub tokens_cores: f64,
-    /// Resident memory at rest, in bytes.
+    /// Resident memory of the idle instance, in bytes.
     pub rest_bytes: u64,
-    /// Resident memory after the busy parts, before streams are opened, in bytes.
+    /// Resident memory after the phases with concurrent callers, before the streams are opened, in
+    /// bytes.
     pub after_busy_bytes: u64,
     /// Resident memory with the streams open, in bytes.
     pub open_bytes: u64,
-    /// Streams open.
+    /// Number of open streams.
     pub open_count: usize,
 }
 
-/// Measures a path.
+/// Measures the overhead of an instance.
 pub async fn measure(path: &Path) -> PathCost {
     let through = Arc::new(Pool::new(&path.through));
     let direct = Arc::new(Pool::new(&path.direct));
     let small = Call::chat(&path.key, &path.model, "small", 1, false);
-    until_served(&through, &small).await;
+    wait_until_served(&through, &small).await;
     let rest_bytes = process::resident_bytes(&path.process);
-    let mut spent = [Vec::new(), Vec::new()];
-    // Alternating, so that whatever else the machine does hits both alike.
-    for _call in 0..LONE_CALLS {
-        for (pool, spent) in [&through, &direct].into_iter().zip(&mut spent) {
-            spent.push(load::send(pool, &small).await.whole_us);
+    let mut durations_us = [Vec::new(), Vec::new()];
+    // The calls alternate, so that other load on the machine affects both paths alike.
+    for _call in 0..SEQUENTIAL_CALL_COUNT {
+        for (pool, samples) in [&through, &direct].into_iter().zip(&mut durations_us) {
+            samples.push(load::send(pool, &small).await.whole_us);
         }
     }
-    let calls = busy(&through, &small, path).await;
+    let calls = measure_throughput(&through, &small, path).await;
     let stream = Call::chat(&path.key, &path.model, "stream", STREAM_TOKENS, true);
-    let streams = busy(&through, &stream, path).await;
+    let streams = measure_throughput(&through, &stream, path).await;
     let after_busy_bytes = process::resident_bytes(&path.process);
-    let open_bytes = open_memory(&through, path).await;
+    let open_bytes = open_streams_memory(&through, path).await;
     PathCost {
-        through_us: quantiles(&spent[0]),
-        direct_us: quantiles(&spent[1]),
+        through_us: quantiles(&durations_us[0]),
+        direct_us: quantiles(&durations_us[1]),
         calls_per_s: calls.0,
         calls_cores: calls.1,
         tokens_per_s: streams.0 * f64::from(STREAM_TOKENS),
@@ -100,28 +102,33 @@
         rest_bytes,
         after_busy_bytes,
         open_bytes,
-        open_count: OPEN_STREAMS,
+        open_count: OPEN_STREAM_COUNT,
     }
 }
 
-/// Calls until the model is resident.
-async fn until_served(pool: &Pool<Full<bytes::Bytes>>, call: &Call) {
+/// Repeats a call until it is served; by then, the model is resident.
+async fn wait_until_served(pool: &Pool<Full<bytes::Bytes>>, call: &Call) {
     while load::send(pool, call).await.status != 200 {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Keeps all callers busy; returns answers a second and cores of the instance.
-async fn busy(pool: &Arc<Pool<Full<bytes::Bytes>>>, call: &Call, path: &Path) -> (f64, f64) {
+/// Sends calls from concurrent callers; returns the answers per second and the processor cores
+/// that the instance used.
+async fn measure_throughput(
+    pool: &Arc<Pool<Full<bytes::Bytes>>>,
+    call: &Call,
+    path: &Path,
+) -> (f64, f64) {
     let started = Instant::now();
     let cpu_before_s = process::cpu_s(&path.process);
-    let callers: Vec<_> = (0..BUSY_CALLERS)
+    let callers: Vec<_> = (0..CONCURRENT_CALLER_COUNT)
         .map(|_| {
             let pool = Arc::clone(pool);
             let call = call.clone();
             tokio::spawn(async move {
                 let mut served = 0_u32;
-                while started.elapsed().as_millis() < u128::from(BUSY_MS) {
+                while started.elapsed().as_millis() < u128::from(LOAD_PHASE_MS) {
                     served += u32::from(load::send(&pool, &call).await.status == 200);
                 }
                 served
@@ -139,9 +146,9 @@
     )
 }
 
-/// Holds streams open and returns the instance's memory meanwhile.
-async fn open_memory(pool: &Arc<Pool<Full<bytes::Bytes>>>, path: &Path) -> u64 {
-    // Most of them wait in the instance, as callers of a busy engine do.
+/// Returns the resident memory of the instance while streams are open, in bytes.
+async fn open_streams_memory(pool: &Arc<Pool<Full<bytes::Bytes>>>, path: &Path) -> u64 {
+    // Most of them wait in the instance, like calls to a busy engine.
     let call = Call::chat(
         &path.key,
         &path.model,
@@ -149,7 +156,7 @@
         2_000_000,
         true,
     );
-    let streams: Vec<_> = (0..OPEN_STREAMS)
+    let streams: Vec<_> = (0..OPEN_STREAM_COUNT)
         .map(|_| {
             let pool = Arc::clone(pool);
             let call = call.clone();
@@ -164,11 +171,11 @@
     bytes
 }
 
-/// Returns the median, 95 and 99 in 100.
-fn quantiles(spent_us: &[u64]) -> [u64; 3] {
-    let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
-    for &spent in spent_us {
-        histogram.saturating_record(spent);
+/// Returns the 50th, 95th and 99th percentile.
+fn quantiles(durations_us: &[u64]) -> [u64; 3] {
+    let mut histogram = Histogram::<u64>::new(3).expect("three significant digits are supported");
+    for &duration_us in durations_us {
+        histogram.saturating_record(duration_us);
     }
     [0.5, 0.95, 0.99].map(|quantile| histogram.value_at_quantile(quantile))
 }
--- a/crates/cranereach-bench/src/scenario/arrivals.rs
+++ b/crates/cranereach-bench/src/scenario/arrivals.rs
@@ -1,4 +1,5 @@
-//! Seeded calls: skewed over models, in bursts, from accounts of three classes.
+//! Generates calls from a seed: Zipf demand over models, with bursts, from accounts of three
+//! classes.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -10,68 +11,68 @@
 use cranereach_core::snapshot::KeyHash;
 use cranereach_wire::folder::Folder;
 
-/// Exponent of the skew over models.
-const SKEW: f64 = 0.9;
+/// Exponent of the Zipf distribution of demand over base models.
+const ZIPF_EXPONENT: f64 = 0.9;
 
-/// Factor by which a burst moves a model's demand.
+/// Factor by which a burst multiplies one model's demand.
 const BURST_FACTOR: f64 = 10.0;
 
-/// Part of a base model's demand that goes to its adapters.
-const ADAPTER_PART: f64 = 0.5;
+/// Fraction of a base model's demand that goes to its adapters.
+const ADAPTER_DEMAND_RATIO: f64 = 0.5;
 
-/// Bytes in a GB.
-const GIGA: u64 = 1_000_000_000;
+/// Bytes in a GB, the unit of memory in scenario files.
+const BYTES_PER_GB: u64 = 1_000_000_000;
 
-/// Prompt starts per account, so that the prefix cache has something to hit.
-const PROMPT_STARTS: u32 = 8;
+/// Different prompt prefixes per account; they repeat, so that the prefix cache has hits.
+const PROMPT_PREFIX_COUNT: u32 = 8;
 
-/// Promises of a class.
+/// Service objectives of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Promise {
-    /// Time to the first token, in milliseconds.
+pub struct ServiceObjective {
+    /// Maximum time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Time between two tokens, in milliseconds.
+    /// Intended time between two tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Weight of the class in attainment.
+    /// Weight of the class's calls in attainment.
     pub weight: u32,
 }
 
-/// What one call asks for.
+/// Target of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// A model or adapter.
+pub enum CallTarget {
+    /// Name of a model or adapter.
     Model(String),
-    /// A lookup at the plain service, named so that its runs are counted.
+    /// Name of a lookup at a plain service, by which its executions are counted.
     Lookup(String),
 }
 
-/// One call of the plan.
+/// One generated call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, in milliseconds since the start of the warm-up.
+    /// Time since the start of the warm-up, in milliseconds.
     pub at_ms: u64,
-    /// Whose.
+    /// Index of the account.
     pub account: usize,
-    /// What for.
-    pub ask: Ask,
-    /// Start of the prompt.
+    /// Target of the call.
+    pub target: CallTarget,
+    /// Text of the prompt.
     pub prompt: String,
 }
 
-/// Returns what is promised to a class.
-pub fn promise(class: Class) -> Promise {
+/// Returns the service objectives of a class.
+pub fn objective(class: Class) -> ServiceObjective {
     match class {
-        Class::Urgent => Promise {
+        Class::Urgent => ServiceObjective {
             first_token_ms: 600,
             between_tokens_ms: 50,
             weight: 3,
         },
-        Class::Standard => Promise {
+        Class::Standard => ServiceObjective {
             first_token_ms: 1_500,
             between_tokens_ms: 50,
             weight: 2,
         },
-        Class::Deferrable => Promise {
+        Class::Deferrable => ServiceObjective {
             first_token_ms: 5_000,
             between_tokens_ms: 100,
             weight: 1,
@@ -79,29 +80,29 @@
     }
 }
 
-/// Returns the class of an account.
+/// Returns the class of an account, by its index.
 pub fn class_of(account: usize) -> Class {
     Class::ALL[account % Class::ALL.len()]
 }
 
-/// Returns an account's name, which is also its key.
+/// Returns an account's name, which is also its API key.
 pub fn account_name(account: usize) -> String {
     format!("account-{account}")
 }
 
-/// Makes the calls of a scenario.
+/// Generates the calls of a scenario from a seed, in order of time.
 ///
 /// ```
-/// use cranereach_bench::scenario::arrivals::promise;
+/// use cranereach_bench::scenario::arrivals::objective;
 /// use cranereach_core::declarations::Class;
 ///
-/// assert_eq!(promise(Class::Urgent).first_token_ms, 600);
+/// assert_eq!(objective(Class::Urgent).first_token_ms, 600);
 /// ```
-pub fn plan(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+pub fn generate(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut random = SmallRng::seed_from_u64(seed);
     let total_ms = scenario.warmup_ms + scenario.measured_ms;
     let mut weights = base_weights(scenario);
-    let order = shuffled(scenario.model_count, &mut random);
+    let model_by_rank = shuffled_indices(scenario.model_count, &mut random);
     let mut burst: Option<(usize, u64)> = None;
     let mut next_burst_ms = scenario.burst_every_ms;
     let mut arrivals = Vec::new();
@@ -112,16 +113,16 @@
             weights = base_weights(scenario);
         }
         if at_ms as u64 >= next_burst_ms {
-            let model = random.random_range(0..scenario.model_count);
+            let rank = random.random_range(0..scenario.model_count);
             weights = base_weights(scenario);
-            weights[model] *= BURST_FACTOR;
-            burst = Some((model, at_ms as u64 + scenario.burst_ms));
+            weights[rank] *= BURST_FACTOR;
+            burst = Some((rank, at_ms as u64 + scenario.burst_ms));
             next_burst_ms += scenario.burst_every_ms;
         }
         let rates = [
             scenario.calls_per_s(),
             scenario.lookups_per_s,
-            flood_rate(scenario),
+            flood_calls_per_s(scenario),
         ];
         let rate: f64 = rates.iter().sum();
         at_ms += -random.random::<f64>().max(1e-12).ln() * 1_000.0 / rate;
@@ -130,28 +131,28 @@
         let is_flood = drawn >= rates[0] + rates[1];
         let flooding = scenario.flooding_account.filter(|_| is_flood);
         let account = flooding.unwrap_or_else(|| random.random_range(0..scenario.account_count));
-        let ask = if is_lookup {
-            Ask::Lookup(format!("lookup-{}", arrivals.len()))
+        let target = if is_lookup {
+            CallTarget::Lookup(format!("lookup-{}", arrivals.len()))
         } else {
-            Ask::Model(pick(scenario, &weights, &order, &mut random))
+            CallTarget::Model(draw_target(scenario, &weights, &model_by_rank, &mut random))
         };
         let prompt = format!(
             "{} start {}: {}",
             account_name(account),
-            random.random_range(0..PROMPT_STARTS),
+            random.random_range(0..PROMPT_PREFIX_COUNT),
             "words ".repeat(30)
         );
         arrivals.push(Arrival {
             at_ms: at_ms as u64,
             account,
-            ask,
+            target,
             prompt,
         });
     }
     arrivals
 }
 
-/// Returns the declarations of a scenario.
+/// Returns the declarations of a scenario's pools, models and accounts.
 pub fn declarations(scenario: &Scenario) -> Folder {
     let mut models = Vec::new();
     for number in 0..scenario.model_count {
@@ -161,7 +162,7 @@
     }
     for number in 0..scenario.adapter_count {
         let base = model_name(number % scenario.model_count);
-        models.push(json!({ "name": adapter_name(number), "pool": "text", "memory_bytes": GIGA, "base": base }));
+        models.push(json!({ "name": adapter_name(number), "pool": "text", "memory_bytes": BYTES_PER_GB, "base": base }));
     }
     let names: Vec<String> = (0..scenario.model_count)
         .map(model_name)
@@ -170,7 +171,7 @@
     let template = |class: Class| {
         json!({
             "name": class.name(), "models": names, "services": ["ledger"], "class": class,
-            "first_token_ms": promise(class).first_token_ms, "whole_answer_ms": 30_000, "queue_count": 64,
+            "first_token_ms": objective(class).first_token_ms, "whole_answer_ms": 30_000, "queue_count": 64,
         })
     };
     let account = |number: usize| {
@@ -181,7 +182,7 @@
     };
     let declared = json!({
         "pools": [
-            { "name": "text", "kind": "engine", "checks_fences": true, "worker_memory_bytes": scenario.engine_memory_gb * GIGA },
+            { "name": "text", "kind": "engine", "checks_fences": true, "worker_memory_bytes": scenario.engine_memory_gb * BYTES_PER_GB },
             { "name": "ledger", "kind": "plain", "path_prefix": "/ledger" },
         ],
         "models": models,
@@ -193,21 +194,21 @@
     }
 }
 
-/// One target that is resident before the first call.
+/// A target that is loaded before the first call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Preloaded {
     /// Name of a base model or adapter.
     pub target: String,
     /// Its memory, in bytes.
     pub memory_bytes: u64,
-    /// Base model beside which it must stand, for an adapter.
+    /// Base model that must be resident on the same engine, for an adapter.
     pub base: Option<String>,
 }
 
-/// Lists what may be resident before the first call, bases first.
+/// Lists the targets to load before the first call, base models first.
 ///
-/// The order is by number, while the demand's ranks are shuffled by seed: the
-/// placement is one that fitted an earlier demand.
+/// They are ordered by number, while the demand's ranks are shuffled by the seed,
+/// so the initial placement is one that suited an earlier demand.
 pub fn preloaded(scenario: &Scenario) -> Vec<Preloaded> {
     let bases = (0..scenario.model_count).map(|number| Preloaded {
         target: model_name(number),
@@ -216,14 +217,14 @@
     });
     let adapters = (0..scenario.adapter_count).map(|number| Preloaded {
         target: adapter_name(number),
-        memory_bytes: GIGA,
+        memory_bytes: BYTES_PER_GB,
         base: Some(model_name(number % scenario.model_count)),
     });
     bases.chain(adapters).collect()
 }
 
-/// Returns the rate of the flooding account, in calls per second.
-fn flood_rate(scenario: &Scenario) -> f64 {
+/// Returns the calls per second that the flooding account sends on top of its usual demand.
+fn flood_calls_per_s(scenario: &Scenario) -> f64 {
     let own = scenario.calls_per_s() / scenario.account_count as f64;
     if scenario.flooding_account.is_some() {
         9.0 * own
@@ -232,41 +233,46 @@
     }
 }
 
-/// Returns the skewed weights of the base models.
+/// Returns the Zipf weights of the base models, by rank.
 fn base_weights(scenario: &Scenario) -> Vec<f64> {
     (0..scenario.model_count)
-        .map(|rank| 1.0 / (rank as f64 + 1.0).powf(SKEW))
+        .map(|rank| 1.0 / (rank as f64 + 1.0).powf(ZIPF_EXPONENT))
         .collect()
 }
 
-/// Returns which model has which rank, by seed.
-fn shuffled(count: usize, random: &mut SmallRng) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..count).collect();
+/// Returns the indices below `count` in random order.
+fn shuffled_indices(count: usize, random: &mut SmallRng) -> Vec<usize> {
+    let mut indices: Vec<usize> = (0..count).collect();
     for index in (1..count).rev() {
-        order.swap(index, random.random_range(0..=index));
+        indices.swap(index, random.random_range(0..=index));
     }
-    order
+    indices
 }
 
-/// Draws a model, or one of its adapters.
-fn pick(scenario: &Scenario, weights: &[f64], order: &[usize], random: &mut SmallRng) -> String {
+/// Draws a base model by its weight, or one of its adapters.
+fn draw_target(
+    scenario: &Scenario,
+    weights: &[f64],
+    model_by_rank: &[usize],
+    random: &mut SmallRng,
+) -> String {
     let mut drawn = random.random::<f64>() * weights.iter().sum::<f64>();
     let rank = weights.iter().position(|weight| {
         drawn -= weight;
         drawn <= 0.0
     });
-    let model = order[rank.unwrap_or(0)];
+    let model = model_by_rank[rank.unwrap_or(0)];
     let adapters =
         (scenario.adapter_count + scenario.model_count - 1 - model) / scenario.model_count;
-    if adapters == 0 || random.random::<f64>() >= ADAPTER_PART {
+    if adapters == 0 || random.random::<f64>() >= ADAPTER_DEMAND_RATIO {
         return model_name(model);
     }
     adapter_name(model + scenario.model_count * random.random_range(0..adapters))
 }
 
-/// Returns a base model's memory: 12 to 27 GB.
+/// Returns a base model's memory in bytes; sizes range from 12 to 27 GB.
 fn model_memory_bytes(number: usize) -> u64 {
-    (12 + 3 * (number as u64 % 6)) * GIGA
+    (12 + 3 * (number as u64 % 6)) * BYTES_PER_GB
 }
 
 /// Returns a base model's name.
@@ -274,7 +280,7 @@
     format!("model-{number}")
 }
 
-/// Returns an adapter's name; its base is its number modulo the base models.
+/// Returns an adapter's name; its base model is its number modulo the number of base models.
 fn adapter_name(number: usize) -> String {
     format!("adapter-{number}")
 }
--- a/crates/cranereach-bench/src/slopes/fixtures.rs
+++ b/crates/cranereach-bench/src/slopes/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the kernel's slopes are measured on.
+//! Fixtures for measuring the costs of the decision logic in `cranereach_core`.
 
 use cranereach_core::declarations::Class;
 use cranereach_core::dispatch::DispatchOptions;
@@ -12,7 +12,7 @@
 use cranereach_core::order;
 use cranereach_core::route;
 
-/// Makes a dispatcher that knows some workers, all holding one target.
+/// Creates a dispatcher with workers that all have the target `m` resident.
 pub(super) fn dispatcher(worker_count: usize) -> Dispatcher {
     let options = DispatchOptions {
         order: &order::VIRTUAL_TIME,
@@ -33,18 +33,18 @@
         .workers_mut()
         .list((0..worker_count).map(listed).collect());
     for number in 0..worker_count {
-        dispatcher.reported(0, &report(number), &mut Vec::new());
+        dispatcher.reported(0, &worker_report(number), &mut Vec::new());
     }
     dispatcher
 }
 
-/// Returns a worker's identity.
+/// Returns the id of a worker.
 pub(super) fn worker(number: usize) -> WorkerId {
     WorkerId::from(format!("worker-{number:05}"))
 }
 
-/// Makes a worker's report of eight targets.
-pub(super) fn report(number: usize) -> WorkerReport {
+/// Returns a worker's report with eight resident targets.
+pub(super) fn worker_report(number: usize) -> WorkerReport {
     let others = (0..7).map(|other| TargetName::from(format!("model-{}", (number + other) % 330)));
     WorkerReport {
         worker: worker(number),
@@ -60,8 +60,8 @@
     }
 }
 
-/// Makes a request.
-pub(super) fn waiting(number: u64, account: usize) -> Waiting {
+/// Returns a waiting request of an account.
+pub(super) fn waiting_request(number: u64, account: usize) -> Waiting {
     Waiting {
         request: RequestId(number),
         account: format!("account-{account}").into(),
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -1,4 +1,4 @@
-//! Costs of the decisions of a gateway, by size.
+//! Costs of a gateway's decisions, by size.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -10,98 +10,98 @@
 use hyper::header::HeaderValue;
 
 use super::Slope;
-use super::kernel::per_size;
+use super::kernel::measure_slope;
 use super::kernel::time_us;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::fingerprint::Content;
 use cranereach_fleet::fingerprint::FingerprintKey;
+use cranereach_fleet::membership::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::membership::Membership;
-use cranereach_fleet::membership::TOLD_MAX_COUNT;
-use cranereach_fleet::owned::Opening;
 use cranereach_fleet::owned::OwnedWorkers;
+use cranereach_fleet::owned::SentRequest;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::quarantine::Quarantine;
 use cranereach_fleet::quarantine::RequestMark;
 use cranereach_fleet::regions::AllowedRegions;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
-use cranereach_fleet::wanted::Wanted;
 use cranereach_fleet::worker::HeldModel;
 use cranereach_fleet::worker::WorkerRecord;
 use cranereach_gateway::adapter;
-use cranereach_gateway::worker_words::WorkerWords;
+use cranereach_gateway::worker_words::WorkerHeaders;
 
-/// Workers of which one holds the model that is asked for.
+/// Number of workers per worker that holds the requested model.
 const WORKERS_PER_HOLDER: usize = 20;
 
-/// Workers whose owners a request asks.
+/// Number of workers whose owners are asked about a request.
 const CANDIDATE_COUNT: usize = 3;
 
-/// Key of a worker, any will do.
+/// Key of the worker in the measurements; its value does not matter.
 const WORKER: u64 = 7;
 
-/// Measures all slopes of a gateway's decisions.
+/// Measures how all decisions of a gateway scale.
 pub fn measure() -> Vec<Slope> {
     vec![
-        per_size(
+        measure_slope(
             "choose a worker: candidates, then one of them",
             "workers of the service (a twentieth holds the model)",
             "us",
             &[30, 90, 240, 1_000],
             choose_us,
         ),
-        per_size(
+        measure_slope(
             "look at what speaks against a send, right before it",
             "workers known",
             "us",
             &[30, 90, 240, 1_000],
-            barred_us,
+            check_barred_us,
         ),
-        per_size(
+        measure_slope(
             "read what an answer says of its worker, which says nothing but its load",
             "headers besides",
             "us",
             &[2, 6, 12, 24],
-            |count| read_words_us(count, &[]),
+            |count| read_headers_us(count, &[]),
         ),
-        per_size(
+        measure_slope(
             "read what an answer says of its worker, which leaves and names a limit",
             "headers besides",
             "us",
             &[2, 6, 12, 24],
-            |count| read_words_us(count, &["1", "1.2"]),
+            |count| read_headers_us(count, &["1", "1.2"]),
         ),
-        per_size(
+        measure_slope(
             "take what a digest tells of 48 members",
             "instances",
             "us",
             &[60, 300, 1_000, 3_300],
-            merge_us,
+            merge_gossip_us,
         ),
-        per_size(
+        measure_slope(
             "find the owner of a worker",
             "instances",
             "us",
             &[60, 300, 1_000, 3_300],
             owner_us,
         ),
-        per_size(
+        measure_slope(
             "answer for an owned worker",
             "requests open there",
             "us",
             &[4, 16, 32, 64],
-            answer_us,
+            worker_state_us,
         ),
-        per_size(
+        measure_slope(
             "look whether a call is quarantined, where others of its size are",
             "requests known",
             "us",
             &[0, 64, 512, 4_096],
-            look_us,
+            look_up_suspect_us,
         ),
-        per_size(
+        measure_slope(
             "make the fingerprint of a call",
             "bytes of its body",
             "us",
@@ -111,21 +111,21 @@
     ]
 }
 
-/// Returns an address by number.
+/// Returns the address of an instance, by number.
 fn address(number: usize) -> Ipv4Addr {
     Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 1)) + number as u32)
 }
 
-/// Makes the members of a fleet as one of them knows them.
+/// Returns a membership of `count` instances, as seen by the first of them.
 fn members(count: usize) -> Membership {
     let mut members = Membership::new(address(0), DomainTag::default(), &[]);
     for number in 1..count {
-        members.saw(1_000, address(number), DomainTag::default(), false);
+        members.heard_from(1_000, address(number), DomainTag::default(), false);
     }
     members
 }
 
-/// Makes a list of workers that hold three models each.
+/// Returns a roster of workers that hold three models each.
 fn roster(worker_count: usize) -> Roster {
     let model_count = 3 * WORKERS_PER_HOLDER;
     let mut roster = Roster::default();
@@ -152,7 +152,7 @@
     roster
 }
 
-/// Time of the choice of a worker, the questions to owners left out.
+/// Returns the time to choose a worker, without the queries to owners, in microseconds.
 fn choose_us(worker_count: usize) -> f64 {
     let roster = roster(worker_count);
     let engine = Engine {
@@ -166,7 +166,7 @@
     };
     let topology = Topology::default();
     let regions = AllowedRegions::Any;
-    let wanted = Wanted {
+    let request = RoutingRequest {
         event_tokens: 3,
         service: "models",
         model: Some(("m0", None)),
@@ -179,33 +179,37 @@
         rank: 0,
         held_tokens: 2_500,
         topology: &topology,
-        crossings_ms: [0.0; 3],
+        extra_start_delays_ms: [0.0; 3],
         regions: &regions,
         end_count: 0,
-        needs_no_grant: false,
+        must_avoid_grants: false,
         tried: &[],
     };
     let mut rng = rand::rng();
     time_us(|| {
         let engine = Some(&engine);
-        let candidates = roster.candidates(0, &wanted, engine, CANDIDATE_COUNT, &mut rng);
+        let candidates = roster.candidates(0, &request, engine, CANDIDATE_COUNT, &mut rng);
         let candidates = candidates.unwrap_or_default();
-        let chosen = roster.choose_among(0, &candidates, &wanted, engine, &mut rng);
+        let chosen = roster.choose_among(0, &candidates, &request, engine, &mut rng);
         black_box(chosen.is_ok());
     })
 }
 
-/// Time to look whether a worker may still be sent what was chosen for it.
-fn barred_us(worker_count: usize) -> f64 {
+/// Returns the time to check whether a request may still be sent to its chosen worker, in
+/// microseconds.
+fn check_barred_us(worker_count: usize) -> f64 {
     let roster = roster(worker_count);
     time_us(|| {
         black_box(roster.barred(1_000, "w7", Purpose::Call, 1));
     })
 }
 
-/// Time to read what the head of an answer says of its worker: its load, and these values
-/// of its leaving and its limit, among so many other headers; none without an adapter.
-fn read_words_us(other_count: usize, words: &[&'static str]) -> f64 {
+/// Returns the time to read the headers that describe the worker from the head of an answer, in
+/// microseconds; zero if no adapter is compiled in.
+///
+/// The head has a load header, `other_count` unrelated headers, and the given values of the
+/// headers that announce a planned stop and a rate limit.
+fn read_headers_us(other_count: usize, leaving_and_limit: &[&'static str]) -> f64 {
     let Some(names) = adapter::names()
         .first()
         .and_then(|name| adapter::find(name))
@@ -219,7 +223,7 @@
         HeaderValue::from_static("9c41d07be2a35f68"),
     );
     headers.insert(names.load, HeaderValue::from_static("3,0,8"));
-    for (name, value) in [names.leaving, names.limit].iter().zip(words) {
+    for (name, value) in [names.leaving, names.limit].iter().zip(leaving_and_limit) {
         headers.insert(*name, HeaderValue::from_static(value));
     }
     for number in 0..other_count {
@@ -230,23 +234,23 @@
     }
     time_us(|| {
         let head = (StatusCode::OK, &headers);
-        black_box(WorkerWords::read(names, "w7", head));
+        black_box(WorkerHeaders::read(names, "w7", head));
     })
 }
 
-/// Time to take the members of one digest.
-fn merge_us(count: usize) -> f64 {
+/// Returns the time to merge the member entries of one gossip message, in microseconds.
+fn merge_gossip_us(count: usize) -> f64 {
     let mut members = members(count);
-    let news = members.sample(1_000, &mut rand::rng());
-    let news = &news[..news.len().min(TOLD_MAX_COUNT)];
+    let updates = members.sample(1_000, &mut rand::rng());
+    let updates = &updates[..updates.len().min(GOSSIPED_MAX_COUNT)];
     let mut now_ms = 1_000;
     time_us(|| {
         now_ms += 1;
-        black_box(members.told(now_ms, news));
+        black_box(members.merge(now_ms, updates));
     })
 }
 
-/// Time to find the owner of a worker.
+/// Returns the time to find the owner of a worker, in microseconds.
 fn owner_us(count: usize) -> f64 {
     let members = members(count);
     let mut key = 0;
@@ -256,7 +260,7 @@
     })
 }
 
-/// Makes what a call with a body asks for.
+/// Returns the content of a call with the given body, as input of its fingerprint.
 fn content(body: &[u8]) -> Content<'_> {
     Content {
         account: Some("account"),
@@ -269,8 +273,9 @@
     }
 }
 
-/// Time to look whether a call is known whose size no other has, and one that is.
-fn look_us(known_count: usize) -> f64 {
+/// Returns the time to look up two calls in the quarantine, one whose body size no known call has
+/// and one that is known, in microseconds.
+fn look_up_suspect_us(known_count: usize) -> f64 {
     let key = FingerprintKey::new("");
     let mark = |number: usize| RequestMark {
         body_bytes: number as u32,
@@ -287,7 +292,7 @@
     })
 }
 
-/// Time to make the fingerprint of a call.
+/// Returns the time to compute the fingerprint of a call, in microseconds.
 fn fingerprint_us(body_bytes: usize) -> f64 {
     let key = FingerprintKey::new("");
     let body = vec![7; body_bytes];
@@ -296,20 +301,21 @@
     })
 }
 
-/// Time to answer how a worker stands.
-fn answer_us(open_count: usize) -> f64 {
+/// Returns the time for a worker's owner to answer a query for the worker's state, in
+/// microseconds.
+fn worker_state_us(open_count: usize) -> f64 {
     let mut owned = OwnedWorkers::default();
     for number in 0..open_count {
-        let opening = Opening {
+        let sent = SentRequest {
             event_tokens: 3,
             unread_ms: 100.0,
             stay_ms: 500.0,
             ends_within_ms: u32::MAX,
-            ..Opening::default()
+            ..SentRequest::default()
         };
-        owned.begun(0, WORKER, (1, number as u64), opening, &[]);
+        owned.request_started(0, WORKER, (1, number as u64), sent, &[]);
     }
     time_us(|| {
-        black_box(owned.standing(1, WORKER, &[1, 2, 3], 100.0));
+        black_box(owned.status(1, WORKER, &[1, 2, 3], 100.0));
     })
 }
--- a/crates/cranereach-bench/src/slopes/kernel.rs
+++ b/crates/cranereach-bench/src/slopes/kernel.rs
@@ -1,4 +1,4 @@
-//! Costs of the kernel's decisions and of messages, by size.
+//! Costs of the decisions of `cranereach_core` and of messages between instances, by size.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -7,9 +7,9 @@
 use super::Slope;
 use super::fit;
 use super::fixtures::dispatcher;
-use super::fixtures::report;
-use super::fixtures::waiting;
+use super::fixtures::waiting_request;
 use super::fixtures::worker;
+use super::fixtures::worker_report;
 use crate::scenario::Scenario;
 use crate::scenario::arrivals;
 use cranereach_core::cell::CellId;
@@ -34,83 +34,83 @@
 use cranereach_wire::peer::pack;
 use cranereach_wire::peer::seal;
 
-/// Time spent on each point, in milliseconds.
+/// Measuring time for each point, in milliseconds.
 const POINT_MS: u128 = 150;
 
-/// Measures all slopes of the kernel.
+/// Measures how all these decisions and messages scale.
 pub fn measure(scenario: &Scenario) -> Vec<Slope> {
     vec![
-        per_size(
+        measure_slope(
             "route and send one request",
             "workers that hold the target",
             "us",
             &[12, 24, 48, 120, 200],
             route_us,
         ),
-        per_size(
+        measure_slope(
             "admit one request into a queue",
             "accounts that wait",
             "us",
             &[10, 30, 100, 300],
             admit_us,
         ),
-        per_size(
+        measure_slope(
             "plan one cell",
             "models x workers (models = 5 x workers)",
             "us",
             &[5, 10, 21, 48],
             plan_us,
         ),
-        per_size(
+        measure_slope(
             "plan one cell of 48 workers",
             "models",
             "us",
             &[33, 90, 165, 330],
             plan_models_us,
         ),
-        per_size(
+        measure_slope(
             "order the cells for one target",
             "cells of the pool",
             "us",
             &[3, 8, 16, 32],
             hosts_us,
         ),
-        per_size(
+        measure_slope(
             "list the live instances",
             "instances of the group",
             "us",
             &[2, 6, 16, 20],
             live_us,
         ),
-        per_size(
+        measure_slope(
             "seal and open one digest",
             "parts",
             "us",
             &[4, 12, 24, 40],
             digest_us,
         ),
-        per_size(
+        measure_slope(
             "bytes of demand in a digest",
             "targets",
             "bytes",
             &[33, 90, 165, 330],
             demand_bytes,
         ),
-        per_size(
+        measure_slope(
             "bytes of reports in a digest",
             "workers",
             "bytes",
             &[4, 12, 24, 48],
             report_bytes,
         ),
-        per_size(
+        measure_slope(
             "resolve a configuration",
             "accounts",
             "us",
             &[100, 300, 1_000, 3_000],
             |count| resolve_us(scenario, count),
         ),
-        per_size(
+        measure_slope(
             "bytes of a configuration's body",
             "accounts",
             "bytes",
@@ -120,8 +120,8 @@
     ]
 }
 
-/// Measures one slope.
-pub(super) fn per_size(
+/// Measures a cost at each size and fits a line.
+pub(super) fn measure_slope(
     name: &'static str,
     per: &'static str,
     unit: &'static str,
@@ -138,7 +138,7 @@
     fit(name, per, unit, points)
 }
 
-/// Returns the time of one run, in microseconds, over many runs.
+/// Returns the mean time of one run, in microseconds, after one warm-up run.
 pub(super) fn time_us(mut run: impl FnMut()) -> f64 {
     run();
     let started = Instant::now();
@@ -150,7 +150,7 @@
     started.elapsed().as_secs_f64() * 1e6 / f64::from(count)
 }
 
-/// Time of an arrival that is routed at once, and of its end.
+/// Returns the time to route a request immediately and to end it, in microseconds.
 fn route_us(worker_count: usize) -> f64 {
     let mut dispatcher = dispatcher(worker_count);
     let mut number = 0;
@@ -158,13 +158,13 @@
     time_us(|| {
         number += 1;
         actions.clear();
-        dispatcher.arrive(1, waiting(number, 0), &mut actions);
+        dispatcher.arrive(1, waiting_request(number, 0), &mut actions);
         dispatcher.ended(2, RequestId(number), 100.0, true, &mut actions);
         black_box(&actions);
     })
 }
 
-/// Time of an arrival that has to wait, and of its leaving.
+/// Returns the time to queue a request and to remove it again, in microseconds.
 fn admit_us(account_count: usize) -> f64 {
     let mut dispatcher = dispatcher(1);
     let mut actions = Vec::new();
@@ -173,7 +173,7 @@
         number += 1;
         dispatcher.arrive(
             1,
-            waiting(number, number as usize % account_count),
+            waiting_request(number, number as usize % account_count),
             &mut actions,
         );
     }
@@ -182,7 +182,7 @@
         actions.clear();
         dispatcher.arrive(
             1,
-            waiting(number, number as usize % account_count),
+            waiting_request(number, number as usize % account_count),
             &mut actions,
         );
         let was_waiting = dispatcher.left(RequestId(number));
@@ -190,17 +190,17 @@
     })
 }
 
-/// Time of one plan of so many workers and five times as many models.
+/// Returns the time to plan a cell with five times as many models as workers, in microseconds.
 fn plan_us(worker_count: usize) -> f64 {
     plan(worker_count * 5, worker_count)
 }
 
-/// Time of one plan of 48 workers.
+/// Returns the time to plan a cell of 48 workers, in microseconds.
 fn plan_models_us(model_count: usize) -> f64 {
     plan(model_count, 48)
 }
 
-/// Time of one plan.
+/// Returns the time to plan a cell, in microseconds.
 fn plan(model_count: usize, worker_count: usize) -> f64 {
     let target = |number: usize| PlanTarget {
         target: format!("model-{number}").into(),
@@ -212,7 +212,7 @@
         used_at_ms: 0,
         replicas_before: 0,
         replicas_elsewhere: 0,
-        may_grow: number.is_multiple_of(3),
+        may_add_replica: number.is_multiple_of(3),
     };
     let targets: Vec<PlanTarget> = (0..model_count).map(target).collect();
     let occupant = |index: usize| PlanOccupant {
@@ -237,14 +237,14 @@
         weights: PlanWeights::default(),
         targets: &targets,
         workers: &workers,
-        forces_allowed_count: 1,
+        forced_loads_allowed_count: 1,
     };
     time_us(|| {
         black_box((residency::MARGINAL.plan)(&input));
     })
 }
 
-/// Time of ordering cells for a target.
+/// Returns the time to order the cells in which a target's replicas are placed, in microseconds.
 fn hosts_us(cell_count: usize) -> f64 {
     let cell = |number: usize| CellId {
         pool: "text".into(),
@@ -257,7 +257,7 @@
     })
 }
 
-/// Time of listing the live instances.
+/// Returns the time to list the live instances, in microseconds.
 fn live_us(instance_count: usize) -> f64 {
     let ids: Vec<InstanceId> = (0..instance_count)
         .map(|number| InstanceId::from(format!("entry-{number}")))
@@ -272,7 +272,7 @@
     })
 }
 
-/// Makes demand parts.
+/// Returns digest parts that report the demand of `count` targets.
 fn demand_parts(count: usize) -> Vec<DigestPart> {
     let demand = |number: usize| TargetDemand {
         target: format!("model-{number}").into(),
@@ -283,7 +283,7 @@
     (0..count).map(demand).map(DigestPart::Demand).collect()
 }
 
-/// Time of sealing and opening one digest of so many parts.
+/// Returns the time to seal and open a digest, in microseconds.
 fn digest_us(part_count: usize) -> f64 {
     let key = PeerKey::derive("secret");
     let digests = pack(&"entry-1".into(), 1, 1, demand_parts(part_count));
@@ -295,7 +295,7 @@
     })
 }
 
-/// Bytes of so many parts on the wire.
+/// Returns the number of bytes that digest parts take on the wire.
 fn wire_bytes(parts: Vec<DigestPart>) -> f64 {
     let key = PeerKey::derive("secret");
     pack(&"entry-1".into(), 1, 1, parts)
@@ -304,17 +304,22 @@
         .sum()
 }
 
-/// Bytes of the demand for so many targets.
+/// Returns the number of digest bytes for the demand of `count` targets.
 fn demand_bytes(count: usize) -> f64 {
     wire_bytes(demand_parts(count))
 }
 
-/// Bytes of the reports of so many workers.
+/// Returns the number of digest bytes for the reports of `count` workers.
 fn report_bytes(count: usize) -> f64 {
-    wire_bytes((0..count).map(report).map(DigestPart::Report).collect())
+    wire_bytes(
+        (0..count)
+            .map(worker_report)
+            .map(DigestPart::Report)
+            .collect(),
+    )
 }
 
-/// Time of resolving a configuration of so many accounts.
+/// Returns the time to parse and resolve a configuration, in microseconds.
 fn resolve_us(scenario: &Scenario, account_count: usize) -> f64 {
     let scenario = Scenario {
         account_count,
@@ -324,12 +329,12 @@
     time_us(|| {
         let declared = folder
             .declarations()
-            .expect("our own declarations can be read");
+            .expect("generated declarations are valid");
         black_box(Snapshot::resolve(&declared, 1).is_ok());
     })
 }
 
-/// Bytes of the body of a configuration of so many accounts.
+/// Returns the size of a configuration's body, in bytes.
 fn body_bytes(scenario: &Scenario, account_count: usize) -> f64 {
     let scenario = Scenario {
         account_count,
--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -1,10 +1,11 @@
-//! Control of one cell: from lease and reports to fenced orders.
+//! Controller of one cell: turns lease state and worker reports into fenced orders.
 //!
-//! A new holder first seals each worker that checks fences: a no-op order of
-//! its higher epoch, after which no older order can take effect. It plans for a
-//! worker only once a report shows the seal. For workers that don't check, the
-//! intent of each order is recorded in the table before it is sent, and a
-//! successor holds memory for every recorded order until it can't arrive.
+//! A new lease holder first sends a seal to each worker that checks fences. A
+//! seal is a no-op order with the holder's higher epoch; once it is accepted, no
+//! older order can take effect. The holder plans for a worker only after a
+//! report confirms the seal. For workers that don't check fences, each order is
+//! recorded in the table as an intent before it is sent, and a successor
+//! reserves memory for every recorded order until it can no longer arrive.
 
 mod orders;
 mod worker;
@@ -31,55 +32,59 @@
 use crate::residency::PlanTarget;
 use crate::token_bucket::TokenBucket;
 
-/// Time after which an open order is settled by a further seal, in ms.
+/// Time since the last order or seal after which another seal settles open orders, in ms.
 const SETTLE_AFTER_MS: u64 = 1_000;
 
-/// Part of the loads that targets waited for too long may force.
-const FORCED_PART: f64 = 0.25;
+/// Fraction of the load rate at which overdue targets may force evictions.
+const FORCED_LOAD_FRACTION: f64 = 0.25;
 
-/// What is known of the intents row of a cell without fences.
+/// State of the intents row of a cell whose workers don't check fences.
 #[derive(Clone, Debug, Default)]
 struct Intents {
     is_read: bool,
-    is_asked: bool,
-    held_back: Vec<Order>,
-    writing: bool,
+    is_read_requested: bool,
+    deferred_orders: Vec<Order>,
+    is_write_pending: bool,
 }
 
-/// Control of one cell on one instance.
+/// Controller of one cell on one instance.
 #[derive(Debug)]
 pub struct CellControl {
     checks_fences: bool,
     options: ControlOptions,
     lease: Lease,
-    acting: Option<Epoch>,
+    acting_epoch: Option<Epoch>,
     sequence: u64,
     workers: HashMap<WorkerId, WorkerControl>,
     intents: Intents,
-    bucket: TokenBucket,
-    forced: TokenBucket,
+    load_bucket: TokenBucket,
+    forced_bucket: TokenBucket,
     moves_count: u64,
 }
 
 impl CellControl {
-    /// Starts without the lease.
+    /// Creates a controller that does not hold the lease.
     pub fn new(own: InstanceId, checks_fences: bool, options: ControlOptions, now_ms: u64) -> Self {
         let burst = (options.loads_at_once_count as f64).max(1.0);
         Self {
             checks_fences,
             options,
             lease: Lease::new(own, now_ms),
-            acting: None,
+            acting_epoch: None,
             sequence: 0,
             workers: HashMap::new(),
             intents: Intents::default(),
-            bucket: TokenBucket::new(options.loads_per_s, burst, now_ms),
-            forced: TokenBucket::new(options.loads_per_s * FORCED_PART, 1.0, now_ms),
+            load_bucket: TokenBucket::new(options.loads_per_s, burst, now_ms),
+            forced_bucket: TokenBucket::new(
+                options.loads_per_s * FORCED_LOAD_FRACTION,
+                1.0,
+                now_ms,
+            ),
             moves_count: 0,
         }
     }
 
-    /// Whether the cell's workers check fences.
+    /// Returns whether the cell's workers check fences.
     pub fn checks_fences(&self) -> bool {
         self.checks_fences
     }
@@ -89,22 +94,22 @@
         &self.lease
     }
 
-    /// Returns the lease, for what was read or heard.
+    /// Returns the lease for updates with rows read and epochs received.
     pub fn lease_mut(&mut self) -> &mut Lease {
         &mut self.lease
     }
 
-    /// Returns the epoch under which this instance orders, if it does.
+    /// Returns the epoch under which this instance sends orders, or none if it doesn't act.
     pub fn acting(&self) -> Option<Epoch> {
-        self.acting
+        self.acting_epoch
     }
 
-    /// Returns how many loads and unloads were ordered from here.
+    /// Returns the number of loads and unloads that this instance has ordered.
     pub fn moves_count(&self) -> u64 {
         self.moves_count
     }
 
-    /// Takes the cell's workers with their memory, in bytes.
+    /// Replaces the list of the cell's workers, each with `capacity_bytes` of memory.
     pub fn list(&mut self, listed: &[WorkerId], capacity_bytes: u64) {
         self.workers.retain(|id, _| listed.contains(id));
         for id in listed {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Takes a worker's report of its memory.
+    /// Processes a worker's memory report.
     pub fn reported(
         &mut self,
         now_ms: u64,
@@ -124,19 +129,23 @@
         actions: &mut Vec<ControlAction>,
     ) {
         if let Some(control) = self.workers.get_mut(worker) {
-            let took = control.reported(now_ms, report, slot_count);
-            actions.extend(took.into_iter().map(ControlAction::LoadTook));
+            let load_durations_ms = control.apply_report(now_ms, report, slot_count);
+            actions.extend(
+                load_durations_ms
+                    .into_iter()
+                    .map(ControlAction::LoadCompleted),
+            );
         }
     }
 
-    /// Takes whether a worker says that it is leaving; nothing is planned for it.
+    /// Sets whether a worker is leaving; leaving workers are excluded from planning.
     pub fn leaving(&mut self, worker: &WorkerId, is_leaving: bool) {
         if let Some(control) = self.workers.get_mut(worker) {
-            control.leaving(is_leaving);
+            control.set_leaving(is_leaving);
         }
     }
 
-    /// Takes the end of an order.
+    /// Processes the outcome of an order.
     pub fn order_ended(&mut self, now_ms: u64, worker: &WorkerId, fence: Fence, end: OrderEnd) {
         if let OrderEnd::Refused(highest) = end {
             self.lease.heard_epoch(now_ms, highest.epoch);
@@ -144,49 +153,52 @@
         let Some(control) = self.workers.get_mut(worker) else {
             return;
         };
-        // A refused order had no effect, and its fence keeps it from having one.
+        // A refused order had no effect, and its fence keeps it from taking effect later.
         if matches!(end, OrderEnd::NeverSent | OrderEnd::Refused(_)) {
-            control.never_sent(fence);
+            control.discard_order(fence);
         }
     }
 
-    /// Takes the intents row, as read at the start of a term.
+    /// Processes the intents row read at the start of a term.
     pub fn intents_read(&mut self, now_ms: u64, row: &IntentRow) {
         self.intents.is_read = true;
         for order in &row.orders {
             if let Some(control) = self.workers.get_mut(&order.worker) {
-                control.ordered(now_ms, order);
+                control.record_order(now_ms, order);
             }
         }
     }
 
-    /// Takes that the reading of the intents row failed.
-    pub fn intents_unread(&mut self) {
-        self.intents.is_asked = false;
+    /// Notes that reading the intents row failed, so that the next tick asks for it again.
+    pub fn intents_read_failed(&mut self) {
+        self.intents.is_read_requested = false;
     }
 
-    /// Takes that the intents are recorded; the orders may go, if still allowed.
+    /// Processes the result of writing the intents row and returns the orders to send.
+    ///
+    /// If the write failed or the lease no longer allows the orders, discards them
+    /// and returns none.
     pub fn intents_recorded(&mut self, now_ms: u64, was_recorded: bool) -> Vec<Order> {
-        self.intents.writing = false;
-        let orders = std::mem::take(&mut self.intents.held_back);
+        self.intents.is_write_pending = false;
+        let orders = std::mem::take(&mut self.intents.deferred_orders);
         let allowed = was_recorded && self.lease.may_order(now_ms, self.checks_fences).is_some();
         if allowed {
             return orders;
         }
         for order in &orders {
             if let Some(control) = self.workers.get_mut(&order.worker) {
-                control.never_sent(order.fence);
+                control.discard_order(order.fence);
             }
         }
         Vec::new()
     }
 
-    /// Takes that the intents row no longer is as last read or written.
-    pub fn intents_lost(&mut self) {
+    /// Forgets the intents row after it has changed since it was last read or written.
+    pub fn invalidate_intents(&mut self) {
         self.intents = Intents::default();
     }
 
-    /// Looks at the lease and, if this instance holds it, plans.
+    /// Updates the lease and, if this instance may act, sends seals and plans.
     pub fn tick(
         &mut self,
         now_ms: u64,
@@ -196,35 +208,35 @@
     ) {
         actions.extend(self.lease.tick(now_ms, view).map(ControlAction::WriteLease));
         self.lease.take_over_without_table(now_ms, view);
-        self.follow_epoch(now_ms, actions);
-        if self.acting.is_none() || view.leaving {
+        self.update_term(now_ms, actions);
+        if self.acting_epoch.is_none() || view.leaving {
             return;
         }
-        self.seal(now_ms, actions);
-        if self.checks_fences || (self.intents.is_read && !self.intents.writing) {
+        self.seal_workers(now_ms, actions);
+        if self.checks_fences || (self.intents.is_read && !self.intents.is_write_pending) {
             self.plan(now_ms, targets, actions);
         }
     }
 
-    /// Starts or ends a term of acting as the holder.
-    fn follow_epoch(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
+    /// Starts or ends the term in which this instance acts as the holder.
+    fn update_term(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let epoch = self.lease.may_order(now_ms, self.checks_fences);
-        if epoch != self.acting {
-            self.acting = epoch;
+        if epoch != self.acting_epoch {
+            self.acting_epoch = epoch;
             self.sequence = 0;
             self.intents = Intents::default();
             for control in self.workers.values_mut() {
-                control.start_over(self.checks_fences);
+                control.reset(self.checks_fences);
             }
         }
-        if epoch.is_some() && !self.checks_fences && !self.intents.is_asked {
-            self.intents.is_asked = true;
+        if epoch.is_some() && !self.checks_fences && !self.intents.is_read_requested {
+            self.intents.is_read_requested = true;
             actions.push(ControlAction::ReadIntents);
         }
     }
 
-    /// Seals workers that need it, and settles orders that stay open.
-    fn seal(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
+    /// Sends a seal to workers that lack one or have orders open for too long.
+    fn seal_workers(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let due: Vec<WorkerId> = self
             .workers
             .iter()
@@ -232,13 +244,13 @@
             .map(|(id, _)| id.clone())
             .collect();
         for worker in due {
-            let order = self.order(worker, OrderKind::Seal, TargetName::from(""), 0);
-            self.record(now_ms, &order);
+            let order = self.next_order(worker, OrderKind::Seal, TargetName::from(""), 0);
+            self.record_in_ledger(now_ms, &order);
             actions.push(ControlAction::Send(order));
         }
     }
 
-    /// Plans and turns the moves into orders.
+    /// Plans the next moves and turns them into orders.
     fn plan(&mut self, now_ms: u64, targets: &[PlanTarget], actions: &mut Vec<ControlAction>) {
         let workers: Vec<_> = self
             .workers
@@ -251,26 +263,31 @@
             weights: self.options.weights,
             targets,
             workers: &workers,
-            forces_allowed_count: usize::from(self.forced.is_filled(now_ms)),
+            forced_loads_allowed_count: usize::from(self.forced_bucket.has_token(now_ms)),
         };
         let moves = (self.options.policy.plan)(&input);
         if moves
             .iter()
             .any(|planned| planned.is_urgent && !planned.is_load)
         {
-            self.forced.take(now_ms);
+            self.forced_bucket.take(now_ms);
         }
-        let orders = self.orders_of(now_ms, &moves, targets);
+        let orders = self.orders_for_moves(now_ms, &moves, targets);
         self.moves_count += orders.len() as u64;
         if self.checks_fences {
             actions.extend(orders.into_iter().map(ControlAction::Send));
         } else if !orders.is_empty() {
-            self.hold_back(orders, actions);
+            self.defer_until_recorded(orders, actions);
         }
     }
 
-    /// Turns moves into orders, within the weight store's limits.
-    fn orders_of(&mut self, now_ms: u64, moves: &[Move], targets: &[PlanTarget]) -> Vec<Order> {
+    /// Converts moves into orders within the weight store's limits on loads.
+    fn orders_for_moves(
+        &mut self,
+        now_ms: u64,
+        moves: &[Move],
+        targets: &[PlanTarget],
+    ) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut loading_count: usize = self
             .workers
@@ -288,38 +305,38 @@
                 .find(|target| target.target == planned.target);
             let memory_bytes = declared.map_or(0, |target| target.memory_bytes);
             if planned.is_load {
-                let allowed =
-                    loading_count < self.options.loads_at_once_count && self.bucket.take(now_ms);
+                let allowed = loading_count < self.options.loads_at_once_count
+                    && self.load_bucket.take(now_ms);
                 if !allowed {
                     continue;
                 }
                 loading_count += 1;
             }
-            let order = self.order(
+            let order = self.next_order(
                 planned.worker.clone(),
                 kind,
                 planned.target.clone(),
                 memory_bytes,
             );
-            self.record(now_ms, &order);
+            self.record_in_ledger(now_ms, &order);
             orders.push(order);
         }
         orders
     }
 
-    /// Holds orders back until their intents are recorded.
-    fn hold_back(&mut self, orders: Vec<Order>, actions: &mut Vec<ControlAction>) {
+    /// Defers orders until their intents are recorded.
+    fn defer_until_recorded(&mut self, orders: Vec<Order>, actions: &mut Vec<ControlAction>) {
         let open = self.workers.values().flat_map(WorkerControl::open_orders);
         let row = IntentRow {
             orders: open.collect(),
         };
-        self.intents.held_back = orders;
-        self.intents.writing = true;
+        self.intents.deferred_orders = orders;
+        self.intents.is_write_pending = true;
         actions.push(ControlAction::RecordIntents(row));
     }
 
-    /// Makes the next order of the term.
-    fn order(
+    /// Creates the next order of the term.
+    fn next_order(
         &mut self,
         worker: WorkerId,
         kind: OrderKind,
@@ -327,7 +344,7 @@
         memory_bytes: u64,
     ) -> Order {
         self.sequence += 1;
-        let epoch = self.acting.unwrap_or_default();
+        let epoch = self.acting_epoch.unwrap_or_default();
         let boot_id = self.workers.get(&worker).and_then(WorkerControl::boot_id);
         Order {
             worker,
@@ -342,14 +359,14 @@
         }
     }
 
-    /// Counts an order in its worker's ledger before it is sent.
-    fn record(&mut self, now_ms: u64, order: &Order) {
+    /// Records an order in its worker's ledger before it is sent.
+    fn record_in_ledger(&mut self, now_ms: u64, order: &Order) {
         if let Some(control) = self.workers.get_mut(&order.worker) {
-            control.ordered(now_ms, order);
+            control.record_order(now_ms, order);
         }
     }
 
-    /// Returns the ledger's worst case of a worker, in bytes.
+    /// Returns the worst-case memory use of a worker by its ledger, in bytes.
     pub fn committed_bytes(&self, worker: &WorkerId) -> Option<u64> {
         self.workers.get(worker).map(WorkerControl::committed_bytes)
     }
--- a/crates/cranereach-core/src/control/worker.rs
+++ b/crates/cranereach-core/src/control/worker.rs
@@ -1,4 +1,4 @@
-//! One worker under the control of its cell's holder.
+//! State that the holder of a cell's lease keeps for one worker.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
 use crate::residency::PlanTarget;
 use crate::residency::PlanWorker;
 
-/// Ledger of a worker, and what the holder saw of it in this term.
+/// Ledger of a worker, with the holder's observations in the current term.
 #[derive(Debug)]
 pub(super) struct WorkerControl {
     ledger: Ledger,
@@ -28,7 +28,7 @@
 }
 
 impl WorkerControl {
-    /// Starts with nothing known.
+    /// Creates the state of a worker that has not reported yet.
     pub(super) fn new(capacity_bytes: u64, checks_fences: bool) -> Self {
         Self {
             ledger: Ledger::new(capacity_bytes, checks_fences),
@@ -43,41 +43,41 @@
         }
     }
 
-    /// Forgets what an earlier term believed.
-    pub(super) fn start_over(&mut self, checks_fences: bool) {
+    /// Discards the state of an earlier term.
+    pub(super) fn reset(&mut self, checks_fences: bool) {
         *self = Self::new(self.capacity_bytes, checks_fences);
     }
 
-    /// Takes a report; returns how long loads that it shows done took, in ms.
-    pub(super) fn reported(
+    /// Applies a report and returns the durations of loads that it shows completed, in ms.
+    pub(super) fn apply_report(
         &mut self,
         now_ms: u64,
         report: &MemoryReport,
         slot_count: u32,
     ) -> Vec<u64> {
         self.slot_count = slot_count;
-        self.ledger.reported(now_ms, report);
+        self.ledger.apply_report(now_ms, report);
         let occupants = self.ledger.occupants();
         self.seen_at_ms
             .retain(|target, _| occupants.iter().any(|occupant| &occupant.target == target));
-        let mut took = Vec::new();
+        let mut load_durations_ms = Vec::new();
         for occupant in occupants {
             self.seen_at_ms
                 .entry(occupant.target.clone())
                 .or_insert(now_ms);
             if occupant.residence == Residence::Resident {
-                let ordered = self.load_ordered_at_ms.remove(&occupant.target);
-                took.extend(ordered.map(|at_ms| now_ms.saturating_sub(at_ms)));
+                let load_ordered = self.load_ordered_at_ms.remove(&occupant.target);
+                load_durations_ms.extend(load_ordered.map(|at_ms| now_ms.saturating_sub(at_ms)));
             }
         }
         self.open
             .retain(|order| self.ledger.is_open(order.kind, &order.target));
-        took
+        load_durations_ms
     }
 
-    /// Counts an order before it is sent.
-    pub(super) fn ordered(&mut self, now_ms: u64, order: &Order) {
-        self.ledger.ordered(
+    /// Records an order before it is sent.
+    pub(super) fn record_order(&mut self, now_ms: u64, order: &Order) {
+        self.ledger.record_order(
             now_ms,
             order.kind,
             &order.target,
@@ -95,58 +95,59 @@
         }
     }
 
-    /// Takes back an order that can have no effect.
-    pub(super) fn never_sent(&mut self, fence: crate::fence::Fence) {
-        self.ledger.never_sent(fence);
+    /// Discards an order that can't take effect.
+    pub(super) fn discard_order(&mut self, fence: crate::fence::Fence) {
+        self.ledger.discard_order(fence);
         self.open.retain(|order| order.fence != fence);
     }
 
-    /// Whether a seal is due: none in force, or orders open for too long.
+    /// Returns whether a seal is due: none is in force, or orders have been open for too long.
     pub(super) fn needs_seal(&self, now_ms: u64, settle_after_ms: u64) -> bool {
-        let waited =
+        let is_settle_due =
             now_ms.saturating_sub(self.sealed_at_ms.max(self.ordered_at_ms)) >= settle_after_ms;
         let unsettled = !self.ledger.is_sealed() || self.ledger.has_unsettled();
         let is_known = self.ledger.boot_id().is_some();
-        self.ledger.needs_seal() || (self.ledger.checks_fences() && is_known && unsettled && waited)
+        self.ledger.needs_seal()
+            || (self.ledger.checks_fences() && is_known && unsettled && is_settle_due)
     }
 
-    /// Returns the boot that orders are meant for.
+    /// Returns the boot (process incarnation) that orders are for, once it is known.
     pub(super) fn boot_id(&self) -> Option<u64> {
         self.ledger.boot_id()
     }
 
-    /// Takes whether the worker says that it is leaving.
-    pub(super) fn leaving(&mut self, is_leaving: bool) {
+    /// Sets whether the worker is leaving.
+    pub(super) fn set_leaving(&mut self, is_leaving: bool) {
         self.is_leaving = is_leaving;
     }
 
-    /// Whether the worker may be planned for.
+    /// Returns whether the planner may use the worker.
     pub(super) fn is_ready(&self) -> bool {
         !self.is_leaving && self.ledger.is_sealed()
     }
 
-    /// Returns how many loads are open or under way.
+    /// Returns the number of loads that are ordered or in progress.
     pub(super) fn loading_count(&self) -> usize {
-        let reported = self
+        let reported_count = self
             .ledger
             .occupants()
             .iter()
             .filter(|occupant| occupant.residence == Residence::Loading)
             .count();
-        reported + self.unseen_loads().count()
+        reported_count + self.unreported_loads().count()
     }
 
-    /// Returns the orders whose effect isn't settled.
+    /// Returns the orders whose effect is not settled.
     pub(super) fn open_orders(&self) -> impl Iterator<Item = Order> {
         self.open.iter().cloned()
     }
 
-    /// Returns the worst case, in bytes.
+    /// Returns the worst-case memory use, in bytes.
     pub(super) fn committed_bytes(&self) -> u64 {
         self.ledger.committed_bytes()
     }
 
-    /// Returns the worker as a plan sees it.
+    /// Returns the worker as input for the planner.
     pub(super) fn plan_worker(&self, worker: &WorkerId, targets: &[PlanTarget]) -> PlanWorker {
         let index_of = |name: &TargetName| targets.iter().position(|target| &target.target == name);
         let mut occupants: Vec<PlanOccupant> = self
@@ -169,7 +170,7 @@
                     .unwrap_or_default(),
             })
             .collect();
-        occupants.extend(self.unseen_loads().map(|order| PlanOccupant {
+        occupants.extend(self.unreported_loads().map(|order| PlanOccupant {
             target_index: index_of(&order.target),
             target: order.target.clone(),
             memory_bytes: order.memory_bytes,
@@ -186,8 +187,8 @@
     }
 
     /// Returns the open loads that no report has shown yet.
-    fn unseen_loads(&self) -> impl Iterator<Item = &Order> {
-        let is_there = |target| {
+    fn unreported_loads(&self) -> impl Iterator<Item = &Order> {
+        let is_reported = |target| {
             self.ledger
                 .occupants()
                 .iter()
@@ -195,7 +196,9 @@
         };
         let is_awaited = |target| self.load_ordered_at_ms.contains_key(target);
         self.open.iter().filter(move |order| {
-            order.kind == OrderKind::Load && is_awaited(&order.target) && !is_there(&order.target)
+            order.kind == OrderKind::Load
+                && is_awaited(&order.target)
+                && !is_reported(&order.target)
         })
     }
 }
--- a/crates/cranereach-entry/src/apply.rs
+++ b/crates/cranereach-entry/src/apply.rs
@@ -1,8 +1,9 @@
-//! Accepting a changed configuration: body first, then the head's commit.
+//! Applies a changed configuration: stores the body, then commits the head row.
 //!
-//! Accepted means that the compare-and-set of the head row took effect. A lost
-//! answer is settled by looking for the change's identity in the row; the same
-//! write may be sent again, for its condition holds at most once.
+//! A change is accepted when the compare-and-set of the head row has taken
+//! effect. If the answer to it is lost, the change's id is looked up in the row.
+//! Repeating the write is safe because its version condition can hold at most
+//! once.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,56 +23,57 @@
 use cranereach_wire::head_row::HEAD_KEY;
 use cranereach_wire::head_row::HeadRow;
 
-/// Tries to settle a commit whose answer was lost.
-const SETTLE_TRIES: u32 = 10;
+/// Attempts to commit a change, or to find out whether a commit whose answer was
+/// lost took effect.
+const COMMIT_ATTEMPTS: u32 = 10;
 
-/// Pause between two such tries, in milliseconds.
-const SETTLE_PAUSE_MS: u64 = 500;
+/// Pause between two such attempts, in milliseconds.
+const COMMIT_RETRY_PAUSE_MS: u64 = 500;
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted, or may not have been.
 #[derive(Debug, Error)]
 pub enum ApplyError {
-    /// Others changed the same files first.
+    /// Another change to the same files was accepted first.
     #[error(
         "version {version} was accepted first and changes the same files: {}; pull, merge, and apply again",
-        list(files)
+        join_names(files)
     )]
     RaceLost {
-        /// Version that won.
+        /// Version of the change accepted first.
         version: u64,
-        /// Files that both changed.
+        /// Files that both changes modify.
         files: BTreeSet<String>,
     },
-    /// A store did not answer, and nothing was accepted.
-    #[error("nothing was accepted: {detail}")]
+    /// The stores could not be read or written as needed; the change was not accepted.
+    #[error("no change was accepted: {detail}")]
     StoreUnavailable {
-        /// What was seen.
+        /// Cause of the failure.
         detail: String,
     },
-    /// The commit was sent and its outcome can't be read yet.
+    /// The commit was sent, but its outcome could not be read.
     #[error(
-        "change {change_id} may have been accepted: {detail}; run `cranereach status --change {change_id}` when the table is back"
+        "change {change_id} may have been accepted: {detail}; run `cranereach status --change {change_id}` once the table is reachable again"
     )]
     AcceptanceUnknown {
-        /// Identity of the change.
+        /// Id of the change.
         change_id: String,
-        /// What was seen.
+        /// Cause of the failure.
         detail: String,
     },
-    /// The merged declarations have faults.
-    #[error("together with version {version} the declarations have faults: {faults}")]
+    /// The merged declarations are invalid.
+    #[error("the declarations are invalid when merged with version {version}: {faults}")]
     MergedFaults {
-        /// Version merged with.
+        /// Version that the change was merged with.
         version: u64,
-        /// The faults.
+        /// The faults, joined to one line.
         faults: String,
-        /// Code of the first.
+        /// Result code of the first fault.
         code: ResultCode,
     },
 }
 
 impl ApplyError {
-    /// Returns the numbered code.
+    /// Returns the result code of the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::RaceLost { .. } => ResultCode::RaceLost,
@@ -82,28 +84,28 @@
     }
 }
 
-/// The platform's stores, as an operator's command uses them.
+/// Clients of the platform's stores, for operators' commands.
 #[derive(Debug)]
 pub struct Stores {
-    /// The table.
+    /// Client of the table.
     pub table: Table,
-    /// The object store.
+    /// Client of the object store.
     pub objects: Objects,
 }
 
-/// The configuration in the stores.
+/// The accepted configuration, as read from the stores.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
-    /// Head in force; version zero if none was ever accepted.
+    /// Head of the newest accepted configuration; version zero if there is none.
     pub head: Head,
-    /// Its files.
+    /// Files of that configuration.
     pub folder: Folder,
     row: HeadRow,
     row_version: u64,
 }
 
 impl Stores {
-    /// Makes clients for a table and an object store, `ip:port` each.
+    /// Creates clients for a table and an object store, each given as `ip:port`.
     pub fn new(table: &str, objects: &str) -> Self {
         Self {
             table: Table::new(table),
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Reads the configuration in force.
+    /// Reads the newest accepted configuration.
     pub async fn current(&self) -> Result<Current, ApplyError> {
         let Versioned {
             version,
@@ -128,7 +130,7 @@
                 ..Current::default()
             });
         };
-        let folder = self.folder(&head.hash).await?;
+        let folder = self.read_folder(&head.hash).await?;
         Ok(Current {
             head,
             folder,
@@ -137,8 +139,12 @@
         })
     }
 
-    /// Reads the files of an accepted version that is still in the history.
-    pub async fn folder_of(&self, current: &Current, version: u64) -> Result<Folder, ApplyError> {
+    /// Reads the files of an accepted version that is still in the head row's history.
+    pub async fn folder_at_version(
+        &self,
+        current: &Current,
+        version: u64,
+    ) -> Result<Folder, ApplyError> {
         if version == 0 {
             return Ok(Folder::default());
         }
@@ -149,13 +155,16 @@
             .find(|accepted| accepted.version == version);
         let Some(accepted) = accepted else {
             return Err(ApplyError::StoreUnavailable {
-                detail: format!("version {version} is too old to merge with; pull first"),
+                detail: format!(
+                    "version {version} is no longer in the history and can't be merged with; pull first"
+                ),
             });
         };
-        self.folder(&accepted.hash).await
+        self.read_folder(&accepted.hash).await
     }
 
-    /// Applies `mine`, begun from `base_version`; merges with what came since.
+    /// Applies `mine`, which was derived from `base_version`, and merges it with the
+    /// changes accepted since then.
     pub async fn apply(
         &self,
         mine: &Folder,
@@ -184,7 +193,7 @@
         }
     }
 
-    /// Merges a change with what was accepted since it was begun.
+    /// Merges a change with the changes accepted since its base version.
     async fn merge(
         &self,
         mine: &Folder,
@@ -194,15 +203,15 @@
         if base_version == current.head.version {
             return Ok(mine.clone());
         }
-        let base = self.folder_of(current, base_version).await?;
+        let base = self.folder_at_version(current, base_version).await?;
         let version = current.head.version;
         let merged = Folder::merge(&base, mine, &current.folder)
             .map_err(|files| ApplyError::RaceLost { version, files })?;
-        check(&merged, version)?;
+        check_merged(&merged, version)?;
         Ok(merged)
     }
 
-    /// Commits a head row; none if another change was accepted first.
+    /// Commits a head row; returns `None` if another change was accepted first.
     async fn commit(
         &self,
         row: &HeadRow,
@@ -210,23 +219,23 @@
         change_id: &str,
     ) -> Result<Option<Accepted>, ApplyError> {
         let mut detail = String::new();
-        let mut was_sent = false;
-        for _try in 0..SETTLE_TRIES {
+        let mut may_be_committed = false;
+        for _attempt in 0..COMMIT_ATTEMPTS {
             match self.table.write(HEAD_KEY, expected_version, row).await {
                 Ok(_version) => return Ok(row.find(change_id).cloned()),
                 Err(StoreError::Conflict) => match self.table.read::<HeadRow>(HEAD_KEY).await {
                     Ok(found) => return Ok(found.value.find(change_id).cloned()),
                     Err(error) => detail = error.to_string(),
                 },
-                Err(StoreError::NotDone { detail: seen }) if !was_sent => {
+                Err(StoreError::NotDone { detail: seen }) if !may_be_committed => {
                     return Err(ApplyError::StoreUnavailable { detail: seen });
                 }
                 Err(error) => {
-                    was_sent = true;
+                    may_be_committed = true;
                     detail = error.to_string();
                 }
             }
-            tokio::time::sleep(Duration::from_millis(SETTLE_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(COMMIT_RETRY_PAUSE_MS)).await;
         }
         Err(ApplyError::AcceptanceUnknown {
             change_id: change_id.to_owned(),
@@ -234,11 +243,11 @@
         })
     }
 
-    /// Reads the files of a body.
-    async fn folder(&self, hash: &str) -> Result<Folder, ApplyError> {
+    /// Reads the files of the configuration body with the given hash.
+    async fn read_folder(&self, hash: &str) -> Result<Folder, ApplyError> {
         let body = self.objects.get(hash).await.map_err(unavailable)?;
         let body = body.ok_or_else(|| ApplyError::StoreUnavailable {
-            detail: format!("the object store lacks body {hash}"),
+            detail: format!("object {hash} is missing from the object store"),
         })?;
         serde_json::from_slice(&body).map_err(|error| ApplyError::StoreUnavailable {
             detail: error.to_string(),
@@ -246,8 +255,8 @@
     }
 }
 
-/// Checks merged declarations as a whole.
-fn check(merged: &Folder, version: u64) -> Result<(), ApplyError> {
+/// Validates the merged declarations as a whole.
+fn check_merged(merged: &Folder, version: u64) -> Result<(), ApplyError> {
     let fault = |code, faults| {
         Err(ApplyError::MergedFaults {
             version,
@@ -276,7 +285,8 @@
     }
 }
 
-/// Turns a store's error into one that says that nothing was accepted.
+/// Converts a store error for operations before the commit, when nothing can have
+/// been accepted.
 #[expect(clippy::needless_pass_by_value, reason = "used with map_err")]
 fn unavailable(error: StoreError) -> ApplyError {
     ApplyError::StoreUnavailable {
@@ -284,8 +294,8 @@
     }
 }
 
-/// Lists file names.
-fn list(files: &BTreeSet<String>) -> String {
+/// Joins file names with commas.
+fn join_names(files: &BTreeSet<String>) -> String {
     files
         .iter()
         .map(String::as_str)
--- a/crates/cranereach-entry/src/callers/record.rs
+++ b/crates/cranereach-entry/src/callers/record.rs
@@ -1,4 +1,4 @@
-//! What is measured and logged of one request, at its end.
+//! Metrics and log line of one request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use prometheus::Histogram;
 use slog::info;
 
-use super::error_answer::Refusal;
+use super::error_response::Refusal;
 use crate::shared::Shared;
 use cranereach_core::codes::ResultCode;
 use cranereach_core::declarations::Class;
@@ -14,24 +14,24 @@
 use cranereach_core::names::TargetName;
 use cranereach_core::names::WorkerId;
 
-/// Follows one admitted request to its end; a drop without one is the caller's.
+/// Collects metrics of one request and logs its result; a drop before that means the caller left.
 #[derive(Debug)]
-pub(crate) struct Record {
+pub(crate) struct RequestRecord {
     shared: Arc<Shared>,
     account: AccountName,
     class: Class,
     target: TargetName,
     request_name: String,
     worker: Option<WorkerId>,
-    started: Instant,
-    last_token: Option<Instant>,
+    started_at: Instant,
+    last_token_at: Option<Instant>,
     token_count: u64,
     between_tokens: Histogram,
     is_finished: bool,
 }
 
-impl Record {
-    /// Starts to follow a request.
+impl RequestRecord {
+    /// Starts the record of a request.
     pub(crate) fn start(
         shared: &Arc<Shared>,
         account: &AccountName,
@@ -47,8 +47,8 @@
             target: target.clone(),
             request_name: request_name.to_owned(),
             worker: None,
-            started: Instant::now(),
-            last_token: None,
+            started_at: Instant::now(),
+            last_token_at: None,
             token_count: 0,
             between_tokens: shared
                 .metrics
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Notes that the request left the queue for a worker.
+    /// Records that the request left the queue for a worker; a second time counts as a retry.
     pub(crate) fn routed(&mut self, worker: &WorkerId) {
         if self.worker.is_none() {
-            let waited = self.started.elapsed().as_secs_f64();
+            let waited = self.started_at.elapsed().as_secs_f64();
             self.shared
                 .metrics
                 .queue_wait_seconds
@@ -73,24 +73,24 @@
         self.worker = Some(worker.clone());
     }
 
-    /// Notes tokens that are being passed on.
-    pub(crate) fn tokens(&mut self, count: u64) {
+    /// Records tokens that are forwarded to the caller.
+    pub(crate) fn add_tokens(&mut self, count: u64) {
         let now = Instant::now();
-        if let Some(last) = self.last_token {
+        if let Some(last) = self.last_token_at {
             self.between_tokens.observe((now - last).as_secs_f64());
         } else {
-            let first = (now - self.started).as_secs_f64();
+            let first = (now - self.started_at).as_secs_f64();
             self.shared
                 .metrics
                 .first_token_seconds
                 .with_label_values(&[self.account.as_str(), self.class.name()])
                 .observe(first);
         }
-        self.last_token = Some(now);
+        self.last_token_at = Some(now);
         self.token_count += count;
     }
 
-    /// Ends the request with a code.
+    /// Records the result of the request; later calls have no effect.
     pub(crate) fn finish(&mut self, code: ResultCode) {
         if self.is_finished {
             return;
@@ -106,30 +106,30 @@
             .tokens_total
             .with_label_values(&[self.account.as_str()])
             .inc_by(self.token_count);
-        let whole = self.started.elapsed();
+        let total_time = self.started_at.elapsed();
         if code == ResultCode::Served {
             metrics
                 .whole_answer_seconds
                 .with_label_values(&[self.account.as_str(), self.class.name()])
-                .observe(whole.as_secs_f64());
+                .observe(total_time.as_secs_f64());
         }
         info!(self.shared.log, "request"; "request" => self.request_name.as_str(), "account" => self.account.as_str(),
             "class" => self.class.name(), "target" => self.target.as_str(), "code" => row.number,
             "worker" => self.worker.as_ref().map(|worker| worker.as_str().to_owned()),
-            "tokens" => self.token_count, "whole_us" => whole.as_micros() as u64);
+            "tokens" => self.token_count, "whole_us" => total_time.as_micros() as u64);
     }
 }
 
-impl Drop for Record {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
         self.finish(ResultCode::CallerLeft);
     }
 }
 
-/// Counts and logs a request that was refused before it was followed.
-pub(crate) fn refused(shared: &Shared, request_name: &str, refusal: &Refusal) {
+/// Counts and logs a request that was refused before it had a [`RequestRecord`].
+pub(crate) fn record_refused(shared: &Shared, request_name: &str, refusal: &Refusal) {
     if refusal.account.is_some() {
-        // It was followed: its record has counted it.
+        // The request's record has already counted it.
         return;
     }
     let row = refusal.code.row();
--- /dev/null
+++ b/crates/cranereach-entry/src/callers/streamed_response.rs
@@ -0,0 +1,185 @@
+//! An upstream's response that is forwarded to the caller frame by frame.
+//!
+//! Nothing is buffered, so a slow caller slows the upstream down (backpressure). An event stream
+//! that is aborted ends with an error event and without `[DONE]`; any other response that is
+//! aborted closes its connection.
+
+use std::pin::Pin;
+use std::task::Context;
+use std::task::Poll;
+use std::task::ready;
+
+use bytes::Bytes;
+use hyper::body::Body;
+use hyper::body::Frame;
+use hyper::body::Incoming;
+use hyper::body::SizeHint;
+use tokio::time::Instant;
+use tokio::time::Sleep;
+
+use super::dispatch_guard::DispatchGuard;
+use super::error_response;
+use super::job::BodyKind;
+use super::job::Job;
+use super::record::RequestRecord;
+use super::response_body::ResponseAborted;
+use crate::upstream::UpstreamRequestBody;
+use cranereach_core::codes::ResultCode;
+use cranereach_http::pool::Connection;
+
+/// Marker that ends a complete event stream.
+const DONE_MARKER: &[u8] = b"[DONE]";
+
+/// Number of bytes kept from the end of the stream, to find [`DONE_MARKER`] across frames.
+const TAIL_BYTES: usize = 16;
+
+/// A response that is being forwarded.
+#[derive(Debug)]
+pub(crate) struct StreamedResponse {
+    kind: BodyKind,
+    request_name: String,
+    first_chunk: Option<Bytes>,
+    incoming: Incoming,
+    connection: Option<Connection<UpstreamRequestBody>>,
+    dispatch_guard: DispatchGuard,
+    record: RequestRecord,
+    deadline: Pin<Box<Sleep>>,
+    tail: Vec<u8>,
+    is_ended: bool,
+}
+
+impl StreamedResponse {
+    /// Creates a response that ends with an error once `deadline` has passed.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "the parts of one exchange, handed over once"
+    )]
+    pub(crate) fn new(
+        job: &Job,
+        request_name: &str,
+        first_chunk: Option<Bytes>,
+        incoming: Incoming,
+        connection: Connection<UpstreamRequestBody>,
+        dispatch_guard: DispatchGuard,
+        record: RequestRecord,
+        deadline: Instant,
+    ) -> Self {
+        Self {
+            kind: job.kind,
+            request_name: request_name.to_owned(),
+            first_chunk,
+            incoming,
+            connection: Some(connection),
+            dispatch_guard,
+            record,
+            deadline: Box::pin(tokio::time::sleep_until(deadline)),
+            tail: Vec::new(),
+            is_ended: false,
+        }
+    }
+
+    /// Whether the response has ended, complete or not.
+    pub(crate) fn is_ended(&self) -> bool {
+        self.is_ended
+    }
+
+    /// Returns the size hint of the upstream's body for a plain response, else an unknown size.
+    pub(crate) fn size_hint(&self) -> SizeHint {
+        if self.kind == BodyKind::Plain {
+            self.incoming.size_hint()
+        } else {
+            SizeHint::default()
+        }
+    }
+
+    /// Polls the next frame for the caller.
+    pub(crate) fn poll_next(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
+        if self.is_ended {
+            return Poll::Ready(None);
+        }
+        if let Some(first) = self.first_chunk.take() {
+            return Poll::Ready(Some(Ok(self.record_frame(Frame::data(first)))));
+        }
+        if self.deadline.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(Some(self.abort(ResultCode::DeadlinePassedRunning)));
+        }
+        match ready!(Pin::new(&mut self.incoming).poll_frame(cx)) {
+            Some(Ok(frame)) => Poll::Ready(Some(Ok(self.record_frame(frame)))),
+            Some(Err(_body_error)) => Poll::Ready(Some(self.abort(ResultCode::BrokenMidway))),
+            None if self.is_complete() => {
+                self.finish();
+                Poll::Ready(None)
+            }
+            None => Poll::Ready(Some(self.abort(ResultCode::BrokenMidway))),
+        }
+    }
+
+    /// Records a frame that is forwarded, and returns it.
+    fn record_frame(&mut self, frame: Frame<Bytes>) -> Frame<Bytes> {
+        if let Some(data) = frame.data_ref() {
+            let count = if self.kind == BodyKind::EventStream {
+                count_events(data)
+            } else {
+                1
+            };
+            self.record.add_tokens(count);
+            self.dispatch_guard.cost_tokens += count as f64;
+            self.update_tail(data);
+        }
+        if self.kind == BodyKind::Plain && self.incoming.is_end_stream() {
+            self.finish();
+        }
+        frame
+    }
+
+    /// Keeps the last bytes of an event stream.
+    fn update_tail(&mut self, data: &[u8]) {
+        if self.kind != BodyKind::EventStream {
+            return;
+        }
+        let from = data.len().saturating_sub(TAIL_BYTES);
+        self.tail.extend_from_slice(&data[from..]);
+        let surplus = self.tail.len().saturating_sub(TAIL_BYTES);
+        self.tail.drain(..surplus);
+    }
+
+    /// Whether the forwarded frames are a complete response, now that the upstream's body ended.
+    fn is_complete(&self) -> bool {
+        self.kind != BodyKind::EventStream
+            || self
+                .tail
+                .windows(DONE_MARKER.len())
+                .any(|window| window == DONE_MARKER)
+    }
+
+    /// Ends a complete response and returns the connection to its pool.
+    fn finish(&mut self) {
+        self.is_ended = true;
+        if let Some(connection) = self.connection.take() {
+            connection.keep();
+        }
+        self.record.finish(ResultCode::Served);
+        self.dispatch_guard.release(true);
+    }
+
+    /// Ends an incomplete response; dropping the connection cancels the request at the upstream.
+    fn abort(&mut self, code: ResultCode) -> Result<Frame<Bytes>, ResponseAborted> {
+        self.is_ended = true;
+        self.connection = None;
+        self.record.finish(code);
+        self.dispatch_guard.release(false);
+        if self.kind == BodyKind::EventStream {
+            let event = error_response::event(code, &self.request_name);
+            return Ok(Frame::data(event));
+        }
+        Err(ResponseAborted)
+    }
+}
+
+/// Counts the events in a chunk of an event stream by their terminating blank lines.
+fn count_events(data: &[u8]) -> u64 {
+    data.windows(2).filter(|pair| pair == b"\n\n").count() as u64
+}
--- a/crates/cranereach-entry/src/control_actor/arrange.rs
+++ b/crates/cranereach-entry/src/control_actor/cell_assignment.rs
@@ -1,4 +1,4 @@
-//! Sorts the listed workers into cells and keeps a client for each.
+//! Assigns the listed workers to cells and keeps a client for each worker.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,8 +19,9 @@
 use cranereach_wire::platform::Role;
 
 impl ControlActor {
-    /// Sorts the listed workers into cells.
-    pub(super) fn arrange(&mut self) {
+    /// Assigns the listed workers to cells and drops cells and clients that are no
+    /// longer listed.
+    pub(super) fn assign_cells(&mut self) {
         let snapshot = self.shared.snapshot();
         let listed = self.shared.listed();
         let workers: Vec<&ListedInstance> = listed
@@ -36,17 +37,22 @@
             else {
                 continue;
             };
-            let sharing = workers
+            let same_domain_count = workers
                 .iter()
                 .filter(|other| other.pool == instance.pool && other.domain == instance.domain)
                 .count();
-            let cell = cell_of(&pool.name, &instance.domain, &worker_id(instance), sharing);
+            let cell = cell_of(
+                &pool.name,
+                &instance.domain,
+                &worker_id(instance),
+                same_domain_count,
+            );
             let is_live = instance.state == ListState::Live;
             members
                 .entry(cell)
                 .or_default()
                 .extend(is_live.then(|| worker_id(instance)));
-            self.keep_client(instance);
+            self.ensure_client(instance);
         }
         self.clients
             .retain(|id, _| workers.iter().any(|instance| &worker_id(instance) == id));
@@ -55,12 +61,12 @@
         let cells = members.iter().flat_map(|(cell, workers)| {
             workers.iter().map(|worker| (worker.clone(), cell.clone()))
         });
-        self.residents.arrange(cells.collect());
-        self.make_cells(members);
+        self.residents.set_cells(cells.collect());
+        self.update_cells(members);
     }
 
-    /// Keeps a client for a worker's address.
-    fn keep_client(&mut self, instance: &ListedInstance) {
+    /// Creates a client for a worker if there is none for its present address.
+    fn ensure_client(&mut self, instance: &ListedInstance) {
         let id = worker_id(instance);
         let is_known = self
             .clients
@@ -72,8 +78,10 @@
         }
     }
 
-    /// Makes missing cells and tells all which workers they have.
-    fn make_cells(&mut self, members: HashMap<CellId, Vec<WorkerId>>) {
+    /// Creates missing cells and updates the worker list of every cell.
+    ///
+    /// A cell whose pool's `checks_fences` has changed is created anew.
+    fn update_cells(&mut self, members: HashMap<CellId, Vec<WorkerId>>) {
         let snapshot = self.shared.snapshot();
         let engine_cells = members.keys().filter(|cell| {
             snapshot
@@ -81,7 +89,7 @@
                 .get(&cell.pool)
                 .is_some_and(|pool| pool.kind == PoolKind::Engine)
         });
-        let options = self.options(engine_cells.count());
+        let options = self.cell_options(engine_cells.count());
         let now_ms = self.shared.now_ms();
         for (id, workers) in members {
             let Some(pool) = snapshot.pools.get(&id.pool) else {
@@ -110,8 +118,8 @@
         }
     }
 
-    /// Returns the options of a cell: its part of the weight store's limits.
-    fn options(&self, engine_cells_count: usize) -> ControlOptions {
+    /// Returns the options of a cell, with its share of the weight store's limits.
+    fn cell_options(&self, engine_cells_count: usize) -> ControlOptions {
         let settings = &self.shared.settings;
         let cells_count = engine_cells_count.max(1);
         let policy = residency::find(&settings.policy.residency).unwrap_or(&residency::MARGINAL);
--- a/crates/cranereach-entry/src/peers/bodies.rs
+++ b/crates/cranereach-entry/src/peers/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of configurations over TCP, from whoever holds them.
+//! Serves configuration bodies to peers and fetches them from peers, over TCP.
 
 use std::io;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 use crate::discovery;
-use crate::platform::objects::hash_of;
+use crate::platform::objects::content_hash;
 use crate::shared::PeerAddress;
 use crate::shared::Shared;
 use crate::shared::lock;
@@ -21,13 +21,13 @@
 use cranereach_wire::peer::open;
 use cranereach_wire::peer::seal;
 
-/// Time for one exchange with a peer, in milliseconds.
-const EXCHANGE_WITHIN_MS: u64 = 1_000;
+/// Time limit of one exchange with a peer, in milliseconds.
+const EXCHANGE_TIMEOUT_MS: u64 = 1_000;
 
-/// Peers asked before the object store is.
-const ASKED_COUNT: usize = 3;
+/// Number of peers asked before falling back to the object store.
+const MAX_PEERS_ASKED: usize = 3;
 
-/// Answers peers until the process ends.
+/// Serves peers until the process ends.
 pub async fn run(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _peer)) = listener.accept().await else {
@@ -36,9 +36,9 @@
         };
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let within = Duration::from_millis(EXCHANGE_WITHIN_MS);
-            let answered = tokio::time::timeout(within, answer(&shared, stream)).await;
-            if !matches!(answered, Ok(Ok(()))) {
+            let time_limit = Duration::from_millis(EXCHANGE_TIMEOUT_MS);
+            let result = tokio::time::timeout(time_limit, serve_body(&shared, stream)).await;
+            if !matches!(result, Ok(Ok(()))) {
                 shared
                     .metrics
                     .peer_dropped_total
@@ -49,23 +49,28 @@
     }
 }
 
-/// Fetches a body from the peers; none if none of them gives it.
+/// Fetches a body from peers, live ones first; `None` if no peer asked has it.
 pub async fn fetch(shared: &Shared, hash: &str) -> Option<Bytes> {
     let mut peers = discovery::peers(shared);
     let live = shared.membership().live(shared.now_ms());
     peers.sort_by_key(|peer| (!live.contains(&peer.id), rand::random::<u32>()));
-    for peer in peers.iter().take(ASKED_COUNT) {
-        let within = Duration::from_millis(EXCHANGE_WITHIN_MS);
-        let asked = tokio::time::timeout(within, ask(shared, peer, hash)).await;
-        if let Ok(Ok(Some(body))) = asked {
+    for peer in peers.iter().take(MAX_PEERS_ASKED) {
+        let time_limit = Duration::from_millis(EXCHANGE_TIMEOUT_MS);
+        let fetched = tokio::time::timeout(time_limit, request_body(shared, peer, hash)).await;
+        if let Ok(Ok(Some(body))) = fetched {
             return Some(body);
         }
     }
     None
 }
 
-/// Asks one peer for a body.
-async fn ask(shared: &Shared, peer: &PeerAddress, hash: &str) -> io::Result<Option<Bytes>> {
+/// Requests a body from one peer; `None` if it doesn't have the body or the hash
+/// doesn't match.
+async fn request_body(
+    shared: &Shared,
+    peer: &PeerAddress,
+    hash: &str,
+) -> io::Result<Option<Bytes>> {
     let mut stream = TcpStream::connect(peer.address).await?;
     let request = PeerRequest::Body {
         hash: hash.to_owned(),
@@ -73,11 +78,13 @@
     write_frame(&mut stream, &seal(&shared.peer_key, &request)).await?;
     let sealed = read_frame(&mut stream).await?;
     let PeerAnswer::Body(body) = open(&shared.peer_key, &sealed).map_err(io::Error::other)?;
-    Ok(body.map(Bytes::from).filter(|body| hash_of(body) == hash))
+    Ok(body
+        .map(Bytes::from)
+        .filter(|body| content_hash(body) == hash))
 }
 
-/// Answers one peer.
-async fn answer(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
+/// Answers one request of a peer.
+async fn serve_body(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
     let sealed = read_frame(&mut stream).await?;
     let PeerRequest::Body { hash } = open(&shared.peer_key, &sealed).map_err(io::Error::other)?;
     let held = lock(&shared.held_body).clone();
@@ -89,20 +96,21 @@
     .await
 }
 
-/// Writes a message with its length before it.
+/// Writes a message, prefixed with its length.
 async fn write_frame(stream: &mut TcpStream, sealed: &[u8]) -> io::Result<()> {
     stream.write_u32(sealed.len() as u32).await?;
     stream.write_all(sealed).await?;
     stream.flush().await
 }
 
-/// Reads a message with its length before it.
+/// Reads a length-prefixed message.
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await? as usize;
     if length > MESSAGE_MAX_BYTES {
-        return Err(io::Error::other("the message is too large"));
+        return Err(io::Error::other("peer message exceeds the maximum size"));
     }
-    // Memory grows with what arrives, not with what the length claims.
+    // The buffer grows with the data received; a peer can't make this instance allocate
+    // memory by merely announcing a large length.
     let mut sealed = Vec::new();
     stream.take(length as u64).read_to_end(&mut sealed).await?;
     if sealed.len() < length {
--- a/crates/cranereach-fleet/src/quarantine/local.rs
+++ b/crates/cranereach-fleet/src/quarantine/local.rs
@@ -11,7 +11,7 @@
 
 /// What this instance itself has observed of a request, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct LocalObservations {
     /// Route of the request.
     pub route: Arc<str>,
     /// Client account as labeled in metrics; empty if there is none.
@@ -24,7 +24,7 @@
 
 /// A request as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct SuspectReport {
     /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
     /// Evidence against the request.
@@ -32,7 +32,7 @@
     /// Ends of workers that ran it.
     pub ends: Vec<WorkerEnd>,
     /// What this instance has observed.
-    pub seen: Seen,
+    pub observed: LocalObservations,
 }
 
 impl Quarantine {
@@ -40,14 +40,14 @@
     pub fn refused(&mut self, now_ms: i64, mark: RequestMark) -> u64 {
         self.suspects.get_mut(&mark).map_or(0, |suspect| {
             suspect.requested_at_ms = now_ms;
-            suspect.seen.refused_count += 1;
-            suspect.seen.refused_count
+            suspect.observed.refused_count += 1;
+            suspect.observed.refused_count
         })
     }
 
     /// Records route and account of a known request and, if given, a worker that ended while
     /// running it for this instance.
-    pub fn note(
+    pub fn record_observation(
         &mut self,
         mark: RequestMark,
         route: &Arc<str>,
@@ -57,13 +57,13 @@
         let Some(suspect) = self.suspects.get_mut(&mark) else {
             return;
         };
-        let seen = &mut suspect.seen;
-        seen.route = Arc::clone(route);
-        seen.account = Arc::from(account);
+        let observed = &mut suspect.observed;
+        observed.route = Arc::clone(route);
+        observed.account = Arc::from(account);
         if let Some((key, id)) = worker
-            && seen.workers.len() < KEPT_END_COUNT
+            && observed.workers.len() < KEPT_END_COUNT
         {
-            seen.workers.push((key, Arc::clone(id)));
+            observed.workers.push((key, Arc::clone(id)));
         }
     }
 
@@ -76,16 +76,16 @@
     }
 
     /// Lists the requests with evidence against them.
-    pub fn list(&self) -> impl Iterator<Item = Listed> {
+    pub fn list(&self) -> impl Iterator<Item = SuspectReport> {
         let listed = self
             .suspects
             .iter()
             .filter(|(_, suspect)| !suspect.ends.is_empty());
-        listed.map(|(mark, suspect)| Listed {
+        listed.map(|(mark, suspect)| SuspectReport {
             fingerprint: mark.fingerprint,
             suspicion: suspect.suspicion(),
             ends: suspect.ends.clone(),
-            seen: suspect.seen.clone(),
+            observed: suspect.observed.clone(),
         })
     }
 }
--- a/crates/cranereach-fleet/src/roster/restrictions.rs
+++ b/crates/cranereach-fleet/src/roster/restrictions.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use super::Roster;
+use crate::routing_request::RoutingRequest;
 use crate::store_position::StorePosition;
-use crate::wanted::Wanted;
 use crate::worker::Worker;
 
 impl Roster {
@@ -43,7 +43,7 @@
     }
 
     /// Whether a worker currently limits the requests that it takes in a second.
-    pub fn names_limit(&self, now_ms: u64, id: &str) -> bool {
+    pub fn is_rate_limited(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| worker.limit.rate_per_s(now_ms).is_some())
     }
@@ -53,37 +53,44 @@
     pub fn is_cold(&self, now_ms: u64, id: &str) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| {
-            worker.coldness.is_cold(now_ms) || self.evacuations.is_asked(worker.domain_key)
+            worker.coldness.is_cold(now_ms) || self.evacuations.is_listed(worker.domain_key)
         })
     }
 
     /// Returns two times, in milliseconds, for workers that have what a request needs but may be
     /// sent nothing for now: the earliest at which one's owner may be asked for a grant, and the
     /// earliest at which one needs no grant. None if there is no such worker.
-    pub fn free_from_ms(&self, now_ms: u64, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
+    pub fn next_ask_and_free_ms(
+        &self,
+        now_ms: u64,
+        request: &RoutingRequest<'_>,
+    ) -> Option<(u64, u64)> {
         let is_blocked = |worker: &&Worker| {
-            let may_send = worker.rest.may_send(now_ms, wanted.rank)
-                && worker.ask_pause.may_ask(now_ms, wanted.rank);
-            !worker.is_leaving() && worker.has(now_ms, wanted.model).is_ok() && !may_send
+            let may_send = worker.rest.may_send(now_ms, request.rank)
+                && worker.ask_pause.may_ask(now_ms, request.rank);
+            !worker.is_leaving() && worker.has(now_ms, request.model).is_ok() && !may_send
         };
-        let all: Vec<&Worker> = match wanted.model {
+        let all: Vec<&Worker> = match request.model {
             Some((model, _adapter)) => {
-                let holders = self.holders_of(wanted.service, model);
+                let holders = self.holders_of(request.service, model);
                 holders.filter(is_blocked).collect()
             }
-            None => self.of_service(wanted.service).filter(is_blocked).collect(),
+            None => self
+                .of_service(request.service)
+                .filter(is_blocked)
+                .collect(),
         };
         let times = all.into_iter().map(|worker| {
-            let rested_at_ms = worker.rest.free_at_ms(wanted.rank);
-            let ask_at_ms = worker.ask_pause.ask_at_ms(wanted.rank).max(rested_at_ms);
+            let rested_at_ms = worker.rest.may_send_from_ms(request.rank);
+            let ask_at_ms = worker.ask_pause.ask_at_ms(request.rank).max(rested_at_ms);
             let is_limited = worker.limit.rate_per_s(now_ms).is_some();
             // It is not known when a limit ends, so the time of its next possible grant counts.
-            let free_at_ms = if is_limited {
+            let may_send_from_ms = if is_limited {
                 ask_at_ms
             } else {
                 worker.coldness.warm_at_ms().max(rested_at_ms)
             };
-            (ask_at_ms, free_at_ms)
+            (ask_at_ms, may_send_from_ms)
         });
         times.reduce(|first, other| (first.0.min(other.0), first.1.min(other.1)))
     }
@@ -97,6 +104,6 @@
     /// Whether the failure domain of a worker is being evacuated.
     pub fn is_evacuated(&self, id: &str) -> bool {
         let worker = self.workers.get(id);
-        worker.is_some_and(|worker| self.evacuations.is_asked(worker.domain_key))
+        worker.is_some_and(|worker| self.evacuations.is_listed(worker.domain_key))
     }
 }
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -9,14 +9,14 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
+use self::workers::routing_request;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::load::Load;
-use cranereach_fleet::owned::Standing;
+use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::roster::Roster;
+use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Topology;
-use cranereach_fleet::wanted::Wanted;
 
 /// Returns the position of a version of a store that has never come back from a copy.
 fn at(version: u64) -> StorePosition {
@@ -57,24 +57,27 @@
 }
 
 /// A request of an instance that knows the table.
-fn request<'a>(topology: &'a Topology, model: Option<(&'a str, Option<&'a str>)>) -> Wanted<'a> {
-    Wanted {
+fn request<'a>(
+    topology: &'a Topology,
+    model: Option<(&'a str, Option<&'a str>)>,
+) -> RoutingRequest<'a> {
+    RoutingRequest {
         topology,
-        ..wanted(model)
+        ..routing_request(model)
     }
 }
 
 /// An owner's word that so much is to be read before.
-fn busy(unread_ms: f64) -> Standing {
-    Standing {
+fn busy(unread_ms: f64) -> WorkerStatus {
+    WorkerStatus {
         load: Load {
             open_count: 1,
             waiting_count: [1, 0, 0],
             unread_ms: [unread_ms, 0.0, 0.0],
             ..Load::default()
         },
-        pace_ratio: 1.0,
-        ..Standing::default()
+        slowdown_ratio: 1.0,
+        ..WorkerStatus::default()
     }
 }
 
@@ -107,14 +110,26 @@
         names(&further)
     };
     // One of them is idle, or nearly: nobody else is asked.
-    roster.get_mut("z1").unwrap().stands(0, busy(400.0));
-    roster.get_mut("z2").unwrap().stands(0, busy(10.0));
+    roster
+        .get_mut("z1")
+        .unwrap()
+        .set_owner_status(0, busy(400.0));
+    roster
+        .get_mut("z2")
+        .unwrap()
+        .set_owner_status(0, busy(10.0));
     assert!(further(&roster, &mut rng).is_empty());
     // Both are busy: whoever is elsewhere may be idle, in another region only if the
     // way there is worth it.
-    roster.get_mut("z2").unwrap().stands(0, busy(75.0));
+    roster
+        .get_mut("z2")
+        .unwrap()
+        .set_owner_status(0, busy(75.0));
     assert_eq!(further(&roster, &mut rng), ["y1", "y2"]);
-    roster.get_mut("z2").unwrap().stands(0, busy(400.0));
+    roster
+        .get_mut("z2")
+        .unwrap()
+        .set_owner_status(0, busy(400.0));
     assert_eq!(further(&roster, &mut rng), ["x1", "y1", "y2"]);
 }
 
@@ -138,11 +153,11 @@
     assert_eq!(names(&asked), ["x1", "x2"]);
     // One that failed is left alone while others, however far, are well.
     let mut roster = self::roster(&[("z1", "z"), ("x1", "x")]);
-    let put_aside = Standing {
+    let put_aside = WorkerStatus {
         is_aside: true,
         ..busy(0.0)
     };
-    roster.get_mut("z1").unwrap().stands(0, put_aside);
+    roster.get_mut("z1").unwrap().set_owner_status(0, put_aside);
     let asked = roster
         .candidates(1, &request, engine, COUNT, &mut rng)
         .unwrap();
@@ -164,8 +179,8 @@
 #[test]
 fn a_worker_overseas_is_weighed_by_the_way_there_and_one_next_door_is_not() {
     let topology = topology();
-    let request = Wanted {
-        crossings_ms: [0.0, 4.0, 60.0],
+    let request = RoutingRequest {
+        extra_start_delays_ms: [0.0, 4.0, 60.0],
         ..request(&topology, Some(("m", None)))
     };
     let engine = Some(&engine());
@@ -178,7 +193,10 @@
     ] {
         let id = format!("{far}1");
         let mut roster = roster(&[("z1", "z"), (&id, far)]);
-        roster.get_mut("z1").unwrap().stands(0, busy(unread_ms));
+        roster
+            .get_mut("z1")
+            .unwrap()
+            .set_owner_status(0, busy(unread_ms));
         let choice = roster.choose(1, &request, engine, &mut rng).unwrap();
         assert_eq!(choice.id.as_ref(), chosen, "{unread_ms}");
     }
--- a/crates/cranereach-fleet/tests/evacuations.rs
+++ b/crates/cranereach-fleet/tests/evacuations.rs
@@ -12,7 +12,7 @@
 use cranereach_fleet::evacuation::Evacuations;
 use cranereach_fleet::proof::Proof;
 use cranereach_fleet::proof::ProofAnswer;
-use cranereach_fleet::proof::ProofQuestion;
+use cranereach_fleet::proof::ProofQuery;
 use cranereach_fleet::store_position::StorePosition;
 
 /// Returns the position of a version of a store that has never come back from a copy.
@@ -41,7 +41,7 @@
 /// What is on its way.
 #[derive(Clone, Debug)]
 enum Parcel {
-    Question(usize, ProofQuestion),
+    Question(usize, ProofQuery),
     Answer(ProofAnswer),
     News(EvacuationList),
     /// The whole table, asked for at a time of the reader's clock, of a start.
@@ -368,7 +368,7 @@
                 _ => {}
             }
         }
-        let stopped = world.instances.iter().filter(|of| !of.known.is_asked(1));
+        let stopped = world.instances.iter().filter(|of| !of.known.is_listed(1));
         assert!(stopped.count() >= count - 2, "the withdrawal is known");
     }
 }
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -8,8 +8,8 @@
 use rand::rngs::SmallRng;
 
 use self::workers::record;
-use self::workers::wanted;
-use cranereach_fleet::owned::Standing;
+use self::workers::routing_request;
+use cranereach_fleet::owned::WorkerStatus;
 use cranereach_fleet::roster::Choice;
 use cranereach_fleet::roster::Roster;
 use cranereach_fleet::store_position::StorePosition;
@@ -24,15 +24,15 @@
 fn choice(now_ms: u64, send_in_ms: f64) -> Choice {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[]));
-    let standing = Standing {
-        pace_ratio: 1.0,
+    let status = WorkerStatus {
+        slowdown_ratio: 1.0,
         send_in_ms,
-        ..Standing::default()
+        ..WorkerStatus::default()
     };
-    roster.get_mut("a").unwrap().stands(1_000, standing);
+    roster.get_mut("a").unwrap().set_owner_status(1_000, status);
     let mut rng = SmallRng::seed_from_u64(1);
     let among = [Arc::from("a")];
-    let chosen = roster.choose_among(now_ms, &among, &wanted(None), None, &mut rng);
+    let chosen = roster.choose_among(now_ms, &among, &routing_request(None), None, &mut rng);
     chosen.unwrap()
 }
 
--- a/crates/cranereach-fleet/tests/limits/fleet.rs
+++ b/crates/cranereach-fleet/tests/limits/fleet.rs
@@ -9,14 +9,14 @@
 use rand::rngs::StdRng;
 
 use cranereach_fleet::accounts::Limit;
+use cranereach_fleet::limits::AccountUsages;
 use cranereach_fleet::limits::Decision;
 use cranereach_fleet::limits::Grant;
 use cranereach_fleet::limits::OwnedLimits;
 use cranereach_fleet::limits::Ownership;
 use cranereach_fleet::limits::PartKey;
 use cranereach_fleet::limits::Tolerance;
-use cranereach_fleet::limits::Uses;
-use cranereach_fleet::limits::Wanted;
+use cranereach_fleet::limits::UnitRequest;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::topology::DomainTag;
 
@@ -50,7 +50,7 @@
 /// One instance.
 pub struct Instance {
     pub members: Membership,
-    pub uses: Uses,
+    pub uses: AccountUsages,
     pub owned: OwnedLimits,
     pub down_until_ms: u64,
     /// Until when it answers nobody, although it lives.
@@ -109,7 +109,7 @@
         let seeds = [address(0), address(1), address(2)];
         Instance {
             members: Membership::new(address(number), DomainTag::default(), &seeds),
-            uses: Uses::default(),
+            uses: AccountUsages::default(),
             owned: OwnedLimits::default(),
             down_until_ms: 0,
             busy_until_ms: 0,
@@ -154,10 +154,10 @@
                 let was_up = sign_ms >= self.instances[other].started_ms;
                 if other != number && was_up && self.is_up(other) {
                     let members = &mut self.instances[number].members;
-                    members.saw(sign_ms, address(other), DomainTag::default(), false);
+                    members.heard_from(sign_ms, address(other), DomainTag::default(), false);
                 }
             }
-            self.instances[number].members.look(self.now_ms);
+            self.instances[number].members.refresh(self.now_ms);
         }
     }
 
@@ -174,13 +174,13 @@
             while owed > 0.0 {
                 let cost = f64::from(self.rng.random_range(200..5_000_u32));
                 owed -= cost;
-                self.request(cost);
+                self.charge(cost);
             }
         }
     }
 
     /// One request at some instance that is up.
-    pub fn request(&mut self, cost: f64) {
+    pub fn charge(&mut self, cost: f64) {
         let number = self.rng.random_range(0..self.instances.len());
         if !self.is_up(number) {
             return;
@@ -189,15 +189,15 @@
         let decision = self.instances[number]
             .uses
             .decide(now_ms, ACCOUNT, self.limit, &TOLERANCE, cost);
-        let (wanted, held) = match decision {
+        let (request, held) = match decision {
             Decision::Paid => return self.paid(number, cost),
             Decision::Beyond(_) => {
                 self.counts.refused += 1;
                 return;
             }
-            Decision::Ask { wanted, held } => (wanted, held),
+            Decision::Ask { request, held } => (request, held),
         };
-        let grant = self.ask(number, wanted);
+        let grant = self.ask(number, request);
         let uses = &mut self.instances[number].uses;
         match grant {
             Some(Grant::Units(units)) => {
@@ -210,7 +210,7 @@
                 self.counts.refused += 1;
             }
             None => {
-                let may_run = uses.may_run_alone(now_ms, ACCOUNT, cost);
+                let may_run = uses.may_run_without_owner(now_ms, ACCOUNT, cost);
                 self.give_back(number, held);
                 if may_run {
                     self.ran(cost);
@@ -232,7 +232,7 @@
             Ownership::StandIn
         } else if self.instances.iter().all(is_young) {
             Ownership::Restarted
-        } else if of.members.same_for_ms(self.now_ms).min(up_for_ms) >= 8_000 {
+        } else if of.members.unchanged_for_ms(self.now_ms).min(up_for_ms) >= 8_000 {
             Ownership::Settled
         } else {
             Ownership::Fresh
@@ -240,7 +240,7 @@
     }
 
     /// Asks owners as the gateway does.
-    pub fn ask(&mut self, number: usize, wanted: Wanted) -> Option<Grant> {
+    pub fn ask(&mut self, number: usize, request: UnitRequest) -> Option<Grant> {
         let part_count = TOLERANCE.part_count(self.limit);
         let first: u32 = self.rng.random();
         let mut refusal = None;
@@ -260,16 +260,18 @@
             self.counts.asked += 1;
             let is_busy = self.now_ms < self.instances[owner_number].busy_until_ms;
             if is_busy || !self.is_up(owner_number) {
-                self.instances[number].members.missed(self.now_ms, owner);
+                self.instances[number]
+                    .members
+                    .reply_missed(self.now_ms, owner);
                 continue;
             }
-            self.instances[number].members.answered(owner);
+            self.instances[number].members.reply_received(owner);
             let ownership = self.ownership(owner_number, key);
             let asked = &mut self.instances[owner_number];
             let grant =
                 asked
                     .owned
-                    .take(self.now_ms, key, self.limit, &TOLERANCE, wanted, ownership);
+                    .take(self.now_ms, key, self.limit, &TOLERANCE, request, ownership);
             match grant {
                 Grant::Units(units) => return Some(Grant::Units(units)),
                 refused @ Grant::After(_) => refusal = Some(refused),
@@ -325,6 +327,6 @@
 
     /// Returns the most that was run within a window, as a share of what is tolerated.
     pub fn most_share(&self) -> f64 {
-        self.most / (TOLERANCE.whole(self.limit) + TOLERANCE.excess(self.limit))
+        self.most / (TOLERANCE.units_per_window(self.limit) + TOLERANCE.excess(self.limit))
     }
 }
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -9,10 +9,10 @@
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 
+use cranereach_fleet::membership::GOSSIPED_MAX_COUNT;
 use cranereach_fleet::membership::MEMBER_MAX_COUNT;
-use cranereach_fleet::membership::MemberNews;
+use cranereach_fleet::membership::MemberUpdate;
 use cranereach_fleet::membership::Membership;
-use cranereach_fleet::membership::TOLD_MAX_COUNT;
 use cranereach_fleet::topology::DomainTag;
 use cranereach_fleet::topology::Topology;
 
@@ -81,7 +81,7 @@
         }
     }
 
-    fn tell(&mut self, sender: usize, recipient: Ipv4Addr, news: &[MemberNews]) {
+    fn tell(&mut self, sender: usize, recipient: Ipv4Addr, news: &[MemberUpdate]) {
         let recipient = (u32::from(recipient) - u32::from(address(0))) as usize;
         let is_lost = self.rng.random_bool(self.lost_share);
         if is_lost || !self.is_up[recipient] || self.cut.contains(&recipient) {
@@ -89,8 +89,8 @@
         }
         let delay_ms = self.rng.random_range(0..50);
         let of = &mut self.members[recipient];
-        of.saw(self.now_ms, address(sender), domain(sender), false);
-        of.told(self.now_ms + delay_ms, news);
+        of.heard_from(self.now_ms, address(sender), domain(sender), false);
+        of.merge(self.now_ms + delay_ms, news);
     }
 
     /// Rounds until a share of the instances that are up think as told of a member.
@@ -129,7 +129,7 @@
     assert!(least >= 296, "{least} of 299 known");
     // One dies: all know it within the time for which silence counts as life.
     fleet.is_up[77] = false;
-    let within_ms = fleet.members[0].alive_within_ms();
+    let within_ms = fleet.members[0].liveness_timeout_ms();
     let round_count = fleet.until(77, false, 80);
     assert!(
         round_count as u64 * ROUND_MS <= within_ms + 2_000,
@@ -188,14 +188,14 @@
     let topology = topology();
     let number_of = |address: Ipv4Addr| (u32::from(address) - u32::from(self::address(0))) as usize;
     for (place, (name, _)) in DOMAINS.iter().enumerate() {
-        let around = topology.around(name);
+        let proximity = topology.proximity_of(name);
         let mut key_counts = [0; 60];
         for key in 0..120_u64 {
-            let owner = fleet.members[0].owner_near(fleet.now_ms, key, &around);
+            let owner = fleet.members[0].owner_near(fleet.now_ms, key, &proximity);
             assert_eq!(number_of(owner) % DOMAINS.len(), place, "{key}");
             key_counts[number_of(owner)] += 1;
             let agree = fleet.members.iter();
-            let agree = agree.filter(|of| of.owner_near(fleet.now_ms, key, &around) == owner);
+            let agree = agree.filter(|of| of.owner_near(fleet.now_ms, key, &proximity) == owner);
             assert!(agree.count() >= 56, "{key}");
         }
         assert!(key_counts.iter().max() <= Some(&24), "{key_counts:?}");
@@ -204,12 +204,12 @@
     for number in (0..60).filter(|number| number % DOMAINS.len() == 2) {
         fleet.is_up[number] = false;
     }
-    let within_ms = fleet.members[0].alive_within_ms() + 2_000;
+    let within_ms = fleet.members[0].liveness_timeout_ms() + 2_000;
     for _round in 0..within_ms / ROUND_MS {
         fleet.round();
     }
     for key in 0..120 {
-        let owner = fleet.members[0].owner_near(fleet.now_ms, key, &topology.around("c"));
+        let owner = fleet.members[0].owner_near(fleet.now_ms, key, &topology.proximity_of("c"));
         assert_eq!(number_of(owner) % DOMAINS.len(), 3, "{key}");
     }
     // Then the other one, too: whoever lives.
@@ -219,9 +219,9 @@
     for _round in 0..within_ms / ROUND_MS {
         fleet.round();
     }
-    for around in [topology.around("c"), topology.around("nowhere")] {
+    for proximity in [topology.proximity_of("c"), topology.proximity_of("nowhere")] {
         let owners: HashSet<Ipv4Addr> = (0..120)
-            .map(|key| fleet.members[0].owner_near(fleet.now_ms, key, &around))
+            .map(|key| fleet.members[0].owner_near(fleet.now_ms, key, &proximity))
             .collect();
         assert!(owners.len() > 15, "{}", owners.len());
     }
@@ -231,17 +231,17 @@
 fn the_newest_sign_of_life_says_where_a_member_stands() {
     let mut members = Membership::new(address(0), domain(0), &[address(1)]);
     assert_eq!(members.domain_of(address(1)), None, "not heard yet");
-    let news = |domain: DomainTag, age_ms: u32| MemberNews {
+    let news = |domain: DomainTag, age_ms: u32| MemberUpdate {
         address: address(1),
         domain,
         age_ms,
         is_leaving: false,
     };
-    members.told(10_000, &[news(domain(1), 500)]);
+    members.merge(10_000, &[news(domain(1), 500)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(1)));
     // Its address has been taken by an instance elsewhere.
-    members.saw(11_000, address(1), domain(2), false);
-    members.told(11_100, &[news(domain(1), 1_600)]);
+    members.heard_from(11_000, address(1), domain(2), false);
+    members.merge(11_100, &[news(domain(1), 1_600)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(2)));
     let told = members.sample(11_200, &mut rand::rng());
     assert_eq!(told[0].domain, domain(2));
@@ -251,20 +251,20 @@
 fn an_owner_that_does_not_answer_is_passed_over_for_a_while() {
     let mut members = Membership::new(address(0), domain(0), &[]);
     for number in 1..10 {
-        members.saw(1_000, address(number), domain(number), false);
+        members.heard_from(1_000, address(number), domain(number), false);
     }
     let key = (0..1_000).find(|key| members.owner(1_000, *key) != address(0));
     let key = key.unwrap();
     let first = members.owner(1_000, key);
-    members.missed(1_000, first);
+    members.reply_missed(1_000, first);
     assert_eq!(members.owner(1_000, key), first, "one answer may get lost");
-    members.answered(first);
-    members.missed(1_000, first);
+    members.reply_received(first);
+    members.reply_missed(1_000, first);
     assert_eq!(members.owner(1_000, key), first);
-    members.missed(1_000, first);
+    members.reply_missed(1_000, first);
     assert_ne!(members.owner(1_000, key), first);
     assert_eq!(members.owner(3_100, key), first);
-    members.saw(1_200, first, domain(0), true);
+    members.heard_from(1_200, first, domain(0), true);
     assert_ne!(members.owner(1_200, key), first, "it is stopping");
 }
 
@@ -278,16 +278,16 @@
         let mut youngest = [u64::MAX; 20];
         for (number, age_ms) in told {
             youngest[number] = youngest[number].min(u64::from(age_ms));
-            let news = MemberNews {
+            let news = MemberUpdate {
                 address: address(number),
                 domain: domain(number),
                 age_ms,
                 is_leaving: false,
             };
-            prop_assert_eq!(members.told(now_ms, &[news]), 0);
+            prop_assert_eq!(members.merge(now_ms, &[news]), 0);
         }
         let later_ms = now_ms + 1_000;
-        let within_ms = members.alive_within_ms();
+        let within_ms = members.liveness_timeout_ms();
         for alive in members.alive(later_ms) {
             let number = (u32::from(alive) - u32::from(address(0))) as usize;
             prop_assert!(youngest[number] + 1_000 < within_ms);
@@ -302,9 +302,9 @@
 #[test]
 fn more_members_than_a_message_may_tell_of_are_not_taken() {
     let mut members = Membership::new(address(0), domain(0), &[]);
-    let news = |count: usize| -> Vec<MemberNews> {
+    let news = |count: usize| -> Vec<MemberUpdate> {
         (1..=count)
-            .map(|number| MemberNews {
+            .map(|number| MemberUpdate {
                 address: address(number),
                 domain: domain(number),
                 age_ms: 0,
@@ -312,10 +312,10 @@
             })
             .collect()
     };
-    assert_eq!(members.told(0, &news(10_000)), 10_000 - TOLD_MAX_COUNT);
-    assert_eq!(members.known_count(), TOLD_MAX_COUNT + 1);
+    assert_eq!(members.merge(0, &news(10_000)), 10_000 - GOSSIPED_MAX_COUNT);
+    assert_eq!(members.known_count(), GOSSIPED_MAX_COUNT + 1);
     for number in 0..2 * MEMBER_MAX_COUNT {
-        members.saw(0, address(number), domain(number), false);
+        members.heard_from(0, address(number), domain(number), false);
     }
     assert!(members.known_count() <= MEMBER_MAX_COUNT + 1);
 }
--- a/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
@@ -4,11 +4,11 @@
 
 use super::Mutant;
 use super::World;
-use cranereach_fleet::named_limit::LimitWord;
-use cranereach_fleet::named_limit::Said;
+use cranereach_fleet::named_limit::LimitReport;
+use cranereach_fleet::named_limit::NamedRate;
 use cranereach_fleet::send_grants::AskPause;
+use cranereach_fleet::send_grants::GRANT_VALID_MS;
 use cranereach_fleet::send_grants::SendAnswer;
-use cranereach_fleet::send_grants::USE_WITHIN_MS;
 
 /// What is on its way.
 #[derive(Clone, Copy, Debug)]
@@ -17,21 +17,21 @@
         from: usize,
         ticket: u64,
         rank: u8,
-        limit: Option<LimitWord>,
+        limit: Option<LimitReport>,
     },
     Answer {
         ticket: u64,
         answer: SendAnswer,
-        limit: Option<LimitWord>,
+        limit: Option<LimitReport>,
     },
     /// The worker's answer to a request sent at a time, in milliseconds.
     Answered {
         start_ms: u64,
         sent_ms: u64,
-        said: Said,
+        said: NamedRate,
     },
     /// What an instance tells whoever is asked how the worker stands.
-    Told(LimitWord),
+    Told(LimitReport),
 }
 
 impl World {
@@ -71,7 +71,7 @@
         let now_ms = self.now_ms;
         let of = &mut self.instances[number];
         of.open
-            .retain(|_, (_, asked_ms)| now_ms <= *asked_ms + USE_WITHIN_MS);
+            .retain(|_, (_, asked_ms)| now_ms <= *asked_ms + GRANT_VALID_MS);
     }
 
     fn take(&mut self, number: usize, parcel: Parcel) {
@@ -106,7 +106,7 @@
                     return;
                 };
                 // One that comes late, as after a freeze, isn't used.
-                if now_ms <= asked_ms + USE_WITHIN_MS {
+                if now_ms <= asked_ms + GRANT_VALID_MS {
                     self.answered(number, rank, answer);
                 }
             }
@@ -123,10 +123,10 @@
         }
     }
 
-    pub(super) fn told(&mut self, number: usize, word: Option<LimitWord>) {
+    pub(super) fn told(&mut self, number: usize, word: Option<LimitReport>) {
         let of = &mut self.instances[number];
         if let Some(word) = word
-            && of.limit.told(self.now_ms, &word)
+            && of.limit.merge(self.now_ms, &word)
         {
             of.pause = AskPause::default();
         }
@@ -134,20 +134,20 @@
 
     /// An instance hears the worker's answer, and tells whoever is asked how it stands and
     /// the owner of its grants.
-    fn heard(&mut self, number: usize, sent_ms: u64, said: Said) {
+    fn heard(&mut self, number: usize, sent_ms: u64, said: NamedRate) {
         let now_ms = self.now_ms;
         let of = &mut self.instances[number];
-        if matches!(said, Said::Limit(_)) {
+        if matches!(said, NamedRate::Limit(_)) {
             of.told_ms.get_or_insert(now_ms);
         }
         if self.mutant == Mutant::Deaf {
             return;
         }
-        let has_changed = of.limit.heard(said, true, sent_ms, now_ms);
+        let has_changed = of.limit.observe(said, true, sent_ms, now_ms);
         if has_changed {
             of.pause = AskPause::default();
             if let (Some(word), true) = (self.word(number), self.is_heard(number)) {
-                self.send(self.teller(), Parcel::Told(word));
+                self.send(self.reporter(), Parcel::Told(word));
                 self.send(self.owner(), Parcel::Told(word));
             }
         }
--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the row of one lease in the store.
+//! Acquires, renews and releases one lease through its row in the store.
 
 use std::sync::Arc;
 
@@ -11,89 +11,94 @@
 use crate::store::StoreError;
 use crate::store_pace;
 use cranereach_fleet::key::worker_key;
+use cranereach_fleet::lease_state::LeaseRow;
+use cranereach_fleet::lease_state::LeaseState;
+use cranereach_fleet::lease_state::Step;
 use cranereach_fleet::store_position::StorePosition;
-use cranereach_fleet::tenure::LeaseRow;
-use cranereach_fleet::tenure::Step;
-use cranereach_fleet::tenure::Tenure;
 
-/// Table of the leases.
+/// Table of the lease rows.
 const TABLE: &str = "cranereach_leases";
 
-/// Time between two candidates' turns, in milliseconds.
-const TURN_MS: u64 = 250;
+/// Time between the attempts of two consecutive candidates, in milliseconds.
+const CANDIDATE_STAGGER_MS: u64 = 250;
 
-/// Candidates that take their turns so soon; there are as many again each
-/// [`FURTHER_TURN_MS`], so that calls to the store don't grow with the fleet.
-const EARLY_CANDIDATE_COUNT: u64 = 4;
+/// Number of candidates in each group. The groups follow each other every [`GROUP_STAGGER_MS`],
+/// so that the number of calls to the store does not grow with the fleet.
+const CANDIDATE_GROUP_SIZE: u64 = 4;
 
-/// Time after which as many further candidates try, in milliseconds: longer than a
-/// successor of a silent holder has to wait.
-const FURTHER_TURN_MS: u64 = 6_000;
+/// Time between the first attempts of two groups of candidates, in milliseconds. It is longer
+/// than a successor of a holder that has fallen silent has to wait for the lease.
+const GROUP_STAGGER_MS: u64 = 6_000;
 
-/// Pause after a failed call, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 450;
+/// Pause after a failed call to the store, in milliseconds.
+const RETRY_DELAY_MS: u64 = 450;
 
-/// When this instance may take its turn.
+/// State of this instance's attempts to acquire or keep one lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidacy {
-    due_since_ms: Option<u64>,
-    call_after_ms: u64,
+    candidate_since_ms: Option<u64>,
+    next_call_at_ms: u64,
     has_released: bool,
 }
 
-/// Does what the lease needs now: nothing, one read or one write.
-pub async fn keep(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &Arc<str>) {
+/// Performs the next step for the lease: nothing, one read or one write of its row.
+pub async fn advance(
+    node: &Node,
+    lease_state: &mut LeaseState,
+    candidacy: &mut Candidacy,
+    service: &Arc<str>,
+) {
     let now_ms = node.now_ms();
     if node.is_stopping() {
-        release(node, tenure, candidacy, service).await;
+        release(node, lease_state, candidacy, service).await;
         return;
     }
     let key = worker_key(service);
-    let is_heard = node.peers().hears_holder(now_ms, key);
-    if is_heard {
-        candidacy.due_since_ms = None;
+    let is_holder_heard = node.peers().knows_holder(now_ms, key);
+    if is_holder_heard {
+        candidacy.candidate_since_ms = None;
     }
-    tenure.enter_era(node.store.eras().newest());
-    tell_ended(node, tenure, now_ms, key);
+    lease_state.enter_era(node.store.eras().newest());
+    announce_ended_term(node, lease_state, now_ms, key);
     for ended in node.peers().ended_terms(now_ms, key) {
-        tenure.heard_ended(ended);
+        lease_state.record_ended_term(ended);
     }
-    if now_ms < candidacy.call_after_ms {
+    if now_ms < candidacy.next_call_at_ms {
         return;
     }
-    let step = tenure.step(now_ms, is_heard);
-    if !tenure.is_holder() && step != Step::Wait {
-        // Whoever comes first reads first, and so may write first.
-        let since_ms = *candidacy.due_since_ms.get_or_insert(now_ms);
+    let step = lease_state.step(now_ms, is_holder_heard);
+    if !lease_state.is_holder() && step != Step::Wait {
+        // The first candidate in rank reads first, and so may also write first.
+        let since_ms = *candidacy.candidate_since_ms.get_or_insert(now_ms);
         let rank = node.peers().members().rank(now_ms, key);
-        if now_ms < since_ms + turn_ms(rank) {
+        if now_ms < since_ms + stagger_ms(rank) {
             return;
         }
     }
     match step {
         Step::Wait => {}
-        Step::Read => read(node, tenure, candidacy, service).await,
+        Step::Read => read(node, lease_state, candidacy, service).await,
         Step::Write { expected } => {
-            write(node, tenure, candidacy, service, expected).await;
+            write(node, lease_state, candidacy, service, expected).await;
         }
     }
 }
 
-/// Returns how long a candidate waits for those before it, in milliseconds.
-fn turn_ms(rank: u64) -> u64 {
-    let further = rank / EARLY_CANDIDATE_COUNT * FURTHER_TURN_MS;
-    further + rank % EARLY_CANDIDATE_COUNT * TURN_MS
+/// Returns how long a candidate waits for those that come before it in rank, in milliseconds.
+fn stagger_ms(rank: u64) -> u64 {
+    let group_delay_ms = rank / CANDIDATE_GROUP_SIZE * GROUP_STAGGER_MS;
+    group_delay_ms + rank % CANDIDATE_GROUP_SIZE * CANDIDATE_STAGGER_MS
 }
 
-/// Tells peers whether this instance's term is over.
-fn tell_ended(node: &Node, tenure: &Tenure, now_ms: u64, service: u64) {
+/// Announces to peers whether a term of this instance has expired.
+fn announce_ended_term(node: &Node, lease_state: &LeaseState, now_ms: u64, service: u64) {
     let mut ended = lock(&node.ended_leases);
-    let before = match tenure.ended(now_ms) {
+    let is_unchanged = match lease_state.ended(now_ms) {
         Some(term) => ended.insert(service, term) == Some(term),
         None => ended.remove(&service).is_none(),
     };
     drop(ended);
-    if !before {
+    if !is_unchanged {
         node.digest_wanted.notify_one();
     }
 }
@@ -106,26 +111,26 @@
     }
 }
 
-/// Reads the row.
-async fn read(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
+/// Reads the lease row.
+async fn read(node: &Node, lease_state: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
     let rows = node.store.read(TABLE).await;
-    store_pace::note_call(node, "lease", &rows);
+    store_pace::count_read(node, "lease", &rows);
     let now_ms = node.now_ms();
     match rows {
         Ok(rows) => {
             let row = rows.rows.iter().find(|row| row.key == service);
             let position = rows.position_of(service);
             let content = row.and_then(|row| serde_json::from_slice(&row.value).ok());
-            tenure.read(now_ms, position, content);
+            lease_state.read(now_ms, position, content);
         }
-        Err(_failed) => candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS,
+        Err(_failed) => candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS,
     }
 }
 
-/// Writes the row to take or renew the lease.
+/// Writes the lease row to acquire or renew the lease.
 async fn write(
     node: &Node,
-    tenure: &mut Tenure,
+    lease_state: &mut LeaseState,
     candidacy: &mut Candidacy,
     service: &str,
     expected: StorePosition,
@@ -137,19 +142,19 @@
         .write(&row_name(service), expected, &content)
         .await;
     let now_ms = node.now_ms();
-    let outcome = store_pace::note_write(node, "lease_write", &written);
+    let outcome = store_pace::count_write(node, "lease_write", &written);
     match written {
         Ok(WriteAnswer::Done(position)) => {
-            tenure.written(sent_at_ms, position);
-            candidacy.due_since_ms = None;
+            lease_state.written(sent_at_ms, position);
+            candidacy.candidate_since_ms = None;
         }
-        Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => tenure.conflicted(),
+        Ok(WriteAnswer::Conflict | WriteAnswer::Refused(_)) => lease_state.conflicted(),
         Err(StoreError::NotDone(_) | StoreError::HistoryGone) => {
-            candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS;
+            candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
         Err(StoreError::Unknown(_) | StoreError::OtherEra) => {
-            tenure.unanswered(now_ms);
-            candidacy.call_after_ms = now_ms + FAILED_PAUSE_MS;
+            lease_state.unanswered(now_ms);
+            candidacy.next_call_at_ms = now_ms + RETRY_DELAY_MS;
         }
     }
     if outcome != "done" {
@@ -158,15 +163,20 @@
     }
 }
 
-/// Gives the lease up, once.
-async fn release(node: &Node, tenure: &mut Tenure, candidacy: &mut Candidacy, service: &str) {
+/// Releases the lease on the first call; later calls do nothing.
+async fn release(
+    node: &Node,
+    lease_state: &mut LeaseState,
+    candidacy: &mut Candidacy,
+    service: &str,
+) {
     if candidacy.has_released {
         return;
     }
     candidacy.has_released = true;
-    if let Some(position) = tenure.release() {
+    if let Some(position) = lease_state.release() {
         let content = content(node, position.era, true);
-        // Without an answer the successor waits for the end of the term.
+        // If the write fails, the successor waits for the end of the term.
         let _written = node
             .store
             .write(&row_name(service), position, &content)
@@ -174,7 +184,7 @@
     }
 }
 
-/// Returns the content of the row, written in an era of the store.
+/// Returns the content of the lease row for an era of the store.
 fn content(node: &Node, era: u64, is_released: bool) -> Vec<u8> {
     let row = LeaseRow {
         holder: node.settings.instance.id.clone(),
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to workers and asks them for reports.
+//! Sends orders to workers and requests their reports.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,85 +18,85 @@
 use crate::send_permit::Permit;
 use crate::worker_words;
 use cranereach_fleet::configuration::Engine;
+use cranereach_fleet::lease_state::LeaseState;
 use cranereach_fleet::ledger::OpenOrder;
 use cranereach_fleet::ledger::OrderEnd;
 use cranereach_fleet::ledger::WorkerState;
 use cranereach_fleet::load::RANK_COUNT;
 use cranereach_fleet::placement::Order;
 use cranereach_fleet::purpose::Purpose;
-use cranereach_fleet::tenure::Tenure;
 use cranereach_http::client::Answer;
 use cranereach_http::client::CallError;
 use cranereach_http::client::JsonClient;
 
-/// Time for the answer to an order, in milliseconds; sending it again is safe.
-const ORDER_WITHIN_MS: u64 = 250;
+/// Timeout of an order, in milliseconds. Orders are safe to resend.
+const ORDER_TIMEOUT_MS: u64 = 250;
 
-/// Time for a report, in milliseconds.
-const REPORT_WITHIN_MS: u64 = 600;
+/// Timeout of a report request, in milliseconds.
+const REPORT_TIMEOUT_MS: u64 = 600;
 
-/// Rank of orders and questions where a worker gets only so many requests: callers' ones
-/// go first.
+/// Rank of orders and report requests at a worker whose request rate is limited: requests of
+/// callers go first.
 const LEAST_URGENT_RANK: u8 = (RANK_COUNT - 1) as u8;
 
-/// How an order or a question ended.
+/// Result of an order or a report request.
 #[derive(Clone, Debug)]
 pub enum End {
-    /// A report, or none.
+    /// The state from the report, or none if the request failed.
     Report(Option<WorkerState>),
-    /// An order that was sent so many times.
+    /// The result of an order, and how many times the order was sent.
     Order(OrderEnd, u32),
 }
 
-/// The end of an order or a question, for the ledger.
+/// A completed order or report request, for the ledger.
 #[derive(Clone, Debug)]
-pub struct Done {
-    /// Service.
+pub struct Completion {
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Worker.
+    /// Identifier of the worker.
     pub worker: Arc<str>,
-    /// Model that the order was about.
+    /// Index of the order's model; zero for a report request.
     pub model: u16,
-    /// How it ended.
+    /// Result.
     pub end: End,
 }
 
-/// Sends orders and questions, each in a task of its own.
+/// Sends orders and report requests, each in a task of its own.
 #[derive(Debug)]
-pub struct Sender {
+pub struct OrderSender {
     node: Arc<Node>,
-    finished: UnboundedSender<Done>,
+    completions: UnboundedSender<Completion>,
     clients: HashMap<Arc<str>, Arc<JsonClient>>,
 }
 
-impl Sender {
-    /// Makes a sender whose ends go to `finished`.
-    pub fn new(node: Arc<Node>, finished: UnboundedSender<Done>) -> Self {
+impl OrderSender {
+    /// Creates a sender that reports completions to `completions`.
+    pub fn new(node: Arc<Node>, completions: UnboundedSender<Completion>) -> Self {
         Self {
             node,
-            finished,
+            completions,
             clients: HashMap::new(),
         }
     }
 
-    /// Asks a worker for its report.
-    pub fn ask(&mut self, service: &Arc<str>, worker: &Arc<str>) {
+    /// Requests a worker's report.
+    pub fn request_report(&mut self, service: &Arc<str>, worker: &Arc<str>) {
         let client = self.client(worker);
         let node = Arc::clone(&self.node);
-        let finished = self.finished.clone();
+        let completions = self.completions.clone();
         let service = Arc::clone(service);
         let worker = Arc::clone(worker);
         tokio::spawn(async move {
             let state = match client {
-                Some(client) => report(&node, &client, &service, &worker).await,
+                Some(client) => fetch_report(&node, &client, &service, &worker).await,
                 None => None,
             };
             let counter = &node.metrics.orders_total;
             let outcome = if state.is_some() { "done" } else { "failed" };
             counter.with_label_values(&["report", outcome]).inc();
             let end = End::Report(state);
-            // The controller only ends with the process.
-            let _told = finished.send(Done {
+            // The receiver is dropped only when the process ends.
+            let _sent = completions.send(Completion {
                 service,
                 worker,
                 model: 0,
@@ -105,35 +105,44 @@
         });
     }
 
-    /// Sends an order, if the lease still allows it when it leaves.
-    pub fn order(
+    /// Sends an order, provided that the lease still permits it at the moment of sending.
+    pub fn send_order(
         &mut self,
-        tenure: &Tenure,
+        lease_state: &LeaseState,
         service: &Arc<str>,
         engine: &Engine,
         worker: &Arc<str>,
         open: OpenOrder,
         sent_count: u32,
     ) {
-        let model = model_of(open.order);
+        let model = order_model(open.order);
         let client = self.client(worker);
         let name = engine.models.get(usize::from(model));
         let name = name.map(|model| model.name.to_string());
         let node = Arc::clone(&self.node);
-        let finished = self.finished.clone();
-        let tenure = tenure.clone();
+        let completions = self.completions.clone();
+        let lease_state = lease_state.clone();
         let service = Arc::clone(service);
         let worker = Arc::clone(worker);
         tokio::spawn(async move {
             let end = match (client, name) {
                 (Some(client), Some(name)) => {
-                    send(&node, &client, &tenure, &worker, name, open, sent_count).await
+                    send(
+                        &node,
+                        &client,
+                        &lease_state,
+                        &worker,
+                        name,
+                        open,
+                        sent_count,
+                    )
+                    .await
                 }
                 _ => OrderEnd::NotSent,
             };
             let end = End::Order(end, sent_count);
-            // The controller only ends with the process.
-            let _told = finished.send(Done {
+            // The receiver is dropped only when the process ends.
+            let _sent = completions.send(Completion {
                 service,
                 worker,
                 model,
@@ -142,7 +151,8 @@
         });
     }
 
-    /// Returns the client of a worker; none if it is no longer listed.
+    /// Returns the HTTP client of a worker, or none if the worker is no longer listed. Drops the
+    /// clients of all workers that are no longer listed.
     fn client(&mut self, worker: &Arc<str>) -> Option<Arc<JsonClient>> {
         let roster = self.node.roster();
         self.clients.retain(|id, _| roster.get(id).is_some());
@@ -156,8 +166,8 @@
     }
 }
 
-/// Returns the model that an order is about.
-fn model_of(order: Order) -> u16 {
+/// Returns the index of the model that an order is about.
+fn order_model(order: Order) -> u16 {
     match order {
         Order::Load(model)
         | Order::Unload(model)
@@ -166,25 +176,25 @@
     }
 }
 
-/// Returns the adapter that an order is about.
-fn adapter_of(order: Order) -> Option<u16> {
+/// Returns the number of the adapter that an order is about, if any.
+fn order_adapter(order: Order) -> Option<u16> {
     match order {
         Order::Load(_) | Order::Unload(_) => None,
         Order::LoadAdapter((_, adapter)) | Order::UnloadAdapter((_, adapter)) => Some(adapter),
     }
 }
 
-/// Sends one order.
+/// Sends one order and waits for its result.
 async fn send(
     node: &Node,
     client: &JsonClient,
-    tenure: &Tenure,
+    lease_state: &LeaseState,
     worker: &Arc<str>,
     model: String,
     open: OpenOrder,
     sent_count: u32,
 ) -> OrderEnd {
-    let Some(token) = tenure.token(node.now_ms()) else {
+    let Some(token) = lease_state.token(node.now_ms()) else {
         return OrderEnd::NotSent;
     };
     let kind = match open.order {
@@ -194,7 +204,7 @@
     let order = WorkerOrder {
         kind,
         model,
-        adapter: adapter_of(open.order).map(|adapter| format!("a{adapter}")),
+        adapter: order_adapter(open.order).map(|adapter| format!("a{adapter}")),
         expected_sequence: open.expected_sequence,
         holder: node.settings.instance.id.clone(),
         token,
@@ -203,14 +213,14 @@
     let body = Bytes::from((format.encode_order)(&order));
     let permit = || async {
         let permit = send_permit::ask(node, worker, Purpose::Order, LEAST_URGENT_RANK).await?;
-        // The last look at the lease before the order leaves.
-        (tenure.token(node.now_ms()) == Some(token)).then_some(permit)
+        // Last check of the lease before the order is sent.
+        (lease_state.token(node.now_ms()) == Some(token)).then_some(permit)
     };
     let answer = client
-        .post_bytes_when(format.order_path, body, ORDER_WITHIN_MS, permit)
+        .post_bytes_when(format.order_path, body, ORDER_TIMEOUT_MS, permit)
         .await;
     if let Ok((answer, permit)) = &answer {
-        hear(node, permit, answer);
+        process_headers(node, permit, answer);
     }
     let end = match answer {
         Ok((answer, _permit)) => match (format.parse_order)(answer.status) {
@@ -232,8 +242,8 @@
     end
 }
 
-/// Asks for a report and reads it.
-async fn report(
+/// Requests a report and parses it.
+async fn fetch_report(
     node: &Node,
     client: &JsonClient,
     service: &str,
@@ -242,40 +252,42 @@
     let format = &node.adapter.engine;
     let permit = || send_permit::ask(node, worker, Purpose::Report, LEAST_URGENT_RANK);
     let (answer, permit) = client
-        .get_when(format.report_path, REPORT_WITHIN_MS, permit)
+        .get_when(format.report_path, REPORT_TIMEOUT_MS, permit)
         .await
         .ok()?;
-    hear(node, &permit, &answer);
+    process_headers(node, &permit, &answer);
     if answer.status != 200 {
         return None;
     }
     let report = (format.parse_report)(&answer.body).ok()?;
     let service = node.service(service)?;
-    Some(state(service.engine.as_ref()?, &report))
+    Some(worker_state(service.engine.as_ref()?, &report))
 }
 
-/// Hears what the answer to an order or question says of the worker.
-fn hear(node: &Node, permit: &Permit, answer: &Answer) {
-    // The client made the number from a status, so that it is one.
+/// Processes the worker headers of the answer to an order or report request.
+fn process_headers(node: &Node, permit: &Permit, answer: &Answer) {
+    // The client took the number from a parsed status, so it is always valid.
     let status = StatusCode::from_u16(answer.status).unwrap_or_default();
     worker_words::hear(node, permit, (status, &answer.headers), true);
 }
 
-/// Returns the state that a report shows, adapters on their way included.
-fn state(engine: &Engine, report: &WorkerReport) -> WorkerState {
-    let mut places = view::places(engine, &report.models);
+/// Returns the worker state of a report, with adapters that are still loading counted as held.
+fn worker_state(engine: &Engine, report: &WorkerReport) -> WorkerState {
+    let mut replicas = view::replicas(engine, &report.models);
     for (model, adapter) in &report.pending {
         let model = engine.model_index(model);
-        let place = places.iter_mut().find(|place| Some(place.model) == model);
-        if let (Some(place), Some(adapter)) = (place, view::adapter_number(adapter))
-            && !place.adapters.contains(&adapter)
+        let replica = replicas
+            .iter_mut()
+            .find(|replica| Some(replica.model) == model);
+        if let (Some(replica), Some(adapter)) = (replica, view::adapter_number(adapter))
+            && !replica.adapters.contains(&adapter)
         {
-            place.adapters.push(adapter);
+            replica.adapters.push(adapter);
         }
     }
     WorkerState {
         sequence: report.sequence,
         is_busy: report.is_busy,
-        places,
+        replicas,
     }
 }
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -1,6 +1,6 @@
-//! What operators ask of failure domains, and how these stand, as the store shows it.
+//! Operator commands on failure domains, and the state of the domains according to the store.
 //!
-//! Nothing here asks an instance: the rows that all instances go by are what counts.
+//! No instance is contacted: the rows in the store are what all instances act on.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,93 +23,95 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Content of the row that asks for an evacuation; nobody reads it.
-const ASKED: &[u8] = b"{}";
+/// Content of the row that requests an evacuation; it is never read.
+const ROW_VALUE: &[u8] = b"{}";
 
-/// One failure domain.
+/// State of one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DomainState {
-    /// Its name.
+    /// Name of the domain.
     pub name: String,
-    /// Version of the row that asks for its evacuation; none if nobody asks.
+    /// Version of the row that requests its evacuation; `None` if there is no request.
     pub evacuated_since_version: Option<u64>,
-    /// Workers there that take work.
+    /// Number of workers in the domain that accept work.
     pub ready_count: usize,
-    /// Workers there that leave.
+    /// Number of workers in the domain that are leaving.
     pub leaving_count: usize,
-    /// Those of all of them whose row says that they are cold.
+    /// Number of workers in the domain, leaving ones included, that are cold according to their
+    /// rows.
     pub cold_count: usize,
-    /// Models that no worker elsewhere holds, outside of evacuated failure domains.
+    /// Models held in this domain and by no worker elsewhere; workers that are leaving or in
+    /// evacuated failure domains do not count as holders elsewhere.
     pub only_here: Vec<String>,
 }
 
-/// Why a demand was not written.
+/// Reason why a request or withdrawal was not written.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DomainsError {
     /// Neither the settings nor a worker's row names the domain.
     #[error("failure domain {name:?} is not known; known are {}", known.join(", "))]
     Unknown {
-        /// The name.
+        /// Requested name.
         name: String,
-        /// Names that are known.
+        /// Known names.
         known: Vec<String>,
     },
-    /// Somebody else changed the row at the same time.
-    #[error("the demand was changed by somebody else meanwhile; look, and ask again")]
-    Raced,
-    /// The settings name no adapter that there is.
-    #[error("platform adapter {0:?} doesn't exist")]
+    /// The row was changed concurrently.
+    #[error("the evacuation request was changed concurrently; check its state and try again")]
+    ChangedConcurrently,
+    /// The settings name an unknown adapter.
+    #[error("unknown platform adapter {0:?}")]
     Adapter(String),
-    /// The store.
-    #[error("the platform's store: {0}")]
+    /// A store call failed.
+    #[error("call to the platform's store failed: {0}")]
     Store(#[from] StoreError),
 }
 
-/// What a demand did.
+/// Result of a request or withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Demanded {
-    /// It was written at a version of the store; the bound runs from its answer.
+pub enum EvacuationOutcome {
+    /// Written at this version of the store. The time bound runs from the store's response.
     At(u64),
-    /// It stood so already.
+    /// Nothing had to be changed.
     Already,
 }
 
-/// What the store says of failure domains.
+/// State of the store that is relevant to failure domains.
 #[derive(Clone, Debug, Default)]
-struct Read {
-    /// Names that the settings or a worker know.
+struct StoreSnapshot {
+    /// Names that occur in the settings or in a worker's row.
     known: BTreeSet<String>,
-    /// Positions of the rows that ask for evacuations, by domain.
+    /// Positions of the rows that request evacuations, by domain.
     asked: BTreeMap<String, StorePosition>,
-    /// Position of a row that isn't there.
-    none: StorePosition,
+    /// Expected position when writing a row that does not exist.
+    absent_position: StorePosition,
     workers: Vec<WorkerRecord>,
 }
 
-/// Lists the failure domains, by name.
+/// Lists the failure domains by name.
 pub async fn look(settings: &Settings) -> Result<Vec<DomainState>, DomainsError> {
     let adapter = adapter_of(settings)?;
-    let read = read(settings, adapter).await?;
-    let names = read.known.iter().chain(read.asked.keys());
+    let snapshot = read(settings, adapter).await?;
+    let names = snapshot.known.iter().chain(snapshot.asked.keys());
     let names: BTreeSet<&String> = names.collect();
-    let states = names.into_iter().map(|name| read.state(name));
+    let states = names.into_iter().map(|name| snapshot.state(name));
     Ok(states.collect())
 }
 
-/// Asks for a failure domain to be evacuated, or withdraws that.
+/// Requests the evacuation of a failure domain, or withdraws the request.
 pub async fn demand(
     settings: &Settings,
     domain: &str,
     is_withdrawn: bool,
-) -> Result<Demanded, DomainsError> {
+) -> Result<EvacuationOutcome, DomainsError> {
     let adapter = adapter_of(settings)?;
-    let read = read(settings, adapter).await?;
-    let asked_at = read.asked.get(domain).copied();
-    // What is asked for can be withdrawn, also where nobody knows the domain any more.
-    if !read.known.contains(domain) && asked_at.is_none() {
+    let snapshot = read(settings, adapter).await?;
+    let asked_at = snapshot.asked.get(domain).copied();
+    // A request can be withdrawn even if the domain is not known any more.
+    if !snapshot.known.contains(domain) && asked_at.is_none() {
         return Err(DomainsError::Unknown {
             name: domain.to_owned(),
-            known: read.known.into_iter().collect(),
+            known: snapshot.known.into_iter().collect(),
         });
     }
     let row = RowName {
@@ -118,13 +120,17 @@
     };
     let store = store(settings, adapter);
     let answer = match (asked_at, is_withdrawn) {
-        (Some(_), false) | (None, true) => return Ok(Demanded::Already),
-        (None, false) => store.write(&row, read.none, ASKED).await?,
+        (Some(_), false) | (None, true) => return Ok(EvacuationOutcome::Already),
+        (None, false) => {
+            store
+                .write(&row, snapshot.absent_position, ROW_VALUE)
+                .await?
+        }
         (Some(position), true) => store.remove(&row, position).await?,
     };
     match answer {
-        WriteAnswer::Done(position) => Ok(Demanded::At(position.version)),
-        WriteAnswer::Conflict => Err(DomainsError::Raced),
+        WriteAnswer::Done(position) => Ok(EvacuationOutcome::At(position.version)),
+        WriteAnswer::Conflict => Err(DomainsError::ChangedConcurrently),
         WriteAnswer::Refused(status) => {
             let refused = StoreError::NotDone(format!("status {status}"));
             Err(DomainsError::Store(refused))
@@ -132,20 +138,23 @@
     }
 }
 
-/// Makes a client of the store for one command.
+/// Creates a client of the store for one command.
 fn store(settings: &Settings, adapter: &'static Adapter) -> Store {
     let log = Logger::root(Discard, o!());
     Store::new(&settings.platform.store, adapter, &log, &Metrics::new())
 }
 
-/// Finds the adapter that the settings name.
+/// Returns the adapter named in the settings.
 fn adapter_of(settings: &Settings) -> Result<&'static Adapter, DomainsError> {
     let name = &settings.platform.adapter;
     adapter::find(name).ok_or_else(|| DomainsError::Adapter(name.clone()))
 }
 
-/// Reads the store.
-async fn read(settings: &Settings, adapter: &'static Adapter) -> Result<Read, DomainsError> {
+/// Reads the requested evacuations and the workers from the store.
+async fn read(
+    settings: &Settings,
+    adapter: &'static Adapter,
+) -> Result<StoreSnapshot, DomainsError> {
     let store = store(settings, adapter);
     let rows = store.read(adapter.store.configuration.0).await?;
     let asked = rows
@@ -157,28 +166,32 @@
             Some((domain.to_owned(), row.position))
         });
     let asked = asked.collect();
-    let none = StorePosition::start_of(rows.position.era);
+    let absent_position = StorePosition::start_of(rows.position.era);
     let rows = store.read(adapter.store.workers).await?;
     let listed = rows.rows.iter().filter(|row| !row.is_gone);
-    // A row that can't be read is counted and logged by the instances.
+    // The instances count and log invalid rows.
     let workers = listed.filter_map(|row| (adapter.parse_worker)(&row.key, &row.value).ok());
     let workers: Vec<WorkerRecord> = workers.collect();
     let declared = settings.instance.failure_domains.keys().cloned();
     let known = declared
         .chain([settings.instance.failure_domain.clone()])
-        .chain(workers.iter().map(|of| of.failure_domain.to_string()));
-    Ok(Read {
+        .chain(
+            workers
+                .iter()
+                .map(|worker| worker.failure_domain.to_string()),
+        );
+    Ok(StoreSnapshot {
         known: known.collect(),
         asked,
-        none,
+        absent_position,
         workers,
     })
 }
 
-impl Read {
-    /// Returns how a failure domain stands.
+impl StoreSnapshot {
+    /// Returns the state of a failure domain.
     fn state(&self, name: &str) -> DomainState {
-        let here = |of: &&WorkerRecord| of.failure_domain.as_ref() == name;
+        let here = |record: &&WorkerRecord| record.failure_domain.as_ref() == name;
         let mut state = DomainState {
             name: name.to_owned(),
             evacuated_since_version: self.asked.get(name).map(|asked_at| asked_at.version),
@@ -189,8 +202,10 @@
             state.leaving_count += usize::from(worker.is_leaving);
             state.cold_count += usize::from(worker.cold_for_ms > 0);
         }
-        let elsewhere = self.workers.iter().filter(|of| {
-            !here(of) && !of.is_leaving && !self.asked.contains_key(of.failure_domain.as_ref())
+        let elsewhere = self.workers.iter().filter(|record| {
+            !here(record)
+                && !record.is_leaving
+                && !self.asked.contains_key(record.failure_domain.as_ref())
         });
         let held_elsewhere = models(elsewhere);
         let held_here = models(self.workers.iter().filter(here));
@@ -200,7 +215,7 @@
     }
 }
 
-/// Returns the models that some workers hold.
+/// Returns the names of the models held by some workers.
 fn models<'a>(workers: impl Iterator<Item = &'a WorkerRecord>) -> BTreeSet<Arc<str>> {
     let held = workers.flat_map(|worker| &worker.models);
     held.map(|model| Arc::clone(&model.name)).collect()
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -20,7 +20,7 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
 use cranereach_fleet::roster::Choice;
-use cranereach_fleet::wanted::Wanted;
+use cranereach_fleet::routing_request::RoutingRequest;
 
 /// Time to wait for the lease holder to say when a model is expected to be loaded, in
 /// milliseconds. Demand is reported after 20 ms at most, and the holder answers at once.
@@ -62,11 +62,11 @@
         let mut has_signaled_demand = false;
         loop {
             let now_ms = self.node.now_ms();
-            let wanted = self.wanted();
+            let routing_request = self.routing_request();
             let engine = call.service.engine.as_ref();
             let changed = self.node.roster_changed.notified();
             let expected = self.node.expected_changed.notified();
-            let chosen = self.choose_by_owners(&wanted, engine).await;
+            let chosen = self.choose_by_owners(&routing_request, engine).await;
             let why = match chosen {
                 Ok(choice) => match self.admit(&choice)? {
                     Some(recheck_in_ms) => {
@@ -84,7 +84,9 @@
                 self.node.demand_wanted.notify_one();
                 self.node.controller_wanted.notify_one();
             }
-            let wait_until_ms = self.wait_until_ms(why, &wanted).min(call.deadline_at_ms);
+            let wait_until_ms = self
+                .wait_until_ms(why, &routing_request)
+                .min(call.deadline_at_ms);
             if now_ms >= wait_until_ms {
                 let code = match why {
                     _ if self.may_have_run => ResultCode::OutcomeUnknown,
@@ -104,7 +106,7 @@
                         refusal.retry_after_ms = self.model_retry_after_ms();
                     }
                     NoWorker::Cold | NoWorker::Limited | NoWorker::Resting => {
-                        refusal.retry_after_ms = self.free_after_ms(&wanted);
+                        refusal.retry_after_ms = self.free_after_ms(&routing_request);
                         refusal.shortage_key =
                             (why == NoWorker::Limited).then(|| self.model_shortage_key());
                     }
@@ -127,33 +129,36 @@
 
     /// Returns the time until which the call waits for what it lacks, in milliseconds. It waits
     /// for a model only if that is expected early enough to answer within the latency target.
-    fn wait_until_ms(&self, why: NoWorker, wanted: &Wanted<'_>) -> u64 {
+    fn wait_until_ms(&self, why: NoWorker, routing_request: &RoutingRequest<'_>) -> u64 {
         let received_ms = self.call.received_ms;
-        let aim_at_ms = received_ms + self.call.route.aim_ms;
+        let aim_at_ms = received_ms + self.call.route.latency_target_ms;
         match why {
             NoWorker::None | NoWorker::Leaving | NoWorker::NotAllowed | NoWorker::Unreachable => {
                 received_ms
             }
             NoWorker::Cold | NoWorker::Limited | NoWorker::Resting => {
-                let latest_ms =
-                    received_ms + (self.call.route.aim_ms as f64 * GRANT_WAIT_SHARE) as u64;
-                let ask_at_ms = self.free_from_ms(wanted).map(|(ask_at_ms, _)| ask_at_ms);
+                let latest_ms = received_ms
+                    + (self.call.route.latency_target_ms as f64 * GRANT_WAIT_SHARE) as u64;
+                let ask_at_ms = self
+                    .next_ask_and_free_ms(routing_request)
+                    .map(|(ask_at_ms, _)| ask_at_ms);
                 ask_at_ms
                     .filter(|at_ms| *at_ms <= latest_ms)
                     .map_or(received_ms, |_| latest_ms)
             }
             NoWorker::NoAdapter => {
-                received_ms + (self.call.route.aim_ms as f64 * ADAPTER_WAIT_SHARE) as u64
+                received_ms + (self.call.route.latency_target_ms as f64 * ADAPTER_WAIT_SHARE) as u64
             }
             NoWorker::NotAlone => {
-                received_ms + (self.call.route.aim_ms as f64 * ISOLATION_WAIT_SHARE) as u64
+                received_ms
+                    + (self.call.route.latency_target_ms as f64 * ISOLATION_WAIT_SHARE) as u64
             }
             NoWorker::NoModel | NoWorker::Evacuated => {
                 match workload::load_expectation(self.node, self.call) {
                     Some(Word::At(at_ms)) if at_ms < aim_at_ms => {
                         aim_at_ms.min(at_ms + LISTING_DELAY_MS)
                     }
-                    Some(Word::At(_) | Word::NotComing) => received_ms,
+                    Some(Word::At(_) | Word::NotLoading) => received_ms,
                     None => received_ms + LOAD_EXPECTATION_WAIT_MS,
                 }
             }
@@ -166,7 +171,7 @@
         let now_ms = self.node.now_ms();
         let retry_after_ms = match workload::load_expectation(self.node, self.call) {
             Some(Word::At(at_ms)) => at_ms.saturating_sub(now_ms) + LISTING_DELAY_MS,
-            Some(Word::NotComing) | None => workload::model_load_ms(self.call).unwrap_or_default(),
+            Some(Word::NotLoading) | None => workload::model_load_ms(self.call).unwrap_or_default(),
         };
         retry_after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
@@ -174,16 +179,20 @@
     /// Returns when asking for a grant is first worthwhile among the workers that currently
     /// accept no more calls, and when one of them can be used without a grant, both in
     /// milliseconds.
-    fn free_from_ms(&self, wanted: &Wanted<'_>) -> Option<(u64, u64)> {
+    fn next_ask_and_free_ms(&self, routing_request: &RoutingRequest<'_>) -> Option<(u64, u64)> {
         let now_ms = self.node.now_ms();
-        self.node.roster().free_from_ms(now_ms, wanted)
+        self.node
+            .roster()
+            .next_ask_and_free_ms(now_ms, routing_request)
     }
 
     /// Returns the Retry-After of a call whose workers accept no more calls for now, in
     /// milliseconds.
-    fn free_after_ms(&self, wanted: &Wanted<'_>) -> u64 {
-        let free_at_ms = self.free_from_ms(wanted).map(|(_, at_ms)| at_ms);
-        let after_ms = free_at_ms.map_or(0, |at_ms| at_ms.saturating_sub(self.node.now_ms()));
+    fn free_after_ms(&self, routing_request: &RoutingRequest<'_>) -> u64 {
+        let may_send_from_ms = self
+            .next_ask_and_free_ms(routing_request)
+            .map(|(_, at_ms)| at_ms);
+        let after_ms = may_send_from_ms.map_or(0, |at_ms| at_ms.saturating_sub(self.node.now_ms()));
         after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
 
@@ -196,44 +205,54 @@
     /// Chooses among a few candidates by the current state that their owners report.
     async fn choose_by_owners(
         &self,
-        wanted: &Wanted<'_>,
+        routing_request: &RoutingRequest<'_>,
         engine: Option<&Engine>,
     ) -> Result<Choice, NoWorker> {
         let node = self.node;
         let now_ms = node.now_ms();
-        let mut candidates =
-            node.roster()
-                .candidates(now_ms, wanted, engine, CANDIDATE_COUNT, &mut rand::rng())?;
-        self.ask_owners(wanted, &candidates).await;
+        let mut candidates = node.roster().candidates(
+            now_ms,
+            routing_request,
+            engine,
+            CANDIDATE_COUNT,
+            &mut rand::rng(),
+        )?;
+        self.ask_owners(routing_request, &candidates).await;
         if engine.is_some() {
             let now_ms = node.now_ms();
             let further = node.roster().further_candidates(
                 now_ms,
                 &candidates,
-                wanted,
+                routing_request,
                 engine,
                 CANDIDATE_COUNT,
                 &mut rand::rng(),
             );
-            self.ask_owners(wanted, &further).await;
+            self.ask_owners(routing_request, &further).await;
             candidates.extend(further);
         }
         let now_ms = node.now_ms();
         let roster = node.roster();
-        roster.choose_among(now_ms, &candidates, wanted, engine, &mut rand::rng())
+        roster.choose_among(
+            now_ms,
+            &candidates,
+            routing_request,
+            engine,
+            &mut rand::rng(),
+        )
     }
 
     /// Asks the owners of some workers for the state of these workers.
-    async fn ask_owners(&self, wanted: &Wanted<'_>, workers: &[Arc<str>]) {
+    async fn ask_owners(&self, routing_request: &RoutingRequest<'_>, workers: &[Arc<str>]) {
         if workers.is_empty() {
             return;
         }
         owners::ask(
             self.node,
             workers,
-            wanted.parts,
-            wanted.prompt_tokens,
-            wanted.token_ms,
+            routing_request.parts,
+            routing_request.prompt_tokens,
+            routing_request.token_ms,
             self.may_retry(),
         )
         .await;
@@ -257,30 +276,32 @@
         if is_idle || self.may_have_run {
             return Ok(None);
         }
-        let aim_ms = call.route.aim_ms as f64;
+        let latency_target_ms = call.route.latency_target_ms as f64;
         let admission = Admission {
-            aim_ms,
-            urgent_aim_ms: call.urgent_aim_ms.map(|urgent_ms| urgent_ms as f64),
+            latency_target_ms,
+            urgent_latency_target_ms: call
+                .urgent_latency_target_ms
+                .map(|urgent_ms| urgent_ms as f64),
             is_whole,
         };
         let waited_ms = self.node.now_ms().saturating_sub(call.received_ms) as f64;
         match admission.judge(choice.begins_in_ms, waited_ms) {
             Verdict::Send => return Ok(None),
-            Verdict::LookAgain(in_ms) => return Ok(Some(in_ms as u64)),
+            Verdict::RecheckAfter(in_ms) => return Ok(Some(in_ms as u64)),
             Verdict::Refuse => {}
         }
         let detail = format!("predicted to begin in {:.0} ms", choice.begins_in_ms);
         let mut refusal = self.refusal(ResultCode::DeadlineUnreachable, &detail);
-        refusal.retry_after_ms = (choice.begins_in_ms - aim_ms / 2.0).max(0.0) as u64;
+        refusal.retry_after_ms = (choice.begins_in_ms - latency_target_ms / 2.0).max(0.0) as u64;
         refusal.shortage_key = Some(self.model_shortage_key());
         Err(refusal)
     }
 
     /// Returns the requirements of the call for the choice of a worker.
-    pub(super) fn wanted(&self) -> Wanted<'_> {
+    pub(super) fn routing_request(&self) -> RoutingRequest<'_> {
         let pace = workload::pace(self.node, self.call);
         let engine = self.call.service.engine.as_ref();
-        Wanted {
+        RoutingRequest {
             service: &self.call.service.name,
             model: self.call.model(),
             parts: &self.call.parts,
@@ -293,10 +314,10 @@
             rank: usize::from(self.call.rank),
             held_tokens: self.call.held_tokens,
             topology: &self.node.topology,
-            crossings_ms: lock(&self.node.ways).crossings_ms(),
+            extra_start_delays_ms: lock(&self.node.round_trips).extra_start_delays_ms(),
             regions: &self.call.regions,
             end_count: quarantine::suspicion(self.node, self.call).end_count,
-            needs_no_grant: self.has_exhausted_permits(),
+            must_avoid_grants: self.has_exhausted_permits(),
             tried: &self.tried,
         }
     }
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -156,7 +156,8 @@
     let Some(account) = &call.account else {
         return Ok(Charge::default());
     };
-    let ask_until_ms = call.received_ms + (call.route.aim_ms as f64 * OWNER_WAIT_SHARE) as u64;
+    let ask_until_ms =
+        call.received_ms + (call.route.latency_target_ms as f64 * OWNER_WAIT_SHARE) as u64;
     let charged = limits::charge(node, account, call.cost, ask_until_ms).await;
     charged.map_err(|denied| {
         let code = match denied {
@@ -191,7 +192,7 @@
         let available_in_ms = refusal.retry_after_ms;
         let mut shortages = lock(&node.shortages);
         refusal.retry_after_ms =
-            shortages.back_after_ms(node.now_ms(), shortage_key, available_in_ms, rand::random());
+            shortages.retry_delay_ms(node.now_ms(), shortage_key, available_in_ms, rand::random());
     }
     let row = refusal.code.row();
     let route = refusal.route.as_deref().unwrap_or("");
--- a/crates/cranereach-gateway/src/forward/resumption.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -71,7 +71,7 @@
                 return Err(Failure::Unknown);
             }
         };
-        in_flight.prefill_done();
+        in_flight.prefilled();
         let started = Self {
             first_chunk: first_chunk.into_data().unwrap_or_default(),
             incoming,
@@ -102,7 +102,7 @@
         call: &Arc<Call>,
         history: OfferHistory,
         last_event: Option<String>,
-        worker_check: JoinHandle<worker_ends::Found>,
+        worker_check: JoinHandle<worker_ends::ProbeResult>,
     ) -> Self {
         let node = Arc::clone(node);
         let call = Arc::clone(call);
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -11,7 +11,7 @@
 use cranereach_fleet::demand::ModelKey;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::no_worker::NoWorker;
-use cranereach_fleet::pace::Pace;
+use cranereach_fleet::prefill_cost::PrefillCost;
 
 /// Records the demand of a call, so that its model is loaded where it is needed.
 pub fn note_demand(node: &Node, call: &Call) {
@@ -24,7 +24,7 @@
     let work_ms = reading_ms + stay_ms(node, call) / f64::from(slot_count);
     let mut demand = node.demand();
     let service_demand = demand.entry(Arc::clone(&call.service.name)).or_default();
-    service_demand.asked(now_ms, key, work_ms);
+    service_demand.record_request(now_ms, key, work_ms);
 }
 
 /// Records that the call lacks a model or an adapter that no worker is known to hold.
@@ -56,16 +56,18 @@
 }
 
 /// Returns the prefill speed of the call's model; zero time if the call names no model.
-pub fn pace(node: &Node, call: &Call) -> Pace {
+pub fn pace(node: &Node, call: &Call) -> PrefillCost {
     let model = call.model();
-    model.map_or(Pace::default(), |(model, _)| node.paces().of(model))
+    model.map_or(PrefillCost::default(), |(model, _)| {
+        node.prefill_costs().of(model)
+    })
 }
 
 /// Returns the time for which the call is expected to occupy a slot once it runs, in
 /// milliseconds.
 pub fn stay_ms(node: &Node, call: &Call) -> f64 {
     if let Some((model, _)) = call.model() {
-        return node.stays().expected_ms(model, call.answer_tokens);
+        return node.slot_times().expected_ms(model, call.answer_tokens);
     }
     let times = node.service_times();
     times.expected_ms(&call.service.name, &call.route.name)
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/news.rs
@@ -1,4 +1,4 @@
-//! What peers' messages change here: workers, adapters, demand.
+//! Applies the contents of peers' messages: state of workers, loaded adapters and demand.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -19,23 +19,24 @@
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Takes what a digest says of workers; true if requests may go elsewhere now.
+/// Applies what a digest says about workers. Returns true if waiting requests may now be sent
+/// elsewhere.
 pub fn take_roster(node: &Arc<Node>, now_ms: u64, sender: Ipv4Addr, digest: &Digest) -> bool {
     let mut roster = node.roster();
     for key in &digest.unreachable {
         if let Some(worker) = roster.by_key_mut(*key) {
-            worker.told_unreachable(now_ms, u32::from(sender));
+            worker.note_reported_unreachable(now_ms, u32::from(sender));
         }
     }
-    let heard = digest.leaving.iter();
-    let new: Vec<(u64, StorePosition)> = heard
+    let reported = digest.leaving.iter();
+    let new: Vec<(u64, StorePosition)> = reported
         .filter(|(key, position)| roster.leaves(*position, *key))
         .copied()
         .collect();
     drop(roster);
     for (key, position) in new {
         info!(node.log, "worker leaves"; "from" => sender.to_string(), "position" => %position);
-        roster_sync::pass_leaving_on(node, key, position);
+        roster_sync::forward_leaving(node, key, position);
     }
     if !digest.holds.is_empty() {
         apply_orders(node, now_ms, &digest.adapters, &digest.withheld);
@@ -44,7 +45,7 @@
     !digest.adapters.is_empty()
 }
 
-/// Takes what a holder's orders have changed at workers.
+/// Applies changes that a lease holder's orders have made at workers.
 pub fn apply_orders(
     node: &Node,
     now_ms: u64,
@@ -72,7 +73,7 @@
     apply_adapters(node, now_ms, adapters);
 }
 
-/// Takes adapters that were loaded, before the list says so.
+/// Adds adapters that have been loaded but are not in the list of workers yet.
 fn apply_adapters(node: &Node, now_ms: u64, adapters: &[(u64, ModelKey)]) {
     let Some(configuration) = node.configuration() else {
         return;
@@ -89,14 +90,14 @@
         };
         let service = Arc::clone(&worker.record.service);
         if let Some(name) = name_of(&service, *model) {
-            worker.told_adapter(now_ms, &name, &format!("a{adapter}"));
+            worker.note_adapter_loaded(now_ms, &name, &format!("a{adapter}"));
         }
     }
 }
 
-/// Takes a peer's demand.
+/// Applies a peer's demand.
 pub fn take_demand(node: &Node, sender: Ipv4Addr, demand: &DemandMessage) {
-    let is_new = node.peers().heard_demand(node.now_ms(), sender, demand);
+    let is_new = node.peers().apply_demand(node.now_ms(), sender, demand);
     if is_new && !demand.lacks.is_empty() {
         expected::answer(node, sender, &demand.lacks);
     }
@@ -109,22 +110,22 @@
         .map(|(service, announced)| (worker_key(service), announced.adapters.clone()))
         .collect();
     for (service, adapters) in placed {
-        tell_placed(node, service, &adapters);
+        notify_placed(node, service, &adapters);
         node.controller_wanted.notify_one();
     }
 }
 
-/// Tells whoever waits for adapters of a service which of them are there.
-pub fn tell_placed(node: &Node, service: u64, adapters: &[(u64, ModelKey)]) {
+/// Notifies the peers that wait for adapters of a service of those that have been loaded.
+pub fn notify_placed(node: &Node, service: u64, adapters: &[(u64, ModelKey)]) {
     let now_ms = node.now_ms();
-    let answers = node.peers().take_answered(now_ms, service, adapters);
+    let answers = node.peers().take_satisfied_waits(now_ms, service, adapters);
     for (peer, placed) in answers {
         let peer = SocketAddr::from((peer, node.peer_port()));
         node.send_now(peer, Message::Placed(placed));
     }
 }
 
-/// Takes a holder's word that adapters are there.
+/// Applies a lease holder's message that adapters have been loaded.
 pub fn take_placed(node: &Node, placed: &[(u64, ModelKey)]) {
     apply_adapters(node, node.now_ms(), placed);
     node.roster_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/questions.rs
+++ b/crates/cranereach-gateway/src/questions.rs
@@ -1,4 +1,4 @@
-//! Questions to peers that wait for answers, told apart by a number.
+//! Pending questions to peers, matched to their answers by ticket.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,33 +9,33 @@
 
 use crate::node::lock;
 
-/// Questions of one kind that wait for answers.
+/// Pending questions of one kind.
 #[derive(Debug)]
 pub struct Questions<T> {
-    waiting: Mutex<HashMap<u64, UnboundedSender<T>>>,
+    pending: Mutex<HashMap<u64, UnboundedSender<T>>>,
 }
 
 impl<T> Default for Questions<T> {
     fn default() -> Self {
         Self {
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 }
 
-/// A question that is forgotten when it is dropped, also with a caller who left.
+/// A pending question, removed on drop, also when its caller has disconnected.
 #[derive(Debug)]
 pub struct Question<'a, T> {
     questions: &'a Questions<T>,
-    /// Number that answers have to name.
+    /// Number that answers must carry.
     pub ticket: u64,
-    /// The answers.
+    /// Answers received so far.
     pub answers: UnboundedReceiver<T>,
 }
 
 impl<T> Drop for Question<'_, T> {
     fn drop(&mut self) {
-        lock(&self.questions.waiting).remove(&self.ticket);
+        lock(&self.questions.pending).remove(&self.ticket);
     }
 }
 
@@ -44,7 +44,7 @@
     pub fn open(&self) -> Question<'_, T> {
         let ticket = rand::random();
         let (sender, answers) = mpsc::unbounded_channel();
-        lock(&self.waiting).insert(ticket, sender);
+        lock(&self.pending).insert(ticket, sender);
         Question {
             questions: self,
             ticket,
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Counts the questions that wait.
+    /// Returns the number of pending questions.
     pub fn open_count(&self) -> usize {
-        lock(&self.waiting).len()
+        lock(&self.pending).len()
     }
 
-    /// Hands an answer to whoever asked.
+    /// Delivers an answer to the question with this ticket.
     pub fn answered(&self, ticket: u64, answer: T) {
-        if let Some(asker) = lock(&self.waiting).get(&ticket) {
-            // Whoever asked may have stopped waiting.
+        if let Some(asker) = lock(&self.pending).get(&ticket) {
+            // The receiver may have been dropped.
             let _taken = asker.send(answer);
         }
     }
--- a/crates/cranereach-gateway/src/recent.rs
+++ b/crates/cranereach-gateway/src/recent.rs
@@ -1,47 +1,49 @@
-//! News that peers are told for some rounds, each by all who have just learnt of it.
+//! Recently learned updates, which every instance repeats to its peers for a few gossip rounds.
 
-/// Time for which each is told, in milliseconds.
-const TOLD_FOR_MS: u64 = 4_000;
+/// Time for which an update is repeated, in milliseconds.
+const GOSSIP_FOR_MS: u64 = 4_000;
 
-/// News that are told for a while.
+/// Updates that are repeated to peers for a limited time.
 #[derive(Debug)]
-pub struct Recent<T> {
-    /// When each was learnt, in milliseconds.
-    learnt: Vec<(u64, T)>,
+pub struct RecentUpdates<T> {
+    /// Updates with the times at which they were learned, in milliseconds.
+    entries: Vec<(u64, T)>,
 }
 
-impl<T> Default for Recent<T> {
+impl<T> Default for RecentUpdates<T> {
     fn default() -> Self {
-        Self { learnt: Vec::new() }
+        Self {
+            entries: Vec::new(),
+        }
     }
 }
 
-impl<T: Copy> Recent<T> {
-    /// Takes what has just been learnt, unless something like it is told already; returns
-    /// whether there is more to tell than before.
+impl<T: Copy> RecentUpdates<T> {
+    /// Adds updates, except those for which a matching one is already present. Returns whether the
+    /// number of updates to repeat has grown.
     ///
     /// ```
-    /// use cranereach_gateway::recent::Recent;
+    /// use cranereach_gateway::recent::RecentUpdates;
     ///
-    /// let mut recent = Recent::default();
-    /// assert!(recent.learn(1_000, &[7, 8], |known, new| known == new));
-    /// assert!(!recent.learn(2_000, &[7], |known, new| known == new));
+    /// let mut recent = RecentUpdates::default();
+    /// assert!(recent.add(1_000, &[7, 8], |known, new| known == new));
+    /// assert!(!recent.add(2_000, &[7], |known, new| known == new));
     /// assert_eq!(recent.told().collect::<Vec<_>>(), [7, 8]);
     /// ```
-    pub fn learn(&mut self, now_ms: u64, news: &[T], is_like: impl Fn(&T, &T) -> bool) -> bool {
-        self.learnt
-            .retain(|(at_ms, _)| now_ms < at_ms + TOLD_FOR_MS);
-        let before = self.learnt.len();
-        for new in news {
-            if !self.learnt.iter().any(|(_, known)| is_like(known, new)) {
-                self.learnt.push((now_ms, *new));
+    pub fn add(&mut self, now_ms: u64, updates: &[T], is_same: impl Fn(&T, &T) -> bool) -> bool {
+        self.entries
+            .retain(|(at_ms, _)| now_ms < at_ms + GOSSIP_FOR_MS);
+        let before = self.entries.len();
+        for new in updates {
+            if !self.entries.iter().any(|(_, known)| is_same(known, new)) {
+                self.entries.push((now_ms, *new));
             }
         }
-        self.learnt.len() > before
+        self.entries.len() > before
     }
 
-    /// Lists what is told.
+    /// Returns the updates to repeat.
     pub fn told(&self) -> impl Iterator<Item = T> {
-        self.learnt.iter().map(|(_, news)| *news)
+        self.entries.iter().map(|(_, update)| *update)
     }
 }
--- a/crates/cranereach-gateway/src/rests.rs
+++ b/crates/cranereach-gateway/src/rests.rs
@@ -1,7 +1,7 @@
-//! Hears from answers which workers ask this instance for rest, and when it is over.
+//! Tracks rests: periods without requests that workers ask this instance for with `Retry-After`.
 //!
-//! See [`cranereach_fleet::rest`]. A rest is asked of one instance, so that nobody else is
-//! told; this one forgets it when it starts again.
+//! See [`cranereach_fleet::rest`]. A rest concerns only the instance that was asked for it, so
+//! peers are not told, and the state is lost when this instance restarts.
 
 use slog::info;
 
@@ -9,29 +9,30 @@
 use crate::send_permit::Permit;
 use cranereach_fleet::purpose::Purpose;
 
-/// Takes the wish of a worker for a rest of so many milliseconds.
-pub fn heard(node: &Node, permit: &Permit, for_ms: u64) {
+/// Applies a worker's wish to receive no requests for `for_ms` milliseconds.
+pub fn apply_rest(node: &Node, permit: &Permit, for_ms: u64) {
     let now_ms = node.now_ms();
-    let is_later = {
+    let is_extended = {
         let mut roster = node.roster();
         let worker = roster.get_mut(&permit.worker);
-        worker.is_some_and(|worker| worker.rest.asked(now_ms, for_ms))
+        worker.is_some_and(|worker| worker.rest.requested(now_ms, for_ms))
     };
-    if is_later {
+    if is_extended {
         info!(node.log, "worker rests"; "worker" => permit.worker.as_ref(), "for_ms" => for_ms,
             "purpose" => permit.purpose.name());
-        // Calls that wait for it look elsewhere.
+        // Calls that wait for the worker select another one.
         node.roster_changed.notify_waiters();
     }
 }
 
-/// Notes that a worker took a request: if it was the first after a rest, others follow.
-pub fn note_taken(node: &Node, permit: &Permit) {
+/// Records that a worker accepted a request. If it was the trial request after a rest, the rest is
+/// over and further requests may follow.
+pub fn record_accepted(node: &Node, permit: &Permit) {
     let has_ended = {
         let mut roster = node.roster();
         let worker = roster.get_mut(&permit.worker);
         permit.purpose == Purpose::Call
-            && worker.is_some_and(|worker| worker.rest.taken(permit.sent_ms))
+            && worker.is_some_and(|worker| worker.rest.accepted(permit.sent_ms))
     };
     if has_ended {
         node.roster_changed.notify_waiters();
