--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -1,9 +1,9 @@
-//! Keeps the list of workers: own reads of the store, and what peers tell.
+//! Keeps the list of workers current, from reads of the store and from peers' messages.
 //!
-//! A [`Finder`] says when this instance has to read, and where. What a read changes
-//! goes to all peers at once, so that in calm times one instance reads for all.
+//! A [`ListSourceSelector`] decides when this instance has to read, and from where. Each read's changes are
+//! sent to all peers at once, so that normally one instance reads on behalf of all.
 
-mod departures;
+mod row_effects;
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 use slog::info;
 use slog::warn;
 
-use self::departures::Departures;
+use self::row_effects::RowEffects;
 use crate::adapter::Row;
 use crate::bodies;
 use crate::list_bodies;
-use crate::list_source::Finder;
+use crate::list_source::ListSourceSelector;
 use crate::list_source::Source;
 use crate::messages::ListMessage;
 use crate::messages::unpack_rows;
@@ -31,22 +31,22 @@
 use cranereach_fleet::listing::Verdict;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Time that the store is asked to wait for changes, in milliseconds: none, so
-/// that each answer says how the list stands when it is asked for.
+/// Long-poll wait requested from the store, in milliseconds. It is zero so that each response shows
+/// the list as of the time of the request.
 const WAIT_MS: u64 = 0;
 
-/// Rows of one change that are logged one by one: where thousands of workers come up, lines
-/// take more processor time than all else.
-const TOLD_MAX_COUNT: usize = 64;
+/// Maximum number of rows of one change that are logged individually. When thousands of workers
+/// start, logging each of them would take more processor time than everything else.
+const LOGGED_MAX_COUNT: usize = 64;
 
-/// Time by which a word that the list is still the newest must be younger than what is
-/// known to be passed on, in milliseconds: much less than the bound, and much more than
-/// what words from several peers differ by.
-const PASSED_ON_FROM_MS: u64 = 250;
+/// Minimum gain in freshness for which an unchanged list is announced to further peers, in
+/// milliseconds. It is far below the staleness bound, and far above the differences between
+/// announcements from several peers.
+const REBROADCAST_MIN_ADVANCE_MS: u64 = 250;
 
-/// Runs until the process ends.
+/// Runs until the process exits.
 pub async fn run(node: Arc<Node>) {
-    let mut finder = Finder::default();
+    let mut finder = ListSourceSelector::default();
     let mut is_whole = true;
     let mut failure_count = 0_u32;
     loop {
@@ -59,7 +59,7 @@
             }
             Source::Store => {}
         }
-        // In a new era changes say nothing of the list before.
+        // In a new era, changes relative to the earlier list have no meaning.
         is_whole |= node.list_position().era < node.store.eras().newest();
         let read = read(&node, is_whole).await;
         finder.has_read();
@@ -70,7 +70,7 @@
                 }
                 failure_count = 0;
                 is_whole = false;
-                // Also where nothing has changed: that it is so is news.
+                // Also sent without changes: peers need to know that the list is current.
                 node.tell_list(Origin::Own);
             }
             Err(error @ (StoreError::HistoryGone | StoreError::OtherEra)) => {
@@ -78,7 +78,7 @@
                     "position" => %node.list_position());
                 is_whole = true;
                 if error == StoreError::OtherEra {
-                    store_pace::after_other_era().await;
+                    store_pace::pause_after_era_change().await;
                 }
             }
             Err(error) => {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Reads the store: the whole list, or what has changed.
+/// Reads the whole list from the store, or the changes since the known position.
 async fn read(node: &Node, is_whole: bool) -> Result<(), StoreError> {
     let table = node.adapter.store.workers;
     let begun_ms = node.now_ms();
@@ -102,7 +102,7 @@
         let position = node.list_position();
         node.store.watch(table, position, WAIT_MS).await
     };
-    store_pace::note_call(node, "workers", &read);
+    store_pace::count_read(node, "workers", &read);
     let rows = read?;
     if is_whole {
         info!(node.log, "workers read whole"; "rows" => rows.rows.len(),
@@ -112,28 +112,28 @@
     if is_whole {
         take_whole(node, begun_ms, rows.position, changed);
     } else {
-        take_part(node, begun_ms, rows.position, Span::Changes, changed);
+        apply_rows(node, begun_ms, rows.position, Span::Changes, changed);
     }
     Ok(())
 }
 
-/// Takes changes that a peer tells; what is missing in between is fetched from it.
+/// Applies list changes sent by a peer. Missing changes are fetched from that peer.
 pub fn take_message(node: &Arc<Node>, sender: Ipv4Addr, message: &ListMessage) {
-    node.peers().told_list(sender, message.position);
-    let true_at_ms = told_at_ms(node.now_ms(), message.age_ms);
-    let verdict = take_changes(node, sender, true_at_ms, message);
-    // Who has no list at all looks for one in an order of its own.
+    node.peers().note_list_advertised(sender, message.position);
+    let as_of_ms = told_at_ms(node.now_ms(), message.age_ms);
+    let verdict = take_changes(node, sender, as_of_ms, message);
+    // An instance without any list obtains one in `run`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
         list_bodies::fetch_missing(node, sender, message.position);
     }
 }
 
-/// Takes changes that make the list complete as it was at a time, if they fit, and
-/// passes on what is new.
+/// Applies changes that make the list complete as of the given time, if they follow on from the
+/// known position, and passes on what is new.
 pub fn take_changes(
     node: &Node,
     sender: Ipv4Addr,
-    true_at_ms: u64,
+    as_of_ms: u64,
     message: &ListMessage,
 ) -> Verdict {
     let (position, span) = (message.position, message.span);
@@ -148,118 +148,120 @@
         return Verdict::Old;
     };
     let known_at_ms = lock(&node.list).known_at_ms();
-    take_part(node, true_at_ms, position, span, rows);
-    let is_much_younger =
-        known_at_ms.is_none_or(|known_ms| known_ms + PASSED_ON_FROM_MS < true_at_ms);
-    if position > known_position || is_much_younger {
+    apply_rows(node, as_of_ms, position, span, rows);
+    let is_much_fresher =
+        known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < as_of_ms);
+    if position > known_position || is_much_fresher {
         node.tell_list(Origin::at(node.distance_to(sender)));
     }
     verdict
 }
 
-/// Takes a peer's word that a position of the list was complete a while ago.
+/// Applies a peer's statement that the list at a position was complete `age_ms` ago.
 pub fn take_age(node: &Node, position: StorePosition, age_ms: u64) {
-    let true_at_ms = told_at_ms(node.now_ms(), age_ms);
-    let is_fresher = lock(&node.list).is_older_than(true_at_ms);
+    let as_of_ms = told_at_ms(node.now_ms(), age_ms);
+    let is_fresher = lock(&node.list).is_older_than(as_of_ms);
     if !position.is_none() && position == node.list_position() && is_fresher {
-        apply(node, true_at_ms, position, &[]);
+        apply(node, as_of_ms, position, &[]);
     }
 }
 
-/// Takes the whole list as it was at a time.
-pub fn take_whole(node: &Node, true_at_ms: u64, position: StorePosition, listed: Vec<ChangedRow>) {
+/// Replaces the list by the whole list as of the given time.
+pub fn take_whole(node: &Node, as_of_ms: u64, position: StorePosition, listed: Vec<ChangedRow>) {
     enter_era(node, position);
     let changed = lock(&node.listing).take_whole(position, listed);
-    apply(node, true_at_ms, position, &changed);
+    apply(node, as_of_ms, position, &changed);
 }
 
-/// Takes rows that make the list complete as it was at a time.
-fn take_part(
+/// Applies rows that make the list complete as of the given time.
+fn apply_rows(
     node: &Node,
-    true_at_ms: u64,
+    as_of_ms: u64,
     position: StorePosition,
     span: Span,
     rows: Vec<ChangedRow>,
 ) {
     enter_era(node, position);
     let changed = lock(&node.listing).take(position, span, rows);
-    apply(node, true_at_ms, position, &changed);
+    apply(node, as_of_ms, position, &changed);
 }
 
-/// Enters the era of a position, should nobody have told of it before.
+/// Enters the era of a position, in case it has not been announced before.
 fn enter_era(node: &Node, position: StorePosition) {
-    node.store.eras().rise_to(position.era, "list");
+    node.store.eras().advance_to(position.era, "list");
     store_era::enter(node);
 }
 
-/// Brings what is known of workers up to a list that was complete at a time.
-fn apply(node: &Node, true_at_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
+/// Updates the state of the workers to a list that was complete as of the given time.
+fn apply(node: &Node, as_of_ms: u64, position: StorePosition, changed: &[ChangedRow]) {
     let now_ms = node.now_ms();
-    let lapse_until_ms = confirm(node, now_ms, true_at_ms, position);
+    let lapse_until_ms = confirm_list(node, now_ms, as_of_ms, position);
     if changed.is_empty() {
         return;
     }
-    let departures = take_rows(node, changed, lapse_until_ms);
+    let effects = update_roster(node, changed, lapse_until_ms);
     let ended = changed.iter().filter(|row| row.value.is_none());
-    for row in ended.take(TOLD_MAX_COUNT) {
+    for row in ended.take(LOGGED_MAX_COUNT) {
         info!(node.log, "worker gone"; "worker" => &row.key, "position" => %row.position,
             "lapsed_until_ms" => lapse_until_ms);
     }
-    note_leaving(node, now_ms, &departures.leaving);
-    node.forget_pools(&departures.ended);
+    note_leaving(node, now_ms, &effects.leaving);
+    node.forget_pools(&effects.ended);
     node.roster_changed.notify_waiters();
     node.controller_wanted.notify_one();
 }
 
-/// Takes changed rows into the roster, and returns who leaves or is gone by them.
-fn take_rows(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> Departures {
+/// Applies changed rows to the roster. Returns the workers that are leaving or gone as a result.
+fn update_roster(node: &Node, changed: &[ChangedRow], lapse_until_ms: Option<u64>) -> RowEffects {
     let mut roster = node.roster();
-    // Those of the first list were there before this instance.
+    // Workers on the first list started before this instance.
     let are_new = roster.workers().next().is_some();
-    let mut departures = Departures {
+    let mut effects = RowEffects {
         are_new,
-        are_told_of: are_new && changed.len() <= TOLD_MAX_COUNT,
-        ..Departures::default()
+        are_logged: are_new && changed.len() <= LOGGED_MAX_COUNT,
+        ..RowEffects::default()
     };
     if !are_new {
         info!(node.log, "first list of workers"; "rows" => changed.len());
-    } else if changed.len() > TOLD_MAX_COUNT {
+    } else if changed.len() > LOGGED_MAX_COUNT {
         info!(node.log, "many workers changed"; "rows" => changed.len());
     }
     for row in changed {
         match &row.value {
-            None => departures.end(&mut roster, row, lapse_until_ms),
+            None => effects.end(&mut roster, row, lapse_until_ms),
             Some(value) => {
-                if let Some(record) = departures::parse(node, &row.key, value) {
-                    departures.put(node, &mut roster, row, record);
+                if let Some(record) = row_effects::parse(node, &row.key, value) {
+                    effects.put(node, &mut roster, row, record);
                 }
             }
         }
     }
-    departures
+    effects
 }
 
-/// Notes that the list was complete at a time; returns until when rows that end may only
-/// have lapsed.
-fn confirm(node: &Node, now_ms: u64, true_at_ms: u64, position: StorePosition) -> Option<u64> {
+/// Records that the list was complete as of the given time. Returns the time until which rows may
+/// have been removed only because they lapsed during an outage of the store; `None` if there was
+/// none.
+fn confirm_list(node: &Node, now_ms: u64, as_of_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
-        // It was on its way when the store came back from a copy: newer rows may be missing.
+        // The list was in transit when the store was restored from a copy, so newer rows may be
+        // missing.
         return None;
     }
     let mut list = lock(&node.list);
-    let is_regained = list.ends_outage(true_at_ms);
-    let lapse_until_ms = list.lapse_until_ms(now_ms, true_at_ms);
-    list.confirm(true_at_ms);
+    let is_regained = list.ends_outage(as_of_ms);
+    let lapse_until_ms = list.lapse_until_ms(now_ms, as_of_ms);
+    list.confirm(as_of_ms);
     drop(list);
     if is_regained {
-        node.roster().distrust_copy(now_ms);
-        // The wait for the configuration may have died with the outage.
+        node.roster().distrust_restored_rows(now_ms);
+        // The pending wait for the configuration may have been lost in the outage.
         node.configuration_wanted.notify_one();
     }
     lapse_until_ms
 }
 
-/// Makes a changed row of one that the store answered.
+/// Converts a row of the store's response to a changed row.
 fn changed_row(row: Row) -> ChangedRow {
     ChangedRow {
         key: row.key,
@@ -274,7 +276,7 @@
     let is_fresh = age_ms.is_some_and(|age_ms| age_ms < node.settings.bounds.drain_ms);
     let mut roster = node.roster();
     if is_fresh {
-        roster.trust_copy(now_ms);
+        roster.trust_restored_rows(now_ms);
     }
     let lapsed = roster.lapsed(now_ms);
     if lapsed.is_empty() {
@@ -293,15 +295,15 @@
     node.controller_wanted.notify_one();
 }
 
-/// Passes on that a worker leaves, as a peer has told.
-pub fn pass_leaving_on(node: &Node, key: u64, position: StorePosition) {
+/// Passes on a peer's report that a worker is leaving.
+pub fn forward_leaving(node: &Node, key: u64, position: StorePosition) {
     note_leaving(node, node.now_ms(), &[(key, position)]);
 }
 
-/// Remembers who leaves or is gone, so that peers are told.
+/// Queues workers that are leaving or gone for the digests to peers.
 fn note_leaving(node: &Node, now_ms: u64, leaving: &[(u64, StorePosition)]) {
     let is_same = |(known, _): &(u64, StorePosition), (key, _): &(u64, StorePosition)| known == key;
-    if lock(&node.recent_leaving).learn(now_ms, leaving, is_same) {
+    if lock(&node.recent_leaving).add(now_ms, leaving, is_same) {
         node.digest_wanted.notify_one();
     }
 }
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! An instance put together: start, planned stop, end.
+//! Lifecycle of an instance: start, graceful shutdown and immediate stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,40 +30,42 @@
 use cranereach_http::server;
 use cranereach_http::server::ServeOptions;
 
-/// Time for which a stopping instance still accepts, in milliseconds.
+/// Time for which a stopping instance still accepts requests, in milliseconds.
 ///
-/// The platform asks each second and takes an instance out after two misses.
-const ACCEPT_FOR_MS: u64 = 2_400;
+/// The platform checks readiness every second and removes an instance after two failed checks.
+const ACCEPT_WHILE_STOPPING_MS: u64 = 2_400;
 
-/// Time between the end of a planned stop and the kill, in milliseconds.
-const END_BEFORE_KILL_MS: u64 = 500;
+/// Margin between the end of a graceful shutdown and the time at which the process is killed, in
+/// milliseconds.
+const KILL_MARGIN_MS: u64 = 500;
 
-/// Time that a kept connection of a caller may rest, in milliseconds.
+/// Time for which an idle keep-alive connection of a caller stays open, in milliseconds.
 ///
-/// Longer than any limit that callers are told, so that none meets our close.
-const CALLER_REST_MS: u64 = 90_000;
+/// It is longer than any limit that callers are told, so that no caller's request coincides with
+/// the close of its connection.
+const CALLER_KEEP_ALIVE_MS: u64 = 90_000;
 
-/// Largest head of a request that is read, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const HEADER_MAX_BYTES: usize = 64 * 1024;
 
-/// Time between two looks at a stop, in milliseconds.
-const LOOK_EVERY_MS: u64 = 50;
+/// Interval at which a graceful shutdown checks whether all requests have ended, in milliseconds.
+const DRAIN_POLL_INTERVAL_MS: u64 = 50;
 
-/// Why an instance could not start.
+/// Error that prevents an instance from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// An address could not be listened on.
-    #[error("can't listen on {address} ({key}): {source}")]
+    #[error("cannot listen on {address} ({key}): {source}")]
     Listen {
-        /// Key in settings.
+        /// Key of the address in the settings.
         key: &'static str,
         /// Address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The adapter isn't known.
-    #[error("platform.adapter: {0:?} isn't known")]
+    /// There is no adapter of the given name.
+    #[error("platform.adapter: unknown adapter {0:?}")]
     Adapter(String),
 }
 
@@ -80,11 +82,11 @@
 /// Addresses that an instance listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// Question whether it is ready.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// Metrics.
+    /// Metrics and other requests of operators.
     pub metrics: SocketAddr,
 }
 
@@ -113,24 +115,24 @@
         let node = Arc::new(node);
         let (stopping, stop) = watch::channel(false);
         let mut tasks = JoinSet::new();
-        let asked = Arc::clone(&node);
+        let operator_node = Arc::clone(&node);
         let options = ServeOptions::default();
         tasks.spawn(server::serve(
             ready,
             options,
             stop.clone(),
-            move |request| operators::answer_ready(&asked, &request),
+            move |request| operators::answer_ready(&operator_node, &request),
         ));
-        let asked = Arc::clone(&node);
+        let operator_node = Arc::clone(&node);
         let options = ServeOptions::default();
         tasks.spawn(server::serve(
             metrics,
             options,
             stop.clone(),
-            move |request| operators::answer(&asked, &request),
+            move |request| operators::answer(&operator_node, &request),
         ));
         let socket = Arc::new(digests);
-        // Nothing has been sent before.
+        // The cell is still empty: no task that uses it has been started.
         let _first = node.peer_socket.set(Arc::clone(&socket));
         tasks.spawn(gossip::receive(Arc::clone(&node), socket));
         tasks.spawn(list_news::send(Arc::clone(&node)));
@@ -143,13 +145,13 @@
         tasks.spawn(store_era::run(Arc::clone(&node)));
         tasks.spawn(controller::run(Arc::clone(&node)));
         tasks.spawn(traffic::run(Arc::clone(&node)));
-        let called = Arc::clone(&node);
+        let caller_node = Arc::clone(&node);
         let options = ServeOptions {
-            header_within_ms: CALLER_REST_MS,
+            header_within_ms: CALLER_KEEP_ALIVE_MS,
             header_max_bytes: HEADER_MAX_BYTES,
         };
         let serving = server::serve(callers, options, stop, move |request| {
-            forward::answer(Arc::clone(&called), request)
+            forward::answer(Arc::clone(&caller_node), request)
         });
         info!(node.log, "started"; "callers" => addresses.callers.to_string(),
             "failure_domain" => node.settings.instance.failure_domain.clone(),
@@ -163,7 +165,7 @@
         })
     }
 
-    /// Returns what all parts share.
+    /// Returns the state that all tasks of the instance share.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
@@ -173,31 +175,31 @@
         self.addresses
     }
 
-    /// Stops as planned: unready first, then finishes what is in flight.
+    /// Shuts down gracefully: reports not ready first, then finishes the requests in flight.
     pub async fn drain(mut self) {
         let node = Arc::clone(&self.node);
         let begun_ms = node.now_ms();
         let grace_ms = (node.settings.bounds.grace_s * 1_000.0) as u64;
-        let end_by_ms = begun_ms + grace_ms.saturating_sub(END_BEFORE_KILL_MS);
-        node.ask_stop();
+        let end_by_ms = begun_ms + grace_ms.saturating_sub(KILL_MARGIN_MS);
+        node.request_stop();
         info!(node.log, "stopping"; "open" => node.metrics.open_requests.get());
-        pause(ACCEPT_FOR_MS.min(grace_ms / 3)).await;
+        pause(ACCEPT_WHILE_STOPPING_MS.min(grace_ms / 3)).await;
         self.stopping.send_replace(true);
         while !self.serving.is_finished() && node.now_ms() < end_by_ms {
-            pause(LOOK_EVERY_MS).await;
+            pause(DRAIN_POLL_INTERVAL_MS).await;
         }
         info!(node.log, "stopped"; "open" => node.metrics.open_requests.get());
         self.tasks.shutdown().await;
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once, as a crash would.
     pub async fn kill(mut self) {
         self.serving.abort();
         self.tasks.shutdown().await;
     }
 }
 
-/// Listens on an address.
+/// Binds a TCP listener to an address.
 async fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|source| StartError::Listen {
--- a/crates/cranereach-gateway/src/store_failures.rs
+++ b/crates/cranereach-gateway/src/store_failures.rs
@@ -1,54 +1,54 @@
-//! Which instances could not reach the store lately, as they tell each other.
+//! Recent failures to reach the store, as instances report them to each other.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
 use crate::messages::StoreFailure;
 
-/// Time for which a peer's failure to reach the store counts, in milliseconds: some
-/// tries of those that try again soon.
-const STORE_FAILED_FOR_MS: u64 = 1_500;
+/// Time for which a reported failure to reach the store counts, in milliseconds. It covers
+/// several attempts of the instances that retry soon.
+const FAILURE_RETENTION_MS: u64 = 1_500;
 
-/// Instances that must have failed before the store counts as lost: one alone may be
-/// cut off.
-const STORE_WITNESS_COUNT: usize = 2;
+/// Number of other instances that must report failures before the store counts as lost. A single
+/// one may be cut off itself.
+const FAILED_PEER_MIN_COUNT: usize = 2;
 
-/// Failures to reach the store that are remembered and told at most.
-const STORE_FAILURE_MAX_COUNT: usize = 6;
+/// Maximum number of failures that are kept and passed on.
+const FAILURE_MAX_COUNT: usize = 6;
 
-/// The failures that are known.
+/// The known failures to reach the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFailures {
-    /// When each instance failed last, in milliseconds.
+    /// Time of the last failure of each instance, in milliseconds.
     at_ms: HashMap<Ipv4Addr, u64>,
 }
 
 impl StoreFailures {
-    /// Takes what a peer tells; more than are remembered are not taken.
+    /// Merges failures that a peer reports, up to the maximum that is kept.
     pub fn told(&mut self, now_ms: u64, failures: &[StoreFailure]) {
-        for failure in failures.iter().take(STORE_FAILURE_MAX_COUNT) {
+        for failure in failures.iter().take(FAILURE_MAX_COUNT) {
             self.note(now_ms, failure.address, failure.age_ms);
         }
     }
 
-    /// Notes that an instance could not reach the store a while ago.
+    /// Records that an instance failed to reach the store `age_ms` ago.
     pub fn note(&mut self, now_ms: u64, address: Ipv4Addr, age_ms: u64) {
         let at_ms = now_ms.saturating_sub(age_ms);
         self.at_ms
-            .retain(|_, known_ms| now_ms < *known_ms + STORE_FAILED_FOR_MS);
+            .retain(|_, known_ms| now_ms < *known_ms + FAILURE_RETENTION_MS);
         if let Some(known_ms) = self.at_ms.get_mut(&address) {
             *known_ms = at_ms.max(*known_ms);
-        } else if self.at_ms.len() < STORE_FAILURE_MAX_COUNT {
+        } else if self.at_ms.len() < FAILURE_MAX_COUNT {
             self.at_ms.insert(address, at_ms);
         }
     }
 
-    /// Lists those that still count.
+    /// Returns the failures that still count.
     pub fn recent(&self, now_ms: u64) -> Vec<StoreFailure> {
         let recent = self
             .at_ms
             .iter()
-            .filter(|(_, at_ms)| now_ms < **at_ms + STORE_FAILED_FOR_MS);
+            .filter(|(_, at_ms)| now_ms < **at_ms + FAILURE_RETENTION_MS);
         recent
             .map(|(address, at_ms)| StoreFailure {
                 address: *address,
@@ -57,10 +57,10 @@
             .collect()
     }
 
-    /// Whether instances other than `own` say that they can't reach the store.
+    /// Returns whether enough instances other than `own` report that they cannot reach the store.
     pub fn is_lost(&self, now_ms: u64, own: Ipv4Addr) -> bool {
         let recent = self.recent(now_ms);
-        let others = recent.iter().filter(|of| of.address != own);
-        others.count() >= STORE_WITNESS_COUNT
+        let others = recent.iter().filter(|failure| failure.address != own);
+        others.count() >= FAILED_PEER_MIN_COUNT
     }
 }
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -1,10 +1,15 @@
-//! Whether a worker whose connection broke has ended.
+//! Determines whether a worker has terminated after a connection to it broke.
 //!
-//! Answers break off without an end too: a worker fails one request, a link is cut. So
-//! the worker is tried once: if its machine refuses the connection, nothing listens
-//! there any more. If it takes the connection and keeps it, that one is kept for the next
-//! request. Anything else says nothing: what stands before a worker takes connections for
-//! it, a worker resets those beyond its limit. There the end of its row tells.
+//! A broken response does not imply that the worker terminated: it may have failed only one
+//! request, or a network link may be down. Therefore the worker is probed with one connection
+//! attempt:
+//!
+//! - If its machine refuses the connection, nothing is listening any more.
+//! - If the connection is accepted and stays open, the worker is alive, and the connection is kept
+//!   for the next request.
+//! - Any other result is inconclusive: a proxy in front of a worker accepts connections in its
+//!   place, and a worker resets connections beyond its limit. Then the removal of the worker's row
+//!   decides.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -17,53 +22,56 @@
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
-use crate::worker_words::REST_UNSAID_MS;
+use crate::worker_words::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_http::pool::ConnectError;
 
-/// Time from the break of a connection to the try, in milliseconds: a process that ends
-/// may close its open connections a little before it stops listening. Repeats wait for it.
-const TRY_AFTER_MS: u64 = 10;
+/// Delay between the break of a connection and the probe, in milliseconds. A terminating process
+/// may close its open connections shortly before it stops listening. Retries wait for this delay.
+const PROBE_DELAY_MS: u64 = 10;
 
-/// Time to connect, in milliseconds.
-const CONNECT_WITHIN_MS: u64 = 250;
+/// Timeout of the connection attempt, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// Time for which a connection must stay open, in milliseconds, to speak for the worker.
-const HELD_FOR_MS: u64 = 10;
+/// Time for which a new connection must stay open to show that the worker is alive, in
+/// milliseconds.
+const MIN_OPEN_MS: u64 = 10;
 
-/// Time for which one try answers for all connections to the worker that break, in
-/// milliseconds: the requests that an end breaks off come to light within some.
-const TRIED_FOR_MS: u64 = 500;
+/// Time for which the result of one probe is used for all broken connections to the same worker, in
+/// milliseconds. The requests interrupted by one termination are noticed at slightly different
+/// times.
+const PROBE_RESULT_TTL_MS: u64 = 500;
 
-/// Time for which the list is looked at for a worker that can't be reached, in
-/// milliseconds: rows end some 4 s after their workers.
-const LISTED_FOR_MS: u64 = 6_000;
+/// Time for which the list of workers is watched for the removal of an unreachable worker, in
+/// milliseconds. Rows are removed about 4 s after their workers terminate.
+const DELISTING_TIMEOUT_MS: u64 = 6_000;
 
-/// Time between two looks at the list, in milliseconds.
-const LOOK_EVERY_MS: u64 = 100;
+/// Interval between two checks of the list, in milliseconds.
+const LIST_POLL_INTERVAL_MS: u64 = 100;
 
-/// What became of a worker whose connection broke.
+/// State of a worker after a connection to it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// Its machine refuses connections: it has ended.
+pub enum ProbeResult {
+    /// The machine refuses connections: the worker has terminated.
     Refused,
-    /// It took no connection for long, and its row ended without its leaving: it has
-    /// ended.
+    /// The worker kept no connection open, and its row was removed without having been marked as
+    /// leaving: the worker has terminated.
     Delisted,
-    /// It takes connections and keeps them.
+    /// The worker accepts connections and keeps them open.
     Alive,
-    /// It was to end: its row said so, or was gone.
+    /// The termination was planned: the row was marked as leaving or already removed.
     Planned,
-    /// It takes no connection, or none for long, and is still listed: a link may be cut.
+    /// The worker accepts no connection, or keeps none open, but is still listed: a network link
+    /// may be down.
     OutOfReach,
 }
 
-impl Found {
-    /// Whether the worker ended without having been meant to.
+impl ProbeResult {
+    /// Whether the worker terminated unexpectedly.
     pub fn has_ended(self) -> bool {
         matches!(self, Self::Refused | Self::Delisted)
     }
 
-    /// Returns the name that logs and metrics use.
+    /// Returns the name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -75,101 +83,103 @@
     }
 }
 
-/// One try of a worker.
+/// One connection attempt to a worker.
 #[derive(Debug)]
-struct Try {
-    begun_at_ms: u64,
-    /// What it found, once it has.
-    found: Arc<OnceCell<Found>>,
+struct Probe {
+    started_at_ms: u64,
+    /// Result, once the probe has completed.
+    result: Arc<OnceCell<ProbeResult>>,
 }
 
-/// Tries of workers whose connections broke lately.
+/// Recent probes of workers whose connections broke.
 #[derive(Debug, Default)]
-pub struct Tries {
-    by_worker: Mutex<HashMap<Arc<str>, Try>>,
+pub struct WorkerProbes {
+    by_worker: Mutex<HashMap<Arc<str>, Probe>>,
 }
 
-/// Finds out what became of a worker whose connection has just broken: at once, but for
-/// workers out of reach, whose row is waited for.
-pub async fn find(node: &Node, worker: &Arc<str>) -> Found {
-    if !is_meant_to_stay(node, worker) {
-        return Found::Planned;
+/// Determines the state of a worker after a connection to it broke. Waits for the worker's row only
+/// if the worker is out of reach.
+pub async fn find(node: &Node, worker: &Arc<str>) -> ProbeResult {
+    if !is_expected_to_run(node, worker) {
+        return ProbeResult::Planned;
     }
-    let start = start_of(node, worker);
-    let cell = node.tries.of(node.now_ms(), worker);
-    let found = *cell.get_or_init(|| try_it(node, worker)).await;
-    if found == Found::OutOfReach {
-        return delisted(node, worker, start).await;
+    let incarnation = incarnation_of(node, worker);
+    let result_cell = node.tries.current(node.now_ms(), worker);
+    let found = *result_cell.get_or_init(|| probe(node, worker)).await;
+    if found == ProbeResult::OutOfReach {
+        return wait_for_delisting(node, worker, incarnation).await;
     }
     found
 }
 
-impl Tries {
-    /// Returns the try that answers for a worker now.
-    fn of(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<Found>> {
-        let mut tries = lock(&self.by_worker);
-        tries.retain(|_, of| now_ms < of.begun_at_ms + TRIED_FOR_MS);
-        let of = tries.entry(Arc::clone(worker)).or_insert_with(|| Try {
-            begun_at_ms: now_ms,
-            found: Arc::default(),
+impl WorkerProbes {
+    /// Returns the result cell of the current probe of a worker; adds a probe if there is none.
+    fn current(&self, now_ms: u64, worker: &Arc<str>) -> Arc<OnceCell<ProbeResult>> {
+        let mut probes = lock(&self.by_worker);
+        probes.retain(|_, probe| now_ms < probe.started_at_ms + PROBE_RESULT_TTL_MS);
+        let probe = probes.entry(Arc::clone(worker)).or_insert_with(|| Probe {
+            started_at_ms: now_ms,
+            result: Arc::default(),
         });
-        Arc::clone(&of.found)
+        Arc::clone(&probe.result)
     }
 }
 
-/// Returns the key of the start of a worker that is listed.
-fn start_of(node: &Node, worker: &str) -> Option<u64> {
+/// Returns the key of a listed worker's current incarnation.
+fn incarnation_of(node: &Node, worker: &str) -> Option<u64> {
     let roster = node.roster();
-    roster.get(worker).map(|known| known.record.start_key())
+    roster
+        .get(worker)
+        .map(|known| known.record.incarnation_key())
 }
 
-/// Whether a worker is listed and doesn't leave.
-fn is_meant_to_stay(node: &Node, worker: &str) -> bool {
+/// Whether a worker is listed and not leaving.
+fn is_expected_to_run(node: &Node, worker: &str) -> bool {
     let roster = node.roster();
     roster.get(worker).is_some_and(|known| !known.is_leaving())
 }
 
-/// Tries to connect to a worker.
-async fn try_it(node: &Node, worker: &Arc<str>) -> Found {
-    pause(TRY_AFTER_MS).await;
+/// Probes a worker with one connection attempt.
+async fn probe(node: &Node, worker: &Arc<str>) -> ProbeResult {
+    pause(PROBE_DELAY_MS).await;
     let address = node
         .roster()
         .get(worker)
         .map(|known| known.record.address.clone());
     let Some(address) = address else {
-        return Found::Planned;
+        return ProbeResult::Planned;
     };
     let pool = node.pool(worker, &address);
-    let within = Duration::from_millis(CONNECT_WITHIN_MS);
-    match tokio::time::timeout(within, pool.make()).await {
+    let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+    match tokio::time::timeout(connect_timeout, pool.make()).await {
         Ok(Ok(connection)) => {
             node.metrics.connections_total.inc();
-            pause(HELD_FOR_MS).await;
+            pause(MIN_OPEN_MS).await;
             if connection.is_closed() {
-                return Found::OutOfReach;
+                return ProbeResult::OutOfReach;
             }
-            connection.keep_for(REST_UNSAID_MS);
-            Found::Alive
+            connection.keep_for(DEFAULT_KEEP_ALIVE_MS);
+            ProbeResult::Alive
         }
         Ok(Err(ConnectError::Refused(error))) if error.kind() == ErrorKind::ConnectionRefused => {
-            Found::Refused
+            ProbeResult::Refused
         }
-        Ok(Err(_)) | Err(_) => Found::OutOfReach,
+        Ok(Err(_)) | Err(_) => ProbeResult::OutOfReach,
     }
 }
 
-/// Waits for the end of the row of a worker that takes no connection, or for that of its
-/// next start.
-async fn delisted(node: &Node, worker: &str, start: Option<u64>) -> Found {
-    let until_ms = node.now_ms() + LISTED_FOR_MS;
+/// Waits until the row of an unreachable worker is removed or replaced by that of a new
+/// incarnation.
+async fn wait_for_delisting(node: &Node, worker: &str, incarnation: Option<u64>) -> ProbeResult {
+    let until_ms = node.now_ms() + DELISTING_TIMEOUT_MS;
     while node.now_ms() < until_ms {
-        if start_of(node, worker) != start {
-            return Found::Delisted;
+        if incarnation_of(node, worker) != incarnation {
+            return ProbeResult::Delisted;
         }
-        if !is_meant_to_stay(node, worker) {
-            return Found::Planned;
+        if !is_expected_to_run(node, worker) {
+            return ProbeResult::Planned;
         }
-        pause(LOOK_EVERY_MS).await;
+        pause(LIST_POLL_INTERVAL_MS).await;
     }
-    Found::OutOfReach
+    ProbeResult::OutOfReach
 }
--- a/crates/cranereach-http/src/bearer.rs
+++ b/crates/cranereach-http/src/bearer.rs
@@ -1,13 +1,16 @@
-//! The bearer key that a request carries.
+//! Extraction of the bearer token from request headers.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
 
-/// Name of the scheme, in any case.
+/// Name of the authentication scheme, compared without regard to case.
 const SCHEME: &str = "bearer";
 
-/// Returns the bearer key of a request; none if there is none, if it isn't plain
-/// text, or if two are given, which two parties might read differently.
+/// Returns the bearer token of a request.
+///
+/// Returns `None` if the request has no token or one that isn't visible ASCII. Several
+/// `Authorization` headers also give `None`, because another server on the path might
+/// choose a different one.
 ///
 /// ```
 /// use cranereach_http::bearer::bearer;
@@ -22,12 +25,12 @@
 /// assert_eq!(bearer(&headers), None);
 /// ```
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
-    let mut given = headers.get_all(AUTHORIZATION).iter();
-    let text = given.next()?.to_str().ok()?;
-    if given.next().is_some() {
+    let mut values = headers.get_all(AUTHORIZATION).iter();
+    let text = values.next()?.to_str().ok()?;
+    if values.next().is_some() {
         return None;
     }
-    let (scheme, key) = text.split_once(' ')?;
-    let key = key.trim();
-    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then_some(key)
+    let (scheme, token) = text.split_once(' ')?;
+    let token = token.trim();
+    (scheme.eq_ignore_ascii_case(SCHEME) && !token.is_empty()).then_some(token)
 }
--- a/crates/cranereach-http/src/body.rs
+++ b/crates/cranereach-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading bodies within limits, and making small ones.
+//! Reading bodies within limits of size and time, and building JSON responses.
 
 use std::time::Duration;
 
@@ -14,28 +14,28 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Why a body could not be read.
+/// Reasons why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     #[error("the body is larger than the limit")]
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     #[error("the body did not arrive in time")]
     TooSlow,
-    /// The sender left.
-    #[error("the body broke off")]
+    /// Reading failed before the end, usually because the connection was closed.
+    #[error("the body ended before it was complete")]
     Broken,
 }
 
-/// Reads a whole body of at most `max_bytes` within `within_ms`.
-pub async fn collect<B>(body: B, max_bytes: usize, within_ms: u64) -> Result<Bytes, BodyError>
+/// Reads a whole body of at most `max_bytes` within `timeout_ms`.
+pub async fn collect<B>(body: B, max_bytes: usize, timeout_ms: u64) -> Result<Bytes, BodyError>
 where
     B: Body,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let collecting = Limited::new(body, max_bytes).collect();
-    let collected = tokio::time::timeout(Duration::from_millis(within_ms), collecting).await;
+    let collected = tokio::time::timeout(Duration::from_millis(timeout_ms), collecting).await;
     match collected {
         Err(_elapsed) => Err(BodyError::TooSlow),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
@@ -44,21 +44,22 @@
     }
 }
 
-/// Makes an answer with a JSON body.
+/// Builds a response with a JSON body.
 ///
 /// # Panics
 ///
-/// If the value has no form in JSON, which our typed messages all have.
+/// Panics if the value doesn't serialize to JSON, which all message types of this project
+/// do, or if `status` isn't a valid HTTP status code.
 ///
 /// ```
 /// let answer = cranereach_http::body::json(200, &[1, 2]);
 /// assert_eq!(answer.status(), 200);
 /// ```
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Full<Bytes>> {
-    let text = serde_json::to_vec(value).expect("typed messages have a form in JSON");
-    let mut answer = Response::new(Full::new(Bytes::from(text)));
+    let bytes = serde_json::to_vec(value).expect("message types serialize to JSON");
+    let mut answer = Response::new(Full::new(Bytes::from(bytes)));
     *answer.status_mut() =
-        hyper::StatusCode::from_u16(status).expect("statuses are constants of ours");
+        hyper::StatusCode::from_u16(status).expect("callers pass valid status codes");
     answer
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Time for which a machine is suspended counts.
+//! The clock keeps counting while the machine is suspended.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,16 +7,17 @@
 use cranereach_http::clock::Clock;
 use cranereach_http::clock::boot_ms;
 
-/// Time that the machine was suspended for, in milliseconds; timers stood still.
+/// Simulated suspension of the machine, in milliseconds, during which timers stood still.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
-fn with_suspension() -> u64 {
+/// Returns the time since boot with the simulated suspension added.
+fn simulated_boottime_ms() -> u64 {
     boot_ms() + SUSPENDED_MS.load(Ordering::Acquire)
 }
 
 #[test]
 fn what_was_due_while_the_machine_was_suspended_is_due_at_once() {
-    let clock = Clock::of(with_suspension);
+    let clock = Clock::of(simulated_boottime_ms);
     let due_ms = clock.now_ms() + 30_000;
     let before = clock.instant(due_ms);
     assert!(before > tokio::time::Instant::now() + Duration::from_secs(20));
--- a/crates/cranereach-soak/src/gateways.rs
+++ b/crates/cranereach-soak/src/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes of their own: started, signalled by id, ended.
+//! Runs gateways as separate processes: starts them, signals them by process ID, ends them.
 
 use std::fs;
 use std::fs::File;
@@ -26,58 +26,58 @@
 use crate::schedule::DOMAINS;
 use cranereach_bench::process;
 
-/// Pause between two looks at a process, in milliseconds.
-const LOOK_EVERY_MS: u64 = 20;
+/// Interval at which a process is polled, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 20;
 
-/// Time within which a process must listen, in milliseconds.
-const LISTENS_WITHIN_MS: u64 = 20_000;
+/// Time to wait for a started process to listen, in milliseconds.
+const LISTEN_TIMEOUT_MS: u64 = 20_000;
 
-/// Time after which a platform sends no new callers to a gateway that stops, in
-/// milliseconds: it asks each second and takes out who misses twice.
-const OUT_AFTER_MS: u64 = 2_000;
+/// Time after which a platform sends no new callers to a stopping gateway, in milliseconds: it
+/// probes each second and takes a gateway out of rotation after two failed probes.
+const ROTATION_DELAY_MS: u64 = 2_000;
 
-/// How often free ports are looked for.
+/// Number of attempts to find a port that is free on all addresses.
 const PORT_TRIES: usize = 20;
 
-/// Why gateways can't be run.
+/// Error of running a gateway.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// No ports are free.
-    #[error("no free ports on {ip}: {source}")]
+    /// No free port was found.
+    #[error("no free port found on {ip}: {source}")]
     Port {
-        /// Address.
+        /// IP address, or several.
         ip: String,
-        /// What the system said.
+        /// Underlying error.
         source: io::Error,
     },
-    /// A file can't be written.
+    /// A file cannot be written.
     #[error("{path}: {source}")]
     File {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Underlying error.
         source: io::Error,
     },
-    /// A process can't be started or ended at once.
-    #[error("gateway {number} can't run: {why}")]
+    /// A process cannot be started, or exited right after its start.
+    #[error("gateway {number} cannot run: {reason}")]
     Start {
-        /// Which.
+        /// Number of the gateway.
         number: usize,
-        /// Why.
-        why: String,
+        /// Reason.
+        reason: String,
     },
 }
 
-/// One gateway, whose process may come and go.
+/// A gateway, whose process may be stopped and restarted.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Its number.
+    /// Number of the gateway.
     pub number: usize,
-    /// Where callers reach it.
-    pub callers: SocketAddr,
-    /// Where it is asked whether it is ready.
-    pub ready: SocketAddr,
-    is_in: AtomicBool,
+    /// Address for callers.
+    pub caller_address: SocketAddr,
+    /// Address of the readiness probe.
+    pub ready_address: SocketAddr,
+    is_in_rotation: AtomicBool,
     binary: PathBuf,
     folder: PathBuf,
     state: Mutex<State>,
@@ -86,37 +86,41 @@
 #[derive(Debug, Default)]
 struct State {
     child: Option<Child>,
-    is_ending: bool,
+    is_stopping: bool,
 }
 
-/// Returns the failure domain of a gateway or worker by its number, and its region.
-pub fn place_of(number: usize) -> (&'static str, &'static str) {
+/// Returns the failure domain and region of the gateway or worker with a number.
+pub fn domain_and_region_of(number: usize) -> (&'static str, &'static str) {
     DOMAINS[number % DOMAINS.len()]
 }
 
-/// Finds ports and writes settings for gateways whose stores are at `stores`.
+/// Finds free ports and writes settings for one gateway per address in `stores`.
 pub async fn prepare(
     binary: &Path,
     folder: &Path,
     stores: &[SocketAddr],
 ) -> Result<Vec<Gateway>, GatewayError> {
-    // Addresses of its own for each run: two runs at once don't meet.
+    // Each run has its own loopback addresses, so that concurrent runs don't collide.
     let id = std::process::id();
-    let net = format!("127.{}.{}", 64 + (id >> 8) % 128, id % 256);
+    let subnet = format!("127.{}.{}", 64 + (id >> 8) % 128, id % 256);
     let count = stores.len();
-    let ips: Vec<String> = (1..=count).map(|last| format!("{net}.{last}")).collect();
-    // Held until all are found, so that none is found twice.
-    let (peer_port, _held) = peer_port(&ips).await?;
+    let ips: Vec<String> = (1..=count).map(|last| format!("{subnet}.{last}")).collect();
+    // Kept bound until all ports are found, so that none is found twice.
+    let (peer_port, _held) = reserve_peer_port(&ips).await?;
     let mut gateways = Vec::new();
     for (number, store) in stores.iter().enumerate() {
         let ip = &ips[number];
-        let held = [free(ip).await?, free(ip).await?, free(ip).await?];
-        let [callers, ready, metrics] = held.each_ref().map(|(address, _)| *address);
+        let held = [
+            reserve_free_port(ip).await?,
+            reserve_free_port(ip).await?,
+            reserve_free_port(ip).await?,
+        ];
+        let [caller_address, ready_address, metrics] = held.each_ref().map(|(address, _)| *address);
         let gateway = Gateway {
             number,
-            callers,
-            ready,
-            is_in: AtomicBool::new(true),
+            caller_address,
+            ready_address,
+            is_in_rotation: AtomicBool::new(true),
             binary: binary.to_owned(),
             folder: folder.to_owned(),
             state: Mutex::default(),
@@ -128,14 +132,14 @@
     Ok(gateways)
 }
 
-/// Finds a port that is free for peers on all addresses, and holds it there.
-async fn peer_port(ips: &[String]) -> Result<(u16, Vec<TcpListener>), GatewayError> {
+/// Finds a port for peers that is free on all addresses, and keeps it bound.
+async fn reserve_peer_port(ips: &[String]) -> Result<(u16, Vec<TcpListener>), GatewayError> {
     let mut last = None;
     for _ in 0..PORT_TRIES {
-        let (address, found) = free(&ips[0]).await?;
+        let (address, found) = reserve_free_port(&ips[0]).await?;
         drop(found);
         let port = address.port();
-        match hold(ips, port).await {
+        match reserve_port(ips, port).await {
             Ok(held) => return Ok((port, held)),
             Err(error) => last = Some(error),
         }
@@ -146,8 +150,8 @@
     })
 }
 
-/// Takes a port on all addresses, if it is free there for connections and datagrams.
-async fn hold(ips: &[String], port: u16) -> io::Result<Vec<TcpListener>> {
+/// Binds a port on all addresses, if it is free there for both TCP and UDP.
+async fn reserve_port(ips: &[String], port: u16) -> io::Result<Vec<TcpListener>> {
     let mut held = Vec::new();
     for ip in ips {
         held.push(TcpListener::bind((ip.as_str(), port)).await?);
@@ -156,8 +160,8 @@
     Ok(held)
 }
 
-/// Finds a free port, and holds it.
-async fn free(ip: &str) -> Result<(SocketAddr, TcpListener), GatewayError> {
+/// Finds a free port, and keeps it bound.
+async fn reserve_free_port(ip: &str) -> Result<(SocketAddr, TcpListener), GatewayError> {
     let bound = TcpListener::bind((ip, 0)).await;
     let found = bound.and_then(|listener| Ok((listener.local_addr()?, listener)));
     found.map_err(|source| GatewayError::Port {
@@ -167,7 +171,7 @@
 }
 
 impl Gateway {
-    /// Starts the process, unless it runs, and waits until it listens.
+    /// Starts the process unless it is running, and waits until it listens.
     pub async fn start(&self) -> Result<(), GatewayError> {
         let mut state = self.state.lock().await;
         if state.child.is_some() {
@@ -176,52 +180,52 @@
         let child = Command::new(&self.binary)
             .arg("gateway")
             .arg("--settings")
-            .arg(self.path("jsonc"))
+            .arg(self.file_path("jsonc"))
             .stdin(Stdio::null())
-            .stdout(self.append("log")?)
-            .stderr(self.append("err")?)
+            .stdout(self.open_for_append("log")?)
+            .stderr(self.open_for_append("err")?)
             .kill_on_drop(true)
             .spawn();
-        state.child = Some(child.map_err(|error| self.failed(error.to_string()))?);
-        state.is_ending = false;
+        state.child = Some(child.map_err(|error| self.start_error(error.to_string()))?);
+        state.is_stopping = false;
         drop(state);
-        self.until_it_listens().await?;
-        self.is_in.store(true, Ordering::Relaxed);
+        self.wait_until_listening().await?;
+        self.is_in_rotation.store(true, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Waits until callers can connect; an end before that is an error.
-    async fn until_it_listens(&self) -> Result<(), GatewayError> {
-        for _ in 0..LISTENS_WITHIN_MS / LOOK_EVERY_MS {
-            if TcpStream::connect(self.callers).await.is_ok() {
+    /// Waits until callers can connect; returns an error if the process exits before that.
+    async fn wait_until_listening(&self) -> Result<(), GatewayError> {
+        for _ in 0..LISTEN_TIMEOUT_MS / POLL_INTERVAL_MS {
+            if TcpStream::connect(self.caller_address).await.is_ok() {
                 return Ok(());
             }
             let mut state = self.state.lock().await;
             let ended = state.child.as_mut().map(Child::try_wait);
             match ended {
-                Some(Ok(Some(status))) if !state.is_ending => {
-                    let said = fs::read_to_string(self.path("err")).unwrap_or_default();
-                    let line = said.lines().last().unwrap_or_default();
-                    return Err(self.failed(format!("{status}: {line}")));
+                Some(Ok(Some(status))) if !state.is_stopping => {
+                    let stderr = fs::read_to_string(self.file_path("err")).unwrap_or_default();
+                    let line = stderr.lines().last().unwrap_or_default();
+                    return Err(self.start_error(format!("{status}: {line}")));
                 }
-                // Another fault ended it meanwhile.
+                // Another fault has ended it meanwhile.
                 None | Some(Ok(Some(_))) => return Ok(()),
                 Some(_) => {}
             }
             drop(state);
-            look().await;
+            wait_for_next_poll().await;
         }
-        // Stopped by another fault, or slow; whether it serves is judged by callers.
+        // Another fault has frozen it, or it is slow. Callers' requests show whether it serves.
         Ok(())
     }
 
-    /// Sends a signal by name; nothing happens if the process is gone.
+    /// Sends a signal by name; does nothing if the process is gone.
     pub async fn signal(&self, name: &str) {
         let state = self.state.lock().await;
         self.signal_locked(&state, name).await;
     }
 
-    /// Sends a signal while the process can't be replaced by another.
+    /// Sends a signal while the state is locked, so that the process cannot be replaced meanwhile.
     async fn signal_locked(&self, state: &State, name: &str) {
         let Some(id) = state.child.as_ref().and_then(Child::id) else {
             return;
@@ -232,35 +236,36 @@
             .status()
             .await;
         if !sent.is_ok_and(|status| status.success()) {
-            eprintln!("gateway {}: signal {name} not sent", self.number);
+            eprintln!("gateway {}: sending signal {name} failed", self.number);
         }
     }
 
-    /// Ends the process at once, as a crash would.
+    /// Kills the process at once, as a crash would.
     pub async fn kill(&self) {
-        self.is_in.store(false, Ordering::Relaxed);
+        self.is_in_rotation.store(false, Ordering::Relaxed);
         let mut state = self.state.lock().await;
         if let Some(mut child) = state.child.take() {
-            // It may have ended already.
+            // It may have exited already.
             let _killed = child.kill().await;
         }
-        state.is_ending = false;
+        state.is_stopping = false;
     }
 
-    /// Stops the process as planned; tells whether it ended by itself within its time.
+    /// Sends SIGTERM to the process; returns whether it exited within its grace time, and kills it
+    /// otherwise.
     ///
-    /// New callers are kept away after a while, as the platform does.
+    /// Takes it out of rotation after `ROTATION_DELAY_MS`, as the platform would.
     pub async fn stop(&self) -> bool {
         let id = {
             let mut state = self.state.lock().await;
             self.signal_locked(&state, "TERM").await;
-            state.is_ending = true;
+            state.is_stopping = true;
             state.child.as_ref().and_then(Child::id)
         };
-        let looks = (stop::GRACE_S * 1_000.0) as u64 / LOOK_EVERY_MS;
-        for look_count in 0..looks {
-            if look_count * LOOK_EVERY_MS == OUT_AFTER_MS {
-                self.is_in.store(false, Ordering::Relaxed);
+        let poll_limit = (stop::GRACE_S * 1_000.0) as u64 / POLL_INTERVAL_MS;
+        for poll_count in 0..poll_limit {
+            if poll_count * POLL_INTERVAL_MS == ROTATION_DELAY_MS {
+                self.is_in_rotation.store(false, Ordering::Relaxed);
             }
             let mut state = self.state.lock().await;
             let is_same = state.child.as_ref().and_then(Child::id) == id;
@@ -276,58 +281,59 @@
             if !is_same {
                 return true;
             }
-            look().await;
+            wait_for_next_poll().await;
         }
         self.kill().await;
         false
     }
 
-    /// Tells whether the process ended though nobody ended it; it is forgotten then.
+    /// Returns whether the process exited although nothing had stopped it, and forgets it if so.
     pub async fn has_ended_by_itself(&self) -> bool {
         let mut state = self.state.lock().await;
         let ended = state.child.as_mut().map(Child::try_wait);
-        let has_ended = matches!(ended, Some(Ok(Some(_)))) && !state.is_ending;
+        let has_ended = matches!(ended, Some(Ok(Some(_)))) && !state.is_stopping;
         if has_ended {
             state.child = None;
         }
         has_ended
     }
 
-    /// Tells whether new callers are sent here.
-    pub fn is_in(&self) -> bool {
-        self.is_in.load(Ordering::Relaxed)
+    /// Returns whether new callers are sent to this gateway.
+    pub fn is_in_rotation(&self) -> bool {
+        self.is_in_rotation.load(Ordering::Relaxed)
     }
 
-    /// Returns resident memory and open descriptors, if the process runs.
-    pub async fn held(&self) -> Option<(u64, u64)> {
+    /// Returns the resident memory in bytes and the number of open file descriptors, if the process
+    /// runs.
+    pub async fn resource_usage(&self) -> Option<(u64, u64)> {
         let id = self.state.lock().await.child.as_ref()?.id()?;
         let memory_bytes = process::resident_bytes(&id.to_string());
         let descriptors = fs::read_dir(format!("/proc/{id}/fd")).ok()?;
         Some((memory_bytes, descriptors.count() as u64))
     }
 
-    /// Returns a file of its own in the folder.
-    fn path(&self, extension: &str) -> PathBuf {
+    /// Returns the path of this gateway's file with an extension.
+    fn file_path(&self, extension: &str) -> PathBuf {
         let name = format!("gateway-{}.{extension}", self.number);
         self.folder.join(name)
     }
 
-    /// Opens a file of its own to write behind its end.
-    fn append(&self, extension: &str) -> Result<File, GatewayError> {
-        let path = self.path(extension);
+    /// Opens this gateway's file with an extension for appending.
+    fn open_for_append(&self, extension: &str) -> Result<File, GatewayError> {
+        let path = self.file_path(extension);
         let opened = File::options().create(true).append(true).open(&path);
         opened.map_err(|source| file_error(&path, source))
     }
 
-    /// Makes the error of a process that can't run.
-    fn failed(&self, why: String) -> GatewayError {
+    /// Returns the error of a process that cannot run.
+    fn start_error(&self, reason: String) -> GatewayError {
         GatewayError::Start {
             number: self.number,
-            why,
+            reason,
         }
     }
 
-    /// Writes the settings.
+    /// Writes the settings file.
     fn write_settings(
         &self,
         peers: &str,
@@ -335,7 +341,7 @@
         store: SocketAddr,
         seeds: &[String],
     ) -> Result<(), GatewayError> {
-        let (domain, region) = place_of(self.number);
+        let (domain, region) = domain_and_region_of(self.number);
         let domains: serde_json::Map<_, _> = DOMAINS
             .iter()
             .map(|(domain, region)| ((*domain).to_owned(), json!(region)))
@@ -346,7 +352,7 @@
                 "region": region, "failure_domains": domains,
             },
             "listen": {
-                "callers": self.callers, "ready": self.ready, "peers": peers,
+                "callers": self.caller_address, "ready": self.ready_address, "peers": peers,
                 "metrics": metrics,
             },
             "platform": { "adapter": cranereach_platform::ADAPTER.name, "store": store.to_string() },
@@ -362,17 +368,17 @@
                 "cold_allowance_count": cold::ALLOWANCE_COUNT,
             },
         });
-        let path = self.path("jsonc");
+        let path = self.file_path("jsonc");
         fs::write(&path, settings.to_string()).map_err(|source| file_error(&path, source))
     }
 }
 
-/// Waits until the next look at a process.
-async fn look() {
-    tokio::time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+/// Waits until the next poll of a process.
+async fn wait_for_next_poll() {
+    tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
 }
 
-/// Makes the error of a file.
+/// Returns the error of a file that cannot be written.
 fn file_error(path: &Path, source: io::Error) -> GatewayError {
     GatewayError::File {
         path: path.display().to_string(),
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: everything is started, struck, watched and ended.
+//! A run from start to end: starts the processes, injects the faults, watches and stops.
 
 use std::fs;
 use std::io;
@@ -15,16 +15,16 @@
 
 use crate::back_ends::BackEnds;
 use crate::callers::Caller;
-use crate::ending;
+use crate::crash_requests;
 use crate::faults;
-use crate::faults::Parts;
+use crate::faults::TestBed;
 use crate::faults::pause;
 use crate::gateways;
 use crate::gateways::Gateway;
 use crate::gateways::GatewayError;
 use crate::journal::Journal;
-use crate::limited;
-use crate::own_words;
+use crate::notices;
+use crate::rate_limits;
 use crate::record::Event;
 use crate::record::Records;
 use crate::schedule;
@@ -35,34 +35,34 @@
 use cranereach_platform::requests::READY_PATH;
 use cranereach_standin::load;
 
-/// Time within which gateways must be ready at the start, in milliseconds.
-const READY_WITHIN_MS: u64 = 60_000;
+/// Time-out for a gateway to become ready at the start, in milliseconds.
+const READY_TIMEOUT_MS: u64 = 60_000;
 
-/// Pause between two questions whether a gateway is ready, in milliseconds.
-const READY_EVERY_MS: u64 = 50;
+/// Pause between two readiness probes, in milliseconds.
+const READY_POLL_INTERVAL_MS: u64 = 50;
 
-/// Pause between two looks whether processes live and what they hold, in milliseconds.
-const WATCH_EVERY_MS: u64 = 500;
+/// Pause between two checks of the processes and their resource usage, in milliseconds.
+const WATCH_INTERVAL_MS: u64 = 500;
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The binary whose `gateway` is run.
+    /// Binary whose `gateway` command is run.
     pub binary: PathBuf,
-    /// Folder of settings and logs.
+    /// Folder for settings and logs.
     pub folder: PathBuf,
-    /// Seed of faults and callers.
+    /// Seed of the faults and callers.
     pub seed: u64,
-    /// For how long callers ask, in milliseconds.
+    /// Time during which callers send requests, in milliseconds.
     pub run_ms: u64,
-    /// How large.
+    /// Size of the run.
     pub size: Size,
-    /// Whether the store comes back from copies besides.
+    /// Whether the schedule also restores the store from backups.
     pub is_restored: bool,
 }
 
 impl Plan {
-    /// Returns the faults of the run.
+    /// Returns the fault schedule of the run.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = schedule::from_seed(self.seed, self.run_ms, self.size);
         if self.is_restored {
@@ -72,30 +72,30 @@
     }
 }
 
-/// Why a run came to nothing.
+/// Reason why a run failed before it could be judged.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A gateway.
+    /// A gateway could not be run.
     #[error(transparent)]
     Gateway(#[from] GatewayError),
-    /// A stand-in can't listen.
-    #[error("a stand-in can't listen: {0}")]
+    /// A stand-in cannot listen.
+    #[error("cannot start the stand-ins: {0}")]
     Listen(#[from] io::Error),
-    /// A gateway isn't ready.
-    #[error("gateway {0} isn't ready after {READY_WITHIN_MS} ms")]
+    /// A gateway did not become ready in time.
+    #[error("gateway {0} did not become ready within {READY_TIMEOUT_MS} ms")]
     NotReady(usize),
-    /// Somebody wanted it to end.
+    /// The run was interrupted.
     #[error("interrupted")]
     Interrupted,
 }
 
-/// Runs a plan; ends every process that it started, also when `interrupted` comes true.
+/// Runs a plan. Ends every process that it started, also when `interrupted` completes first.
 pub async fn run(plan: &Plan, interrupted: impl Future<Output = ()>) -> Result<Records, RunError> {
     let back_ends = BackEnds::start(plan.size).await?;
     let prepared = gateways::prepare(&plan.binary, &plan.folder, &back_ends.store_addresses);
     let gateways: Vec<Arc<Gateway>> = prepared.await?.into_iter().map(Arc::new).collect();
     let result = tokio::select! {
-        result = play(plan, back_ends, &gateways) => result,
+        result = execute(plan, back_ends, &gateways) => result,
         () = interrupted => Err(RunError::Interrupted),
     };
     for gateway in &gateways {
@@ -104,8 +104,8 @@
     result
 }
 
-/// Starts the gateways, lets callers and faults loose, and gathers what was seen.
-async fn play(
+/// Starts the gateways, runs callers and faults, and collects the records.
+async fn execute(
     plan: &Plan,
     back_ends: BackEnds,
     gateways: &[Arc<Gateway>],
@@ -114,68 +114,72 @@
         gateway.start().await?;
     }
     for gateway in gateways {
-        until_ready(gateway).await?;
+        wait_until_ready(gateway).await?;
     }
-    let parts = Arc::new(Parts {
+    let test_bed = Arc::new(TestBed {
         gateways: gateways.to_vec(),
         back_ends,
         journal: Arc::new(Journal::new()),
     });
-    let journal = &parts.journal;
-    journal.event(Event::Moved {
+    let journal = &test_bed.journal;
+    journal.record_event(Event::Moved {
         service: SERVICES[0].to_owned(),
         at_ms: 0,
     });
-    let mut around = JoinSet::new();
-    let beating = Arc::clone(&parts);
-    around.spawn(async move { beating.back_ends.beat_on().await });
-    let replacing = Arc::clone(&parts);
-    around.spawn(async move { replacing.back_ends.replace_ended(&replacing.journal).await });
-    let watching = Arc::clone(&parts);
-    around.spawn(async move { watch(&watching).await });
+    let mut background = JoinSet::new();
+    let heartbeats = Arc::clone(&test_bed);
+    background.spawn(async move { heartbeats.back_ends.run_heartbeats().await });
+    let replacer = Arc::clone(&test_bed);
+    background.spawn(async move { replacer.back_ends.replace_ended(&replacer.journal).await });
+    let watcher = Arc::clone(&test_bed);
+    background.spawn(async move { watch(&watcher).await });
     let mut callers = JoinSet::new();
     for number in 0..plan.size.caller_count {
         let caller = Caller::new(number, plan.seed, gateways, journal);
         callers.spawn(caller.run(plan.run_ms));
     }
-    let ending = ending::run(
+    let crash_caller = crash_requests::run(
         plan.seed,
         plan.run_ms,
         gateways.to_vec(),
         Arc::clone(journal),
     );
-    callers.spawn(ending);
-    callers.spawn(limited::run(plan.seed, plan.run_ms, Arc::clone(&parts)));
-    callers.spawn(own_words::run(
+    callers.spawn(crash_caller);
+    callers.spawn(rate_limits::run(
+        plan.seed,
+        plan.run_ms,
+        Arc::clone(&test_bed),
+    ));
+    callers.spawn(notices::run(
         plan.seed,
         plan.run_ms,
         plan.size.worker_total(),
-        Arc::clone(&parts),
+        Arc::clone(&test_bed),
     ));
-    strike_all(&parts, plan.steps()).await;
-    finish(callers).await;
-    around.shutdown().await;
+    inject_all(&test_bed, plan.steps()).await;
+    join_tasks(callers).await;
+    background.shutdown().await;
     let mut records = journal.take();
-    records.arrivals = parts.back_ends.arrivals(journal);
+    records.arrivals = test_bed.back_ends.arrivals(journal);
     records.end_ms = journal.now_ms();
     Ok(records)
 }
 
-/// Brings all faults about, each at its time, and waits until the last is over.
-async fn strike_all(parts: &Arc<Parts>, steps: Vec<Step>) {
-    let mut striking = JoinSet::new();
+/// Injects each fault at its scheduled time and waits until all have ended.
+async fn inject_all(test_bed: &Arc<TestBed>, steps: Vec<Step>) {
+    let mut injecting = JoinSet::new();
     for step in steps {
-        let parts = Arc::clone(parts);
-        striking.spawn(async move {
-            pause(step.at_ms.saturating_sub(parts.journal.now_ms())).await;
-            faults::strike(&parts, step).await;
+        let test_bed = Arc::clone(test_bed);
+        injecting.spawn(async move {
+            pause(step.at_ms.saturating_sub(test_bed.journal.now_ms())).await;
+            faults::inject(&test_bed, step).await;
         });
     }
-    finish(striking).await;
+    join_tasks(injecting).await;
 }
 
-/// Waits for all tasks; a panic in one goes on here, and ends the run and its processes.
-async fn finish(mut tasks: JoinSet<()>) {
+/// Waits for all tasks. Resumes a panic of a task here, so that it ends the run and its processes.
+async fn join_tasks(mut tasks: JoinSet<()>) {
     while let Some(joined) = tasks.join_next().await {
         if let Err(error) = joined
             && error.is_panic()
@@ -185,16 +189,16 @@
     }
 }
 
-/// Looks after the processes until it is dropped: one that ended by itself is noted and
-/// started again.
-async fn watch(parts: &Parts) {
+/// Watches the processes until dropped: records and restarts those that exited on their own, and
+/// records the resource usage of all.
+async fn watch(test_bed: &TestBed) {
     loop {
-        pause(WATCH_EVERY_MS).await;
-        for gateway in &parts.gateways {
+        pause(WATCH_INTERVAL_MS).await;
+        for gateway in &test_bed.gateways {
             let number = gateway.number;
             if gateway.has_ended_by_itself().await {
-                let at_ms = parts.journal.now_ms();
-                parts.journal.event(Event::EndedByItself {
+                let at_ms = test_bed.journal.now_ms();
+                test_bed.journal.record_event(Event::EndedByItself {
                     gateway: number,
                     at_ms,
                 });
@@ -202,8 +206,8 @@
                     eprintln!("{error}");
                 }
             }
-            if let Some((memory_bytes, descriptor_count)) = gateway.held().await {
-                parts.journal.event(Event::Held {
+            if let Some((memory_bytes, descriptor_count)) = gateway.resource_usage().await {
+                test_bed.journal.record_event(Event::Held {
                     gateway: number,
                     memory_bytes,
                     descriptor_count,
@@ -213,27 +217,27 @@
     }
 }
 
-/// Waits until a gateway says that it is ready.
-async fn until_ready(gateway: &Gateway) -> Result<(), RunError> {
-    let pool = Pool::new(&gateway.ready.to_string());
-    let question = load::Call::plain("", Method::GET, READY_PATH, "");
-    let until = Instant::now() + Duration::from_millis(READY_WITHIN_MS);
-    while load::send(&pool, &question).await.status != 200 {
-        if Instant::now() >= until {
+/// Waits until a gateway reports that it is ready.
+async fn wait_until_ready(gateway: &Gateway) -> Result<(), RunError> {
+    let pool = Pool::new(&gateway.ready_address.to_string());
+    let probe = load::Call::plain("", Method::GET, READY_PATH, "");
+    let deadline = Instant::now() + Duration::from_millis(READY_TIMEOUT_MS);
+    while load::send(&pool, &probe).await.status != 200 {
+        if Instant::now() >= deadline {
             return Err(RunError::NotReady(gateway.number));
         }
-        pause(READY_EVERY_MS).await;
+        pause(READY_POLL_INTERVAL_MS).await;
     }
     Ok(())
 }
 
-/// Makes the folder of a run, empty of an earlier one's logs.
+/// Creates the folder of a run. Fails if it isn't empty, so that logs of two runs never mix.
 pub fn make_folder(path: &Path) -> io::Result<()> {
     fs::create_dir_all(path)?;
     let mut entries = fs::read_dir(path)?;
     if entries.next().is_some() {
-        let why = "isn't empty; name another folder";
-        return Err(io::Error::new(io::ErrorKind::AlreadyExists, why));
+        let message = "isn't empty; choose another folder";
+        return Err(io::Error::new(io::ErrorKind::AlreadyExists, message));
     }
     Ok(())
 }
--- a/crates/cranereach-soak/tests/soak/bounded.rs
+++ b/crates/cranereach-soak/tests/soak/bounded.rs
@@ -1,4 +1,4 @@
-//! Checkers of what must be in force within a bound, and of planned stops.
+//! Tests of the checks with time bounds or rates, and of planned stops.
 
 use crate::planted::add;
 use crate::planted::finds;
@@ -6,23 +6,23 @@
 use crate::planted::served;
 use cranereach_soak::check::bounded;
 use cranereach_soak::check::cold;
-use cranereach_soak::check::contact::CONTACT_MS;
-use cranereach_soak::check::limited;
+use cranereach_soak::check::contact::SETTLE_MS;
+use cranereach_soak::check::rate_limits;
 use cranereach_soak::check::stop;
+use cranereach_soak::record::Component;
+use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::End;
 use cranereach_soak::record::Event;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
-use cranereach_soak::record::Trouble;
-use cranereach_soak::record::Whom;
 
-/// When the first of the calm records' requests is sent.
+/// Time at which the first request of the fault-free records is sent, in milliseconds.
 const FIRST_MS: u64 = 20_000;
 
-/// Plants trouble that ended so long before the first request.
-fn trouble(records: &mut Records, whom: Whom, ended_before_ms: u64) {
+/// Plants a disturbance that ended `ended_before_ms` before the first request.
+fn add_disturbance(records: &mut Records, whom: Component, ended_before_ms: u64) {
     let to_ms = FIRST_MS - ended_before_ms;
-    records.troubles.push(Trouble {
+    records.troubles.push(Disturbance {
         whom,
         is_planned: false,
         from_ms: to_ms - 10,
@@ -30,8 +30,8 @@
     });
 }
 
-/// Lets the worker of the first request leave so long before it, and no other serve.
-fn left(records: &mut Records, before_ms: u64) {
+/// Makes the worker of the first request leave `before_ms` before it, and drops all other arrivals.
+fn depart(records: &mut Records, before_ms: u64) {
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
     let at_ms = records.arrivals[0].at_ms - before_ms;
@@ -41,18 +41,22 @@
 #[test]
 fn work_for_a_worker_that_left_is_found() {
     let late_ms = bounded::DRAIN_MS + 1;
-    finds(bounded::leaving, |records| left(records, late_ms));
-    passes(bounded::leaving, |records| left(records, late_ms - 1));
-    // Trouble long ago, or another's, excuses nothing.
+    finds(bounded::leaving, |records| depart(records, late_ms));
+    passes(bounded::leaving, |records| depart(records, late_ms - 1));
+    // A disturbance that is long past, or of another gateway, is no excuse.
     finds(bounded::leaving, |records| {
-        left(records, late_ms);
-        trouble(records, Whom::Store, CONTACT_MS + 1);
-        trouble(records, Whom::Gateway(1), 1);
+        depart(records, late_ms);
+        add_disturbance(records, Component::Store, SETTLE_MS + 1);
+        add_disturbance(records, Component::Gateway(1), 1);
     });
-    for whom in [Whom::Store, Whom::Gateway(0), Whom::Worker(0)] {
+    for whom in [
+        Component::Store,
+        Component::Gateway(0),
+        Component::Worker(0),
+    ] {
         passes(bounded::leaving, |records| {
-            left(records, late_ms);
-            trouble(records, whom, CONTACT_MS - 1);
+            depart(records, late_ms);
+            add_disturbance(records, whom, SETTLE_MS - 1);
         });
     }
 }
@@ -69,7 +73,7 @@
     let late_ms = bounded::REVOCATION_MS + 1;
     finds(bounded::revoked, |records| {
         revoke(records, late_ms);
-        trouble(records, Whom::Gateway(0), 1);
+        add_disturbance(records, Component::Gateway(0), 1);
     });
     passes(bounded::revoked, |records| revoke(records, late_ms - 1));
     passes(bounded::revoked, |records| {
@@ -80,7 +84,7 @@
 
 #[test]
 fn an_old_or_unknown_way_of_a_route_is_found() {
-    let moved = |records: &mut Records, services: &[(&str, u64)]| {
+    let add_moves = |records: &mut Records, services: &[(&str, u64)]| {
         for (service, before_ms) in services {
             records.events.push(Event::Moved {
                 service: (*service).to_owned(),
@@ -90,23 +94,29 @@
     };
     let long_ms = bounded::CONFIGURATION_MS + 1;
     let check = bounded::configuration;
-    let begun = |records: &mut Records| moved(records, &[("plain", FIRST_MS)]);
-    let judged = |plant: &dyn Fn(&mut Records)| {
-        let mut records = crate::planted::calm();
-        begun(&mut records);
+    let add_first_move = |records: &mut Records| add_moves(records, &[("plain", FIRST_MS)]);
+    let violation_count = |plant: &dyn Fn(&mut Records)| {
+        let mut records = crate::planted::fault_free_records();
+        add_first_move(&mut records);
         plant(&mut records);
-        check(&records).broken.len()
+        check(&records).violations.len()
     };
-    assert_eq!(judged(&|_| {}), 0);
-    assert_eq!(judged(&|records| moved(records, &[("spare", long_ms)])), 1);
-    assert_eq!(judged(&|records| moved(records, &[("spare", 10)])), 0);
+    assert_eq!(violation_count(&|_| {}), 0);
     assert_eq!(
-        judged(&|records| records.arrivals[2].service = "spare".to_owned()),
+        violation_count(&|records| add_moves(records, &[("spare", long_ms)])),
         1
     );
-    // It came back before the old way was due to end.
     assert_eq!(
-        judged(&|records| moved(records, &[("spare", long_ms), ("plain", 10)])),
+        violation_count(&|records| add_moves(records, &[("spare", 10)])),
+        0
+    );
+    assert_eq!(
+        violation_count(&|records| records.arrivals[2].service = "spare".to_owned()),
+        1
+    );
+    // The route came back before the first move had to be in force.
+    assert_eq!(
+        violation_count(&|records| add_moves(records, &[("spare", long_ms), ("plain", 10)])),
         0
     );
 }
@@ -133,8 +143,8 @@
     });
     passes(check, |records| {
         evacuate(records, FIRST_MS - late_ms, FIRST_MS + 1_000);
-        records.troubles.push(Trouble {
-            whom: Whom::Store,
+        records.troubles.push(Disturbance {
+            whom: Component::Store,
             is_planned: false,
             from_ms: 0,
             to_ms: FIRST_MS,
@@ -180,13 +190,13 @@
             );
         }
     };
-    finds(limited::check, |records| crowd(records, 100, 1.2));
-    passes(limited::check, |records| crowd(records, 100, 10.0));
-    passes(limited::check, |records| crowd(records, 900, 1.2));
-    passes(limited::check, |records| {
+    finds(rate_limits::check, |records| crowd(records, 100, 1.2));
+    passes(rate_limits::check, |records| crowd(records, 100, 10.0));
+    passes(rate_limits::check, |records| crowd(records, 900, 1.2));
+    passes(rate_limits::check, |records| {
         crowd(records, 100, 1.2);
-        records.troubles.push(Trouble {
-            whom: Whom::Gateway(0),
+        records.troubles.push(Disturbance {
+            whom: Component::Gateway(0),
             is_planned: false,
             from_ms: 0,
             to_ms: FIRST_MS + 60_000,
@@ -204,7 +214,7 @@
         });
     };
     finds(stop::check, cut);
-    // A second signal makes no second fault of it.
+    // A second signal doesn't make a second violation of it.
     finds(stop::check, |records| {
         cut(records);
         cut(records);
@@ -221,6 +231,6 @@
     });
     passes(stop::check, |records| {
         cut(records);
-        trouble(records, Whom::Worker(0), 1);
+        add_disturbance(records, Component::Worker(0), 1);
     });
 }
--- a/crates/cranereach-soak/tests/soak/own_words.rs
+++ b/crates/cranereach-soak/tests/soak/own_words.rs
@@ -1,40 +1,41 @@
-//! Checkers of what workers say of themselves.
+//! Tests of the checks of notices in workers' answers.
 
 use crate::planted::add;
 use crate::planted::finds;
 use crate::planted::passes;
 use crate::planted::served;
-use cranereach_soak::check::own_words;
-use cranereach_soak::check::own_words::DRAIN_MS;
+use cranereach_soak::check::notices;
+use cranereach_soak::check::notices::DRAIN_MS;
+use cranereach_soak::record::Component;
+use cranereach_soak::record::Disturbance;
 use cranereach_soak::record::Event;
 use cranereach_soak::record::Kind;
 use cranereach_soak::record::Records;
-use cranereach_soak::record::Trouble;
-use cranereach_soak::record::Whom;
 
-/// When the first of the calm records' requests is sent, in milliseconds.
+/// Time at which the first request of the fault-free records is sent, in milliseconds.
 const FIRST_MS: u64 = 20_000;
 
-/// Lets the worker of the first request leave right before it, and a later one reach it.
-fn left(records: &mut Records, later_ms: u64) {
+/// Makes the worker of the first request leave right before it, and sends it another request
+/// `later_ms` after the first answer.
+fn depart(records: &mut Records, later_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
     let worker_id = records.arrivals[0].worker_id.clone();
     let at_ms = FIRST_MS - 1;
     records.events.push(Event::Leaves { worker_id, at_ms });
-    let told_ms = records.asked[0].ended_ms;
-    add(records, served("late", Kind::Again, told_ms + later_ms));
+    let informed_ms = records.asked[0].ended_ms;
+    add(records, served("late", Kind::Again, informed_ms + later_ms));
 }
 
 #[test]
 fn work_from_a_gateway_that_had_passed_the_word_on_is_found() {
-    finds(own_words::leaving, |records| left(records, DRAIN_MS + 1));
-    passes(own_words::leaving, |records| left(records, DRAIN_MS));
-    // Neither the store nor its link excuses it.
-    finds(own_words::leaving, |records| {
-        left(records, DRAIN_MS + 1);
-        for whom in [Whom::Store, Whom::Gateway(0)] {
-            records.troubles.push(Trouble {
+    finds(notices::leaving, |records| depart(records, DRAIN_MS + 1));
+    passes(notices::leaving, |records| depart(records, DRAIN_MS));
+    // Disturbances of the store or of the gateway's link to it are no excuse.
+    finds(notices::leaving, |records| {
+        depart(records, DRAIN_MS + 1);
+        for whom in [Component::Store, Component::Gateway(0)] {
+            records.troubles.push(Disturbance {
                 whom,
                 is_planned: false,
                 from_ms: FIRST_MS,
@@ -42,24 +43,24 @@
             });
         }
     });
-    let stood = |gateway| Event::Stood {
+    let interruption = |gateway| Event::Stood {
         gateway,
         from_ms: FIRST_MS + 500,
         to_ms: FIRST_MS + 600,
     };
-    passes(own_words::leaving, |records| {
-        left(records, DRAIN_MS + 1);
-        records.events.push(stood(0));
+    passes(notices::leaving, |records| {
+        depart(records, DRAIN_MS + 1);
+        records.events.push(interruption(0));
     });
-    finds(own_words::leaving, |records| {
-        left(records, DRAIN_MS + 1);
-        records.events.push(stood(1));
+    finds(notices::leaving, |records| {
+        depart(records, DRAIN_MS + 1);
+        records.events.push(interruption(1));
     });
 }
 
-/// Lets the worker of the first request turn it away and ask for rest, and so many more
-/// reach it each some time later.
-fn rests(records: &mut Records, rest_ms: u64, count: u64, step_ms: u64) {
+/// Makes the worker of the first request ask for a rest in its answer, and sends it `count` more
+/// requests `step_ms` apart.
+fn add_rest(records: &mut Records, rest_ms: u64, count: u64, step_ms: u64) {
     records.asked.truncate(1);
     records.arrivals.truncate(1);
     records.arrivals[0].rest_ms = Some(rest_ms);
@@ -74,15 +75,15 @@
 
 #[test]
 fn too_much_in_a_rest_is_found() {
-    finds(own_words::resting, |records| rests(records, 3_000, 3, 700));
-    passes(own_words::resting, |records| rests(records, 3_000, 2, 700));
-    passes(own_words::resting, |records| rests(records, 1_000, 3, 700));
-    // On the way before the answer.
-    passes(own_words::resting, |records| rests(records, 3_000, 9, 20));
-    for whom in [Whom::Gateway(0), Whom::Worker(0)] {
-        passes(own_words::resting, |records| {
-            rests(records, 3_000, 3, 700);
-            records.troubles.push(Trouble {
+    finds(notices::resting, |records| add_rest(records, 3_000, 3, 700));
+    passes(notices::resting, |records| add_rest(records, 3_000, 2, 700));
+    passes(notices::resting, |records| add_rest(records, 1_000, 3, 700));
+    // Requests that were in flight before the answer arrived are tolerated.
+    passes(notices::resting, |records| add_rest(records, 3_000, 9, 20));
+    for whom in [Component::Gateway(0), Component::Worker(0)] {
+        passes(notices::resting, |records| {
+            add_rest(records, 3_000, 3, 700);
+            records.troubles.push(Disturbance {
                 whom,
                 is_planned: false,
                 from_ms: FIRST_MS + 100,
--- a/crates/cranereach-wire/src/locate.rs
+++ b/crates/cranereach-wire/src/locate.rs
@@ -1,4 +1,4 @@
-//! Finds the line of a fault in the files of a folder.
+//! Finding the line of a configuration fault in the declaration files.
 
 use jsonc_parser::CollectOptions;
 use jsonc_parser::ParseOptions;
@@ -10,7 +10,7 @@
 use crate::folder::Folder;
 use cranereach_core::snapshot::Place;
 
-/// A line of a file.
+/// Line of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
     /// Name of the file.
@@ -19,7 +19,7 @@
     pub line: usize,
 }
 
-/// Returns the line of a place: its key's, or its entry's if it lacks the key.
+/// Returns the line of the key at a place, or the first line of its entry if the key is missing.
 ///
 /// ```
 /// use cranereach_core::snapshot::Place;
@@ -33,19 +33,19 @@
 /// ```
 pub fn locate(folder: &Folder, place: &Place) -> Option<Line> {
     let mut lines = folder.files.iter().filter_map(|(file, text)| {
-        let start = start_of(text, place)?;
-        let line = text[..start].matches('\n').count() + 1;
+        let offset = byte_offset_of(text, place)?;
+        let line = text[..offset].matches('\n').count() + 1;
         Some(Line {
             file: file.clone(),
             line,
         })
     });
-    // Of a name that stands twice, the later is the one to look at.
+    // Of several entries with the same name, the last one is reported.
     lines.next_back()
 }
 
-/// Returns where a place starts in a text, in bytes.
-fn start_of(text: &str, place: &Place) -> Option<usize> {
+/// Returns the byte offset of a place in a text; its last entry if several have the name.
+fn byte_offset_of(text: &str, place: &Place) -> Option<usize> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default()).ok()?;
     let root = parsed.value?;
     let section = root.as_object()?.get_array(place.section)?;
@@ -55,9 +55,9 @@
     Some(key.unwrap_or_else(|| entry.start()))
 }
 
-/// Whether an entry has a name.
+/// Whether an entry has the given name.
 fn has_name(entry: &Object<'_>, name: &str) -> bool {
     entry
         .get_string("name")
-        .is_some_and(|given| given.value == name)
+        .is_some_and(|value| value.value == name)
 }
--- a/src/cmd/domains.rs
+++ b/src/cmd/domains.rs
@@ -1,4 +1,4 @@
-//! `domains`: shows the failure domains as the platform's store has them.
+//! `domains`: shows the failure domains as recorded in the platform's store.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "a gateway's settings file; CRANEREACH_CONFIG names it otherwise",
+        help = "settings file of a gateway; by default, the one that CRANEREACH_CONFIG names",
         meta = "FILE"
     )]
     settings: Option<PathBuf>,
@@ -38,17 +38,17 @@
             return evacuate::exit_of(&error);
         }
     }
-    Exit::Done
+    Exit::Success
 }
 
 /// Shows one failure domain.
 fn show(state: &DomainState) {
-    let asked = match state.evacuated_since_version {
+    let status = match state.evacuated_since_version {
         Some(version) => format!("evacuated since version {version}"),
         None => "in use".to_owned(),
     };
     println!(
-        "{}: {asked}; workers: {} ready, {} leaving, {} cold; models with no copy elsewhere: {}",
+        "{}: {status}; workers: {} ready, {} leaving, {} cold; models with no copy elsewhere: {}",
         state.name,
         state.ready_count,
         state.leaving_count,
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what applying a folder would change.
+//! `plan`: shows what applying a folder would change.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
     json: bool,
 }
 
-/// One difference.
+/// One added, removed or modified entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 struct Change {
     section: String,
@@ -39,18 +39,18 @@
     after: Option<Value>,
 }
 
-/// Shows what would change.
+/// Compares the folder with the active configuration and prints the differences.
 pub fn execute(options: &PlanArguments) -> Exit {
-    let (settings, mine) = match read_both(&options.settings, &options.folder) {
-        Ok(both) => both,
+    let (settings, local) = match read_inputs(&options.settings, &options.folder) {
+        Ok(inputs) => inputs,
         Err(exit) => return exit,
     };
     let stores = Stores::new(&settings.platform.table, &settings.platform.objects);
     match super::block_on(stores.current()) {
         Ok(current) => {
-            let changes = changes(&current.folder, &mine);
+            let changes = changes(&current.folder, &local);
             show(&changes, current.head.version, options.json);
-            Exit::Done
+            Exit::Success
         }
         Err(error) => {
             eprintln!("{}: {error}", error.code().row().number);
@@ -59,8 +59,8 @@
     }
 }
 
-/// Reads settings and a folder without faults.
-pub(super) fn read_both(
+/// Reads the settings and a folder of declarations. Prints the errors if either is invalid.
+pub(super) fn read_inputs(
     settings: &std::path::Path,
     path: &std::path::Path,
 ) -> Result<(Settings, Folder), Exit> {
@@ -68,19 +68,19 @@
         eprintln!("{error}");
         Exit::Settings
     })?;
-    let mine = folder::read(path).map_err(|error| {
+    let local = folder::read(path).map_err(|error| {
         eprintln!("{error}");
-        Exit::Faults
+        Exit::Failure
     })?;
-    let findings = folder::faults(path, &mine);
+    let findings = folder::check(path, &local);
     if findings.is_empty() {
-        return Ok((settings, mine));
+        return Ok((settings, local));
     }
     folder::print(&findings, false);
-    Err(Exit::Faults)
+    Err(Exit::Failure)
 }
 
-/// Lists the differences between two folders, entry by entry.
+/// Returns the entries that differ between two folders.
 fn changes(before: &Folder, after: &Folder) -> Vec<Change> {
     let before = entries(before);
     let after = entries(after);
@@ -121,7 +121,7 @@
         super::print_json(&changes);
         return;
     }
-    println!("against version {version}:");
+    println!("compared to version {version}:");
     if changes.is_empty() {
         println!("  no change");
     }
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stand-in`: a stand-in as a process of its own, on loopback.
+//! `stand-in`: runs a simulated platform, engine or service as a separate process.
 
 use gumdrop::Options;
 use serde_json::json;
@@ -50,16 +50,16 @@
         meta = "MS"
     )]
     load_ms: u64,
-    #[options(help = "engine: doesn't check fences")]
+    #[options(help = "engine: do not check fencing tokens")]
     no_fences: bool,
 }
 
-/// Runs the stand-in until it is asked to stop.
+/// Runs the stand-in until SIGTERM or SIGINT.
 pub fn execute(options: &StandInArguments) -> Exit {
     super::block_on(run(options))
 }
 
-/// Starts the stand-in and prints its address.
+/// Starts the stand-in, prints its address and waits for a signal.
 async fn run(options: &StandInArguments) -> Exit {
     let listener = match TcpListener::bind(&options.listen).await {
         Ok(listener) => listener,
@@ -72,11 +72,19 @@
         .local_addr()
         .map(|address| address.to_string())
         .unwrap_or_default();
-    let (stopping, stop) = watch::channel(false);
+    let (stop_sender, stop_receiver) = watch::channel(false);
     match options.kind.as_str() {
-        "platform" => drop(Platform::start(listener, WeightLimits::default(), stop)),
-        "engine" => drop(Engine::start(listener, engine_options(options), stop)),
-        "service" => drop(PlainService::start(listener, stop)),
+        "platform" => drop(Platform::start(
+            listener,
+            WeightLimits::default(),
+            stop_receiver,
+        )),
+        "engine" => drop(Engine::start(
+            listener,
+            engine_options(options),
+            stop_receiver,
+        )),
+        "service" => drop(PlainService::start(listener, stop_receiver)),
         other => {
             eprintln!("{other:?} is not one of engine, platform, service");
             return Exit::Usage;
@@ -84,11 +92,11 @@
     }
     super::print_json(&json!({ "started": options.kind, "address": address }));
     wait_for_stop().await;
-    stopping.send_replace(true);
-    Exit::Done
+    stop_sender.send_replace(true);
+    Exit::Success
 }
 
-/// Returns how the engine behaves.
+/// Converts the options into those of the engine.
 fn engine_options(options: &StandInArguments) -> EngineOptions {
     EngineOptions {
         memory_bytes: options.memory_bytes,
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what an entry instance knows and does, or what became of a change.
+//! `status`: shows the state of an entry instance, or whether a change was accepted.
 
 use std::path::PathBuf;
 
@@ -13,8 +13,8 @@
 use cranereach_wire::head_row::HEAD_KEY;
 use cranereach_wire::head_row::HeadRow;
 
-/// Time for an answer, in milliseconds.
-const ANSWER_WITHIN_MS: u64 = 3_000;
+/// Time-out for a response, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
 /// Options of `status`.
 #[derive(Debug, Options)]
@@ -29,13 +29,13 @@
     settings: PathBuf,
     #[options(help = "operators' address of the instance", meta = "IP:PORT")]
     instance: Option<String>,
-    #[options(help = "say whether a change was accepted", meta = "ID")]
+    #[options(help = "show whether a change was accepted", meta = "ID")]
     change: Option<String>,
     #[options(help = "print JSON")]
     json: bool,
 }
 
-/// Shows the status.
+/// Shows the status of a change or of an instance.
 pub fn execute(options: &StatusArguments) -> Exit {
     let settings = match Settings::read(&options.settings) {
         Ok(settings) => settings,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Says whether a change was accepted.
+/// Prints whether a change was accepted, according to the table.
 async fn change_status(settings: &Settings, change: &str, as_json: bool) -> Exit {
     let table = Table::new(&settings.platform.table);
     let row = match table.read::<HeadRow>(HEAD_KEY).await {
@@ -72,23 +72,23 @@
         match version {
             Some(version) => println!("change {change} was accepted as version {version}"),
             None => println!(
-                "change {change} is not among the last {} accepted",
+                "change {change} is not among the last {} accepted changes",
                 row.history.len()
             ),
         }
     }
     if version.is_some() {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::Faults
+        Exit::Failure
     }
 }
 
-/// Shows what an instance knows and does.
+/// Prints the status that an instance reports.
 async fn instance_status(settings: &Settings, address: &str, as_json: bool) -> Exit {
     let token = settings.operators.token.clone().unwrap_or_default();
     let client = JsonClient::new(address).with_token(&token);
-    let status: Value = match client.get("/status", ANSWER_WITHIN_MS).await {
+    let status: Value = match client.get("/status", ANSWER_TIMEOUT_MS).await {
         Ok(answer) => serde_json::from_slice(&answer.body).unwrap_or(Value::Null),
         Err(error) => {
             eprintln!("{error}");
@@ -104,8 +104,8 @@
         );
     }
     if status.get("error").is_some() {
-        Exit::Faults
+        Exit::Failure
     } else {
-        Exit::Done
+        Exit::Success
     }
 }
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: checks without a network, exit codes, diffs, the demo.
+//! The command line: offline checks, exit codes, diffs and the demo.
 
 use std::fs;
 
@@ -7,15 +7,17 @@
 
 use crate::fixture;
 use crate::harness;
-use crate::harness::Path;
+use crate::harness::ProcessDeployment;
 
-/// One row: what is changed in good declarations, the code, a part of the message.
+/// A test case: its name, a change that makes valid declarations invalid, the result code, and
+/// a part of the message.
 type Row = (&'static str, fn(&mut Value), u16, &'static str);
 
-/// One row of settings: what is changed, a part of the message.
+/// A test case of settings: its name, a change that makes valid settings invalid, and a part
+/// of the message.
 type SettingsRow = (&'static str, fn(&mut Value), &'static str);
 
-/// The fault table of declarations.
+/// Test cases of invalid declarations.
 const ROWS: [Row; 11] = [
     (
         "unknown key",
@@ -54,19 +56,19 @@
         "ledger, text",
     ),
     (
-        "beyond memory",
+        "model larger than memory",
         |d| d["models"][0]["memory_bytes"] = json!(101),
         4006,
         "needs 101 bytes",
     ),
     (
-        "base and adapter beyond memory",
+        "base and adapter larger than memory",
         |d| d["models"][1]["base"] = json!("m0"),
         4006,
         "needs 120 bytes",
     ),
     (
-        "no share",
+        "share of zero",
         |d| d["accounts"][0]["parameters"] = json!({ "share": 0.0 }),
         4007,
         "above zero",
@@ -87,8 +89,8 @@
 
 #[test]
 fn check_names_code_file_line_and_valid_choices() {
-    for (name, change, code, part) in ROWS {
-        let folder = harness::scratch("check");
+    for (name, change, code, expected_text) in ROWS {
+        let folder = harness::scratch_folder("check");
         let mut declared = fixture::declarations(true);
         change(&mut declared);
         let text = serde_json::to_string_pretty(&declared).unwrap();
@@ -99,7 +101,10 @@
         assert_eq!(exit, 1, "{name}: {output}");
         assert_eq!(findings[0]["code"], json!(code), "{name}: {output}");
         assert!(
-            findings[0]["detail"].as_str().unwrap().contains(part),
+            findings[0]["detail"]
+                .as_str()
+                .unwrap()
+                .contains(expected_text),
             "{name}: {output}"
         );
         assert!(
@@ -115,7 +120,7 @@
 
 #[test]
 fn check_passes_good_declarations_and_the_sample_settings() {
-    let folder = harness::scratch("check-good");
+    let folder = harness::scratch_folder("check-good");
     fs::write(
         folder.join("all.jsonc"),
         fixture::declarations(true).to_string(),
@@ -129,9 +134,9 @@
 
 #[test]
 fn settings_with_faults_are_refused_with_the_valid_choices() {
-    let folder = harness::scratch("settings");
+    let folder = harness::scratch_folder("settings");
     let file = folder.join("settings.jsonc");
-    let good =
+    let valid =
         fs::read_to_string(harness::write_settings(&folder, "entry-1", "127.0.0.1:1")).unwrap();
     let rows: [SettingsRow; 4] = [
         ("unknown key", |s| s["listn"] = json!({}), "listen"),
@@ -147,22 +152,26 @@
             "can't read",
         ),
     ];
-    for (name, change, part) in rows {
-        let mut settings: Value = serde_json::from_str(&good).unwrap();
+    for (name, change, expected_text) in rows {
+        let mut settings: Value = serde_json::from_str(&valid).unwrap();
         change(&mut settings);
         fs::write(&file, settings.to_string()).unwrap();
         let (exit, _output, errors) =
             harness::run(&["check", "--settings", &file.display().to_string()]);
         assert_eq!(exit, 3, "{name}: {errors}");
-        assert!(errors.contains(part), "{name}: {errors}");
+        assert!(errors.contains(expected_text), "{name}: {errors}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn plan_apply_pull_and_status_work_together() {
-    let path = Path::start("operators").await;
-    let settings = path.folder.join("entry-1.jsonc").display().to_string();
-    let pulled = path.folder.join("pulled");
+    let deployment = ProcessDeployment::start("operators").await;
+    let settings = deployment
+        .folder
+        .join("entry-1.jsonc")
+        .display()
+        .to_string();
+    let pulled = deployment.folder.join("pulled");
     let folder = pulled.display().to_string();
     let (exit, output, errors) = harness::run(&["pull", "--settings", &settings, &folder]);
     assert_eq!(exit, 0, "{output}{errors}");
@@ -196,7 +205,7 @@
         harness::run(&["status", "--settings", &settings, "--change", "c-1"]);
     assert_eq!(exit, 0, "{output}");
     assert!(output.contains("version 2"), "{output}");
-    let instance = path.entry.address_of("operators");
+    let instance = deployment.entry.address_of("operators");
     let (exit, output, _errors) = harness::run(&[
         "status",
         "--settings",
@@ -210,17 +219,18 @@
         serde_json::from_str::<Value>(&output).unwrap()["instance"],
         json!("entry-1")
     );
-    // The first folder was begun from version 1 and changes the same file.
-    let first = path.folder.join("declared");
-    let text = fs::read_to_string(first.join("all.jsonc"))
+    // This folder is still based on version 1 and changes the same file: it conflicts with
+    // version 2.
+    let stale_folder = deployment.folder.join("declared");
+    let text = fs::read_to_string(stale_folder.join("all.jsonc"))
         .unwrap()
         .replace("\"deferrable\"", "\"standard\"");
-    fs::write(first.join("all.jsonc"), text).unwrap();
+    fs::write(stale_folder.join("all.jsonc"), text).unwrap();
     let (exit, _output, errors) = harness::run(&[
         "apply",
         "--settings",
         &settings,
-        &first.display().to_string(),
+        &stale_folder.display().to_string(),
     ]);
     assert_eq!(exit, 4, "{errors}");
     assert!(
@@ -231,7 +241,7 @@
 
 #[test]
 fn an_unreachable_platform_is_an_exit_code_of_its_own() {
-    let folder = harness::scratch("unreachable");
+    let folder = harness::scratch_folder("unreachable");
     let settings = harness::write_settings(&folder, "entry-1", "127.0.0.1:1");
     let declared = folder.join("declared");
     fs::create_dir_all(&declared).unwrap();
--- a/tests/testsuite/gateway_settings.rs
+++ b/tests/testsuite/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: the sample, the template, and what is said of faults.
+//! Settings of a gateway: the sample, the template, and the messages about faults.
 
 use std::fs;
 use std::path::Path;
@@ -6,12 +6,12 @@
 use std::process::Command;
 use std::process::Output;
 
-/// Returns a path from the project's root.
+/// Returns the absolute path of a file given relative to the project root.
 fn root(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Checks a settings file.
+/// Runs `check` on a gateway settings file.
 fn check(path: &Path) -> Output {
     Command::new(env!("CARGO_BIN_EXE_cranereach"))
         .arg("check")
@@ -21,7 +21,7 @@
         .unwrap()
 }
 
-/// Writes a settings file of its own for a test and checks it.
+/// Writes a settings file and runs `check` on it.
 fn check_text(name: &str, text: &str) -> Output {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join(format!("{name}.jsonc"));
@@ -29,8 +29,8 @@
     check(&path)
 }
 
-/// Bounds that a deployment may leave out.
-const BOUNDS: [&str; 15] = [
+/// Bounds that a deployment may leave out; the template has a conditional section for each.
+const OPTIONAL_BOUNDS: [&str; 15] = [
     "graceS",
     "drainMs",
     "configurationMs",
@@ -48,10 +48,10 @@
     "coldStartAllowance",
 ];
 
-/// Fills the template as the platform does, with figures of a test.
-fn filled() -> String {
+/// Fills in the template as the platform does, with example values.
+fn filled_template() -> String {
     let template = fs::read_to_string(root("deploy/settings.jsonc")).unwrap();
-    let gaps = [
+    let placeholders = [
         ("{{nodeName|json}}", "\"edge-1\""),
         ("{{zone|json}}", "\"a\""),
         ("{{region|json}}", "\"north\""),
@@ -79,17 +79,17 @@
         ("{{bounds.quotaAllowance}}", "17000"),
     ];
     let mut text = template;
-    for (gap, value) in gaps {
-        assert!(text.contains(gap), "the template has {gap}");
-        text = text.replace(gap, value);
+    for (placeholder, value) in placeholders {
+        assert!(text.contains(placeholder), "the template has {placeholder}");
+        text = text.replace(placeholder, value);
     }
-    for bound in BOUNDS {
-        for mark in [
+    for bound in OPTIONAL_BOUNDS {
+        for tag in [
             format!("{{{{#bounds.{bound}}}}}"),
             format!("{{{{/bounds.{bound}}}}}"),
         ] {
-            assert!(text.contains(&mark), "the template has {mark}");
-            text = text.replace(&mark, "");
+            assert!(text.contains(&tag), "the template has {tag}");
+            text = text.replace(&tag, "");
         }
     }
     assert!(!text.contains("{{"), "{text}");
@@ -100,13 +100,13 @@
 fn the_sample_and_the_filled_template_are_accepted() {
     let sample = check(&root("docs/settings.gateway.sample.jsonc"));
     assert!(sample.status.success(), "{sample:?}");
-    let template = check_text("filled", &filled());
+    let template = check_text("filled", &filled_template());
     assert!(template.status.success(), "{template:?}");
 }
 
 #[test]
 fn bounds_that_a_deployment_does_not_name_keep_their_defaults() {
-    let text: Vec<String> = filled()
+    let text: Vec<String> = filled_template()
         .lines()
         .filter(|line| {
             !["_ms\"", "retry_", "limit_", "is_"]
@@ -128,13 +128,13 @@
         ("\"127.0.0.1:1\"", "\"nowhere\"", "filled"),
         ("{", "[", "filled"),
     ];
-    for (number, (from, to, said)) in table.into_iter().enumerate() {
-        let text = filled().replacen(from, to, 1);
+    for (number, (from, to, expected_text)) in table.into_iter().enumerate() {
+        let text = filled_template().replacen(from, to, 1);
         let output = check_text(&format!("filled-fault-{number}"), &text);
         assert_eq!(output.status.code(), Some(3), "{to}");
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(error.lines().count(), 1, "{error}");
-        assert!(error.contains(said), "{to}: {error}");
+        assert!(error.contains(expected_text), "{to}: {error}");
         assert!(error.contains("filled-fault-"), "{error}");
     }
 }
--- a/tests/testsuite/harness.rs
+++ b/tests/testsuite/harness.rs
@@ -1,4 +1,4 @@
-//! Processes of the binary, as a test starts and ends them.
+//! Starts and stops processes of the binary for tests.
 
 use std::fs;
 use std::io::BufRead;
@@ -21,18 +21,18 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::load::Outcome;
 
-/// Declarations of the thin path.
+/// Declarations that a [`ProcessDeployment`] applies.
 pub const DECLARATIONS: &str = include_str!("golden/declarations.jsonc");
 
-/// Time that a test allows for anything to come about, in milliseconds.
-pub const GENEROUS_MS: u64 = 60_000;
+/// Generous timeout for whatever a test waits for, in milliseconds.
+pub const WAIT_TIMEOUT_MS: u64 = 60_000;
 
-/// A process, ended when dropped.
+/// A process of the binary, killed when dropped.
 pub struct Process {
     child: Child,
     output: BufReader<std::process::ChildStdout>,
-    /// The first line that it printed.
-    pub started: Value,
+    /// First line of its output.
+    pub startup_line: Value,
 }
 
 impl Process {
@@ -44,65 +44,71 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("the binary starts");
-        let output = child.stdout.take().expect("its output is piped");
+        let output = child.stdout.take().expect("the output is piped");
         let mut process = Self {
             child,
             output: BufReader::new(output),
-            started: Value::Null,
+            startup_line: Value::Null,
         };
-        process.started = process.line();
+        process.startup_line = process.next_line();
         process
     }
 
-    /// Reads the next line of its output.
-    pub fn line(&mut self) -> Value {
+    /// Reads the next line of its output; null if it is not JSON.
+    pub fn next_line(&mut self) -> Value {
         let mut line = String::new();
         self.output
             .read_line(&mut line)
-            .expect("its output can be read");
+            .expect("the output can be read");
         serde_json::from_str(&line).unwrap_or(Value::Null)
     }
 
-    /// Returns its address, for a stand-in.
+    /// Returns the address of a stand-in.
     pub fn address(&self) -> String {
-        self.started["address"]
+        self.startup_line["address"]
             .as_str()
-            .expect("stand-ins print it")
+            .expect("a stand-in prints its address")
             .to_owned()
     }
 
-    /// Returns one of its addresses, for an entry instance.
+    /// Returns the address on which an entry instance listens for one kind of connection.
     pub fn address_of(&self, kind: &str) -> String {
-        self.started["addresses"][kind]
+        self.startup_line["addresses"][kind]
             .as_str()
-            .expect("instances print them")
+            .expect("an entry instance prints its addresses")
             .to_owned()
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill")
             .args([&format!("-{name}"), &id])
             .status();
-        assert!(sent.is_ok_and(|status| status.success()), "signal {name}");
+        assert!(
+            sent.is_ok_and(|status| status.success()),
+            "signal {name} could not be sent"
+        );
     }
 
-    /// Waits for its end and returns its exit code.
+    /// Waits until the process exits and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        self.child.wait().expect("it can be waited for").code()
+        self.child
+            .wait()
+            .expect("the process can be waited for")
+            .code()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _killed = self.child.kill();
         let _waited = self.child.wait();
     }
 }
 
-/// Runs the binary to its end; returns exit code, output and errors.
+/// Runs the binary until it exits; returns exit code, standard output and standard error.
 pub fn run(arguments: &[&str]) -> (i32, String, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_cranereach"))
         .args(arguments)
@@ -116,17 +122,17 @@
     )
 }
 
-/// Makes an empty folder for one test.
-pub fn scratch(name: &str) -> PathBuf {
+/// Creates an empty folder with a unique name.
+pub fn scratch_folder(name: &str) -> PathBuf {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("{name}-{}-{number}", std::process::id()));
-    fs::create_dir_all(&path).expect("a folder can be made");
+    fs::create_dir_all(&path).expect("the folder can be created");
     path
 }
 
-/// Writes the settings of an entry instance; returns the file.
+/// Writes the settings file of an entry instance; returns its path.
 pub fn write_settings(folder: &std::path::Path, id: &str, platform: &str) -> String {
     let settings = json!({
         "instance": { "id": id, "failure_domain": "d1" },
@@ -135,38 +141,39 @@
         "operators": { "token": "operator" },
     });
     let file = folder.join(format!("{id}.jsonc"));
-    fs::write(&file, settings.to_string()).expect("a file can be written");
+    fs::write(&file, settings.to_string()).expect("the file can be written");
     file.display().to_string()
 }
 
-/// Lists an instance with the platform's stand-in.
-pub async fn list(platform: &str, listed: &Value) {
+/// Adds an instance to the list of the platform's stand-in.
+pub async fn list_instance(platform: &str, listed: &Value) {
     let client = JsonClient::new(platform);
     let answer = client
-        .post("/instances", listed, GENEROUS_MS)
+        .post("/instances", listed, WAIT_TIMEOUT_MS)
         .await
         .expect("the platform answers");
     assert_eq!(answer.status, 200);
 }
 
-/// The thin path in separate processes: platform, engine, service, entry instance.
-pub struct Path {
-    /// Folder of its settings.
+/// A minimal deployment in separate processes: platform, engine, service, entry instance.
+pub struct ProcessDeployment {
+    /// Folder of the settings files.
     pub folder: PathBuf,
     /// The platform.
     pub platform: Process,
     /// The engine.
     pub engine: Process,
-    /// The plain service.
+    /// The plain service (not a model engine).
     pub service: Process,
     /// The entry instance.
     pub entry: Process,
 }
 
-impl Path {
-    /// Starts everything, applies the golden declarations, waits until ready.
+impl ProcessDeployment {
+    /// Starts all processes, applies [`DECLARATIONS`] and waits until the entry instance is
+    /// ready.
     pub async fn start(name: &str) -> Self {
-        let folder = scratch(name);
+        let folder = scratch_folder(name);
         let platform = Process::start(&["stand-in", "platform"]);
         let engine = Process::start(&[
             "stand-in",
@@ -179,8 +186,8 @@
         let service = Process::start(&["stand-in", "service"]);
         let settings = write_settings(&folder, "entry-1", &platform.address());
         let declared = folder.join("declared");
-        fs::create_dir_all(&declared).expect("a folder can be made");
-        fs::write(declared.join("all.jsonc"), DECLARATIONS).expect("a file can be written");
+        fs::create_dir_all(&declared).expect("the folder can be created");
+        fs::write(declared.join("all.jsonc"), DECLARATIONS).expect("the file can be written");
         let (code, _output, errors) = run(&[
             "apply",
             "--settings",
@@ -189,19 +196,19 @@
         ]);
         assert_eq!(code, 0, "{errors}");
         let entry = Process::start(&["serve", "--settings", &settings]);
-        let path = Self {
+        let deployment = Self {
             folder,
             platform,
             engine,
             service,
             entry,
         };
-        path.list_all().await;
-        path.wait_until_ready().await;
-        path
+        deployment.list_all().await;
+        deployment.wait_until_ready().await;
+        deployment
     }
 
-    /// Lists everything with the platform.
+    /// Adds the engine, the service and the entry instance to the platform's list.
     async fn list_all(&self) {
         let listed = |id: &str, role: &str, address: String, pool: Option<&str>| {
             json!({
@@ -209,17 +216,17 @@
             })
         };
         let platform = self.platform.address();
-        list(
+        list_instance(
             &platform,
             &listed("w1", "worker", self.engine.address(), Some("text")),
         )
         .await;
-        list(
+        list_instance(
             &platform,
             &listed("s1", "worker", self.service.address(), Some("ledger")),
         )
         .await;
-        list(
+        list_instance(
             &platform,
             &listed("entry-1", "entry", self.entry.address_of("peers"), None),
         )
@@ -232,19 +239,19 @@
         let mut is_ready = false;
         while !is_ready {
             is_ready = operators
-                .get("/health/ready", GENEROUS_MS)
+                .get("/health/ready", WAIT_TIMEOUT_MS)
                 .await
                 .is_ok_and(|answer| answer.status == 200);
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until the engine has begun to run this many requests.
+    /// Waits until the engine has started at least `count` requests.
     pub async fn wait_for_runs(&self, count: u64) {
         let engine = JsonClient::new(&self.engine.address());
         loop {
             let answer = engine
-                .get("/stand-in/ledger", GENEROUS_MS)
+                .get("/stand-in/ledger", WAIT_TIMEOUT_MS)
                 .await
                 .expect("the engine answers");
             let ledger: Value = engine.read(&answer).expect("the ledger is JSON");
@@ -256,8 +263,8 @@
     }
 }
 
-/// Calls a process until the answer has a status and is whole; gives up only with the test.
-pub async fn until_status(pool: &Pool<Full<Bytes>>, call: &Call, status: u16) -> Outcome {
+/// Repeats a call until the answer is complete and has the given status; has no timeout.
+pub async fn call_until_status(pool: &Pool<Full<Bytes>>, call: &Call, status: u16) -> Outcome {
     loop {
         let outcome = load::send(pool, call).await;
         if outcome.status == status && outcome.is_whole {
