--- a/crates/cranereach-bench/src/slopes.rs
+++ b/crates/cranereach-bench/src/slopes.rs
@@ -2,14 +2,14 @@
 //!
 //! Each cost is measured at four sizes or more that span about a factor of ten or
 //! more, and a line is fitted to it. The largest residual is given as a fraction of the
-//! largest value. [`kernel`] measures the decision logic in `cranereach_core`,
+//! largest value. [`core_decisions`] measures the decision logic in `cranereach_core`,
 //! [`gateway`] and [`accounts`] the decisions of a gateway, and [`system`] whole
 //! deployments.
 
 pub mod accounts;
+pub mod core_decisions;
 mod fixtures;
 pub mod gateway;
-pub mod kernel;
 pub mod system;
 
 use serde::Serialize;
--- a/crates/cranereach-bench/src/slopes/accounts.rs
+++ b/crates/cranereach-bench/src/slopes/accounts.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::Slope;
-use super::kernel::measure_slope;
-use super::kernel::time_us;
+use super::core_decisions::measure_slope;
+use super::core_decisions::time_us;
 use cranereach_core::snapshot::KeyHash;
 use cranereach_fleet::accounts::Account;
 use cranereach_fleet::accounts::Accounts;
--- a/crates/cranereach-bench/src/slopes/gateway.rs
+++ b/crates/cranereach-bench/src/slopes/gateway.rs
@@ -10,8 +10,8 @@
 use hyper::header::HeaderValue;
 
 use super::Slope;
-use super::kernel::measure_slope;
-use super::kernel::time_us;
+use super::core_decisions::measure_slope;
+use super::core_decisions::time_us;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::fingerprint::Content;
 use cranereach_fleet::fingerprint::FingerprintKey;
@@ -31,7 +31,7 @@
 use cranereach_fleet::worker::HeldModel;
 use cranereach_fleet::worker::WorkerRecord;
 use cranereach_gateway::adapter;
-use cranereach_gateway::worker_words::WorkerHeaders;
+use cranereach_gateway::worker_headers::WorkerHeaders;
 
 /// Number of workers per worker that holds the requested model.
 const WORKERS_PER_HOLDER: usize = 20;
--- a/crates/cranereach-entry/src/peers/digests.rs
+++ b/crates/cranereach-entry/src/peers/digests.rs
@@ -16,6 +16,7 @@
 use crate::shared::Shared;
 use cranereach_core::cell::INSTANCES_MAX;
 use cranereach_core::drain::Phase;
+use cranereach_wire::digest_filter::DigestFilter;
 use cranereach_wire::peer::DATAGRAM_MAX_BYTES;
 use cranereach_wire::peer::Digest;
 use cranereach_wire::peer::DigestPart;
@@ -24,15 +25,15 @@
 use cranereach_wire::peer::pack;
 use cranereach_wire::peer::seal;
 use cranereach_wire::replay::ReplayGuard;
-use cranereach_wire::thinner::Thinner;
 
 /// Sends digests until the process ends.
 pub async fn send(shared: Arc<Shared>, control: Address<ControlActor>, socket: Arc<UdpSocket>) {
     let mut sequence = 1;
-    let mut thinner = Thinner::default();
+    let mut digest_filter = DigestFilter::default();
     loop {
         tokio::time::sleep(Duration::from_millis(shared.settings.peers.digest_every_ms)).await;
-        let parts = thinner.thin(shared.now_ms(), collect_parts(&shared, &control).await);
+        let parts =
+            digest_filter.select_due(shared.now_ms(), collect_parts(&shared, &control).await);
         let digests = pack(shared.own_id(), shared.boot_id, sequence, parts);
         sequence += digests.len() as u64;
         let peers = discovery::peers(&shared);
--- a/crates/cranereach-gateway/src/bodies.rs
+++ b/crates/cranereach-gateway/src/body_transfer.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use crate::list_bodies;
+use crate::list_transfer;
 use crate::messages::pack;
 use crate::messages::unpack;
 use crate::node::Node;
@@ -237,7 +237,7 @@
     let (kind, body, _slot) = match request {
         BodyRequest::Configuration => (Kind::Configuration, packed_configuration(node), None),
         BodyRequest::Workers(known_version) => {
-            let (body, slot) = list_bodies::answer(node, known_version);
+            let (body, slot) = list_transfer::answer(node, known_version);
             (Kind::Workers, body, slot)
         }
     };
--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -18,8 +18,8 @@
 use crate::node::pause;
 use crate::recipients::Origin;
 use crate::store::StoreError;
+use crate::store_backoff;
 use crate::store_era;
-use crate::store_pace;
 use cranereach_fleet::first_read::FirstSource;
 use cranereach_fleet::first_read::JoiningInstance;
 use cranereach_fleet::store_position::StorePosition;
@@ -69,7 +69,7 @@
                 }
             }
         };
-        store_pace::count_read(&node, "configuration", &read);
+        store_backoff::count_read(&node, "configuration", &read);
         match read {
             Ok(rows) => {
                 // The answer may be the first sign of a new era.
@@ -103,13 +103,13 @@
                     continue;
                 }
                 if error == StoreError::OtherEra {
-                    store_pace::pause_after_era_change().await;
+                    store_backoff::pause_after_era_change().await;
                     continue;
                 }
                 if failure_count == 0 {
                     warn!(node.log, "store lost"; "for" => "configuration", "error" => error.to_string());
                 }
-                store_pace::after_failure(&node, failure_count).await;
+                store_backoff::after_failure(&node, failure_count).await;
                 failure_count += 1;
             }
         }
@@ -159,7 +159,7 @@
         return false;
     }
     let rank = rank(node);
-    let is_left_to_others = store_pace::is_left_to_others(node, rank);
+    let is_left_to_others = store_backoff::is_left_to_others(node, rank);
     let (is_proven, due_ms) = {
         let proof = lock(&node.proof);
         // The instances that retry may be just those that the store rejects, so the others do not
@@ -173,7 +173,7 @@
     // The instance that is to read first may be just the one that the store rejects.
     let is_own_turn = is_proven || is_left_to_others || should_read_first(node, now_ms);
     let is_due = now_ms >= due_ms && is_own_turn;
-    is_due && (!is_left_to_others || store_pace::should_probe(node, POLL_INTERVAL_MS))
+    is_due && (!is_left_to_others || store_backoff::should_probe(node, POLL_INTERVAL_MS))
 }
 
 /// Returns whether an instance that has no proof yet is to read the store itself, instead of
--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::node::lock;
 use crate::store::StoreError;
-use crate::store_pace;
+use crate::store_backoff;
 use cranereach_fleet::key::worker_key;
 use cranereach_fleet::lease_state::LeaseRow;
 use cranereach_fleet::lease_state::LeaseState;
@@ -114,7 +114,7 @@
 /// Reads the lease row.
 async fn read(node: &Node, lease_state: &mut LeaseState, candidacy: &mut Candidacy, service: &str) {
     let rows = node.store.read(TABLE).await;
-    store_pace::count_read(node, "lease", &rows);
+    store_backoff::count_read(node, "lease", &rows);
     let now_ms = node.now_ms();
     match rows {
         Ok(rows) => {
@@ -142,7 +142,7 @@
         .write(&row_name(service), expected, &content)
         .await;
     let now_ms = node.now_ms();
-    let outcome = store_pace::count_write(node, "lease_write", &written);
+    let outcome = store_backoff::count_write(node, "lease_write", &written);
     match written {
         Ok(WriteAnswer::Done(position)) => {
             lease_state.written(sent_at_ms, position);
--- a/crates/cranereach-gateway/src/expected.rs
+++ b/crates/cranereach-gateway/src/expected_models.rs
@@ -44,8 +44,8 @@
     /// Stores a holder's answer.
     ///
     /// ```
-    /// use cranereach_gateway::expected::ExpectedModels;
-    /// use cranereach_gateway::expected::Word;
+    /// use cranereach_gateway::expected_models::ExpectedModels;
+    /// use cranereach_gateway::expected_models::Word;
     ///
     /// let mut expected = ExpectedModels::default();
     /// expected.insert(1_000, (7, 3), Word::At(4_000));
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -8,7 +8,7 @@
 use super::refusal::RETRY_AFTER_DEFAULT_MS;
 use super::refusal::Refusal;
 use super::workload;
-use crate::expected::Word;
+use crate::expected_models::Word;
 use crate::node::lock;
 use crate::node::pause;
 use crate::owners;
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -48,9 +48,9 @@
 pub use self::request::Call;
 use self::stream_relay::StreamInterrupted;
 use self::stream_relay::StreamRelay;
-use crate::limits;
-use crate::limits::Charge;
-use crate::limits::Denied;
+use crate::account_limits;
+use crate::account_limits::Charge;
+use crate::account_limits::Denied;
 use crate::node::Node;
 use crate::node::lock;
 use crate::quarantine;
@@ -158,7 +158,7 @@
     };
     let ask_until_ms =
         call.received_ms + (call.route.latency_target_ms as f64 * OWNER_WAIT_SHARE) as u64;
-    let charged = limits::charge(node, account, call.cost, ask_until_ms).await;
+    let charged = account_limits::charge(node, account, call.cost, ask_until_ms).await;
     charged.map_err(|denied| {
         let code = match denied {
             Denied::Beyond(_) => ResultCode::OverLimit,
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -20,7 +20,7 @@
 use crate::cold;
 use crate::quarantine;
 use crate::send_permit;
-use crate::worker_words::DEFAULT_KEEP_ALIVE_MS;
+use crate::worker_headers::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Choice;
 use cranereach_http::body;
--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -1,8 +1,8 @@
 //! UDP messages to and from peers.
 //!
-//! [`crate::news`] applies their content. Each digest is complete in itself, so that a lost or
+//! [`crate::peer_updates`] applies their content. Each digest is complete in itself, so that a lost or
 //! duplicated one does no harm. What a digest only mentions, such as a newer configuration, is
-//! fetched by [`crate::bodies`].
+//! fetched by [`crate::body_transfer`].
 
 use std::collections::HashMap;
 use std::mem;
@@ -16,13 +16,13 @@
 
 use tokio::net::UdpSocket;
 
-use crate::bodies;
+use crate::account_limits;
+use crate::body_transfer;
 use crate::departures;
 use crate::evacuations;
-use crate::expected;
-use crate::expected::QUERIED_MAX_COUNT;
-use crate::limits;
-use crate::list_news;
+use crate::expected_models;
+use crate::expected_models::QUERIED_MAX_COUNT;
+use crate::list_updates;
 use crate::messages::DATAGRAM_MAX_BYTES;
 use crate::messages::Datagram;
 use crate::messages::DemandMessage;
@@ -31,11 +31,11 @@
 use crate::messages::EndedLease;
 use crate::messages::Message;
 use crate::messages::VERSION;
-use crate::news;
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
 use crate::owners;
+use crate::peer_updates;
 use crate::proofs;
 use crate::quarantine;
 use crate::recipients::Origin;
@@ -235,22 +235,22 @@
                     Message::Digest(digest) => {
                         let is_behind = handle_digest(&node, ip, &digest);
                         if is_behind {
-                            list_news::update_lagging_peer(&node, ip).await;
+                            list_updates::update_lagging_peer(&node, ip).await;
                         }
                     }
-                    Message::Demand(demand) => news::take_demand(&node, ip, &demand),
+                    Message::Demand(demand) => peer_updates::take_demand(&node, ip, &demand),
                     Message::Owner(message) => {
                         if let Some(quote) = owners::take(&node, ip, message) {
                             node.send_now(sender, Message::Quote(quote));
                         }
                     }
                     Message::Quote(quote) => owners::handle_quote(&node, quote),
-                    Message::Placed(placed) => news::take_placed(&node, &placed),
-                    Message::Expected(answers) => expected::take(&node, &answers),
+                    Message::Placed(placed) => peer_updates::take_placed(&node, &placed),
+                    Message::Expected(answers) => expected_models::take(&node, &answers),
                     Message::Prove(question) => proofs::answer(&node, sender, question),
                     Message::Proof(answer) => proofs::take(&node, ip, &answer),
-                    Message::Limit(ask) => limits::answer(&node, sender, &ask),
-                    Message::Returned(returned) => limits::take_back(&node, ip, &returned),
+                    Message::Limit(ask) => account_limits::answer(&node, sender, &ask),
+                    Message::Returned(returned) => account_limits::take_back(&node, ip, &returned),
                     Message::Granted(grant) => {
                         node.limit_questions.answered(grant.ticket, grant);
                     }
@@ -314,11 +314,11 @@
         reply_to_joining(node, now_ms, sender, digest);
     }
     node.store.eras().advance_to(digest.store_era, "peer");
-    bodies::fetch_configuration_if_behind(node, sender, digest.configuration_version);
+    body_transfer::fetch_configuration_if_behind(node, sender, digest.configuration_version);
     evacuations::take(node, &digest.evacuations, origin(node, sender));
     quarantine::take(node, sender, &digest.suspects);
     departures::take(node, &digest.departures);
-    let has_changed = news::take_roster(node, now_ms, sender, digest);
+    let has_changed = peer_updates::take_roster(node, now_ms, sender, digest);
     if has_changed {
         node.roster_changed.notify_waiters();
     }
--- a/crates/cranereach-gateway/src/lib.rs
+++ b/crates/cranereach-gateway/src/lib.rs
@@ -6,52 +6,51 @@
 //! - [`configuration_sync`] and [`roster_sync`] follow the store, whose [era](store_era) rises
 //!   when it is restored from a backup.
 //! - [`evacuations`] tracks which failure domains are to be emptied.
-//! - [`worker_ends`] finds out whether a worker that broke a connection has ended, and
+//! - [`worker_probes`] finds out whether a worker that broke a connection has ended, and
 //!   [`quarantine`] which requests end their workers.
-//! - [`proofs`] and [`limits`] ask peers what accounts may do.
+//! - [`proofs`] and [`account_limits`] ask peers what accounts may do.
 //! - [`cold`] tracks workers that have just started.
 //!
-//! [`worker_words`] reads what a worker's answers say about the worker itself:
+//! [`worker_headers`] reads what a worker's answers say about the worker itself:
 //! [`named_limits`] that it limits its request rate, [`departures`] that it leaves, [`rests`]
-//! that it wants no requests for a while. [`unknown_words`] counts headers that nothing
-//! recognizes, and [`own_words`] shows operators which workers leave or rest. Right before a
+//! that it wants no requests for a while. [`unknown_headers`] counts headers that nothing
+//! recognizes, and [`unavailable_workers`] shows operators which workers leave or rest. Right before a
 //! send, [`send_permit`] is asked, and [`send_grants`] asks the owners of cold or rate-limited
 //! workers.
 //!
-//! [`gossip`], [`list_news`], [`bodies`] and [`list_bodies`] send peers what they can't see
+//! [`gossip`], [`list_updates`], [`body_transfer`] and [`list_transfer`] send peers what they can't see
 //! for themselves; [`traffic`] counts the bytes. [`controller`] holds the leases and orders
 //! workers. Everything that a platform names or formats comes in through an [`adapter`].
 
+pub mod account_limits;
 pub mod adapter;
-pub mod bodies;
+pub mod body_transfer;
 pub mod cold;
 pub mod configuration_sync;
 pub mod controller;
 pub mod departures;
 pub mod domains;
 pub mod evacuations;
-pub mod expected;
+pub mod expected_models;
 pub mod forward;
 pub mod gossip;
 pub mod heard_leases;
-pub mod limits;
-pub mod list_bodies;
-pub mod list_news;
 pub mod list_source;
+pub mod list_transfer;
+pub mod list_updates;
 pub mod log;
 pub mod messages;
 pub mod metrics;
 pub mod named_limits;
-pub mod news;
 pub mod node;
 pub mod operators;
-pub mod own_words;
 pub mod owners;
+pub mod peer_updates;
 pub mod peers;
 pub mod proofs;
 pub mod quarantine;
 pub mod questions;
-pub mod recent;
+pub mod recent_updates;
 pub mod recipients;
 pub mod rests;
 pub mod roster_sync;
@@ -60,10 +59,11 @@
 pub mod send_permit;
 pub mod settings;
 pub mod store;
+pub mod store_backoff;
 pub mod store_era;
 pub mod store_failures;
-pub mod store_pace;
 pub mod traffic;
-pub mod unknown_words;
-pub mod worker_ends;
-pub mod worker_words;
+pub mod unavailable_workers;
+pub mod unknown_headers;
+pub mod worker_headers;
+pub mod worker_probes;
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -10,13 +10,13 @@
 
 use rand::seq::IteratorRandom;
 
-use crate::list_bodies::FetchOutcome;
+use crate::list_transfer::FetchOutcome;
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
 use crate::peers::Holders;
 use crate::roster_sync;
-use crate::store_pace;
+use crate::store_backoff;
 use cranereach_fleet::first_read::FirstSource;
 use cranereach_fleet::first_read::Holder;
 use cranereach_fleet::first_read::JoiningInstance;
@@ -101,7 +101,7 @@
     /// Returns the source to refresh from now; `None` if no refresh is due.
     fn source(&mut self, node: &Node, now_ms: u64) -> Option<Source> {
         let rank = rank(node);
-        let is_left_to_others = store_pace::is_left_to_others(node, rank);
+        let is_left_to_others = store_backoff::is_left_to_others(node, rank);
         let source = if node.list_position().is_none() {
             let first = self.first_source(node, now_ms);
             // The store may be refusing exactly the instances that would read it first.
@@ -113,7 +113,7 @@
         };
         let is_held_back = source == Some(Source::Store)
             && is_left_to_others
-            && !store_pace::should_probe(node, POLL_INTERVAL_MS);
+            && !store_backoff::should_probe(node, POLL_INTERVAL_MS);
         source.filter(|_| !is_held_back)
     }
 
--- a/crates/cranereach-gateway/src/list_bodies.rs
+++ b/crates/cranereach-gateway/src/list_transfer.rs
@@ -16,8 +16,8 @@
 use tokio::sync::Semaphore;
 use tokio::sync::SemaphorePermit;
 
-use crate::bodies;
-use crate::bodies::BodyRequest;
+use crate::body_transfer;
+use crate::body_transfer::BodyRequest;
 use crate::messages::ListMessage;
 use crate::messages::pack_rows;
 use crate::messages::unpack_rows;
@@ -183,7 +183,7 @@
 pub async fn fetch(node: &Node, peer: Ipv4Addr) -> FetchOutcome {
     let asked_at_ms = node.now_ms();
     let known = node.list_position();
-    let Ok(body) = bodies::fetch(node, peer, BodyRequest::Workers(known)).await else {
+    let Ok(body) = body_transfer::fetch(node, peer, BodyRequest::Workers(known)).await else {
         return FetchOutcome::Failed;
     };
     if body.is_empty() {
@@ -197,7 +197,8 @@
     let as_of_ms = asked_at_ms.saturating_sub(list.age_ms);
     let is_newer = list.position > known || lock(&node.list).is_older_than(as_of_ms);
     if let Some(history) = history {
-        let Some(rows) = unpack_rows(&list.packed_rows, bodies::FETCH_MAX_BYTES as u64) else {
+        let Some(rows) = unpack_rows(&list.packed_rows, body_transfer::FETCH_MAX_BYTES as u64)
+        else {
             return count_malformed(node);
         };
         info!(node.log, "workers from a peer"; "peer" => peer.to_string(),
--- a/crates/cranereach-gateway/src/list_news.rs
+++ b/crates/cranereach-gateway/src/list_updates.rs
@@ -1,7 +1,7 @@
 //! Changes of the worker list, sent to peers over UDP as they occur.
 //!
 //! A change too large for a datagram is announced without its rows; peers that lack it fetch
-//! it ([`crate::list_bodies`]).
+//! it ([`crate::list_transfer`]).
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -24,21 +24,21 @@
 use self::connections::Pools;
 use crate::adapter;
 use crate::adapter::Adapter;
-use crate::expected::ExpectedModels;
-use crate::list_bodies;
+use crate::expected_models::ExpectedModels;
+use crate::list_transfer;
 use crate::messages::LimitGrant;
 use crate::messages::Quote;
 use crate::messages::SendGrant;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::quarantine::lasting::PersistenceState;
+use crate::quarantine::persistence::PersistenceState;
 use crate::questions::Questions;
-use crate::recent::RecentUpdates;
+use crate::recent_updates::RecentUpdates;
 use crate::recipients::Origin;
 use crate::settings::Settings;
 use crate::store::Store;
-use crate::unknown_words::UnknownHeaders;
-use crate::worker_ends::WorkerProbes;
+use crate::unknown_headers::UnknownHeaders;
+use crate::worker_probes::WorkerProbes;
 use cranereach_fleet::configuration::Configuration;
 use cranereach_fleet::demand::Demand;
 use cranereach_fleet::demand::ModelKey;
@@ -95,11 +95,11 @@
     /// Probes of workers whose connections broke.
     pub tries: WorkerProbes,
     /// Headers in workers' answers that this build does not recognize.
-    pub unknown_words: UnknownHeaders,
+    pub unknown_headers: UnknownHeaders,
     /// Requests during which workers ended.
     pub quarantine: Mutex<Quarantine>,
     /// Whether the quarantined requests kept in the store have been read.
-    pub lasting: PersistenceState,
+    pub persistence: PersistenceState,
     /// Random ID of this process start.
     pub boot: u64,
     /// Wakes tasks that wait for a worker holding the model or adapter they need.
@@ -127,7 +127,7 @@
     /// Proof that the configuration in force was recently the newest.
     pub proof: Mutex<Proof>,
     /// State for sending whole worker lists to peers.
-    pub list_sending: list_bodies::ListSending,
+    pub list_sending: list_transfer::ListSending,
     /// Wakes the sender of worker list changes.
     pub list_update_wanted: Notify,
     /// Widest origin of the list changes still to be sent; `None` if none are pending.
@@ -224,9 +224,9 @@
             metrics,
             fingerprint_key: FingerprintKey::new(&settings.peers.fingerprint_secret),
             tries: WorkerProbes::default(),
-            unknown_words: UnknownHeaders::default(),
+            unknown_headers: UnknownHeaders::default(),
             quarantine: Mutex::default(),
-            lasting: PersistenceState::default(),
+            persistence: PersistenceState::default(),
             boot,
             roster_changed: Notify::new(),
             digest_count: AtomicU64::new(0),
@@ -240,7 +240,7 @@
             listing: Mutex::default(),
             list: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
             proof: Mutex::new(Proof::new(boot, settings.bounds.configuration_ms)),
-            list_sending: list_bodies::ListSending::default(),
+            list_sending: list_transfer::ListSending::default(),
             list_update_wanted: Notify::new(),
             list_origin: Mutex::default(),
             recent_leaving: Mutex::default(),
--- a/crates/cranereach-gateway/src/operators.rs
+++ b/crates/cranereach-gateway/src/operators.rs
@@ -15,8 +15,8 @@
 
 use crate::named_limits;
 use crate::node::Node;
-use crate::own_words;
 use crate::quarantine;
+use crate::unavailable_workers;
 use cranereach_fleet::fingerprint::Fingerprint;
 use cranereach_http::server::Closed;
 
@@ -60,7 +60,7 @@
         (&Method::GET, METRICS_PATH, _) => {
             let limited_count = named_limits::count(node);
             node.metrics.limited_workers.set(limited_count as i64);
-            own_words::count(node);
+            unavailable_workers::count(node);
             (StatusCode::OK, node.metrics.text())
         }
         (&Method::GET, LIMITS_PATH, _) => {
@@ -68,7 +68,7 @@
             (StatusCode::OK, shown.unwrap_or_default())
         }
         (&Method::GET, WORKERS_PATH, _) => {
-            let shown = serde_json::to_string(&own_words::show(node));
+            let shown = serde_json::to_string(&unavailable_workers::show(node));
             (StatusCode::OK, shown.unwrap_or_default())
         }
         (&Method::GET, QUARANTINE_PATH, _) => {
--- a/crates/cranereach-gateway/src/news.rs
+++ b/crates/cranereach-gateway/src/peer_updates.rs
@@ -8,8 +8,8 @@
 
 use slog::info;
 
-use crate::expected;
-use crate::list_bodies;
+use crate::expected_models;
+use crate::list_transfer;
 use crate::messages::DemandMessage;
 use crate::messages::Digest;
 use crate::messages::Message;
@@ -41,7 +41,7 @@
     if !digest.holds.is_empty() {
         apply_orders(node, now_ms, &digest.adapters, &digest.withheld);
     }
-    list_bodies::fetch_if_behind(node, sender, digest.list_position);
+    list_transfer::fetch_if_behind(node, sender, digest.list_position);
     !digest.adapters.is_empty()
 }
 
@@ -99,7 +99,7 @@
 pub fn take_demand(node: &Node, sender: Ipv4Addr, demand: &DemandMessage) {
     let is_new = node.peers().apply_demand(node.now_ms(), sender, demand);
     if is_new && !demand.lacks.is_empty() {
-        expected::answer(node, sender, &demand.lacks);
+        expected_models::answer(node, sender, &demand.lacks);
     }
     if !is_new || demand.waits_for.is_empty() {
         return;
--- a/crates/cranereach-gateway/src/proofs.rs
+++ b/crates/cranereach-gateway/src/proofs.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::bodies;
+use crate::body_transfer;
 use crate::messages::Message;
 use crate::node::Node;
 use crate::node::lock;
@@ -64,6 +64,6 @@
 pub fn take(node: &Arc<Node>, peer: Ipv4Addr, answer: &ProofAnswer) {
     node.store.eras().advance_to(answer.era, "peer");
     store_era::enter(node);
-    bodies::fetch_configuration_if_behind(node, peer, answer.version);
+    body_transfer::fetch_configuration_if_behind(node, peer, answer.version);
     lock(&node.proof).take(answer);
 }
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -4,10 +4,10 @@
 //! See [`cranereach_fleet::quarantine`]. Each termination is sent directly to two instances
 //! selected by the request's fingerprint, so that it is counted whichever instance receives the
 //! request next. From two terminations on, all peers are informed through gossip digests.
-//! [`lasting`] persists what must survive a restart of all instances. The check on the request path
+//! [`persistence`] persists what must survive a restart of all instances. The check on the request path
 //! first compares the body size with those of the known requests, of which there are usually none.
 
-pub mod lasting;
+pub mod persistence;
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -77,13 +77,13 @@
 pub async fn ended(node: &Arc<Node>, call: &Call, worker: (u64, &Arc<str>), knew_of_others: bool) {
     let mark = call.mark(node);
     let before = record_worker_end(node, call, worker, knew_of_others);
-    lasting::load_once(node).await;
+    persistence::load_once(node).await;
     let after = lock(&node.quarantine).suspicion(mark);
     if after.is_quarantined && !before.is_quarantined {
         warn!(node.log, "request quarantined"; "request" => call.id.clone(),
             "route" => call.route.name.as_ref(), "account" => call.account_label.clone(),
             "fingerprint" => mark.fingerprint.to_string(), "ends" => after.end_count);
-        tokio::spawn(lasting::keep(Arc::clone(node)));
+        tokio::spawn(persistence::keep(Arc::clone(node)));
     }
     notify_peers(node, mark, after);
 }
@@ -130,7 +130,7 @@
         "ends" => before.end_count, "was_quarantined" => before.is_quarantined, "why" => why);
     notify_peers(node, mark, before);
     if before.is_quarantined {
-        tokio::spawn(lasting::keep(Arc::clone(node)));
+        tokio::spawn(persistence::keep(Arc::clone(node)));
     }
     true
 }
--- a/crates/cranereach-gateway/src/quarantine/lasting.rs
+++ b/crates/cranereach-gateway/src/quarantine/persistence.rs
@@ -21,7 +21,7 @@
 use crate::node::lock;
 use crate::node::pause;
 use crate::store::StoreError;
-use crate::store_pace;
+use crate::store_backoff;
 use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::store_position::StorePosition;
 
@@ -55,12 +55,14 @@
 
 /// Loads the row unless it has been loaded since the start.
 pub async fn load_once(node: &Node) {
-    let lasting = &node.lasting;
+    let persistence = &node.persistence;
     let now_ms = node.now_ms();
-    if lasting.is_loaded.initialized() || now_ms < lasting.retry_at_ms.load(Ordering::Acquire) {
+    if persistence.is_loaded.initialized()
+        || now_ms < persistence.retry_at_ms.load(Ordering::Acquire)
+    {
         return;
     }
-    let loading = lasting.is_loaded.get_or_try_init(async || {
+    let loading = persistence.is_loaded.get_or_try_init(async || {
         let row = read(node).await?;
         let now_ms = node.now_ms() as i64;
         let mut quarantine = lock(&node.quarantine);
@@ -77,7 +79,9 @@
     if let Err(error) = loading.await {
         warn!(node.log, "cannot load quarantined requests from store"; "error" => error.to_string());
         let retry_at_ms = node.now_ms() + RETRY_DELAY_MS;
-        lasting.retry_at_ms.store(retry_at_ms, Ordering::Release);
+        persistence
+            .retry_at_ms
+            .store(retry_at_ms, Ordering::Release);
     }
 }
 
@@ -105,7 +109,7 @@
 /// Reads the row from the store.
 async fn read(node: &Node) -> Result<Row, StoreError> {
     let rows = node.store.read(TABLE).await;
-    store_pace::count_read(node, "quarantine", &rows);
+    store_backoff::count_read(node, "quarantine", &rows);
     let rows = rows?;
     let row = rows.rows.iter().find(|row| row.key == KEY);
     let requests = row.and_then(|row| {
@@ -148,6 +152,6 @@
     };
     let value = serde_json::to_vec(&requests).unwrap_or_default();
     let written = node.store.write(&name, row.position, &value).await;
-    store_pace::count_write(node, "quarantine_write", &written);
+    store_backoff::count_write(node, "quarantine_write", &written);
     Ok(matches!(written?, WriteAnswer::Done(_)))
 }
--- a/crates/cranereach-gateway/src/recent.rs
+++ b/crates/cranereach-gateway/src/recent_updates.rs
@@ -23,7 +23,7 @@
     /// number of updates to repeat has grown.
     ///
     /// ```
-    /// use cranereach_gateway::recent::RecentUpdates;
+    /// use cranereach_gateway::recent_updates::RecentUpdates;
     ///
     /// let mut recent = RecentUpdates::default();
     /// assert!(recent.add(1_000, &[7, 8], |known, new| known == new));
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -13,18 +13,18 @@
 
 use self::row_effects::RowEffects;
 use crate::adapter::Row;
-use crate::bodies;
-use crate::list_bodies;
+use crate::body_transfer;
 use crate::list_source::ListSourceSelector;
 use crate::list_source::Source;
+use crate::list_transfer;
 use crate::messages::ListMessage;
 use crate::messages::unpack_rows;
 use crate::node::Node;
 use crate::node::lock;
 use crate::recipients::Origin;
 use crate::store::StoreError;
+use crate::store_backoff;
 use crate::store_era;
-use crate::store_pace;
 use cranereach_fleet::freshness::told_at_ms;
 use cranereach_fleet::listing::ChangedRow;
 use cranereach_fleet::listing::Span;
@@ -52,7 +52,7 @@
     loop {
         match finder.next(&node).await {
             Source::Peer(peer) => {
-                let fetched = list_bodies::fetch(&node, peer).await;
+                let fetched = list_transfer::fetch(&node, peer).await;
                 finder.fetched(node.now_ms(), peer, fetched);
                 is_whole &= node.list_position().is_none();
                 continue;
@@ -78,14 +78,14 @@
                     "position" => %node.list_position());
                 is_whole = true;
                 if error == StoreError::OtherEra {
-                    store_pace::pause_after_era_change().await;
+                    store_backoff::pause_after_era_change().await;
                 }
             }
             Err(error) => {
                 if failure_count == 0 {
                     warn!(node.log, "store lost"; "for" => "workers", "error" => error.to_string());
                 }
-                store_pace::after_failure(&node, failure_count).await;
+                store_backoff::after_failure(&node, failure_count).await;
                 failure_count += 1;
             }
         }
@@ -102,7 +102,7 @@
         let position = node.list_position();
         node.store.watch(table, position, WAIT_MS).await
     };
-    store_pace::count_read(node, "workers", &read);
+    store_backoff::count_read(node, "workers", &read);
     let rows = read?;
     if is_whole {
         info!(node.log, "workers read whole"; "rows" => rows.rows.len(),
@@ -124,7 +124,7 @@
     let verdict = take_changes(node, sender, as_of_ms, message);
     // An instance without any list obtains one in `run`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
-        list_bodies::fetch_missing(node, sender, message.position);
+        list_transfer::fetch_missing(node, sender, message.position);
     }
 }
 
@@ -142,7 +142,8 @@
     if verdict != Verdict::Applies {
         return verdict;
     }
-    let Some(rows) = unpack_rows(&message.packed_rows, bodies::FETCH_MAX_BYTES as u64) else {
+    let Some(rows) = unpack_rows(&message.packed_rows, body_transfer::FETCH_MAX_BYTES as u64)
+    else {
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&["peer"]).inc();
         return Verdict::Old;
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -12,12 +12,12 @@
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
 
-use crate::bodies;
+use crate::body_transfer;
 use crate::configuration_sync;
 use crate::controller;
 use crate::forward;
 use crate::gossip;
-use crate::list_news;
+use crate::list_updates;
 use crate::log;
 use crate::node::Node;
 use crate::node::pause;
@@ -135,10 +135,10 @@
         // The cell is still empty: no task that uses it has been started.
         let _first = node.peer_socket.set(Arc::clone(&socket));
         tasks.spawn(gossip::receive(Arc::clone(&node), socket));
-        tasks.spawn(list_news::send(Arc::clone(&node)));
+        tasks.spawn(list_updates::send(Arc::clone(&node)));
         tasks.spawn(gossip::send_demand(Arc::clone(&node)));
         tasks.spawn(gossip::send(Arc::clone(&node)));
-        tasks.spawn(bodies::serve(Arc::clone(&node), bodies));
+        tasks.spawn(body_transfer::serve(Arc::clone(&node), bodies));
         tasks.spawn(configuration_sync::run(Arc::clone(&node)));
         tasks.spawn(proofs::run(Arc::clone(&node)));
         tasks.spawn(roster_sync::run(Arc::clone(&node)));
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
-use crate::quarantine::lasting;
+use crate::quarantine::persistence;
 use crate::recipients::Origin;
 use cranereach_fleet::freshness::OUTAGE_RECOVERY_MS;
 
@@ -28,8 +28,8 @@
         // By then the other writers have rewritten what the restored store has lost.
         pause(OUTAGE_RECOVERY_MS).await;
         let is_first = node.peers().rank(node.now_ms(), RANK_PURPOSE) == 0;
-        if is_first && lasting::has_requests_to_store(&node) {
-            lasting::keep(Arc::clone(&node)).await;
+        if is_first && persistence::has_requests_to_store(&node) {
+            persistence::keep(Arc::clone(&node)).await;
         }
     }
 }
--- a/crates/cranereach-gateway/src/unknown_words.rs
+++ b/crates/cranereach-gateway/src/unknown_headers.rs
@@ -44,7 +44,7 @@
 
 /// Logs a header that cannot be parsed, once for each header name.
 pub fn record_unreadable(node: &Node, worker: &str, header: &'static str) {
-    if lock(&node.unknown_words.unreadable).insert(header) {
+    if lock(&node.unknown_headers.unreadable).insert(header) {
         warn!(node.log, "word of a worker not understood"; "worker" => worker, "header" => header);
     }
 }
@@ -59,7 +59,7 @@
 
 /// Counts an unknown header, and logs its name when it is seen for the first time.
 fn count_and_log(node: &Node, worker: &str, name: &str) {
-    let mut names = lock(&node.unknown_words.names);
+    let mut names = lock(&node.unknown_headers.names);
     let is_seen = names.contains(name);
     let is_tracked = is_seen || names.len() < NAME_MAX_COUNT;
     if is_tracked && !is_seen {
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::rests;
 use crate::send_permit::Permit;
-use crate::unknown_words;
+use crate::unknown_headers;
 use cranereach_fleet::departure;
 use cranereach_fleet::load::ReportedLoad;
 use cranereach_fleet::named_limit;
@@ -98,7 +98,7 @@
     if worker_headers.is_of_another {
         return worker_headers;
     }
-    unknown_words::record(node, &permit.worker, head);
+    unknown_headers::record(node, &permit.worker, head);
     record_unreadable(node, &permit.worker, &worker_headers);
     if worker_headers.leaving == departure::Said::Leaves {
         departures::record_announcement(node, permit);
@@ -162,7 +162,7 @@
     for (_, source, header) in unreadable.iter().filter(|(is_set, ..)| *is_set) {
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&[source]).inc();
-        unknown_words::record_unreadable(node, worker, header);
+        unknown_headers::record_unreadable(node, worker, header);
     }
 }
 
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_probes.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::node::lock;
 use crate::node::pause;
-use crate::worker_words::DEFAULT_KEEP_ALIVE_MS;
+use crate::worker_headers::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_http::pool::ConnectError;
 
 /// Delay between the break of a connection and the probe, in milliseconds. A terminating process
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -29,7 +29,7 @@
 const STORE_READ_MS: u64 = 2_000;
 const FETCH_MS: u64 = 800;
 
-/// Whole lists that one instance sends at one time, as in `list_bodies`.
+/// Whole lists that one instance sends at one time, as in `list_transfer`.
 const WHOLE_AT_ONCE_COUNT: usize = 3;
 
 /// Time for which a peer that is busy isn't asked again, as in `list_source`.
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -9,8 +9,8 @@
 use cranereach_fleet::named_limit;
 use cranereach_fleet::rest;
 use cranereach_gateway::adapter::HeaderNames;
-use cranereach_gateway::worker_words::DEFAULT_KEEP_ALIVE_MS;
-use cranereach_gateway::worker_words::WorkerHeaders;
+use cranereach_gateway::worker_headers::DEFAULT_KEEP_ALIVE_MS;
+use cranereach_gateway::worker_headers::WorkerHeaders;
 
 /// Names of another platform.
 const NAMES: HeaderNames = HeaderNames {
--- a/crates/cranereach-wire/src/thinner.rs
+++ b/crates/cranereach-wire/src/digest_filter.rs
@@ -45,23 +45,23 @@
 
 /// Parts that this instance has sent to its peers.
 #[derive(Clone, Debug, Default)]
-pub struct Thinner {
+pub struct DigestFilter {
     sent: HashMap<PartKey, SentPart>,
 }
 
-impl Thinner {
+impl DigestFilter {
     /// Returns the parts that have to be sent now, and records them as sent.
     ///
     /// ```
     /// use cranereach_wire::peer::DigestPart;
-    /// use cranereach_wire::thinner::Thinner;
+    /// use cranereach_wire::digest_filter::DigestFilter;
     ///
-    /// let mut thinner = Thinner::default();
+    /// let mut digest_filter = DigestFilter::default();
     /// let part = DigestPart::Outstanding("w".into(), 3);
-    /// assert_eq!(thinner.thin(0, vec![part.clone()]).len(), 1);
-    /// assert_eq!(thinner.thin(100, vec![part]).len(), 0);
+    /// assert_eq!(digest_filter.select_due(0, vec![part.clone()]).len(), 1);
+    /// assert_eq!(digest_filter.select_due(100, vec![part]).len(), 0);
     /// ```
-    pub fn thin(&mut self, now_ms: u64, parts: Vec<DigestPart>) -> Vec<DigestPart> {
+    pub fn select_due(&mut self, now_ms: u64, parts: Vec<DigestPart>) -> Vec<DigestPart> {
         self.sent
             .retain(|_, sent| now_ms.saturating_sub(sent.at_ms) < 10 * REPEAT_AFTER_MS);
         parts
--- a/src/cmd/measure.rs
+++ b/src/cmd/measure.rs
@@ -155,7 +155,7 @@
 
 /// Measures all slopes and prints each as a line of JSON.
 fn measure_slopes(scenario: &Scenario) -> Exit {
-    slopes::kernel::measure(scenario)
+    slopes::core_decisions::measure(scenario)
         .iter()
         .chain(&slopes::gateway::measure())
         .chain(&slopes::accounts::measure())
--- a/src/cmd/workers.rs
+++ b/src/cmd/workers.rs
@@ -4,7 +4,7 @@
 use super::instance::ListArguments;
 use crate::exit::Exit;
 use cranereach_gateway::operators::WORKERS_PATH;
-use cranereach_gateway::own_words::UnavailableWorker;
+use cranereach_gateway::unavailable_workers::UnavailableWorker;
 
 /// Fetches these workers from an instance and prints them.
 pub fn execute(options: &ListArguments) -> Exit {
--- a/tests/testsuite/docs.rs
+++ b/tests/testsuite/docs.rs
@@ -11,8 +11,8 @@
 use cranereach_core::lease;
 use cranereach_core::ledger;
 use cranereach_entry::settings::Settings;
+use cranereach_wire::digest_filter;
 use cranereach_wire::peer;
-use cranereach_wire::thinner;
 
 /// Returns a path from the project's root.
 fn root(path: &str) -> PathBuf {
@@ -106,7 +106,7 @@
         ("bytes per datagram", peer::DATAGRAM_MAX_BYTES as u64),
         (
             "ms until an unchanged part is repeated",
-            thinner::REPEAT_AFTER_MS,
+            digest_filter::REPEAT_AFTER_MS,
         ),
         ("ms of a lease's term", lease::TERM_MS),
         ("ms between renewals", lease::RENEW_EVERY_MS),
