--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -109,7 +109,7 @@
                 if failure_count == 0 {
                     warn!(node.log, "store lost"; "for" => "configuration", "error" => error.to_string());
                 }
-                store_backoff::after_failure(&node, failure_count).await;
+                store_backoff::back_off_after_failure(&node, failure_count).await;
                 failure_count += 1;
             }
         }
@@ -159,21 +159,21 @@
         return false;
     }
     let rank = rank(node);
-    let is_left_to_others = store_backoff::is_left_to_others(node, rank);
+    let is_deferring_retries = store_backoff::is_deferring_retries(node, rank);
     let (is_proven, due_ms) = {
         let proof = lock(&node.proof);
         // The instances that retry may be just those that the store rejects, so the others do not
         // wait for the turn of their own rank.
-        let due_rank = if is_left_to_others { 0 } else { rank };
+        let due_rank = if is_deferring_retries { 0 } else { rank };
         (
             proof.age_ms(now_ms).is_some(),
             proof.read_due_at_ms(due_rank),
         )
     };
     // The instance that is to read first may be just the one that the store rejects.
-    let is_own_turn = is_proven || is_left_to_others || should_read_first(node, now_ms);
+    let is_own_turn = is_proven || is_deferring_retries || should_read_first(node, now_ms);
     let is_due = now_ms >= due_ms && is_own_turn;
-    is_due && (!is_left_to_others || store_backoff::should_probe(node, POLL_INTERVAL_MS))
+    is_due && (!is_deferring_retries || store_backoff::should_probe(node, POLL_INTERVAL_MS))
 }
 
 /// Returns whether an instance that has no proof yet is to read the store itself, instead of
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -18,7 +18,7 @@
 use self::lease::Candidacy;
 use self::orders::Completion;
 use self::orders::OrderSender;
-use crate::node::Announced;
+use crate::node::AnnouncedChanges;
 use crate::node::Node;
 use crate::node::pause;
 use crate::peer_updates;
@@ -328,7 +328,7 @@
 
     /// Announces to peers, and applies to this instance's own roster, what the orders changed.
     fn announce(&mut self, node: &Node, engine: &Engine) {
-        let mut announced = Announced {
+        let mut announced = AnnouncedChanges {
             adapters: self.unlisted_adapters(node, engine),
             withheld: Vec::new(),
             loading: self.ledger.loading(node.now_ms()),
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -268,7 +268,7 @@
 fn process_headers(node: &Node, permit: &Permit, answer: &Answer) {
     // The client took the number from a parsed status, so it is always valid.
     let status = StatusCode::from_u16(answer.status).unwrap_or_default();
-    worker_headers::hear(node, permit, (status, &answer.headers), true);
+    worker_headers::apply_head(node, permit, (status, &answer.headers), true);
 }
 
 /// Returns the worker state of a report, with adapters that are still loading counted as held.
--- a/crates/cranereach-gateway/src/departures.rs
+++ b/crates/cranereach-gateway/src/departures.rs
@@ -31,7 +31,7 @@
     };
     if is_new {
         log_and_wake(node, &permit.worker, DepartureSource::Worker);
-        tell(node, now_ms, news.as_slice());
+        queue_for_gossip(node, now_ms, news.as_slice());
     }
 }
 
@@ -56,7 +56,7 @@
         log_and_wake(node, worker, DepartureSource::Peer);
     }
     let new: Vec<DepartureNews> = new.into_iter().map(|(news, _)| news).collect();
-    tell(node, now_ms, &new);
+    queue_for_gossip(node, now_ms, &new);
 }
 
 /// Applies the report of a worker's owner that the given incarnation of the worker is leaving.
@@ -69,7 +69,9 @@
 /// Returns the departures for the next digest.
 pub fn news(node: &Node) -> Vec<DepartureNews> {
     let recent = lock(&node.recent_departures);
-    recent.told().sample(&mut rand::rng(), GOSSIPED_MAX_COUNT)
+    recent
+        .updates()
+        .sample(&mut rand::rng(), GOSSIPED_MAX_COUNT)
 }
 
 /// Returns the departures for an instance that does not know any workers yet.
@@ -85,7 +87,7 @@
 }
 
 /// Queues departures for the next digests to peers.
-pub(crate) fn tell(node: &Node, now_ms: u64, news: &[DepartureNews]) {
+pub(crate) fn queue_for_gossip(node: &Node, now_ms: u64, news: &[DepartureNews]) {
     if lock(&node.recent_departures).add(now_ms, news, PartialEq::eq) {
         node.digest_wanted.notify_one();
     }
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -89,7 +89,7 @@
 }
 
 /// Lists the failure domains by name.
-pub async fn look(settings: &Settings) -> Result<Vec<DomainState>, DomainsError> {
+pub async fn list_states(settings: &Settings) -> Result<Vec<DomainState>, DomainsError> {
     let adapter = adapter_of(settings)?;
     let snapshot = read(settings, adapter).await?;
     let names = snapshot.known.iter().chain(snapshot.asked.keys());
@@ -99,7 +99,7 @@
 }
 
 /// Requests the evacuation of a failure domain, or withdraws the request.
-pub async fn demand(
+pub async fn request_evacuation(
     settings: &Settings,
     domain: &str,
     is_withdrawn: bool,
--- a/crates/cranereach-gateway/src/expected_models.rs
+++ b/crates/cranereach-gateway/src/expected_models.rs
@@ -11,7 +11,7 @@
 
 use crate::messages::ExpectedModel;
 use crate::messages::Message;
-use crate::node::Announced;
+use crate::node::AnnouncedChanges;
 use crate::node::Node;
 use crate::node::lock;
 use cranereach_fleet::key::worker_key;
@@ -27,7 +27,7 @@
 
 /// A holder's answer about one model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Expectation {
     /// The model is expected to be ready at this time, in milliseconds.
     At(u64),
     /// The model is not being loaded.
@@ -37,7 +37,7 @@
 /// Answers by service and model, each with the time of its receipt.
 #[derive(Clone, Debug, Default)]
 pub struct ExpectedModels {
-    answers: HashMap<(u64, u16), (u64, Word)>,
+    answers: HashMap<(u64, u16), (u64, Expectation)>,
 }
 
 impl ExpectedModels {
@@ -45,33 +45,33 @@
     ///
     /// ```
     /// use cranereach_gateway::expected_models::ExpectedModels;
-    /// use cranereach_gateway::expected_models::Word;
+    /// use cranereach_gateway::expected_models::Expectation;
     ///
     /// let mut expected = ExpectedModels::default();
-    /// expected.insert(1_000, (7, 3), Word::At(4_000));
-    /// assert_eq!(expected.lookup(1_500, (7, 3)), Some(Word::At(4_000)));
+    /// expected.insert(1_000, (7, 3), Expectation::At(4_000));
+    /// assert_eq!(expected.lookup(1_500, (7, 3)), Some(Expectation::At(4_000)));
     /// assert_eq!(expected.lookup(2_500, (7, 3)), None);
     /// ```
-    pub fn insert(&mut self, now_ms: u64, model: (u64, u16), word: Word) {
+    pub fn insert(&mut self, now_ms: u64, model: (u64, u16), expectation: Expectation) {
         if self.answers.len() >= CACHED_MAX_COUNT {
             self.answers
                 .retain(|_, (received_ms, _)| now_ms < *received_ms + ANSWER_VALID_MS);
         }
         if self.answers.len() < CACHED_MAX_COUNT {
-            self.answers.insert(model, (now_ms, word));
+            self.answers.insert(model, (now_ms, expectation));
         }
     }
 
     /// Returns the answer about a model if it is recent enough.
-    pub fn lookup(&self, now_ms: u64, model: (u64, u16)) -> Option<Word> {
+    pub fn lookup(&self, now_ms: u64, model: (u64, u16)) -> Option<Expectation> {
         let cached = self.answers.get(&model);
         let recent = cached.filter(|(received_ms, _)| now_ms < received_ms + ANSWER_VALID_MS);
-        recent.map(|(_, word)| *word)
+        recent.map(|(_, expectation)| *expectation)
     }
 }
 
 /// Returns the answer about a model from the lease holder, which may be this instance.
-pub fn word(node: &Node, service: &str, model: u16) -> Option<Word> {
+pub fn expectation(node: &Node, service: &str, model: u16) -> Option<Expectation> {
     if let Some(announced) = node.announced().get(service) {
         return Some(local_answer(announced, model));
     }
@@ -79,9 +79,9 @@
 }
 
 /// Returns the answer about a model from this instance as the lease holder.
-fn local_answer(announced: &Announced, model: u16) -> Word {
+fn local_answer(announced: &AnnouncedChanges, model: u16) -> Expectation {
     let at_ms = announced.loading.get(&model).copied();
-    at_ms.map_or(Word::NotLoading, Word::At)
+    at_ms.map_or(Expectation::NotLoading, Expectation::At)
 }
 
 /// Answers a peer whose requests lack some models, for the leases held by this instance.
@@ -93,8 +93,8 @@
         let asked = lacks.iter().take(QUERIED_MAX_COUNT);
         for (_, model) in asked.filter(|(service_key, _)| *service_key == key) {
             let in_ms = match local_answer(announced, *model) {
-                Word::At(at_ms) => Some(at_ms.saturating_sub(now_ms) as u32),
-                Word::NotLoading => None,
+                Expectation::At(at_ms) => Some(at_ms.saturating_sub(now_ms) as u32),
+                Expectation::NotLoading => None,
             };
             answers.push(ExpectedModel {
                 service: key,
@@ -114,10 +114,10 @@
     let now_ms = node.now_ms();
     let mut expected = lock(&node.expected);
     for answer in answers.iter().take(QUERIED_MAX_COUNT) {
-        let word = answer.in_ms.map_or(Word::NotLoading, |in_ms| {
-            Word::At(now_ms + u64::from(in_ms))
+        let expectation = answer.in_ms.map_or(Expectation::NotLoading, |in_ms| {
+            Expectation::At(now_ms + u64::from(in_ms))
         });
-        expected.insert(now_ms, (answer.service, answer.model), word);
+        expected.insert(now_ms, (answer.service, answer.model), expectation);
     }
     drop(expected);
     node.expected_changed.notify_waiters();
--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -8,8 +8,8 @@
 use super::request::Call;
 use crate::node::Node;
 use crate::quarantine;
-use crate::worker_probes;
-use crate::worker_probes::ProbeResult;
+use crate::worker_ends;
+use crate::worker_ends::ProbeResult;
 
 /// Checks in the background what became of the worker whose connection broke during a call. If
 /// the worker has ended, records that against the call's fingerprint. `earlier_end_known` says
@@ -28,7 +28,7 @@
     let call = Arc::clone(call);
     let worker = Arc::clone(worker);
     tokio::spawn(async move {
-        let found = worker_probes::find(&node, &worker).await;
+        let found = worker_ends::find(&node, &worker).await;
         let counter = &node.metrics.broken_off_total;
         counter.with_label_values(&[found.name()]).inc();
         if found.has_ended() {
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -8,7 +8,7 @@
 use super::refusal::RETRY_AFTER_DEFAULT_MS;
 use super::refusal::Refusal;
 use super::workload;
-use crate::expected_models::Word;
+use crate::expected_models::Expectation;
 use crate::node::lock;
 use crate::node::pause;
 use crate::owners;
@@ -155,10 +155,10 @@
             }
             NoWorker::NoModel | NoWorker::Evacuated => {
                 match workload::load_expectation(self.node, self.call) {
-                    Some(Word::At(at_ms)) if at_ms < aim_at_ms => {
+                    Some(Expectation::At(at_ms)) if at_ms < aim_at_ms => {
                         aim_at_ms.min(at_ms + LISTING_DELAY_MS)
                     }
-                    Some(Word::At(_) | Word::NotLoading) => received_ms,
+                    Some(Expectation::At(_) | Expectation::NotLoading) => received_ms,
                     None => received_ms + LOAD_EXPECTATION_WAIT_MS,
                 }
             }
@@ -170,8 +170,10 @@
     fn model_retry_after_ms(&self) -> u64 {
         let now_ms = self.node.now_ms();
         let retry_after_ms = match workload::load_expectation(self.node, self.call) {
-            Some(Word::At(at_ms)) => at_ms.saturating_sub(now_ms) + LISTING_DELAY_MS,
-            Some(Word::NotLoading) | None => workload::model_load_ms(self.call).unwrap_or_default(),
+            Some(Expectation::At(at_ms)) => at_ms.saturating_sub(now_ms) + LISTING_DELAY_MS,
+            Some(Expectation::NotLoading) | None => {
+                workload::model_load_ms(self.call).unwrap_or_default()
+            }
         };
         retry_after_ms.max(RETRY_AFTER_DEFAULT_MS)
     }
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -23,7 +23,7 @@
 use super::workload;
 use crate::node::Node;
 use crate::quarantine;
-use crate::worker_probes::ProbeResult;
+use crate::worker_ends::ProbeResult;
 use cranereach_core::codes::ResultCode;
 use cranereach_fleet::roster::Choice;
 
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -5,7 +5,7 @@
 
 use crate::node::Node;
 use crate::owners;
-use crate::owners::Told;
+use crate::owners::ReportedRequest;
 use cranereach_fleet::load::RANK_COUNT;
 use cranereach_fleet::owned::Outcome;
 use cranereach_fleet::owned::SentRequest;
@@ -33,7 +33,7 @@
     /// Time for which the call is expected to occupy a slot, in milliseconds, with its prefill.
     stay_ms: f64,
     /// Registration of the request at the instance that owns the worker.
-    owner_ticket: Told,
+    owner_ticket: ReportedRequest,
     outcome: Outcome,
     distance: Distance,
 }
@@ -98,7 +98,7 @@
             send_in_ms: send_in_ms as u32,
             runs_alone: routing_request.end_count >= ALONE_FROM_COUNT,
         };
-        let owner_ticket = owners::begun(node, &choice.id, opening, routing_request.parts);
+        let owner_ticket = owners::report_begun(node, &choice.id, opening, routing_request.parts);
         Self {
             owner_ticket,
             outcome: Outcome::Neutral,
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -103,7 +103,7 @@
 }
 
 /// Handles a request of a caller.
-pub async fn answer(
+pub async fn handle_request(
     node: Arc<Node>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Closed> {
--- a/crates/cranereach-gateway/src/forward/response_head.rs
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -70,7 +70,7 @@
     let status = response.status();
     let request_id = headers.get(node.adapter.headers.request_id);
     let is_ours = request_id.is_none_or(|id| id.as_bytes() == call.id.as_bytes());
-    let words = worker_headers::hear(node, permit, (status, headers), is_ours);
+    let words = worker_headers::apply_head(node, permit, (status, headers), is_ours);
     if !is_ours || (request_id.is_none() && !words.is_not_run) {
         node.metrics
             .bad_input_total
--- a/crates/cranereach-gateway/src/forward/resumption.rs
+++ b/crates/cranereach-gateway/src/forward/resumption.rs
@@ -28,7 +28,7 @@
 use super::response_head::ResponseHead;
 use super::response_head::has_explicit_framing;
 use crate::node::Node;
-use crate::worker_probes;
+use crate::worker_ends;
 use cranereach_http::pool::Connection;
 
 /// Connection with the time for which it may be kept idle afterwards, in milliseconds; `None` if
@@ -102,7 +102,7 @@
         call: &Arc<Call>,
         history: OfferHistory,
         last_event: Option<String>,
-        worker_check: JoinHandle<worker_probes::ProbeResult>,
+        worker_check: JoinHandle<worker_ends::ProbeResult>,
     ) -> Self {
         let node = Arc::clone(node);
         let call = Arc::clone(call);
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -30,7 +30,7 @@
 use super::resumption::StreamResumption;
 use crate::node::Node;
 use crate::quarantine;
-use crate::worker_probes::ProbeResult;
+use crate::worker_ends::ProbeResult;
 use cranereach_http::events::Reached;
 use cranereach_http::events::WholeEvents;
 
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -5,7 +5,7 @@
 
 use super::request::Call;
 use crate::expected_models;
-use crate::expected_models::Word;
+use crate::expected_models::Expectation;
 use crate::node::Node;
 use crate::node::lock;
 use cranereach_fleet::demand::ModelKey;
@@ -42,9 +42,9 @@
 }
 
 /// Returns what the lease holder says about when the model that a call lacks will be loaded.
-pub fn load_expectation(node: &Node, call: &Call) -> Option<Word> {
+pub fn load_expectation(node: &Node, call: &Call) -> Option<Expectation> {
     let (model, _) = model_key(call)?;
-    expected_models::word(node, &call.service.name, model)
+    expected_models::expectation(node, &call.service.name, model)
 }
 
 /// Returns the time to load the call's model from the weight store, in milliseconds.
--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -156,7 +156,7 @@
     let unreachable = roster.unreachable(now_ms);
     let evacuations = roster.evacuations.list().clone();
     drop(roster);
-    let leaving = lock(&node.recent_leaving).told().collect();
+    let leaving = lock(&node.recent_leaving).updates().collect();
     let announced = node.announced();
     let adapters = announced.values().flat_map(|changes| &changes.adapters);
     let adapters = adapters.copied().take(DIGEST_ADAPTERS_MAX_COUNT).collect();
@@ -240,7 +240,7 @@
                     }
                     Message::Demand(demand) => peer_updates::take_demand(&node, ip, &demand),
                     Message::Owner(message) => {
-                        if let Some(quote) = owners::take(&node, ip, message) {
+                        if let Some(quote) = owners::handle_message(&node, ip, message) {
                             node.send_now(sender, Message::Quote(quote));
                         }
                     }
@@ -302,7 +302,7 @@
     let now_ms = node.now_ms();
     let is_new = {
         let mut peers = node.peers();
-        let is_new = peers.heard(now_ms, sender, digest);
+        let is_new = peers.apply_digest(now_ms, sender, digest);
         let alive_count = peers.members().alive(now_ms).count();
         node.metrics.peers_heard.set(alive_count as i64);
         is_new
--- a/crates/cranereach-gateway/src/heard_leases.rs
+++ b/crates/cranereach-gateway/src/heard_leases.rs
@@ -23,13 +23,13 @@
 
 impl HeardLeases {
     /// Records that the holder of a lease announced that it no longer holds it.
-    pub fn given_up(&mut self, now_ms: u64, service: u64) {
+    pub fn note_released(&mut self, now_ms: u64, service: u64) {
         self.released_at_ms.insert(service, now_ms);
     }
 
     /// Merges the held leases that a digest reports: those of its sender and those that the
     /// sender has heard of.
-    pub fn heard(&mut self, now_ms: u64, sender: Ipv4Addr, digest: &Digest) {
+    pub fn merge_digest(&mut self, now_ms: u64, sender: Ipv4Addr, digest: &Digest) {
         let own = digest.holds.iter().filter(|_| !digest.is_leaving);
         let own = own.map(|service| HeldLease {
             service: *service,
--- a/crates/cranereach-gateway/src/lib.rs
+++ b/crates/cranereach-gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`configuration_sync`] and [`roster_sync`] follow the store, whose [era](store_era) rises
 //!   when it is restored from a backup.
 //! - [`evacuations`] tracks which failure domains are to be emptied.
-//! - [`worker_probes`] finds out whether a worker that broke a connection has ended, and
+//! - [`worker_ends`] finds out whether a worker that broke a connection has ended, and
 //!   [`quarantine`] which requests end their workers.
 //! - [`proofs`] and [`account_limits`] ask peers what accounts may do.
 //! - [`cold`] tracks workers that have just started.
@@ -50,7 +50,7 @@
 pub mod proofs;
 pub mod quarantine;
 pub mod questions;
-pub mod recent_updates;
+pub mod recent;
 pub mod recipients;
 pub mod rests;
 pub mod roster_sync;
@@ -65,5 +65,5 @@
 pub mod traffic;
 pub mod unavailable_workers;
 pub mod unknown_headers;
+pub mod worker_ends;
 pub mod worker_headers;
-pub mod worker_probes;
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -93,7 +93,7 @@
     }
 
     /// Notes that the store was read, successfully or not.
-    pub fn has_read(&mut self) {
+    pub fn note_store_read(&mut self) {
         self.has_asked_peer = false;
         self.failed_count = 0;
     }
@@ -101,18 +101,18 @@
     /// Returns the source to refresh from now; `None` if no refresh is due.
     fn source(&mut self, node: &Node, now_ms: u64) -> Option<Source> {
         let rank = rank(node);
-        let is_left_to_others = store_backoff::is_left_to_others(node, rank);
+        let is_deferring_retries = store_backoff::is_deferring_retries(node, rank);
         let source = if node.list_position().is_none() {
             let first = self.first_source(node, now_ms);
             // The store may be refusing exactly the instances that would read it first.
-            first.or(is_left_to_others.then_some(Source::Store))
+            first.or(is_deferring_retries.then_some(Source::Store))
         } else {
             // The store may be refusing exactly the few instances that try it during an
             // outage, so the others don't wait for their turn by rank.
-            self.next_source(node, now_ms, if is_left_to_others { 0 } else { rank })
+            self.next_source(node, now_ms, if is_deferring_retries { 0 } else { rank })
         };
         let is_held_back = source == Some(Source::Store)
-            && is_left_to_others
+            && is_deferring_retries
             && !store_backoff::should_probe(node, POLL_INTERVAL_MS);
         source.filter(|_| !is_held_back)
     }
--- a/crates/cranereach-gateway/src/list_transfer.rs
+++ b/crates/cranereach-gateway/src/list_transfer.rs
@@ -208,7 +208,7 @@
         }
         roster_sync::take_whole(node, as_of_ms, list.position, rows);
         lock(&node.listing).adopt_history(list.position, history);
-        node.tell_list(Origin::at(node.distance_to(peer)));
+        node.announce_list(Origin::at(node.distance_to(peer)));
     } else {
         roster_sync::take_changes(node, peer, as_of_ms, &list);
     }
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -33,12 +33,12 @@
 use crate::peers::Peers;
 use crate::quarantine::persistence::PersistenceState;
 use crate::questions::Questions;
-use crate::recent_updates::RecentUpdates;
+use crate::recent::RecentUpdates;
 use crate::recipients::Origin;
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::unknown_headers::UnknownHeaders;
-use crate::worker_probes::WorkerProbes;
+use crate::worker_ends::WorkerProbes;
 use cranereach_fleet::configuration::Configuration;
 use cranereach_fleet::demand::Demand;
 use cranereach_fleet::demand::ModelKey;
@@ -66,7 +66,7 @@
 
 /// Changes that this instance's orders have made at workers, to be gossiped to peers.
 #[derive(Clone, Debug, Default)]
-pub struct Announced {
+pub struct AnnouncedChanges {
     /// Adapters that have been loaded: worker key, model and adapter.
     pub adapters: Vec<(u64, ModelKey)>,
     /// Models that are being unloaded: worker key, model.
@@ -149,7 +149,7 @@
     pub shortages: Mutex<Shortages>,
     demand: Mutex<HashMap<Arc<str>, Demand>>,
     peers: Mutex<Peers>,
-    announced: Mutex<HashMap<Arc<str>, Announced>>,
+    announced: Mutex<HashMap<Arc<str>, AnnouncedChanges>>,
     retries: Mutex<HashMap<Arc<str>, RetryWindow>>,
     pools: Mutex<Pools>,
     /// Requests at the workers that this instance owns.
@@ -216,7 +216,7 @@
         let peers = Peers::new(own_ip, &settings.instance.failure_domain, &seeds);
         let metrics = Metrics::new();
         Some(Self {
-            peers: Mutex::new(peers.within(&topology)),
+            peers: Mutex::new(peers.with_topology(&topology)),
             topology,
             adapter,
             store: Store::new(&settings.platform.store, adapter, &log, &metrics),
@@ -336,7 +336,7 @@
     }
 
     /// Returns the changes made by this instance's orders, by service.
-    pub fn announced(&self) -> MutexGuard<'_, HashMap<Arc<str>, Announced>> {
+    pub fn announced(&self) -> MutexGuard<'_, HashMap<Arc<str>, AnnouncedChanges>> {
         lock(&self.announced)
     }
 
@@ -377,7 +377,7 @@
 
     /// Sends the worker list's changes to peers at once, after the list changed or was
     /// confirmed as the newest by `origin`.
-    pub fn tell_list(&self, origin: Origin) {
+    pub fn announce_list(&self, origin: Origin) {
         let mut widest = lock(&self.list_origin);
         *widest = Some(widest.map_or(origin, |before| before.max(origin)));
         self.list_update_wanted.notify_one();
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -36,7 +36,7 @@
 
 /// A request that was reported to the owner of its worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct ReportedRequest {
     owner: Ipv4Addr,
     worker: u64,
     ticket: u64,
@@ -139,9 +139,14 @@
 }
 
 /// Reports to the owner of a worker that a request is being sent to the worker.
-pub fn begun(node: &Node, worker: &str, opening: SentRequest, parts: &[PromptPart]) -> Told {
+pub fn report_begun(
+    node: &Node,
+    worker: &str,
+    opening: SentRequest,
+    parts: &[PromptPart],
+) -> ReportedRequest {
     let key = worker_key(worker);
-    let request = Told {
+    let request = ReportedRequest {
         owner: owner_of(node, key),
         worker: key,
         ticket: rand::random(),
@@ -171,7 +176,7 @@
     }
 }
 
-impl Told {
+impl ReportedRequest {
     /// Reports to the owner that the worker has read the prompt, and how long that took.
     pub fn read(&self, node: &Node, took_ms: f64) {
         self.report_event(node, OwnerEvent::Read(took_ms as u32));
@@ -191,7 +196,7 @@
                 event,
             };
             // Only questions get an answer, and this event is none.
-            let _answer = take(node, self.owner, message);
+            let _answer = handle_message(node, self.owner, message);
         } else {
             send_event(node, self.owner, self.worker, self.ticket, event);
         }
@@ -200,7 +205,7 @@
 
 /// Handles a message to this instance as the owner of a worker. Returns the answer if the message
 /// is a question.
-pub fn take(node: &Node, sender: Ipv4Addr, message: OwnerMessage) -> Option<Quote> {
+pub fn handle_message(node: &Node, sender: Ipv4Addr, message: OwnerMessage) -> Option<Quote> {
     let now_ms = node.now_ms();
     let OwnerMessage {
         worker,
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -142,7 +142,7 @@
 
     /// Sets the table of failure domains and regions.
     #[must_use]
-    pub fn within(mut self, topology: &Topology) -> Self {
+    pub fn with_topology(mut self, topology: &Topology) -> Self {
         self.topology = topology.clone();
         self
     }
@@ -168,7 +168,7 @@
     }
 
     /// Applies a digest; returns false if it is outdated.
-    pub fn heard(&mut self, now_ms: u64, sender: Ipv4Addr, digest: &Digest) -> bool {
+    pub fn apply_digest(&mut self, now_ms: u64, sender: Ipv4Addr, digest: &Digest) -> bool {
         if sender == self.own_ip {
             return false;
         }
@@ -183,11 +183,11 @@
             return false;
         }
         self.members.merge(now_ms, &digest.members);
-        self.store_failures.told(now_ms, &digest.store_failed);
+        self.store_failures.merge(now_ms, &digest.store_failed);
         let before = self.peer_states.remove(&sender).unwrap_or_default();
         let is_released = |service: &u64| digest.is_leaving || !digest.holds.contains(service);
         for service in before.holds.iter().filter(|service| is_released(service)) {
-            self.leases.given_up(now_ms, *service);
+            self.leases.note_released(now_ms, *service);
         }
         let state = PeerState {
             heard_at_ms: now_ms,
@@ -202,7 +202,7 @@
             join_reply_at_ms: before.join_reply_at_ms,
         };
         self.peer_states.insert(sender, state);
-        self.leases.heard(now_ms, sender, digest);
+        self.leases.merge_digest(now_ms, sender, digest);
         true
     }
 
--- a/crates/cranereach-gateway/src/recent_updates.rs
+++ b/crates/cranereach-gateway/src/recent.rs
@@ -23,12 +23,12 @@
     /// number of updates to repeat has grown.
     ///
     /// ```
-    /// use cranereach_gateway::recent_updates::RecentUpdates;
+    /// use cranereach_gateway::recent::RecentUpdates;
     ///
     /// let mut recent = RecentUpdates::default();
     /// assert!(recent.add(1_000, &[7, 8], |known, new| known == new));
     /// assert!(!recent.add(2_000, &[7], |known, new| known == new));
-    /// assert_eq!(recent.told().collect::<Vec<_>>(), [7, 8]);
+    /// assert_eq!(recent.updates().collect::<Vec<_>>(), [7, 8]);
     /// ```
     pub fn add(&mut self, now_ms: u64, updates: &[T], is_same: impl Fn(&T, &T) -> bool) -> bool {
         self.entries
@@ -43,7 +43,7 @@
     }
 
     /// Returns the updates to repeat.
-    pub fn told(&self) -> impl Iterator<Item = T> {
+    pub fn updates(&self) -> impl Iterator<Item = T> {
         self.entries.iter().map(|(_, update)| *update)
     }
 }
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -62,7 +62,7 @@
         // In a new era, changes relative to the earlier list have no meaning.
         is_whole |= node.list_position().era < node.store.eras().newest();
         let read = read(&node, is_whole).await;
-        finder.has_read();
+        finder.note_store_read();
         match read {
             Ok(()) => {
                 if failure_count > 0 {
@@ -71,7 +71,7 @@
                 failure_count = 0;
                 is_whole = false;
                 // Also sent without changes: peers need to know that the list is current.
-                node.tell_list(Origin::Own);
+                node.announce_list(Origin::Own);
             }
             Err(error @ (StoreError::HistoryGone | StoreError::OtherEra)) => {
                 info!(node.log, "list to be read whole"; "why" => error.to_string(),
@@ -85,7 +85,7 @@
                 if failure_count == 0 {
                     warn!(node.log, "store lost"; "for" => "workers", "error" => error.to_string());
                 }
-                store_backoff::after_failure(&node, failure_count).await;
+                store_backoff::back_off_after_failure(&node, failure_count).await;
                 failure_count += 1;
             }
         }
@@ -153,7 +153,7 @@
     let is_much_fresher =
         known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < as_of_ms);
     if position > known_position || is_much_fresher {
-        node.tell_list(Origin::at(node.distance_to(sender)));
+        node.announce_list(Origin::at(node.distance_to(sender)));
     }
     verdict
 }
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -151,7 +151,7 @@
             header_max_bytes: HEADER_MAX_BYTES,
         };
         let serving = server::serve(callers, options, stop, move |request| {
-            forward::answer(Arc::clone(&caller_node), request)
+            forward::handle_request(Arc::clone(&caller_node), request)
         });
         info!(node.log, "started"; "callers" => addresses.callers.to_string(),
             "failure_domain" => node.settings.instance.failure_domain.clone(),
--- a/crates/cranereach-gateway/src/store_backoff.rs
+++ b/crates/cranereach-gateway/src/store_backoff.rs
@@ -23,7 +23,7 @@
 
 /// Returns whether an instance of this rank leaves retries to other instances because peers
 /// report that the store is lost.
-pub fn is_left_to_others(node: &Node, rank: u64) -> bool {
+pub fn is_deferring_retries(node: &Node, rank: u64) -> bool {
     rank >= RETRYING_INSTANCE_COUNT && node.peers().is_store_lost(node.now_ms())
 }
 
@@ -36,7 +36,7 @@
 
 /// Reports a failed call to peers and waits for a backoff with jitter, which grows with the
 /// number of consecutive failures.
-pub async fn after_failure(node: &Node, failure_count: u32) {
+pub async fn back_off_after_failure(node: &Node, failure_count: u32) {
     node.peers().store_failed(node.now_ms());
     let uncapped_ms = BACKOFF_BASE_MS << failure_count.min(4);
     let backoff_ms = uncapped_ms.min(BACKOFF_MAX_MS);
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -44,7 +44,7 @@
     };
     lock(&node.proof).enter_era(now_ms, era);
     let leaving = node.roster().enter_era(now_ms, era);
-    departures::tell(node, now_ms, &leaving);
+    departures::queue_for_gossip(node, now_ms, &leaving);
     if is_restored {
         info!(node.log, "store restored"; "era" => era,
             "list_position" => %node.list_position(), "leaving" => leaving.len());
--- a/crates/cranereach-gateway/src/store_failures.rs
+++ b/crates/cranereach-gateway/src/store_failures.rs
@@ -25,7 +25,7 @@
 
 impl StoreFailures {
     /// Merges failures that a peer reports, up to the maximum that is kept.
-    pub fn told(&mut self, now_ms: u64, failures: &[StoreFailure]) {
+    pub fn merge(&mut self, now_ms: u64, failures: &[StoreFailure]) {
         for failure in failures.iter().take(FAILURE_MAX_COUNT) {
             self.note(now_ms, failure.address, failure.age_ms);
         }
--- a/crates/cranereach-gateway/src/worker_headers.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerHeaders {
     /// Whether another worker than the intended one responded.
-    pub is_of_another: bool,
+    pub is_from_other_worker: bool,
     /// Whether the response states that the request was not run.
     pub is_not_run: bool,
     /// The worker's load, if stated and valid.
@@ -73,7 +73,7 @@
             _ => rest::RestRequest::Nothing,
         };
         Self {
-            is_of_another: is_misdirected || is_other_worker,
+            is_from_other_worker: is_misdirected || is_other_worker,
             is_not_run: is_misdirected || headers.contains_key(names.not_run),
             load: load.flatten(),
             is_load_unreadable: load == Some(None),
@@ -87,7 +87,7 @@
 
 /// Applies the head of a response to the state of the worker. `is_expected_response` states whether
 /// it answers the permitted request, rather than being a late response to an earlier one.
-pub fn hear(
+pub fn apply_head(
     node: &Node,
     permit: &Permit,
     head: (StatusCode, &HeaderMap),
@@ -95,7 +95,7 @@
 ) -> WorkerHeaders {
     let (status, _headers) = head;
     let worker_headers = WorkerHeaders::read(&node.adapter.headers, &permit.worker, head);
-    if worker_headers.is_of_another {
+    if worker_headers.is_from_other_worker {
         return worker_headers;
     }
     unknown_headers::record(node, &permit.worker, head);
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -143,7 +143,7 @@
         }
         let now_ms = self.now_ms;
         let peers = &mut self.instances[recipient].peers;
-        let is_new = peers.heard(now_ms, address(sender), digest);
+        let is_new = peers.apply_digest(now_ms, address(sender), digest);
         if is_new
             && digest.list_position.is_none()
             && peers.may_reply_to_joining(now_ms, address(sender))
@@ -151,7 +151,7 @@
             let greeting = self.digest(recipient, Some(sender));
             if !self.rng.random_bool(LOST_SHARE) {
                 let joining_instance = &mut self.instances[sender].peers;
-                joining_instance.heard(now_ms, address(recipient), &greeting);
+                joining_instance.apply_digest(now_ms, address(recipient), &greeting);
             }
         }
     }
@@ -184,7 +184,7 @@
     }
 
     /// Tells that an instance has the list; in a large one the rows don't fit.
-    fn tell_list(&mut self, sender: usize, origin: Origin) {
+    fn announce_list(&mut self, sender: usize, origin: Origin) {
         let now_ms = self.now_ms;
         let recipients = self.instances[sender].peers.list_recipients(now_ms, origin);
         for recipient in recipients.into_iter().map(number) {
@@ -209,7 +209,7 @@
                     let state = if has_failed { State::Looks } else { State::Has };
                     self.instances[number].state = state;
                     if !has_failed {
-                        self.tell_list(number, from);
+                        self.announce_list(number, from);
                     }
                 }
                 return;
--- a/crates/cranereach-gateway/tests/peers.rs
+++ b/crates/cranereach-gateway/tests/peers.rs
@@ -66,13 +66,13 @@
 fn a_holder_that_only_others_hear_counts_until_its_word_is_old() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
     assert!(!peers.knows_holder(0, SERVICE));
-    peers.heard(1_000, ip(2), &told(1, 400));
+    peers.apply_digest(1_000, ip(2), &told(1, 400));
     assert!(peers.knows_holder(1_000, SERVICE));
     assert_eq!(peers.held(1_100), [held(500)]);
     // What it asks for goes to that holder, whom it never heard.
     assert_eq!(peers.holders(1_100), [ip(9)]);
     // Telling it again makes it no younger.
-    peers.heard(1_800, ip(3), &told(1, 1_200));
+    peers.apply_digest(1_800, ip(3), &told(1, 1_200));
     let end_ms = 600 + LEASE_NEWS_MAX_AGE_MS;
     assert!(peers.knows_holder(end_ms - 1, SERVICE));
     assert!(!peers.knows_holder(end_ms, SERVICE));
@@ -88,14 +88,14 @@
         },
     ] {
         let mut peers = Peers::new(ip(1), "z1", &[]);
-        peers.heard(1_000, ip(2), &holder(1));
+        peers.apply_digest(1_000, ip(2), &holder(1));
         assert!(peers.knows_holder(1_100, SERVICE));
-        peers.heard(1_200, ip(2), &given_up);
+        peers.apply_digest(1_200, ip(2), &given_up);
         assert!(!peers.knows_holder(1_200, SERVICE));
         // What others heard before that counts no more.
-        peers.heard(1_300, ip(3), &told(1, 300));
+        peers.apply_digest(1_300, ip(3), &told(1, 300));
         assert!(!peers.knows_holder(1_300, SERVICE));
-        peers.heard(1_400, ip(3), &holder(2));
+        peers.apply_digest(1_400, ip(3), &holder(2));
         assert!(peers.knows_holder(1_400, SERVICE), "a successor");
     }
 }
@@ -108,7 +108,7 @@
         .map(|own| {
             let mut peers = Peers::new(*own, "z1", &[]);
             for peer in &addresses {
-                peers.heard(0, *peer, &digest(1));
+                peers.apply_digest(0, *peer, &digest(1));
             }
             peers.rank(0, "purpose")
         })
@@ -121,13 +121,13 @@
 fn fleet(count: u32) -> Peers {
     let table = ["z1", "z2"].map(|domain| (domain.to_owned(), "r1".to_owned()));
     let topology = Topology::new("z1", "r1", &BTreeMap::from(table)).unwrap();
-    let mut peers = Peers::new(ip(1), "z1", &[]).within(&topology);
+    let mut peers = Peers::new(ip(1), "z1", &[]).with_topology(&topology);
     for peer in 2..=count {
         let heard = Digest {
             domain: worker_key(if peer % 3 == 0 { "z1" } else { "z2" }),
             ..digest(1)
         };
-        assert!(peers.heard(0, address(peer), &heard));
+        assert!(peers.apply_digest(0, address(peer), &heard));
     }
     peers
 }
@@ -256,14 +256,14 @@
     };
     peers.store_failed(10_000);
     assert!(!peers.is_store_lost(10_000), "its own word alone");
-    peers.heard(10_000, address(2), &tells(2, &[(3, 100)]));
+    peers.apply_digest(10_000, address(2), &tells(2, &[(3, 100)]));
     assert!(!peers.is_store_lost(10_000), "one other may be cut off");
-    peers.heard(10_100, address(4), &tells(2, &[(3, 500), (5, 0)]));
+    peers.apply_digest(10_100, address(4), &tells(2, &[(3, 500), (5, 0)]));
     assert!(peers.is_store_lost(10_100));
     // Told again it is no younger: the first of them was so at 9,900.
     assert!(!peers.is_store_lost(11_400));
     let many: Vec<(u32, u64)> = (100..200).map(|number| (number, 0)).collect();
-    peers.heard(12_000, address(6), &tells(2, &many));
+    peers.apply_digest(12_000, address(6), &tells(2, &many));
     assert!(peers.store_failures(12_000).len() <= 6);
 }
 
@@ -283,9 +283,9 @@
             list_age_ms: u64::MAX,
             ..digest(u64::MAX - 1)
         };
-        assert!(peers.heard(5_000, address(2 + sender), &strange));
+        assert!(peers.apply_digest(5_000, address(2 + sender), &strange));
         assert!(
-            !peers.heard(5_000, address(2 + sender), &strange),
+            !peers.apply_digest(5_000, address(2 + sender), &strange),
             "told twice"
         );
     }
@@ -293,7 +293,7 @@
     assert!(peers.members().known_count() <= 3 * 48 + 4);
     assert!(!peers.knows_holder(5_000, SERVICE));
     for sender in 0..20_000 {
-        peers.heard(6_000, address(200_000 + sender), &digest(1));
+        peers.apply_digest(6_000, address(200_000 + sender), &digest(1));
     }
     assert!(peers.members().known_count() <= MEMBER_MAX_COUNT + 1);
 }
@@ -335,23 +335,23 @@
         configuration_version: version,
         ..digest(count)
     };
-    assert!(peers.heard(10, far, &told(2, "z2", 9)));
+    assert!(peers.apply_digest(10, far, &told(2, "z2", 9)));
     assert_eq!(peers.configuration_source(10, 9, far), far);
     // A near one that has an older version is no use.
-    assert!(peers.heard(10, near, &told(2, "z1", 8)));
+    assert!(peers.apply_digest(10, near, &told(2, "z1", 8)));
     assert_eq!(peers.configuration_source(10, 9, far), far);
-    assert!(peers.heard(20, near, &told(3, "z1", 9)));
+    assert!(peers.apply_digest(20, near, &told(3, "z1", 9)));
     assert_eq!(peers.configuration_source(20, 9, far), near);
     // Just one instance of the domain goes first, in an order that all work out alike.
     let table = ["z1", "z2"].map(|domain| (domain.to_owned(), "r1".to_owned()));
     let topology = Topology::new("z1", "r1", &BTreeMap::from(table)).unwrap();
     let own = (1..=60).filter(|number| *number == 1 || number % 3 == 0);
     let first = own.filter(|own| {
-        let mut peers = Peers::new(address(*own), "z1", &[]).within(&topology);
+        let mut peers = Peers::new(address(*own), "z1", &[]).with_topology(&topology);
         for peer in 1..=60 {
             let is_near = peer == 1 || peer % 3 == 0;
             let domain = if is_near { "z1" } else { "z2" };
-            peers.heard(0, address(peer), &told(1, domain, 1));
+            peers.apply_digest(0, address(peer), &told(1, domain, 1));
         }
         peers.is_first_in_domain(10, "bodies")
     });
--- a/crates/cranereach-gateway/tests/spreading.rs
+++ b/crates/cranereach-gateway/tests/spreading.rs
@@ -58,7 +58,7 @@
         let peers: Vec<Peers> = (0..count)
             .map(|number| {
                 let topology = Topology::new(&name(number), &region(number), &table).unwrap();
-                Peers::new(address(number), &name(number), &[]).within(&topology)
+                Peers::new(address(number), &name(number), &[]).with_topology(&topology)
             })
             .collect();
         let mut fleet = Self {
@@ -74,7 +74,7 @@
             let digest = fleet.digest(sender, 1);
             for (other, peers) in fleet.peers.iter_mut().enumerate() {
                 if other != sender {
-                    peers.heard(0, address(sender), &digest);
+                    peers.apply_digest(0, address(sender), &digest);
                 }
             }
         }
@@ -218,7 +218,7 @@
             };
             for recipient in self.recipients(sender) {
                 if self.arrives(sender, recipient) {
-                    self.peers[recipient].heard(now_ms, address(sender), &digest);
+                    self.peers[recipient].apply_digest(now_ms, address(sender), &digest);
                 }
             }
         }
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -47,7 +47,7 @@
 #[test]
 fn an_answer_that_says_nothing_says_nothing() {
     let words = read(200, &[("id", "r")]);
-    assert!(!words.is_of_another && !words.is_not_run && !words.is_load_unreadable);
+    assert!(!words.is_from_other_worker && !words.is_not_run && !words.is_load_unreadable);
     assert_eq!(words.load, None);
     assert_eq!(words.limit, named_limit::NamedRate::Nothing);
     assert_eq!(words.leaving, departure::Said::Nothing);
@@ -87,10 +87,10 @@
 
 #[test]
 fn another_workers_answer_is_known_by_its_status_or_its_name() {
-    assert!(read(421, &[]).is_of_another);
+    assert!(read(421, &[]).is_from_other_worker);
     assert!(read(421, &[]).is_not_run);
-    assert!(read(200, &[("by", "other")]).is_of_another);
-    assert!(!read(200, &[("by", "w")]).is_of_another);
+    assert!(read(200, &[("by", "other")]).is_from_other_worker);
+    assert!(!read(200, &[("by", "w")]).is_from_other_worker);
 }
 
 #[test]
--- a/src/cmd/domains.rs
+++ b/src/cmd/domains.rs
@@ -30,7 +30,7 @@
         Ok(settings) => settings,
         Err(exit) => return exit,
     };
-    match super::block_on_one_core(domains::look(&settings)) {
+    match super::block_on_one_core(domains::list_states(&settings)) {
         Ok(states) if options.json => super::print_json(&states),
         Ok(states) => states.iter().for_each(show),
         Err(error) => {
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -35,7 +35,7 @@
         Ok(settings) => settings,
         Err(exit) => return exit,
     };
-    let demand = domains::demand(&settings, &options.domain, options.withdraw);
+    let demand = domains::request_evacuation(&settings, &options.domain, options.withdraw);
     let action = if options.withdraw {
         "withdrawn"
     } else {
