--- a/crates/cranereach-bench/src/scenario/report.rs
+++ b/crates/cranereach-bench/src/scenario/report.rs
@@ -254,7 +254,7 @@
 }
 
 /// Returns the number of an engine's loads and unloads.
-fn move_count(ledger: &cranereach_standin::engine::state::EngineLedger) -> u64 {
+fn move_count(ledger: &cranereach_standin::engine::state::EngineCounts) -> u64 {
     ledger.load_count + ledger.unload_count
 }
 
--- a/crates/cranereach-bench/src/scenario/run.rs
+++ b/crates/cranereach-bench/src/scenario/run.rs
@@ -230,6 +230,6 @@
 /// Makes each engine lose some orders and apply some late.
 fn lose_orders(deployment: &Deployment) {
     for engine in &deployment.engines {
-        engine.stand_in.state().lose_orders_by_part(20, 2_000);
+        engine.stand_in.state().set_periodic_order_faults(20, 2_000);
     }
 }
--- a/crates/cranereach-entry/src/shared.rs
+++ b/crates/cranereach-entry/src/shared.rs
@@ -30,7 +30,7 @@
 use cranereach_core::retry_budget::RetryBudget;
 use cranereach_core::snapshot::Snapshot;
 use cranereach_http::clock::Clock;
-use cranereach_http::clock::boot_number_ms;
+use cranereach_http::clock::new_boot_number;
 use cranereach_wire::peer::PeerKey;
 use cranereach_wire::platform::ListedInstance;
 
@@ -116,7 +116,7 @@
             clock,
             log,
             metrics: Metrics::new(),
-            boot_id: boot_number_ms(),
+            boot_id: new_boot_number(),
             peer_key: PeerKey::derive(&secret),
             upstreams: Upstreams::default(),
             table: Table::new(&settings.platform.table),
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -217,7 +217,7 @@
         (lease_state.token(node.now_ms()) == Some(token)).then_some(permit)
     };
     let answer = client
-        .post_bytes_when(format.order_path, body, ORDER_TIMEOUT_MS, permit)
+        .post_bytes_with_permit(format.order_path, body, ORDER_TIMEOUT_MS, permit)
         .await;
     if let Ok((answer, permit)) = &answer {
         process_headers(node, permit, answer);
@@ -252,7 +252,7 @@
     let format = &node.adapter.engine;
     let permit = || send_permit::ask(node, worker, Purpose::Report, LEAST_URGENT_RANK);
     let (answer, permit) = client
-        .get_when(format.report_path, REPORT_TIMEOUT_MS, permit)
+        .get_with_permit(format.report_path, REPORT_TIMEOUT_MS, permit)
         .await
         .ok()?;
     process_headers(node, &permit, &answer);
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -31,8 +31,8 @@
 use crate::node::Node;
 use crate::quarantine;
 use crate::worker_ends::ProbeResult;
-use cranereach_http::events::Reached;
-use cranereach_http::events::WholeEvents;
+use cranereach_http::events::EventBuffer;
+use cranereach_http::events::ResumePoint;
 
 /// The stream ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -51,7 +51,7 @@
     deadline: Pin<Box<Sleep>>,
     gaps: ChunkGaps,
     /// Splits the stream into events; `None` if the stream may not be resumed on another worker.
-    events: Option<WholeEvents>,
+    events: Option<EventBuffer>,
     /// Whether the head of the current worker's response says where its body ends.
     has_explicit_framing: bool,
     /// Offers that the call has used so far.
@@ -105,7 +105,7 @@
                 longest_ms: 0,
             },
             has_explicit_framing: started.has_explicit_framing,
-            events: call.route.may_repeat().then(WholeEvents::default),
+            events: call.route.may_repeat().then(EventBuffer::default),
             history,
             resumption: None,
         }
@@ -145,7 +145,11 @@
                     let Some(frame) = self.take_forwardable(frame) else {
                         continue;
                     };
-                    if self.events.as_ref().is_some_and(WholeEvents::has_gone_back) {
+                    if self
+                        .events
+                        .as_ref()
+                        .is_some_and(EventBuffer::has_non_increasing_id)
+                    {
                         return Poll::Ready(Some(Err(self.abort("event ids are not increasing"))));
                     }
                     self.gaps.record_chunk();
@@ -191,11 +195,11 @@
         let Some(events) = &mut self.events else {
             return false;
         };
-        events.forget_part();
+        events.discard_partial();
         let last_event = match events.reached() {
-            Reached::Start => None,
-            Reached::Event(id) => Some(id.clone()),
-            Reached::Unknown => return false,
+            ResumePoint::Start => None,
+            ResumePoint::Event(id) => Some(id.clone()),
+            ResumePoint::Unknown => return false,
         };
         let Some(worker_check) = self.investigate_worker() else {
             return false;
@@ -226,7 +230,7 @@
     fn continue_with(&mut self, started: StartedStream, history: OfferHistory, took_ms: u64) {
         info!(self.node.log, "stream resumed"; "request" => self.call.id.clone(),
             "worker" => started.in_flight.worker().as_ref(), "took_ms" => took_ms,
-            "after" => format!("{:?}", self.events.as_ref().map(WholeEvents::reached)));
+            "after" => format!("{:?}", self.events.as_ref().map(EventBuffer::reached)));
         let counter = &self.node.metrics.streams_broken_total;
         counter.with_label_values(&["taken_up"]).inc();
         self.resumption = None;
@@ -261,7 +265,7 @@
         if let Some((connection, Some(keep_alive_ms))) = self.connection.take() {
             connection.keep_for(keep_alive_ms);
         }
-        let rest = self.events.as_mut().map(WholeEvents::take_rest)?;
+        let rest = self.events.as_mut().map(EventBuffer::take_partial)?;
         (!rest.is_empty()).then_some(rest)
     }
 
--- a/crates/cranereach-http/src/client.rs
+++ b/crates/cranereach-http/src/client.rs
@@ -109,8 +109,8 @@
         self.call(Method::GET, path, Bytes::new(), timeout_ms).await
     }
 
-    /// Sends a GET request if `permit` grants it, as in [`JsonClient::post_bytes_when`].
-    pub async fn get_when<T, F>(
+    /// Sends a GET request if `permit` grants it, as in [`JsonClient::post_bytes_with_permit`].
+    pub async fn get_with_permit<T, F>(
         &self,
         path: &str,
         timeout_ms: u64,
@@ -151,7 +151,7 @@
     /// The permit is requested once the connection is open, right before the request is
     /// sent, and again before each retry. Without a permit, the call fails with
     /// [`CallError::NotSent`].
-    pub async fn post_bytes_when<T, F>(
+    pub async fn post_bytes_with_permit<T, F>(
         &self,
         path: &str,
         bytes: Bytes,
--- a/crates/cranereach-http/src/clock.rs
+++ b/crates/cranereach-http/src/clock.rs
@@ -27,7 +27,7 @@
 impl Clock {
     /// Starts a clock that reads `CLOCK_BOOTTIME`.
     pub fn start() -> Self {
-        Self::of(boot_ms)
+        Self::of(boottime_ms)
     }
 
     /// Starts a clock that reads another source, for tests.
@@ -62,7 +62,7 @@
 /// # Panics
 ///
 /// Panics if the system has no `CLOCK_BOOTTIME`, which Linux has had since 2.6.39.
-pub fn boot_ms() -> u64 {
+pub fn boottime_ms() -> u64 {
     let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
     Duration::from(read.expect("CLOCK_BOOTTIME exists on Linux since 2.6.39")).as_millis() as u64
 }
@@ -70,7 +70,7 @@
 /// Returns the boot number for a starting instance: the wall-clock time in milliseconds.
 ///
 /// It grows with each start of an instance, as long as the wall clock doesn't go back.
-pub fn boot_number_ms() -> u64 {
+pub fn new_boot_number() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/cranereach-http/src/events.rs
+++ b/crates/cranereach-http/src/events.rs
@@ -15,7 +15,7 @@
 
 /// Position after the last complete event, from which a stream may be resumed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Reached {
+pub enum ResumePoint {
     /// No event is complete yet.
     #[default]
     Start,
@@ -28,25 +28,25 @@
 /// Buffer that releases the bytes of one stream in complete events.
 ///
 /// ```
-/// use cranereach_http::events::Reached;
-/// use cranereach_http::events::WholeEvents;
+/// use cranereach_http::events::ResumePoint;
+/// use cranereach_http::events::EventBuffer;
 ///
-/// let mut events = WholeEvents::default();
+/// let mut events = EventBuffer::default();
 /// let bytes = events.take(b"id: 1\ndata: a\n\nid: 2\nda");
 /// assert_eq!(bytes.as_ref(), b"id: 1\ndata: a\n\n");
-/// assert_eq!(events.reached(), &Reached::Event("1".to_owned()));
+/// assert_eq!(events.reached(), &ResumePoint::Event("1".to_owned()));
 /// // The stream breaks: the incomplete event is discarded, and another upstream sends it again.
-/// events.forget_part();
+/// events.discard_partial();
 /// let bytes = events.take(b"id: 2\ndata: b\n\n");
 /// assert_eq!(bytes.as_ref(), b"id: 2\ndata: b\n\n");
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct WholeEvents {
+pub struct EventBuffer {
     /// Bytes of an event that isn't complete yet.
     buffer: BytesMut,
-    reached: Reached,
+    reached: ResumePoint,
     has_exceeded_limit: bool,
-    has_gone_back: bool,
+    has_non_increasing_id: bool,
 }
 
 /// Fields of an event that matter for resuming.
@@ -56,7 +56,7 @@
     has_data: bool,
 }
 
-impl WholeEvents {
+impl EventBuffer {
     /// Adds received bytes; returns the buffered bytes up to the end of the last complete event.
     ///
     /// Once an event exceeds the buffer limit of 64 KiB, bytes are returned as they arrive
@@ -81,8 +81,8 @@
         self.buffer = buffer;
         self.has_exceeded_limit |= self.buffer.len() - end > EVENT_MAX_BYTES;
         if self.has_exceeded_limit {
-            self.reached = Reached::Unknown;
-            return self.take_rest();
+            self.reached = ResumePoint::Unknown;
+            return self.take_partial();
         }
         self.buffer.split_to(end).freeze()
     }
@@ -91,34 +91,34 @@
     fn finish_event(&mut self, event: Event) {
         match event.id {
             Some(id) => {
-                if let Reached::Event(before) = &self.reached {
-                    self.has_gone_back |= !is_after(before, &id);
+                if let ResumePoint::Event(before) = &self.reached {
+                    self.has_non_increasing_id |= !is_after(before, &id);
                 }
-                self.reached = Reached::Event(id);
+                self.reached = ResumePoint::Event(id);
             }
-            None if event.has_data => self.reached = Reached::Unknown,
+            None if event.has_data => self.reached = ResumePoint::Unknown,
             None => {}
         }
     }
 
     /// Removes and returns the bytes of an incomplete event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 
     /// Discards the bytes of an incomplete event.
-    pub fn forget_part(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
     /// Returns the position after the last complete event.
-    pub fn reached(&self) -> &Reached {
+    pub fn reached(&self) -> &ResumePoint {
         &self.reached
     }
 
     /// Whether an event had an id that doesn't follow that of the event before it.
-    pub fn has_gone_back(&self) -> bool {
-        self.has_gone_back
+    pub fn has_non_increasing_id(&self) -> bool {
+        self.has_non_increasing_id
     }
 }
 
--- a/crates/cranereach-http/src/pool.rs
+++ b/crates/cranereach-http/src/pool.rs
@@ -19,7 +19,7 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-use crate::clock::boot_ms;
+use crate::clock::boottime_ms;
 
 /// Maximum number of idle connections kept per upstream.
 const IDLE_MAX_COUNT: usize = 256;
@@ -120,7 +120,7 @@
     /// Closes a connection if the peer doesn't acknowledge sent data within this time
     /// (`TCP_USER_TIMEOUT`).
     #[must_use]
-    pub fn with_silence_max_ms(mut self, user_timeout_ms: u64) -> Self {
+    pub fn with_user_timeout_ms(mut self, user_timeout_ms: u64) -> Self {
         self.user_timeout_ms = Some(user_timeout_ms);
         self
     }
@@ -171,7 +171,7 @@
     /// Removes idle connections until one is open and hasn't expired; returns that one.
     fn pop_idle(&self) -> Option<SendRequest<B>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let now_ms = boot_ms();
+        let now_ms = boottime_ms();
         while let Some(candidate) = idle.pop() {
             let is_fresh = candidate
                 .expires_at_ms
@@ -216,7 +216,7 @@
 
     /// Returns the connection to the pool, for reuse within `idle_max_ms`.
     pub fn keep_for(self, idle_max_ms: u64) {
-        self.keep_until(Some(boot_ms() + idle_max_ms));
+        self.keep_until(Some(boottime_ms() + idle_max_ms));
     }
 
     /// Returns the connection to the pool, for reuse until a time.
@@ -228,7 +228,7 @@
             .idle_list
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let now_ms = boot_ms();
+        let now_ms = boottime_ms();
         idle.retain(|candidate| {
             candidate
                 .expires_at_ms
--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use cranereach_http::clock::Clock;
-use cranereach_http::clock::boot_ms;
+use cranereach_http::clock::boottime_ms;
 
 /// Time that the machine was suspended for, in milliseconds; timers stood still.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 fn with_suspension() -> u64 {
-    boot_ms() + SUSPENDED_MS.load(Ordering::Acquire)
+    boottime_ms() + SUSPENDED_MS.load(Ordering::Acquire)
 }
 
 #[test]
--- a/crates/cranereach-http/tests/events.rs
+++ b/crates/cranereach-http/tests/events.rs
@@ -1,7 +1,7 @@
 //! Events told apart, however the bytes of a stream are cut up.
 
-use cranereach_http::events::Reached;
-use cranereach_http::events::WholeEvents;
+use cranereach_http::events::EventBuffer;
+use cranereach_http::events::ResumePoint;
 
 /// Returns a stream with so many events.
 fn stream(event_count: usize) -> Vec<u8> {
@@ -14,19 +14,19 @@
     let stream = stream(4);
     for piece_bytes in 1..stream.len() {
         for cut_at in 0..=stream.len() {
-            let mut events = WholeEvents::default();
+            let mut events = EventBuffer::default();
             let mut passed = Vec::new();
             for piece in stream[..cut_at].chunks(piece_bytes) {
                 passed.extend_from_slice(&events.take(piece));
             }
-            events.forget_part();
+            events.discard_partial();
             assert!(stream.starts_with(&passed));
             assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
             let whole_count = stream[..cut_at].windows(2).filter(|two| two == b"\n\n");
             let whole_count = whole_count.count();
             let expected = match whole_count {
-                0 => Reached::Start,
-                count => Reached::Event((count - 1).to_string()),
+                0 => ResumePoint::Start,
+                count => ResumePoint::Event((count - 1).to_string()),
             };
             assert_eq!(events.reached(), &expected);
             // The rest from another worker makes the stream whole.
@@ -34,47 +34,51 @@
             let rest_at = (0..stream.len()).find(|at| stream[*at..].starts_with(next.as_bytes()));
             passed.extend_from_slice(&events.take(&stream[rest_at.unwrap_or(stream.len())..]));
             assert_eq!(passed, stream);
-            assert!(!events.has_gone_back());
+            assert!(!events.has_non_increasing_id());
         }
     }
 }
 
 #[test]
 fn lines_may_end_with_a_carriage_return_too() {
-    let mut events = WholeEvents::default();
+    let mut events = EventBuffer::default();
     let bytes = events.take(b"id:7\r\ndata: a\r\n\r\nid:8\r\n");
     assert_eq!(bytes.as_ref(), b"id:7\r\ndata: a\r\n\r\n");
-    assert_eq!(events.reached(), &Reached::Event("7".to_owned()));
-    assert_eq!(events.take_rest().as_ref(), b"id:8\r\n");
+    assert_eq!(events.reached(), &ResumePoint::Event("7".to_owned()));
+    assert_eq!(events.take_partial().as_ref(), b"id:8\r\n");
 }
 
 #[test]
 fn nobody_goes_on_after_an_event_without_an_id() {
-    let mut events = WholeEvents::default();
+    let mut events = EventBuffer::default();
     let _passed = events.take(b"id: 1\ndata: a\n\ndata: b\n\n");
-    assert_eq!(events.reached(), &Reached::Unknown);
+    assert_eq!(events.reached(), &ResumePoint::Unknown);
     let _passed = events.take(b"id: 2\ndata: c\n\n: only a remark\n\n");
-    assert_eq!(events.reached(), &Reached::Event("2".to_owned()));
+    assert_eq!(events.reached(), &ResumePoint::Event("2".to_owned()));
 }
 
 #[test]
 fn an_event_too_large_to_be_kept_back_is_passed_on_as_it_comes() {
-    let mut events = WholeEvents::default();
+    let mut events = EventBuffer::default();
     let _passed = events.take(b"id: 1\ndata: a\n\nid: 2\ndata: ");
     let large = vec![b'x'; 80 * 1024];
     assert!(events.take(&large).ends_with(&large));
     assert_eq!(events.take(b"more").as_ref(), b"more");
-    assert_eq!(events.reached(), &Reached::Unknown);
+    assert_eq!(events.reached(), &ResumePoint::Unknown);
     let _passed = events.take(b"\n\nid: 3\ndata: c\n\n");
-    assert_eq!(events.reached(), &Reached::Unknown);
+    assert_eq!(events.reached(), &ResumePoint::Unknown);
 }
 
 #[test]
 fn events_that_go_back_are_noticed() {
-    for (second, has_gone_back) in [("5", true), ("4", true), ("6", false), ("10", false)] {
-        let mut events = WholeEvents::default();
+    for (second, has_non_increasing_id) in [("5", true), ("4", true), ("6", false), ("10", false)] {
+        let mut events = EventBuffer::default();
         let _passed = events.take(b"id: 5\ndata: a\n\n");
         let _passed = events.take(format!("id: {second}\ndata: b\n\n").as_bytes());
-        assert_eq!(events.has_gone_back(), has_gone_back, "{second}");
+        assert_eq!(
+            events.has_non_increasing_id(),
+            has_non_increasing_id,
+            "{second}"
+        );
     }
 }
--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -35,7 +35,7 @@
 use cranereach_platform::standin::worker::Behaviour;
 use cranereach_platform::standin::worker::Worker;
 use cranereach_platform::workers;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 use cranereach_standin::relay::Relay;
 
 /// Duration of a plain call, in milliseconds.
@@ -172,20 +172,20 @@
 
     /// Makes the worker in a slot announce a rate limit, or none. Returns the worker, if there
     /// is one.
-    pub fn name_limit(&self, number: usize, rate_per_s: Option<f64>) -> Option<Worker> {
+    pub fn announce_limit(&self, number: usize, rate_per_s: Option<f64>) -> Option<Worker> {
         let current = lock(&self.slots[number].current);
         let worker = &current.as_ref()?.worker;
         let rate = rate_per_s.map(|rate| rate.to_string());
-        worker.name_limit(rate.as_deref());
+        worker.announce_limit(rate.as_deref());
         Some(worker.clone())
     }
 
     /// Makes the worker in a slot shed all requests and ask for a rest, a time in which it wants no
     /// more of them; `None` makes it serve again.
-    pub fn ask_for_rest(&self, number: usize, rest_ms: Option<u64>) {
+    pub fn set_retry_after(&self, number: usize, rest_ms: Option<u64>) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
             let rest = rest_ms.map(|rest_ms| (rest_ms as f64 / 1_000.0).to_string());
-            running.worker.ask_for_rest(rest.as_deref());
+            running.worker.set_retry_after(rest.as_deref());
             let behaviour = match rest_ms {
                 Some(_) => Behaviour::Sheds,
                 None => Behaviour::Serves,
@@ -202,9 +202,9 @@
     }
 
     /// Sets what the link to the worker in a slot passes.
-    pub fn set_worker_link(&self, number: usize, passage: Passage) {
+    pub fn set_worker_link(&self, number: usize, mode: LinkMode) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
-            running.link.set(passage);
+            running.link.set(mode);
         }
     }
 
--- a/crates/cranereach-soak/src/back_ends/arrivals.rs
+++ b/crates/cranereach-soak/src/back_ends/arrivals.rs
@@ -26,8 +26,8 @@
                     account: seen.headers.get(HEADERS.account).cloned(),
                     at_ms: journal.ms_since_start(seen.at),
                     is_run: seen.is_run,
-                    rest_ms: seen.rest_s.and_then(|rest_s| {
-                        let seconds: f64 = rest_s.parse().ok()?;
+                    rest_ms: seen.retry_after_s.and_then(|retry_after_s| {
+                        let seconds: f64 = retry_after_s.parse().ok()?;
                         Some((seconds * 1_000.0) as u64)
                     }),
                 });
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -16,7 +16,7 @@
 use crate::schedule::Step;
 use cranereach_platform::standin::store;
 use cranereach_platform::standin::worker::Behaviour;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 
 /// Pause between a planned stop and the restart, in milliseconds.
 const RESTART_DELAY_MS: u64 = 300;
@@ -73,18 +73,18 @@
         }
         Fault::Stop => stop(test_bed, target).await,
         Fault::Reload => gateways[target].signal("HUP").await,
-        Fault::StoreLink(passage) => impair_store_links(test_bed, &[target], passage, for_ms).await,
+        Fault::StoreLink(mode) => impair_store_links(test_bed, &[target], mode, for_ms).await,
         Fault::CutRegion => {
             let (_domain, region) = DOMAINS[DOMAINS.len() - 1];
             let cut: Vec<usize> = (0..gateways.len())
                 .filter(|gateway| gateways::domain_and_region_of(*gateway).1 == region)
                 .collect();
-            impair_store_links(test_bed, &cut, Passage::Held, for_ms).await;
+            impair_store_links(test_bed, &cut, LinkMode::Held, for_ms).await;
         }
-        Fault::WorkerLink(passage) => {
-            back_ends.set_worker_link(target, passage);
+        Fault::WorkerLink(mode) => {
+            back_ends.set_worker_link(target, mode);
             pause(for_ms).await;
-            back_ends.set_worker_link(target, Passage::Open);
+            back_ends.set_worker_link(target, LinkMode::Open);
             journal.record_disturbance(Component::Worker(target), false, from_ms);
         }
         Fault::Store(fault) => {
@@ -213,14 +213,14 @@
 }
 
 /// Sets what the gateways' links to the store pass, for `for_ms`.
-async fn impair_store_links(test_bed: &TestBed, gateways: &[usize], passage: Passage, for_ms: u64) {
+async fn impair_store_links(test_bed: &TestBed, gateways: &[usize], mode: LinkMode, for_ms: u64) {
     let from_ms = test_bed.journal.now_ms();
     for gateway in gateways {
-        test_bed.back_ends.store_links[*gateway].set(passage);
+        test_bed.back_ends.store_links[*gateway].set(mode);
     }
     pause(for_ms).await;
     for gateway in gateways {
-        test_bed.back_ends.store_links[*gateway].set(Passage::Open);
+        test_bed.back_ends.store_links[*gateway].set(LinkMode::Open);
         let whom = Component::Gateway(*gateway);
         test_bed.journal.record_disturbance(whom, false, from_ms);
     }
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -51,9 +51,9 @@
         let for_ms = rng.random_range(from_ms..to_ms).min(remaining_ms);
         if is_rest {
             let rest_ms = RESTS_MS[rng.random_range(0..RESTS_MS.len())];
-            test_bed.back_ends.ask_for_rest(slot, Some(rest_ms));
+            test_bed.back_ends.set_retry_after(slot, Some(rest_ms));
             pause(for_ms).await;
-            test_bed.back_ends.ask_for_rest(slot, None);
+            test_bed.back_ends.set_retry_after(slot, None);
         } else {
             leave_during_store_outage(&test_bed, slot, for_ms).await;
         }
--- a/crates/cranereach-soak/src/rate_limits.rs
+++ b/crates/cranereach-soak/src/rate_limits.rs
@@ -39,10 +39,10 @@
         let rate_per_s = RATES_PER_S[rng.random_range(0..RATES_PER_S.len())];
         let for_ms = rng.random_range(LIMIT_DURATION_MS.0..LIMIT_DURATION_MS.1);
         let from_ms = test_bed.journal.now_ms();
-        let limited_worker = test_bed.back_ends.name_limit(place, Some(rate_per_s));
+        let limited_worker = test_bed.back_ends.announce_limit(place, Some(rate_per_s));
         pause(for_ms.min(end_ms.saturating_sub(from_ms))).await;
         if let Some(worker) = limited_worker {
-            worker.name_limit(None);
+            worker.announce_limit(None);
             test_bed.journal.record_event(Event::Limited {
                 worker_id: worker.id,
                 place,
--- a/crates/cranereach-soak/src/schedule.rs
+++ b/crates/cranereach-soak/src/schedule.rs
@@ -11,7 +11,7 @@
 use crate::check::bounded::REVOCATION_MS;
 use cranereach_platform::standin::store;
 use cranereach_platform::standin::worker::Behaviour;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 
 /// Time without faults at the start of a run, in milliseconds, long enough for callers to be
 /// served.
@@ -122,9 +122,9 @@
     /// Sends SIGHUP to a gateway.
     Reload,
     /// Impairs the link between a gateway and the store.
-    StoreLink(Passage),
+    StoreLink(LinkMode),
     /// Impairs the link between all gateways and a worker.
-    WorkerLink(Passage),
+    WorkerLink(LinkMode),
     /// Makes the store misbehave.
     Store(store::Fault),
     /// Makes the store forget its change history.
@@ -268,10 +268,10 @@
 const LEAVING: FaultKind = &[Fault::WorkerLeaves];
 
 const STORE_LINKS: FaultKind = &[
-    Fault::StoreLink(Passage::Cut),
-    Fault::StoreLink(Passage::Held),
-    Fault::StoreLink(Passage::OneWay),
-    Fault::StoreLink(Passage::Slow),
+    Fault::StoreLink(LinkMode::Cut),
+    Fault::StoreLink(LinkMode::Held),
+    Fault::StoreLink(LinkMode::OneWay),
+    Fault::StoreLink(LinkMode::Slow),
     Fault::CutRegion,
 ];
 
@@ -284,10 +284,10 @@
 ];
 
 const WORKER_LINKS: FaultKind = &[
-    Fault::WorkerLink(Passage::Cut),
-    Fault::WorkerLink(Passage::Held),
-    Fault::WorkerLink(Passage::OneWay),
-    Fault::WorkerLink(Passage::Slow),
+    Fault::WorkerLink(LinkMode::Cut),
+    Fault::WorkerLink(LinkMode::Held),
+    Fault::WorkerLink(LinkMode::OneWay),
+    Fault::WorkerLink(LinkMode::Slow),
 ];
 
 const WORKERS: FaultKind = &[
--- a/crates/cranereach-standin/src/engine/state.rs
+++ b/crates/cranereach-standin/src/engine/state.rs
@@ -88,7 +88,7 @@
 
 /// Counters of the engine, for checks in tests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineLedger {
+pub struct EngineCounts {
     /// Peak memory use, in bytes.
     pub peak_bytes: u64,
     /// Loads that overcommitted memory.
@@ -127,7 +127,7 @@
     /// Faults to inject.
     pub faults: Mutex<EngineFaults>,
     pub(crate) memory: Mutex<Memory>,
-    pub(crate) counts: Mutex<EngineLedger>,
+    pub(crate) counts: Mutex<EngineCounts>,
     pub(crate) slots: Semaphore,
     pub(crate) running_count: AtomicU32,
     pub(crate) outstanding_count: AtomicU32,
@@ -163,12 +163,12 @@
     }
 
     /// Returns the counters.
-    pub fn ledger(&self) -> EngineLedger {
+    pub fn ledger(&self) -> EngineCounts {
         lock(&self.counts).clone()
     }
 
     /// Drops one out of every `one_of_count` orders, and delays another one.
-    pub fn lose_orders_by_part(&self, one_of_count: u32, delay_ms: u64) {
+    pub fn set_periodic_order_faults(&self, one_of_count: u32, delay_ms: u64) {
         let mut faults = lock(&self.faults);
         faults.lose_one_of_count = one_of_count;
         faults.delay_order_ms = delay_ms;
--- a/crates/cranereach-standin/src/relay.rs
+++ b/crates/cranereach-standin/src/relay.rs
@@ -20,7 +20,7 @@
 
 /// Forwarding mode of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum LinkMode {
     /// Forwards everything.
     Open,
     /// Closes open connections and refuses new ones.
@@ -36,13 +36,13 @@
 /// A running relay.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    mode: Arc<watch::Sender<Passage>>,
+    mode: Arc<watch::Sender<LinkMode>>,
 }
 
 impl Relay {
     /// Starts relaying connections from a listener to a server at `ip:port`.
     pub fn start(listener: TcpListener, server_address: &str) -> Self {
-        let (mode, mode_receiver) = watch::channel(Passage::Open);
+        let (mode, mode_receiver) = watch::channel(LinkMode::Open);
         tokio::spawn(accept(listener, server_address.to_owned(), mode_receiver));
         Self {
             mode: Arc::new(mode),
@@ -50,18 +50,18 @@
     }
 
     /// Changes the mode, also for open connections.
-    pub fn set(&self, mode: Passage) {
+    pub fn set(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
 /// Accepts connections until the relay is dropped.
-async fn accept(listener: TcpListener, server_address: String, mode: watch::Receiver<Passage>) {
+async fn accept(listener: TcpListener, server_address: String, mode: watch::Receiver<LinkMode>) {
     loop {
         let Ok((client, _peer)) = listener.accept().await else {
             return;
         };
-        if *mode.borrow() != Passage::Cut {
+        if *mode.borrow() != LinkMode::Cut {
             tokio::spawn(pass(client, server_address.clone(), mode.clone()));
         }
         if mode.has_changed().is_err() {
@@ -71,10 +71,10 @@
 }
 
 /// Relays one connection until both directions have ended, one fails, or the relay is cut.
-async fn pass(client: TcpStream, server_address: String, mut mode: watch::Receiver<Passage>) {
+async fn pass(client: TcpStream, server_address: String, mut mode: watch::Receiver<LinkMode>) {
     let mut cut = mode.clone();
     let exchange = async move {
-        let is_not_held = |mode: &Passage| *mode != Passage::Held;
+        let is_not_held = |mode: &LinkMode| *mode != LinkMode::Held;
         if mode.wait_for(is_not_held).await.is_err() {
             return;
         }
@@ -85,17 +85,17 @@
         let (server_reader, server_writer) = server.into_split();
         let backward = mode.clone();
         let forward = copy(client_reader, server_writer, mode, |mode| {
-            mode != Passage::Held
+            mode != LinkMode::Held
         });
         let backward = copy(server_reader, client_writer, backward, |mode| {
-            !matches!(mode, Passage::Held | Passage::OneWay)
+            !matches!(mode, LinkMode::Held | LinkMode::OneWay)
         });
         // An error in one direction ends both; end of file in one leaves the other open.
         let _ended = tokio::try_join!(forward, backward);
     };
     tokio::select! {
         () = exchange => {}
-        _cut = cut.wait_for(|mode| *mode == Passage::Cut) => {}
+        _cut = cut.wait_for(|mode| *mode == LinkMode::Cut) => {}
     }
 }
 
@@ -103,15 +103,15 @@
 async fn copy(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
-    mut mode: watch::Receiver<Passage>,
-    is_passing: fn(Passage) -> bool,
+    mut mode: watch::Receiver<LinkMode>,
+    is_passing: fn(LinkMode) -> bool,
 ) -> io::Result<()> {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let count = reader.read(&mut chunk).await?;
         let waited = mode.wait_for(|mode| is_passing(*mode)).await;
         let current = *waited.map_err(io::Error::other)?;
-        if current == Passage::Slow {
+        if current == LinkMode::Slow {
             tokio::time::sleep(Duration::from_millis(SLOW_MS)).await;
         }
         if count == 0 {
--- a/crates/cranereach-wire/src/jsonc.rs
+++ b/crates/cranereach-wire/src/jsonc.rs
@@ -23,7 +23,7 @@
     },
     /// The text is not JSON with comments, or has an unknown key or an invalid value.
     #[error("{}:{line}:{column}: {detail}", path.display())]
-    Meaningless {
+    InvalidContent {
         /// The file.
         path: PathBuf,
         /// Line, from 1.
@@ -55,14 +55,16 @@
 /// assert_eq!(list, [1, 2]);
 /// ```
 pub fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, FileError> {
-    parse_to_serde_value(text, &ParseOptions::default()).map_err(|error| FileError::Meaningless {
-        path: path.to_owned(),
-        line: error.line_display(),
-        column: error.column_display(),
-        detail: error.kind().to_string(),
-        is_syntax: !matches!(
-            error.kind(),
-            jsonc_parser::errors::ParseErrorKind::Custom(_)
-        ),
+    parse_to_serde_value(text, &ParseOptions::default()).map_err(|error| {
+        FileError::InvalidContent {
+            path: path.to_owned(),
+            line: error.line_display(),
+            column: error.column_display(),
+            detail: error.kind().to_string(),
+            is_syntax: !matches!(
+                error.kind(),
+                jsonc_parser::errors::ParseErrorKind::Custom(_)
+            ),
+        }
     })
 }
--- a/src/cmd/folder.rs
+++ b/src/cmd/folder.rs
@@ -147,7 +147,7 @@
         FileError::Unreadable { path, source } => {
             (ResultCode::Syntax, path, None, source.to_string())
         }
-        FileError::Meaningless {
+        FileError::InvalidContent {
             path,
             line,
             detail,
--- a/tests/testsuite/at_most_once.rs
+++ b/tests/testsuite/at_most_once.rs
@@ -8,7 +8,7 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::platform::state::PlatformFaults;
 use cranereach_standin::platform::state::StoreFaults;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 use cranereach_standin::service::ServiceFaults;
 
 /// Makes a call of the ledger that is named, so that its runs are counted.
@@ -189,10 +189,10 @@
         let call = ledger_call(&name);
         let cutting = async {
             tokio::time::sleep(std::time::Duration::from_micros(number * 400)).await;
-            relay.set(Passage::Cut);
+            relay.set(LinkMode::Cut);
         };
         let (outcome, ()) = tokio::join!(deployment.call(0, &call), cutting);
-        relay.set(Passage::Open);
+        relay.set(LinkMode::Open);
         let ran = runs(&deployment, &name);
         assert!(ran <= 1, "{name} ran {ran} times");
         if outcome.text.contains("\"ran\":\"no\"") {
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -11,7 +11,7 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::platform::state::PlatformFaults;
 use cranereach_standin::platform::state::StoreFaults;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 use cranereach_wire::folder::Folder;
 
 /// A store that refuses.
@@ -236,7 +236,7 @@
     wait_until("all ready", GENEROUS_MS, || (0..3).all(ready))
         .await
         .unwrap();
-    relay.set(Passage::Cut);
+    relay.set(LinkMode::Cut);
     wait_until("the third out", GENEROUS_MS, || !ready(third))
         .await
         .unwrap();
@@ -245,7 +245,7 @@
     deployment.platform.state().faults.lock().unwrap().table = REFUSES;
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
     assert!(ready(0) && ready(1));
-    relay.set(Passage::Open);
+    relay.set(LinkMode::Open);
     deployment.platform.state().faults.lock().unwrap().table = StoreFaults::default();
     wait_until("the third back", GENEROUS_MS, || ready(third))
         .await
