--- a/crates/cranereach-bench/src/slopes/core_decisions.rs
+++ b/crates/cranereach-bench/src/slopes/core_decisions.rs
@@ -185,7 +185,7 @@
             waiting_request(number, number as usize % account_count),
             &mut actions,
         );
-        let was_waiting = dispatcher.left(RequestId(number));
+        let was_waiting = dispatcher.caller_disconnected(RequestId(number));
         assert!(was_waiting, "{actions:?} {:?}", ResultCode::QueueFull);
     })
 }
@@ -263,9 +263,9 @@
         .map(|number| InstanceId::from(format!("entry-{number}")))
         .collect();
     let mut membership = Membership::new("own".into());
-    membership.list(ids.clone());
+    membership.set_live(ids.clone());
     for id in &ids {
-        membership.heard(0, id);
+        membership.record_message(0, id);
     }
     time_us(|| {
         black_box(membership.live(1));
--- a/crates/cranereach-bench/src/slopes/fixtures.rs
+++ b/crates/cranereach-bench/src/slopes/fixtures.rs
@@ -31,7 +31,7 @@
     };
     dispatcher
         .workers_mut()
-        .list((0..worker_count).map(listed).collect());
+        .set_workers((0..worker_count).map(listed).collect());
     for number in 0..worker_count {
         dispatcher.reported(0, &worker_report(number), &mut Vec::new());
     }
--- a/crates/cranereach-core/src/attempt.rs
+++ b/crates/cranereach-core/src/attempt.rs
@@ -35,7 +35,7 @@
     /// The first bytes of the answer were sent to the caller.
     FirstBytes,
     /// The answer is complete.
-    Whole,
+    Completed,
     /// The connection broke.
     Broken,
     /// The answer could not be parsed.
@@ -122,7 +122,7 @@
             Event::HandedToConnection => self.advance(Stage::Sent),
             Event::Head => self.advance(Stage::HeadReceived),
             Event::FirstBytes => self.advance(Stage::Relaying),
-            Event::Whole => Verdict::End(ResultCode::Served),
+            Event::Completed => Verdict::End(ResultCode::Served),
             Event::NotConnected if self.stage == Stage::Connecting => {
                 self.retry_not_run(now_ms, budget, ResultCode::NoUpstream)
             }
--- a/crates/cranereach-core/src/claim.rs
+++ b/crates/cranereach-core/src/claim.rs
@@ -58,27 +58,27 @@
     /// Return the kept answer to the caller.
     Replay(KeptAnswer),
     /// Refuse the call with this code.
-    Tell(ResultCode),
+    Refuse(ResultCode),
 }
 
 /// Decides about a call from the row found for its idempotency key.
 ///
 /// ```
-/// use cranereach_core::claim::{join, ClaimDecision};
+/// use cranereach_core::claim::{decide, ClaimDecision};
 ///
-/// assert_eq!(join(None, "a1", "f"), ClaimDecision::Send);
+/// assert_eq!(decide(None, "a1", "f"), ClaimDecision::Send);
 /// ```
-pub fn join(found: Option<&Claim>, attempt_id: &str, fingerprint: &str) -> ClaimDecision {
+pub fn decide(found: Option<&Claim>, attempt_id: &str, fingerprint: &str) -> ClaimDecision {
     let Some(claim) = found else {
         return ClaimDecision::Send;
     };
     if claim.fingerprint != fingerprint {
-        return ClaimDecision::Tell(ResultCode::IdempotencyMismatch);
+        return ClaimDecision::Refuse(ResultCode::IdempotencyMismatch);
     }
     match &claim.outcome {
         Outcome::NotRun => ClaimDecision::Send,
         Outcome::Open if claim.attempt_id == attempt_id => ClaimDecision::Own,
-        Outcome::Open | Outcome::AnsweredUnkept => ClaimDecision::Tell(ResultCode::ClaimOpen),
+        Outcome::Open | Outcome::AnsweredUnkept => ClaimDecision::Refuse(ResultCode::ClaimOpen),
         Outcome::Answered(answer) => ClaimDecision::Replay(answer.clone()),
     }
 }
--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns the epoch under which this instance sends orders, or none if it doesn't act.
-    pub fn acting(&self) -> Option<Epoch> {
+    pub fn acting_epoch(&self) -> Option<Epoch> {
         self.acting_epoch
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Replaces the list of the cell's workers, each with `capacity_bytes` of memory.
-    pub fn list(&mut self, listed: &[WorkerId], capacity_bytes: u64) {
+    pub fn set_workers(&mut self, listed: &[WorkerId], capacity_bytes: u64) {
         self.workers.retain(|id, _| listed.contains(id));
         for id in listed {
             self.workers
@@ -120,7 +120,7 @@
     }
 
     /// Processes a worker's memory report.
-    pub fn reported(
+    pub fn apply_report(
         &mut self,
         now_ms: u64,
         worker: &WorkerId,
@@ -139,7 +139,7 @@
     }
 
     /// Sets whether a worker is leaving; leaving workers are excluded from planning.
-    pub fn leaving(&mut self, worker: &WorkerId, is_leaving: bool) {
+    pub fn set_leaving(&mut self, worker: &WorkerId, is_leaving: bool) {
         if let Some(control) = self.workers.get_mut(worker) {
             control.set_leaving(is_leaving);
         }
@@ -148,7 +148,7 @@
     /// Processes the outcome of an order.
     pub fn order_ended(&mut self, now_ms: u64, worker: &WorkerId, fence: Fence, end: OrderEnd) {
         if let OrderEnd::Refused(highest) = end {
-            self.lease.heard_epoch(now_ms, highest.epoch);
+            self.lease.observe_epoch(now_ms, highest.epoch);
         }
         let Some(control) = self.workers.get_mut(worker) else {
             return;
--- a/crates/cranereach-core/src/dispatch/mod.rs
+++ b/crates/cranereach-core/src/dispatch/mod.rs
@@ -192,7 +192,7 @@
     }
 
     /// Removes a waiting request whose caller has disconnected; returns whether it was waiting.
-    pub fn left(&mut self, request: RequestId) -> bool {
+    pub fn caller_disconnected(&mut self, request: RequestId) -> bool {
         self.queues.remove(request).is_some()
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// Returns the time of the last request for each target on this instance.
-    pub fn used(&self) -> impl Iterator<Item = (TargetName, u64)> {
+    pub fn last_request_times(&self) -> impl Iterator<Item = (TargetName, u64)> {
         self.used_at_ms
             .iter()
             .map(|(target, at_ms)| (target.clone(), *at_ms))
@@ -257,7 +257,7 @@
     }
 
     /// Records how many outstanding requests a peer has at a worker.
-    pub fn note_peer(
+    pub fn record_peer_load(
         &mut self,
         now_ms: u64,
         peer: &InstanceId,
@@ -265,7 +265,7 @@
         outstanding_count: u32,
     ) {
         self.workers
-            .note_peer(now_ms, peer, worker, outstanding_count);
+            .record_peer_load(now_ms, peer, worker, outstanding_count);
     }
 
     /// Returns the demand for one target.
--- a/crates/cranereach-core/src/dispatch/workers.rs
+++ b/crates/cranereach-core/src/dispatch/workers.rs
@@ -101,7 +101,7 @@
     ///
     /// Workers that are no longer on it get no new requests, and are kept only while
     /// requests of this instance are outstanding there.
-    pub fn list(&mut self, listed: Vec<ListedWorker>) {
+    pub fn set_workers(&mut self, listed: Vec<ListedWorker>) {
         let ids: HashSet<WorkerId> = listed.iter().map(|worker| worker.worker.clone()).collect();
         self.tracked
             .retain(|id, tracked| ids.contains(id) || !tracked.own_requests.is_empty());
@@ -173,7 +173,7 @@
     }
 
     /// Records how many outstanding requests a peer has at a worker.
-    pub fn note_peer(
+    pub fn record_peer_load(
         &mut self,
         now_ms: u64,
         peer: &InstanceId,
--- a/crates/cranereach-core/src/drain.rs
+++ b/crates/cranereach-core/src/drain.rs
@@ -10,7 +10,7 @@
     Serving,
     /// The instance reports unready, but still accepts requests while the load balancer directs
     /// callers elsewhere.
-    Announced,
+    Unready,
     /// The instance refuses new requests and finishes those in flight.
     Finishing,
     /// No request is in flight, or the time limit has passed; the process may exit.
@@ -36,7 +36,7 @@
     ///
     /// let mut drain = Drain::default();
     /// drain.ask(0);
-    /// assert_eq!(drain.phase(10, 1, None), Phase::Announced);
+    /// assert_eq!(drain.phase(10, 1, None), Phase::Unready);
     /// assert_eq!(drain.phase(5_000, 1, None), Phase::Finishing);
     /// assert_eq!(drain.phase(5_000, 0, None), Phase::Done);
     /// ```
@@ -46,7 +46,7 @@
         };
         let passed_ms = now_ms.saturating_sub(requested_at_ms);
         if passed_ms < BALANCER_GRACE_MS {
-            return Phase::Announced;
+            return Phase::Unready;
         }
         let out_of_time = limit_ms.is_some_and(|limit_ms| passed_ms >= limit_ms);
         if in_flight_count == 0 || out_of_time {
--- a/crates/cranereach-core/src/lease.rs
+++ b/crates/cranereach-core/src/lease.rs
@@ -145,7 +145,7 @@
     }
 
     /// Processes the row read from the table; version zero means no row.
-    pub fn read(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
+    pub fn row_read(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
         let is_first = self.read_at_ms.is_none();
         self.read_at_ms = Some(now_ms);
         if is_first || version != self.row_version {
@@ -160,12 +160,12 @@
     }
 
     /// Processes the response that a write was applied.
-    pub fn applied(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
-        self.read(now_ms, version, row);
+    pub fn write_applied(&mut self, now_ms: u64, version: u64, row: &LeaseRow) {
+        self.row_read(now_ms, version, row);
     }
 
     /// Processes the response that a write had no effect.
-    pub fn refused(&mut self, row: &LeaseRow) {
+    pub fn write_refused(&mut self, row: &LeaseRow) {
         let is_same_write = |pending: &Pending| pending.write.row.write_nonce == row.write_nonce;
         if self.pending.as_ref().is_some_and(is_same_write) {
             self.pending = None;
@@ -173,7 +173,7 @@
     }
 
     /// Processes an epoch received from a peer or in a worker's refusal.
-    pub fn heard_epoch(&mut self, now_ms: u64, epoch: Epoch) {
+    pub fn observe_epoch(&mut self, now_ms: u64, epoch: Epoch) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if self.held.is_some_and(|held| held.epoch < epoch) {
             self.held = None;
--- a/crates/cranereach-core/src/membership.rs
+++ b/crates/cranereach-core/src/membership.rs
@@ -30,19 +30,19 @@
     }
 
     /// Replaces the list of live entry instances with the platform's.
-    pub fn list(&mut self, live: Vec<InstanceId>) {
+    pub fn set_live(&mut self, live: Vec<InstanceId>) {
         self.heard_at_ms.retain(|id, _| live.contains(id));
         self.listed = live;
         self.listed.retain(|id| id != &self.own);
     }
 
     /// Records that a message from a peer arrived.
-    pub fn heard(&mut self, now_ms: u64, peer: &InstanceId) {
+    pub fn record_message(&mut self, now_ms: u64, peer: &InstanceId) {
         self.heard_at_ms.insert(peer.clone(), now_ms);
     }
 
     /// Removes a peer that announced that it is leaving.
-    pub fn left(&mut self, peer: &InstanceId) {
+    pub fn remove(&mut self, peer: &InstanceId) {
         self.heard_at_ms.remove(peer);
         self.listed.retain(|id| id != peer);
     }
@@ -66,9 +66,9 @@
     /// use cranereach_core::membership::Membership;
     ///
     /// let mut membership = Membership::new("a".into());
-    /// membership.list(vec!["a".into(), "b".into()]);
+    /// membership.set_live(vec!["a".into(), "b".into()]);
     /// assert_eq!(membership.live(0).len(), 1);
-    /// membership.heard(0, &"b".into());
+    /// membership.record_message(0, &"b".into());
     /// assert_eq!(membership.live(0).len(), 2);
     /// ```
     pub fn live(&self, now_ms: u64) -> Vec<InstanceId> {
--- a/crates/cranereach-core/src/residency/split.rs
+++ b/crates/cranereach-core/src/residency/split.rs
@@ -16,7 +16,7 @@
 
 /// Replicas of a target and free memory over all cells of its pool.
 #[derive(Clone, Debug, Default)]
-pub struct Standing<'a> {
+pub struct TargetPlacement<'a> {
     /// Replicas in each cell that has any.
     pub replicas: HashMap<&'a CellId, usize>,
     /// Cells that hold its base, for an adapter; empty for others.
@@ -47,20 +47,20 @@
 ///
 /// ```
 /// use cranereach_core::cell::CellId;
-/// use cranereach_core::residency::split::{cell_place, Standing};
+/// use cranereach_core::residency::split::{cell_place, TargetPlacement};
 ///
 /// let cell = CellId { pool: "text".into(), domain: "d1".into(), part: 0 };
-/// let place = cell_place(&"m".into(), &Standing::default(), &[cell.clone()], &cell);
+/// let place = cell_place(&"m".into(), &TargetPlacement::default(), &[cell.clone()], &cell);
 /// assert!(place.may_add_replica);
 /// ```
 pub fn cell_place(
     ordered_by: &TargetName,
-    standing: &Standing<'_>,
+    placement: &TargetPlacement<'_>,
     cells: &[CellId],
     cell: &CellId,
 ) -> CellPlace {
     let hosts = hosts_of(ordered_by, cells);
-    let replicas = |host: &CellId| standing.replicas.get(host).copied().unwrap_or_default();
+    let replicas = |host: &CellId| placement.replicas.get(host).copied().unwrap_or_default();
     let own_rank = hosts
         .iter()
         .position(|host| *host == cell)
@@ -68,12 +68,12 @@
     let replicas_before = hosts.iter().take(own_rank).map(|host| replicas(host)).sum();
     let total: usize = hosts.iter().map(|host| replicas(host)).sum();
     let has_base =
-        |host: &&&CellId| standing.base_cells.is_empty() || standing.base_cells.contains(*host);
+        |host: &&&CellId| placement.base_cells.is_empty() || placement.base_cells.contains(*host);
     let fits = |host: &CellId| {
-        standing
+        placement
             .free_bytes
             .get(host)
-            .is_some_and(|free| *free >= standing.needed_bytes)
+            .is_some_and(|free| *free >= placement.needed_bytes)
     };
     // Prefers cells with enough free memory, then those with the fewest replicas.
     let next = hosts
@@ -82,8 +82,8 @@
         .min_by_key(|host| (!fits(host), replicas(host)));
     let is_next = next.is_some_and(|next| *next == cell);
     let has_waited = total == 0
-        && own_rank as u64 <= standing.oldest_wait_ms / NEXT_CELL_AFTER_MS
-        && standing.oldest_wait_ms >= NEXT_CELL_AFTER_MS;
+        && own_rank as u64 <= placement.oldest_wait_ms / NEXT_CELL_AFTER_MS
+        && placement.oldest_wait_ms >= NEXT_CELL_AFTER_MS;
     CellPlace {
         replicas_before,
         replicas_elsewhere: total - replicas(cell),
--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -105,7 +105,7 @@
         &[
             (0, Event::HandedToConnection),
             (0, Event::Head),
-            (0, Event::Whole),
+            (0, Event::Completed),
         ],
         Verdict::End(ResultCode::Served),
     ),
@@ -114,7 +114,7 @@
         Repeatable::Unsafe,
         &[
             (0, Event::HandedToConnection),
-            (0, Event::Whole),
+            (0, Event::Completed),
             (1, Event::Broken),
         ],
         Verdict::End(ResultCode::Served),
@@ -153,7 +153,7 @@
         Just(Event::RefusedByUpstream),
         Just(Event::Head),
         Just(Event::FirstBytes),
-        Just(Event::Whole),
+        Just(Event::Completed),
         Just(Event::Broken),
         Just(Event::Garbled),
         Just(Event::DeadlinePassed),
--- a/crates/cranereach-core/tests/control_world/carrying.rs
+++ b/crates/cranereach-core/tests/control_world/carrying.rs
@@ -45,9 +45,9 @@
             instance
                 .control
                 .lease_mut()
-                .applied(own_ms, expected_version + 1, row);
+                .write_applied(own_ms, expected_version + 1, row);
         } else {
-            instance.control.lease_mut().refused(row);
+            instance.control.lease_mut().write_refused(row);
         }
     }
 
--- a/crates/cranereach-core/tests/control_world/mod.rs
+++ b/crates/cranereach-core/tests/control_world/mod.rs
@@ -112,7 +112,7 @@
             let own = InstanceId::from(format!("i{number}"));
             let offset_ms = number * 777_000;
             let mut control = CellControl::new(own, fenced, options, offset_ms);
-            control.list(&ids, CAPACITY_BYTES);
+            control.set_workers(&ids, CAPACITY_BYTES);
             Instance {
                 control,
                 offset_ms,
@@ -175,7 +175,7 @@
         let acting = self
             .instances
             .iter_mut()
-            .filter(|instance| instance.control.acting().is_some());
+            .filter(|instance| instance.control.acting_epoch().is_some());
         acting.for_each(|instance| instance.paused_until_ms = until_ms);
     }
 
@@ -326,7 +326,7 @@
             instance
                 .control
                 .lease_mut()
-                .read(self.now_ms + instance.offset_ms, *version, row);
+                .row_read(self.now_ms + instance.offset_ms, *version, row);
         }
     }
 
@@ -342,7 +342,7 @@
             let own_ms = self.now_ms + instance.offset_ms;
             instance
                 .control
-                .reported(own_ms, &worker, &report, 4, &mut Vec::new());
+                .apply_report(own_ms, &worker, &report, 4, &mut Vec::new());
         }
     }
 
--- a/crates/cranereach-core/tests/dispatching.rs
+++ b/crates/cranereach-core/tests/dispatching.rs
@@ -33,7 +33,7 @@
         serves: None,
         slot_count: SLOTS,
     };
-    dispatcher.workers_mut().list(vec![listed]);
+    dispatcher.workers_mut().set_workers(vec![listed]);
     dispatcher.reported(0, &report(false), &mut Vec::new());
     dispatcher
 }
@@ -257,7 +257,7 @@
 fn peers_sends_count_against_a_workers_slots() {
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
-    dispatcher.note_peer(0, &"peer".into(), &"w".into(), SLOTS);
+    dispatcher.record_peer_load(0, &"peer".into(), &"w".into(), SLOTS);
     for number in 0..3 {
         dispatcher.arrive(0, waiting(number, "a", 1.0), &mut actions);
     }
--- a/crates/cranereach-entry/src/callers/claims.rs
+++ b/crates/cranereach-entry/src/callers/claims.rs
@@ -24,7 +24,7 @@
 use cranereach_core::claim::ClaimDecision;
 use cranereach_core::claim::KeptAnswer;
 use cranereach_core::claim::Outcome;
-use cranereach_core::claim::join;
+use cranereach_core::claim::decide;
 use cranereach_core::codes::Ran;
 use cranereach_core::codes::ResultCode;
 use cranereach_http::body;
@@ -118,7 +118,7 @@
         }
         let found = shared.table.read::<Option<Claim>>(&row_key).await;
         let found = found.map_err(|_read_error| Refusal::of(ResultCode::ClaimsUnavailable))?;
-        match join(found.value.as_ref(), &claim.attempt_id, &claim.fingerprint) {
+        match decide(found.value.as_ref(), &claim.attempt_id, &claim.fingerprint) {
             ClaimDecision::Send => expected_version = found.version,
             ClaimDecision::Own => {
                 return Ok(Acquired::Held(HeldClaim {
@@ -128,7 +128,7 @@
                 }));
             }
             ClaimDecision::Replay(response) => return Ok(Acquired::Replay(response)),
-            ClaimDecision::Tell(code) => return Err(Refusal::of(code)),
+            ClaimDecision::Refuse(code) => return Err(Refusal::of(code)),
         }
     }
 }
--- a/crates/cranereach-entry/src/callers/dispatch_guard.rs
+++ b/crates/cranereach-entry/src/callers/dispatch_guard.rs
@@ -4,11 +4,11 @@
 
 use tokio::sync::oneshot;
 
-use crate::control_actor::tell;
-use crate::dispatch_actor::Arrive;
-use crate::dispatch_actor::End;
-use crate::dispatch_actor::Left;
-use crate::dispatch_actor::Routed;
+use crate::control_actor::notify;
+use crate::dispatch_actor::AttemptEnded;
+use crate::dispatch_actor::CallerLeft;
+use crate::dispatch_actor::RequestArrived;
+use crate::dispatch_actor::RouteDecision;
 use crate::shared::Shared;
 use cranereach_core::codes::ResultCode;
 use cranereach_core::dispatch::queues::Waiting;
@@ -48,21 +48,21 @@
     }
 
     /// Queues the request and waits until the dispatcher assigns a worker or refuses it.
-    pub(crate) async fn admit(&mut self) -> Routed {
+    pub(crate) async fn admit(&mut self) -> RouteDecision {
         let (reply, routed) = oneshot::channel();
-        let arrive = Arrive {
+        let arrive = RequestArrived {
             waiting: self.queue_entry.clone(),
-            is_again: self.has_arrived_before,
+            is_retry: self.has_arrived_before,
             reply,
         };
         self.state = DispatchState::Queued;
         self.has_arrived_before = true;
-        tell(&self.shared.dispatcher, arrive);
-        let routed = routed.await.unwrap_or(Routed::Refuse {
+        notify(&self.shared.dispatcher, arrive);
+        let routed = routed.await.unwrap_or(RouteDecision::Refuse {
             code: ResultCode::Draining,
             retry_after_ms: 1_000,
         });
-        self.state = if matches!(routed, Routed::Send(_)) {
+        self.state = if matches!(routed, RouteDecision::Send(_)) {
             DispatchState::Running
         } else {
             DispatchState::Unregistered
@@ -74,9 +74,9 @@
     pub(crate) fn release(&mut self, whole: bool) {
         if self.state == DispatchState::Running {
             let request = self.queue_entry.request;
-            tell(
+            notify(
                 &self.shared.dispatcher,
-                End {
+                AttemptEnded {
                     request,
                     cost_tokens: self.cost_tokens,
                     whole,
@@ -91,7 +91,10 @@
     fn drop(&mut self) {
         match self.state {
             DispatchState::Unregistered => {}
-            DispatchState::Queued => tell(&self.shared.dispatcher, Left(self.queue_entry.request)),
+            DispatchState::Queued => notify(
+                &self.shared.dispatcher,
+                CallerLeft(self.queue_entry.request),
+            ),
             DispatchState::Running => self.release(false),
         }
     }
--- a/crates/cranereach-entry/src/callers/exchange.rs
+++ b/crates/cranereach-entry/src/callers/exchange.rs
@@ -18,10 +18,10 @@
 use super::job::forwarded_headers;
 use super::record::RequestRecord;
 use super::streamed_response::StreamedResponse;
-use crate::control_actor::tell;
-use crate::dispatch_actor::Avoid;
+use crate::control_actor::notify;
 use crate::dispatch_actor::NotResident;
-use crate::dispatch_actor::Routed;
+use crate::dispatch_actor::RouteDecision;
+use crate::dispatch_actor::WorkerUnreachable;
 use crate::shared::Shared;
 use crate::shared::lock;
 use crate::upstream::UpstreamRequestBody;
@@ -92,8 +92,8 @@
     async fn run(mut self) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let worker = match self.dispatch_guard.admit().await {
-                Routed::Send(worker) => worker,
-                Routed::Refuse {
+                RouteDecision::Send(worker) => worker,
+                RouteDecision::Refuse {
                     code,
                     retry_after_ms,
                 } => {
@@ -186,7 +186,7 @@
         if let Ok(Ok(connection)) = tokio::time::timeout(connect_timeout, connecting).await {
             Ok(connection)
         } else {
-            tell(&shared.dispatcher, Avoid(worker.clone()));
+            notify(&shared.dispatcher, WorkerUnreachable(worker.clone()));
             Err(Event::NotConnected)
         }
     }
@@ -196,7 +196,7 @@
         let shared = &self.context.shared;
         if let Some(reason) = response.headers().get(NOT_RUN_HEADER) {
             if reason == NOT_RUN_NOT_RESIDENT {
-                tell(
+                notify(
                     &shared.dispatcher,
                     NotResident {
                         worker: worker.clone(),
@@ -284,7 +284,7 @@
             return Err(Event::Garbled);
         }
         connection.keep();
-        self.apply_event(Event::Whole);
+        self.apply_event(Event::Completed);
         self.record.add_tokens(self.job.cost_tokens as u64);
         self.record.finish(ResultCode::Served);
         self.dispatch_guard.cost_tokens = self.job.cost_tokens;
--- a/crates/cranereach-entry/src/callers/mod.rs
+++ b/crates/cranereach-entry/src/callers/mod.rs
@@ -50,7 +50,7 @@
 }
 
 /// Handles one request of a caller.
-pub async fn answer(
+pub async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Closed> {
--- a/crates/cranereach-entry/src/control_actor/calls.rs
+++ b/crates/cranereach-entry/src/control_actor/calls.rs
@@ -21,7 +21,7 @@
 /// Sends a message to an actor without waiting for it to be handled.
 ///
 /// Mailboxes are unbounded, so no message is lost.
-pub(crate) fn tell<A, M>(address: &Address<A>, message: M)
+pub(crate) fn notify<A, M>(address: &Address<A>, message: M)
 where
     A: Handler<M, Return = ()>,
     M: Send + 'static,
@@ -35,7 +35,7 @@
         let own_address = self.own_address.clone();
         tokio::spawn(async move {
             if let (Some(end), Some(address)) = (call.await, own_address.try_upgrade()) {
-                tell(&address, end);
+                notify(&address, end);
             }
         });
     }
--- a/crates/cranereach-entry/src/control_actor/cell_assignment.rs
+++ b/crates/cranereach-entry/src/control_actor/cell_assignment.rs
@@ -112,7 +112,7 @@
                 self.cells.insert(id.clone(), cell);
             }
             if let Some(cell) = self.cells.get_mut(&id) {
-                cell.control.list(&workers, pool.worker_memory_bytes);
+                cell.control.set_workers(&workers, pool.worker_memory_bytes);
                 cell.workers = workers;
             }
         }
--- a/crates/cranereach-entry/src/control_actor/demand.rs
+++ b/crates/cranereach-entry/src/control_actor/demand.rs
@@ -10,7 +10,7 @@
 use cranereach_core::names::InstanceId;
 use cranereach_core::names::TargetName;
 use cranereach_core::residency::PlanTarget;
-use cranereach_core::residency::split::Standing;
+use cranereach_core::residency::split::TargetPlacement;
 use cranereach_core::residency::split::cell_place;
 use cranereach_core::snapshot::Snapshot;
 
@@ -92,7 +92,7 @@
         models
             .map(|model| {
                 let total = self.total(now_ms, &model.name);
-                let standing = Standing {
+                let placement = TargetPlacement {
                     replicas: residents.replicas(&model.name),
                     base_cells: model.base.as_ref().map_or_else(Vec::new, |base| {
                         residents.replicas(base).into_keys().collect()
@@ -103,7 +103,7 @@
                 };
                 let place = cell_place(
                     model.base.as_ref().unwrap_or(&model.name),
-                    &standing,
+                    &placement,
                     &cells,
                     cell,
                 );
--- a/crates/cranereach-entry/src/control_actor/mod.rs
+++ b/crates/cranereach-entry/src/control_actor/mod.rs
@@ -18,7 +18,7 @@
 use xtra::Handler;
 use xtra::WeakAddress;
 
-pub(crate) use self::calls::tell;
+pub(crate) use self::calls::notify;
 use self::demand::DemandTracker;
 use self::messages::CallEnd;
 pub use self::messages::CellView;
@@ -133,7 +133,7 @@
             let is_acting = self
                 .cells
                 .get(id)
-                .is_some_and(|cell| cell.control.acting().is_some());
+                .is_some_and(|cell| cell.control.acting_epoch().is_some());
             if rank == 0 || is_acting {
                 self.poll(id);
             }
@@ -151,7 +151,7 @@
         let held_count = self
             .cells
             .values()
-            .filter(|cell| cell.control.acting().is_some())
+            .filter(|cell| cell.control.acting_epoch().is_some())
             .count();
         self.shared.metrics.cells_held.set(held_count as i64);
     }
@@ -187,7 +187,7 @@
                 ControlAction::ReadIntents => self.read_intents(id),
                 ControlAction::RecordIntents(row) => self.write_intents(id, row),
                 ControlAction::LoadCompleted(load_ms) => {
-                    tell(&self.shared.dispatcher, LoadCompleted(load_ms));
+                    notify(&self.shared.dispatcher, LoadCompleted(load_ms));
                 }
             }
         }
@@ -222,7 +222,7 @@
             free_bytes: capacity_bytes.saturating_sub(taken_bytes),
             resident: resident.map(|occupant| occupant.target.clone()).collect(),
         };
-        tell(&self.shared.dispatcher, WorkerReports(vec![report.clone()]));
+        notify(&self.shared.dispatcher, WorkerReports(vec![report.clone()]));
         self.residents.record_report(now_ms, &report);
         self.polled.insert(
             worker.clone(),
@@ -235,9 +235,9 @@
             return;
         };
         let mut actions = Vec::new();
-        cell.control.leaving(worker, load.is_leaving);
+        cell.control.set_leaving(worker, load.is_leaving);
         cell.control
-            .reported(now_ms, worker, &load.memory, load.slot_count, &mut actions);
+            .apply_report(now_ms, worker, &load.memory, load.slot_count, &mut actions);
         self.execute_actions(id, actions);
     }
 
@@ -249,17 +249,19 @@
             CallEnd::LeaseRead(id, Ok(row)) => self.with_cell(&id, |cell| {
                 cell.control
                     .lease_mut()
-                    .read(now_ms, row.version, &row.value);
+                    .row_read(now_ms, row.version, &row.value);
             }),
             CallEnd::LeaseWritten(id, row, Ok(version)) => self.with_cell(&id, |cell| {
-                cell.control.lease_mut().applied(now_ms, version, &row);
+                cell.control
+                    .lease_mut()
+                    .write_applied(now_ms, version, &row);
             }),
             CallEnd::LeaseWritten(
                 id,
                 row,
                 Err(StoreError::Conflict | StoreError::NotDone { .. }),
             ) => {
-                self.with_cell(&id, |cell| cell.control.lease_mut().refused(&row));
+                self.with_cell(&id, |cell| cell.control.lease_mut().write_refused(&row));
             }
             CallEnd::IntentsRead(id, Ok(row)) => self.with_cell(&id, |cell| {
                 cell.intents_version = row.version;
@@ -306,10 +308,10 @@
     }
 
     /// Records a cell's epoch received from a peer.
-    fn heard_epoch(&mut self, id: &CellId, epoch: Epoch) {
+    fn observe_epoch(&mut self, id: &CellId, epoch: Epoch) {
         let now_ms = self.shared.now_ms();
         self.with_cell(id, |cell| {
-            cell.control.lease_mut().heard_epoch(now_ms, epoch);
+            cell.control.lease_mut().observe_epoch(now_ms, epoch);
         });
     }
 }
@@ -347,7 +349,7 @@
             match part {
                 DigestPart::Demand(demand) => self.demand.set_peer(now_ms, &message.sender, demand),
                 DigestPart::Report(report) => self.residents.record_report(now_ms, &report),
-                DigestPart::Epoch(cell, epoch) => self.heard_epoch(&cell, epoch),
+                DigestPart::Epoch(cell, epoch) => self.observe_epoch(&cell, epoch),
                 _ => {}
             }
         }
@@ -365,7 +367,7 @@
         let acting = self
             .cells
             .iter()
-            .filter_map(|(id, cell)| Some((id, cell.control.acting()?)));
+            .filter_map(|(id, cell)| Some((id, cell.control.acting_epoch()?)));
         let mut parts: Vec<_> = acting
             .map(|(id, epoch)| DigestPart::Epoch(id.clone(), epoch))
             .collect();
@@ -391,7 +393,7 @@
             CellView {
                 cell: id.to_string(),
                 holder: cell.control.lease().row_holder().map(ToString::to_string),
-                is_acting: cell.control.acting().is_some(),
+                is_acting: cell.control.acting_epoch().is_some(),
                 moves_count: cell.control.moves_count(),
                 committed_bytes: cell.workers.iter().filter_map(committed).collect(),
             }
--- a/crates/cranereach-entry/src/discovery.rs
+++ b/crates/cranereach-entry/src/discovery.rs
@@ -51,14 +51,14 @@
         .filter(|instance| instance.role == Role::Entry && instance.state == ListState::Live);
     shared
         .membership()
-        .list(entries.map(|instance| instance.id.clone()).collect());
+        .set_live(entries.map(|instance| instance.id.clone()).collect());
     let workers = listed
         .iter()
         .filter(|instance| instance.role == Role::Worker);
     let addresses: Vec<_> = workers
         .map(|instance| (worker_id(instance), instance.address.clone()))
         .collect();
-    shared.upstreams.list(&addresses);
+    shared.upstreams.set_workers(&addresses);
     let snapshot = shared.snapshot();
     let known_workers = listed
         .iter()
--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -25,7 +25,7 @@
 
 /// Decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Routed {
+pub enum RouteDecision {
     /// Send it to this worker.
     Send(WorkerId),
     /// Reject it with this result code.
@@ -39,18 +39,18 @@
 
 /// Asks for a worker for a request.
 #[derive(Debug)]
-pub struct Arrive {
+pub struct RequestArrived {
     /// The request.
     pub waiting: Waiting,
     /// Whether an earlier attempt of the request failed.
-    pub is_again: bool,
+    pub is_retry: bool,
     /// Receives the decision.
-    pub reply: oneshot::Sender<Routed>,
+    pub reply: oneshot::Sender<RouteDecision>,
 }
 
 /// Reports the end of an attempt at an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
+pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
     /// Actual cost, in tokens.
@@ -61,11 +61,11 @@
 
 /// Reports that the caller of a waiting request has disconnected.
 #[derive(Clone, Copy, Debug)]
-pub struct Left(pub RequestId);
+pub struct CallerLeft(pub RequestId);
 
 /// Reports that a worker could not be reached.
 #[derive(Clone, Debug)]
-pub struct Avoid(pub WorkerId);
+pub struct WorkerUnreachable(pub WorkerId);
 
 /// Reports that a worker refused a request because the target isn't resident on it.
 #[derive(Clone, Debug)]
@@ -127,7 +127,7 @@
 pub struct DispatchActor {
     shared: Arc<Shared>,
     inner: Dispatcher,
-    replies: HashMap<RequestId, oneshot::Sender<Routed>>,
+    replies: HashMap<RequestId, oneshot::Sender<RouteDecision>>,
     peers_served: HashMap<(InstanceId, AccountName), f64>,
     actions: Vec<Action>,
 }
@@ -148,14 +148,14 @@
     fn execute_actions(&mut self) {
         while let Some(action) = self.actions.pop() {
             let (request, routed) = match action {
-                Action::Send { request, worker } => (request, Routed::Send(worker)),
+                Action::Send { request, worker } => (request, RouteDecision::Send(worker)),
                 Action::Refuse {
                     request,
                     code,
                     retry_after_ms,
                 } => (
                     request,
-                    Routed::Refuse {
+                    RouteDecision::Refuse {
                         code,
                         retry_after_ms,
                     },
@@ -164,7 +164,7 @@
             let Some(reply) = self.replies.remove(&request) else {
                 continue;
             };
-            if let Err(Routed::Send(_)) = reply.send(routed) {
+            if let Err(RouteDecision::Send(_)) = reply.send(routed) {
                 // The caller has disconnected in the meantime: free the slot.
                 let now_ms = self.shared.now_ms();
                 self.inner
@@ -177,7 +177,7 @@
     fn apply_part(&mut self, now_ms: u64, sender: &InstanceId, part: DigestPart) {
         match part {
             DigestPart::Outstanding(worker, count) => {
-                self.inner.note_peer(now_ms, sender, &worker, count);
+                self.inner.record_peer_load(now_ms, sender, &worker, count);
             }
             DigestPart::Report(report) => self.inner.reported(now_ms, &report, &mut self.actions),
             DigestPart::Served(account, total_tokens) => {
@@ -210,13 +210,13 @@
     }
 }
 
-impl Handler<Arrive> for DispatchActor {
+impl Handler<RequestArrived> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Arrive, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: RequestArrived, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         self.replies.insert(message.waiting.request, message.reply);
-        if message.is_again {
+        if message.is_retry {
             self.inner
                 .requeue(now_ms, message.waiting, &mut self.actions);
         } else {
@@ -227,10 +227,10 @@
     }
 }
 
-impl Handler<End> for DispatchActor {
+impl Handler<AttemptEnded> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: End, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: AttemptEnded, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         self.inner.ended(
             now_ms,
@@ -243,12 +243,12 @@
     }
 }
 
-impl Handler<Left> for DispatchActor {
+impl Handler<CallerLeft> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Left, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: CallerLeft, _ctx: &mut Context<Self>) {
         self.replies.remove(&message.0);
-        if !self.inner.left(message.0) {
+        if !self.inner.caller_disconnected(message.0) {
             // The request was sent at the same moment: free the slot.
             let now_ms = self.shared.now_ms();
             self.inner
@@ -258,10 +258,10 @@
     }
 }
 
-impl Handler<Avoid> for DispatchActor {
+impl Handler<WorkerUnreachable> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Avoid, _ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: WorkerUnreachable, _ctx: &mut Context<Self>) {
         let now_ms = self.shared.now_ms();
         self.inner.workers_mut().avoid(now_ms, &message.0);
     }
@@ -281,7 +281,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: WorkersListed, _ctx: &mut Context<Self>) {
-        self.inner.workers_mut().list(message.0);
+        self.inner.workers_mut().set_workers(message.0);
     }
 }
 
@@ -349,7 +349,7 @@
         DispatchDigest {
             outstanding: self.inner.workers().own_outstanding(),
             demand: self.inner.demand(now_ms),
-            used_at_ms: self.inner.used().collect(),
+            used_at_ms: self.inner.last_request_times().collect(),
             served: self
                 .inner
                 .served_tokens()
--- a/crates/cranereach-entry/src/entry.rs
+++ b/crates/cranereach-entry/src/entry.rs
@@ -114,7 +114,7 @@
             header_max_bytes: shared.settings.limits.header_max_bytes,
         };
         let server_task = server::serve(callers, serve_options, stop_receiver, move |request| {
-            callers::answer(Arc::clone(&for_callers), request)
+            callers::handle(Arc::clone(&for_callers), request)
         });
         info!(shared.log, "started"; "callers" => addresses.callers.to_string());
         Ok(Self {
@@ -141,7 +141,7 @@
     pub async fn drain(mut self) {
         self.shared.request_drain();
         info!(self.shared.log, "stopping"; "in_flight" => self.shared.in_flight_count());
-        while self.shared.phase() == Phase::Announced {
+        while self.shared.phase() == Phase::Unready {
             sleep_ms(DRAIN_CHECK_INTERVAL_MS).await;
         }
         self.stop_sender.send_replace(true);
--- a/crates/cranereach-entry/src/operators.rs
+++ b/crates/cranereach-entry/src/operators.rs
@@ -114,7 +114,7 @@
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Serving => "serving",
-        Phase::Announced => "announced",
+        Phase::Unready => "announced",
         Phase::Finishing => "finishing",
         Phase::Done => "done",
     }
--- a/crates/cranereach-entry/src/peers/digests.rs
+++ b/crates/cranereach-entry/src/peers/digests.rs
@@ -97,7 +97,7 @@
 /// passes the parts to both actors.
 async fn apply_digest(shared: &Shared, control: &Address<ControlActor>, digest: Digest) {
     let now_ms = shared.now_ms();
-    shared.membership().heard(now_ms, &digest.sender);
+    shared.membership().record_message(now_ms, &digest.sender);
     for part in &digest.parts {
         match part {
             DigestPart::Head(head) => {
@@ -106,7 +106,7 @@
                     shared.config_body_missing.notify_one();
                 }
             }
-            DigestPart::Leaving => shared.membership().left(&digest.sender),
+            DigestPart::Leaving => shared.membership().remove(&digest.sender),
             _ => {}
         }
     }
--- a/crates/cranereach-entry/src/upstream/mod.rs
+++ b/crates/cranereach-entry/src/upstream/mod.rs
@@ -69,7 +69,7 @@
 
 impl Upstreams {
     /// Replaces the list of workers and addresses; keeps the pools of unchanged workers.
-    pub fn list(&self, listed: &[(WorkerId, String)]) {
+    pub fn set_workers(&self, listed: &[(WorkerId, String)]) {
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
         pools.retain(|id, _| listed.iter().any(|(listed_id, _)| listed_id == id));
         for (id, address) in listed {
