--- a/crates/cranereach-gateway/src/forward/response_head.rs
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -70,8 +70,8 @@
     let status = response.status();
     let request_id = headers.get(node.adapter.headers.request_id);
     let is_ours = request_id.is_none_or(|id| id.as_bytes() == call.id.as_bytes());
-    let words = worker_headers::apply_head(node, permit, (status, headers), is_ours);
-    if !is_ours || (request_id.is_none() && !words.is_not_run) {
+    let parsed_headers = worker_headers::apply_head(node, permit, (status, headers), is_ours);
+    if !is_ours || (request_id.is_none() && !parsed_headers.is_not_run) {
         node.metrics
             .bad_input_total
             .with_label_values(&["answer"])
@@ -83,10 +83,10 @@
         note_worker_lacks_model(node, call, permit);
         return Err(Failure::NotThere);
     }
-    if words.is_not_run {
+    if parsed_headers.is_not_run {
         return Err(Failure::NotRun);
     }
-    Ok(words)
+    Ok(parsed_headers)
 }
 
 /// Records that a worker lacks the model of a call, or is another worker than the one meant.
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -110,11 +110,11 @@
                 return Err(Failure::BrokenOff);
             }
         };
-        let words = check_head(node, self.call, &permit, &mut in_flight, &response)?;
+        let parsed_headers = check_head(node, self.call, &permit, &mut in_flight, &response)?;
         Ok(ResponseHead {
             response,
             connection,
-            keep_alive_ms: words.connection_keep_alive_ms,
+            keep_alive_ms: parsed_headers.connection_keep_alive_ms,
             in_flight,
         })
     }
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -165,14 +165,14 @@
 
 /// Reports the limit that a worker states to the owner of the worker and to the owner of its send
 /// grants.
-pub fn report_limit(node: &Node, worker: &str, word: LimitReport) {
+pub fn report_limit(node: &Node, worker: &str, report: LimitReport) {
     let key = worker_key(worker);
     let owner = owner_of(node, key);
     let grant_owner = send_grants::other_owner(node.peers().members(), node.now_ms(), key);
     let grant_owner = grant_owner.filter(|grant_owner| *grant_owner != owner);
     let recipients = [Some(owner), grant_owner].into_iter().flatten();
     for instance in recipients.filter(|instance| *instance != node.own_ip()) {
-        send_event(node, instance, key, 0, OwnerEvent::Limit(word));
+        send_event(node, instance, key, 0, OwnerEvent::Limit(report));
     }
 }
 
@@ -241,9 +241,9 @@
         }
         OwnerEvent::Read(took_ms) => owned.prefilled(now_ms, worker, request, f64::from(took_ms)),
         OwnerEvent::Ended(outcome) => owned.request_ended(now_ms, worker, request, outcome),
-        OwnerEvent::Limit(word) => {
+        OwnerEvent::Limit(report) => {
             drop(owned);
-            named_limits::apply_peer_limit(node, worker, &word);
+            named_limits::apply_peer_limit(node, worker, &report);
         }
     }
     None
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -46,14 +46,14 @@
 
 /// Runs until the process exits.
 pub async fn run(node: Arc<Node>) {
-    let mut finder = ListSourceSelector::default();
+    let mut source_selector = ListSourceSelector::default();
     let mut is_whole = true;
     let mut failure_count = 0_u32;
     loop {
-        match finder.next(&node).await {
+        match source_selector.next(&node).await {
             Source::Peer(peer) => {
                 let fetched = list_transfer::fetch(&node, peer).await;
-                finder.fetched(node.now_ms(), peer, fetched);
+                source_selector.fetched(node.now_ms(), peer, fetched);
                 is_whole &= node.list_position().is_none();
                 continue;
             }
@@ -62,7 +62,7 @@
         // In a new era, changes relative to the earlier list have no meaning.
         is_whole |= node.list_position().era < node.store.eras().newest();
         let read = read(&node, is_whole).await;
-        finder.note_store_read();
+        source_selector.note_store_read();
         match read {
             Ok(()) => {
                 if failure_count > 0 {
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -46,13 +46,16 @@
 
 #[test]
 fn an_answer_that_says_nothing_says_nothing() {
-    let words = read(200, &[("id", "r")]);
-    assert!(!words.is_from_other_worker && !words.is_not_run && !words.is_load_unreadable);
-    assert_eq!(words.load, None);
-    assert_eq!(words.limit, named_limit::NamedRate::Nothing);
-    assert_eq!(words.leaving, departure::Said::Nothing);
-    assert_eq!(words.rest, rest::RestRequest::Nothing);
-    assert_eq!(words.connection_keep_alive_ms, Some(DEFAULT_KEEP_ALIVE_MS));
+    let headers = read(200, &[("id", "r")]);
+    assert!(!headers.is_from_other_worker && !headers.is_not_run && !headers.is_load_unreadable);
+    assert_eq!(headers.load, None);
+    assert_eq!(headers.limit, named_limit::NamedRate::Nothing);
+    assert_eq!(headers.leaving, departure::Said::Nothing);
+    assert_eq!(headers.rest, rest::RestRequest::Nothing);
+    assert_eq!(
+        headers.connection_keep_alive_ms,
+        Some(DEFAULT_KEEP_ALIVE_MS)
+    );
 }
 
 #[test]
@@ -98,9 +101,9 @@
     let load = read(200, &[("load", "3, 1,8")]).load.unwrap();
     assert_eq!((load.running_count, load.waiting_count), (3, 1));
     for unreadable in ["", "many", "3", "3,-1,8", "3,1e3"] {
-        let words = read(200, &[("load", unreadable)]);
+        let headers = read(200, &[("load", unreadable)]);
         assert!(
-            words.load.is_none() && words.is_load_unreadable,
+            headers.load.is_none() && headers.is_load_unreadable,
             "{unreadable}"
         );
     }
