--- a/crates/cranereach-fleet/src/lib.rs
+++ b/crates/cranereach-fleet/src/lib.rs
@@ -29,9 +29,9 @@
 //!
 //! Coordination between instances:
 //! - [`membership`]: which instances are alive, and which of them owns a worker
-//! - [`round_trips`]: round-trip times to other instances
+//! - [`ways`]: round-trip times to other instances
 //! - [`owned`]: what an owner knows of its workers' requests
-//! - [`pause_prediction`], [`prefill_schedule`], [`pause_monitor`]: how long prefill pauses
+//! - [`pause_prediction`], [`prefill_schedule`], [`pausing`]: how long prefill pauses
 //!   streams, when prompts are sent to keep the pauses short, and at which workers that is needed
 //!
 //! Data from the store:
