--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::send_permit;
 use crate::send_permit::Permit;
-use crate::worker_words;
+use crate::worker_headers;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::lease_state::LeaseState;
 use cranereach_fleet::ledger::OpenOrder;
@@ -217,7 +217,7 @@
         (lease_state.token(node.now_ms()) == Some(token)).then_some(permit)
     };
     let answer = client
-        .post_bytes_when(format.order_path, body, ORDER_TIMEOUT_MS, permit)
+        .post_bytes_with_permit(format.order_path, body, ORDER_TIMEOUT_MS, permit)
         .await;
     if let Ok((answer, permit)) = &answer {
         process_headers(node, permit, answer);
@@ -252,7 +252,7 @@
     let format = &node.adapter.engine;
     let permit = || send_permit::ask(node, worker, Purpose::Report, LEAST_URGENT_RANK);
     let (answer, permit) = client
-        .get_when(format.report_path, REPORT_TIMEOUT_MS, permit)
+        .get_with_permit(format.report_path, REPORT_TIMEOUT_MS, permit)
         .await
         .ok()?;
     process_headers(node, &permit, &answer);
@@ -268,7 +268,7 @@
 fn process_headers(node: &Node, permit: &Permit, answer: &Answer) {
     // The client took the number from a parsed status, so it is always valid.
     let status = StatusCode::from_u16(answer.status).unwrap_or_default();
-    worker_words::hear(node, permit, (status, &answer.headers), true);
+    worker_headers::apply_head(node, permit, (status, &answer.headers), true);
 }
 
 /// Returns the worker state of a report, with adapters that are still loading counted as held.
--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use cranereach_http::clock::Clock;
-use cranereach_http::clock::boot_ms;
+use cranereach_http::clock::boottime_ms;
 
 /// Simulated suspension of the machine, in milliseconds, during which timers stood still.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the time since boot with the simulated suspension added.
 fn simulated_boottime_ms() -> u64 {
-    boot_ms() + SUSPENDED_MS.load(Ordering::Acquire)
+    boottime_ms() + SUSPENDED_MS.load(Ordering::Acquire)
 }
 
 #[test]
--- a/tests/testsuite/at_most_once.rs
+++ b/tests/testsuite/at_most_once.rs
@@ -8,7 +8,7 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::platform::state::PlatformFaults;
 use cranereach_standin::platform::state::StoreFaults;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 use cranereach_standin::service::ServiceFaults;
 
 /// Returns a call to the ledger service with a name, under which the service counts its runs.
@@ -195,10 +195,10 @@
         let call = ledger_call(&name);
         let delayed_cut = async {
             tokio::time::sleep(std::time::Duration::from_micros(number * 400)).await;
-            relay.set(Passage::Cut);
+            relay.set(LinkMode::Cut);
         };
         let (outcome, ()) = tokio::join!(deployment.call(0, &call), delayed_cut);
-        relay.set(Passage::Open);
+        relay.set(LinkMode::Open);
         let ran = run_count(&deployment, &name);
         assert!(ran <= 1, "{name} ran {ran} times");
         if outcome.text.contains("\"ran\":\"no\"") {
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -11,7 +11,7 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::platform::state::PlatformFaults;
 use cranereach_standin::platform::state::StoreFaults;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 use cranereach_wire::folder::Folder;
 
 /// Faults of a store that refuses every request.
@@ -251,7 +251,7 @@
     wait_until("all instances ready", WAIT_TIMEOUT_MS, || (0..3).all(ready))
         .await
         .unwrap();
-    relay.set(Passage::Cut);
+    relay.set(LinkMode::Cut);
     wait_until("the third instance not ready", WAIT_TIMEOUT_MS, || {
         !ready(third)
     })
@@ -262,7 +262,7 @@
     deployment.platform.state().faults.lock().unwrap().table = REFUSING_STORE;
     tokio::time::sleep(std::time::Duration::from_secs(8)).await;
     assert!(ready(0) && ready(1));
-    relay.set(Passage::Open);
+    relay.set(LinkMode::Open);
     deployment.platform.state().faults.lock().unwrap().table = StoreFaults::default();
     wait_until("the third instance ready again", WAIT_TIMEOUT_MS, || {
         ready(third)
