--- a/crates/cranereach-fleet/tests/paces.rs
+++ b/crates/cranereach-fleet/tests/paces.rs
@@ -4,7 +4,7 @@
 use cranereach_fleet::prefill_cost::PrefillCosts;
 
 /// Teaches prompts of several lengths that take a fixed time and one a token.
-fn taught(fixed_ms: f64, token_ms: f64) -> PrefillCost {
+fn learned_cost(fixed_ms: f64, token_ms: f64) -> PrefillCost {
     let mut costs = PrefillCosts::default();
     for sample in 0..300_u32 {
         let tokens = [300, 700, 1_800, 4_000][sample as usize % 4];
@@ -16,7 +16,7 @@
 #[test]
 fn reading_is_told_apart_from_what_every_request_takes() {
     for (fixed_ms, token_ms) in [(20.0, 0.025), (5.0, 0.052), (60.0, 0.01)] {
-        let cost = taught(fixed_ms, token_ms);
+        let cost = learned_cost(fixed_ms, token_ms);
         assert!((cost.fixed_ms - fixed_ms).abs() < 2.0, "{cost:?}");
         assert!((cost.token_ms - token_ms).abs() < 0.002, "{cost:?}");
     }
--- a/crates/cranereach-fleet/tests/pauses.rs
+++ b/crates/cranereach-fleet/tests/pauses.rs
@@ -10,7 +10,7 @@
 use cranereach_fleet::pause_prediction::longest_ms;
 
 /// A worker that makes an event of three tokens in 30 ms when it reads nothing.
-const STEPPING: StepTiming = StepTiming {
+const STEP_TIMING: StepTiming = StepTiming {
     event_steps: 3,
     step_ms: 10.0,
     chunk_ms: 200.0,
@@ -40,33 +40,33 @@
         (vec![prompt(0.0, 1_000.0)], 630.0),
     ];
     for (arrivals, expected_ms) in table {
-        assert_eq!(longest_ms(&STEPPING, &arrivals, 0.0), expected_ms);
+        assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), expected_ms);
     }
 }
 
 #[test]
 fn what_is_known_to_have_been_read_holds_nothing_up() {
     let mut arrivals = [prompt(0.0, 150.0), prompt(0.0, 500.0)];
-    assert_eq!(longest_ms(&STEPPING, &arrivals, 0.0), 630.0);
+    assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), 630.0);
     arrivals[1].read_at_ms = Some(100.0);
     // One chunk has begun by then.
-    assert_eq!(longest_ms(&STEPPING, &arrivals, 0.0), 230.0);
+    assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), 230.0);
 }
 
 #[test]
 fn only_pauses_that_end_later_count() {
     let arrivals = [prompt(0.0, 600.0), prompt(2_000.0, 100.0)];
-    assert_eq!(longest_ms(&STEPPING, &arrivals, 0.0), 630.0);
-    assert_eq!(longest_ms(&STEPPING, &arrivals, 1_000.0), 130.0);
+    assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), 630.0);
+    assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 1_000.0), 130.0);
 }
 
 #[test]
 fn a_prompt_that_is_long_by_itself_meets_no_other() {
     let arrivals = [prompt(0.0, 100.0)];
-    let found = find_send_time(&STEPPING, &arrivals, 0.0, 400.0, 300.0);
+    let found = find_send_time(&STEP_TIMING, &arrivals, 0.0, 400.0, 300.0);
     assert!(found.at_ms >= 110.0, "{found:?}");
     assert!(found.pause_ms <= 440.0, "{found:?}");
-    let at_once = find_send_time(&STEPPING, &[], 0.0, 400.0, 300.0);
+    let at_once = find_send_time(&STEP_TIMING, &[], 0.0, 400.0, 300.0);
     assert_eq!(at_once.at_ms, 0.0);
 }
 
@@ -76,11 +76,11 @@
         times in prop::collection::vec((0.0_f64..2_000.0, 1.0_f64..600.0), 1..40),
         chunk_ms in 20.0_f64..500.0,
     ) {
-        let stepping = StepTiming { chunk_ms, ..STEPPING };
+        let timing = StepTiming { chunk_ms, ..STEP_TIMING };
         let mut arrivals: Vec<Arrival> =
             times.iter().map(|(at_ms, reading_ms)| prompt(*at_ms, *reading_ms)).collect();
         arrivals.sort_by(|left, right| left.at_ms.total_cmp(&right.at_ms));
-        let longest = longest_ms(&stepping, &arrivals, 0.0);
+        let longest = longest_ms(&timing, &arrivals, 0.0);
         let all_ms: f64 = times.iter().map(|(_, reading_ms)| reading_ms).sum();
         prop_assert!(longest >= 30.0);
         prop_assert!(longest <= 30.0 + all_ms.min(3.0 * chunk_ms) + 1e-6);
@@ -94,11 +94,11 @@
         let mut now_ms = 0.0;
         for (passed_ms, reading_ms) in prompts {
             now_ms += passed_ms;
-            let found = find_send_time(&STEPPING, &arrivals, now_ms, reading_ms, 300.0);
+            let found = find_send_time(&STEP_TIMING, &arrivals, now_ms, reading_ms, 300.0);
             prop_assert!(found.at_ms >= now_ms);
             let index = arrivals.partition_point(|arrival| arrival.at_ms <= found.at_ms);
             arrivals.insert(index, prompt(found.at_ms, reading_ms));
-            let longest = longest_ms(&STEPPING, &arrivals, 0.0);
+            let longest = longest_ms(&STEP_TIMING, &arrivals, 0.0);
             prop_assert!(longest <= 300.0 + 1e-6, "{longest} with {arrivals:?}");
         }
     }
--- a/crates/cranereach-fleet/tests/placing.rs
+++ b/crates/cranereach-fleet/tests/placing.rs
@@ -40,7 +40,11 @@
 }
 
 /// Plans for models of 100 MB with one adapter each, on workers of 210 MB.
-fn next(workers: &[WorkerView], demand: &[(ModelKey, f64)], may_load: bool) -> Option<Planned> {
+fn next_order(
+    workers: &[WorkerView],
+    demand: &[(ModelKey, f64)],
+    may_load: bool,
+) -> Option<Planned> {
     let models = vec![
         ModelSize {
             weights_mb: 100.0,
@@ -64,11 +68,11 @@
 #[test]
 fn a_model_that_nobody_holds_is_loaded_where_there_is_room() {
     let workers = [worker(&[replica(0), replica(1)]), worker(&[replica(0)])];
-    let planned = next(&workers, &[((3, 0), 100.0)], true).unwrap();
+    let planned = next_order(&workers, &[((3, 0), 100.0)], true).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Load(3)));
     assert!(planned.is_from_store);
     assert_eq!(
-        next(&workers, &[((3, 0), 100.0)], false),
+        next_order(&workers, &[((3, 0), 100.0)], false),
         None,
         "no load is allowed"
     );
@@ -79,7 +83,7 @@
     let mut with_copy = worker(&[replica(0)]);
     with_copy.copies = vec![3];
     let workers = [worker(&[]), with_copy];
-    let planned = next(&workers, &[((3, 0), 500.0)], false).unwrap();
+    let planned = next_order(&workers, &[((3, 0), 500.0)], false).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Load(3)));
     assert!(!planned.is_from_store);
 }
@@ -91,7 +95,7 @@
         worker(&[replica(2), replica(3)]),
     ];
     let demand = [((7, 0), 4_000.0), ((2, 0), 400.0), ((3, 0), 1.0)];
-    let planned = next(&workers, &demand, true).unwrap();
+    let planned = next_order(&workers, &demand, true).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Unload(3)));
 }
 
@@ -106,18 +110,18 @@
     ];
     let mut demand: Vec<_> = [1, 2, 3, 4, 7].map(|model| ((model, 0), 900.0)).to_vec();
     demand.push(((0, 0), 3_000.0));
-    assert_eq!(next(&workers, &demand, true), None);
+    assert_eq!(next_order(&workers, &demand, true), None);
     // Once it is ready, one of the two may go.
     let mut loaded = workers;
     loaded[1].replicas[0].is_loading = false;
-    let planned = next(&loaded, &demand, true).unwrap();
+    let planned = next_order(&loaded, &demand, true).unwrap();
     assert_eq!(planned.order, Order::Unload(7));
 }
 
 #[test]
 fn without_demand_nothing_moves() {
     let workers = [worker(&[replica(0), replica(1)]), worker(&[replica(2)])];
-    assert_eq!(next(&workers, &[], true), None);
+    assert_eq!(next_order(&workers, &[], true), None);
 }
 
 #[test]
@@ -132,21 +136,21 @@
         worker(&[loading(0)]),
         worker(&[replica(0)]),
     ];
-    let planned = next(&workers, &[((0, 3), 10.0)], true).unwrap();
+    let planned = next_order(&workers, &[((0, 3), 10.0)], true).unwrap();
     assert_eq!(
         (planned.worker, planned.order),
         (2, Order::LoadAdapter((0, 3)))
     );
     // Where all slots are taken, the least wanted makes way.
     let demand = [((0, 3), 10.0), ((0, 1), 9.0), ((0, 2), 0.1)];
-    let planned = next(&[worker(&[full])], &demand, true).unwrap();
+    let planned = next_order(&[worker(&[full])], &demand, true).unwrap();
     assert_eq!(planned.order, Order::UnloadAdapter((0, 2)));
 }
 
 #[test]
 fn an_adapter_that_the_model_lacks_is_never_ordered() {
     let workers = [worker(&[replica(0)])];
-    assert_eq!(next(&workers, &[((0, 9), 10.0)], false), None);
+    assert_eq!(next_order(&workers, &[((0, 9), 10.0)], false), None);
 }
 
 #[test]
@@ -155,7 +159,7 @@
     busy.is_free = false;
     let mut leaving = worker(&[]);
     leaving.is_serving = false;
-    assert_eq!(next(&[busy, leaving], &[((1, 0), 900.0)], true), None);
+    assert_eq!(next_order(&[busy, leaving], &[((1, 0), 900.0)], true), None);
 }
 
 #[test]
@@ -167,7 +171,7 @@
         worker(&[replica(7), replica(4)]),
     ];
     let demand = [((7, 0), 900.0), ((6, 0), 800.0), ((5, 0), 100.0)];
-    let planned = next(&workers, &demand, true).unwrap();
+    let planned = next_order(&workers, &demand, true).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Load(7)));
 }
 
@@ -177,19 +181,19 @@
     let together = [worker(&[replica(6), replica(7)]), worker(&[]), worker(&[])];
     // Each model alone would leave its worker idle for most of the time.
     let demand = [((6, 0), 250.0), ((7, 0), 250.0)];
-    let is_copied = |workers: &[WorkerView]| {
+    let is_replicated = |workers: &[WorkerView]| {
         let mut workers = workers.to_vec();
         for view in &mut workers {
             view.copies = vec![6, 7];
         }
-        next(&workers, &demand, false).is_some()
+        next_order(&workers, &demand, false).is_some()
     };
-    assert!(!is_copied(&apart));
-    assert!(is_copied(&together));
+    assert!(!is_replicated(&apart));
+    assert!(is_replicated(&together));
 }
 
 /// What the plan orders for adapters, by looking at every worker for each of them.
-fn adapter_by_looking_at_all(
+fn expected_adapter_load(
     workers: &[WorkerView],
     demand: &HashMap<ModelKey, f64>,
 ) -> Option<(usize, ModelKey)> {
@@ -254,8 +258,8 @@
             })
             .collect();
         let by_key: HashMap<ModelKey, f64> = demand.iter().copied().collect();
-        if let Some((index, key)) = adapter_by_looking_at_all(&workers, &by_key) {
-            let planned = next(&workers, &demand, true).unwrap();
+        if let Some((index, key)) = expected_adapter_load(&workers, &by_key) {
+            let planned = next_order(&workers, &demand, true).unwrap();
             assert_eq!(
                 (planned.worker, planned.order),
                 (index, Order::LoadAdapter(key))
--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -20,7 +20,7 @@
 const CHANGE_MS: u64 = 3_000;
 
 /// Time between two rounds of questions, in milliseconds, as in the gateway.
-const ASK_EVERY_MS: u64 = 200;
+const QUERY_INTERVAL_MS: u64 = 200;
 
 /// Time that a watch waits at the store, in milliseconds, as in the gateway.
 const WATCH_MS: u64 = 1_200;
@@ -29,29 +29,29 @@
 const STEP_MS: u64 = 10;
 
 /// Age of the oldest copy that the store comes back from, in milliseconds.
-const COPY_MAX_MS: u64 = 8_000;
+const BACKUP_AGE_MAX_MS: u64 = 8_000;
 
 /// Longest time until the operator has written again what was lost, in milliseconds.
-const WRITTEN_AGAIN_WITHIN_MS: u64 = 2_000;
+const REWRITE_WITHIN_MS: u64 = 2_000;
 
 /// How the network treats messages.
 #[derive(Clone, Copy, Debug)]
 struct Network {
     delay_max_ms: u64,
-    lost_share: f64,
-    doubled_share: f64,
+    loss_ratio: f64,
+    duplication_ratio: f64,
 }
 
-const CALM: Network = Network {
+const HEALTHY_NETWORK: Network = Network {
     delay_max_ms: 3,
-    lost_share: 0.03,
-    doubled_share: 0.0,
+    loss_ratio: 0.03,
+    duplication_ratio: 0.0,
 };
 
 /// What is on its way.
 #[derive(Clone, Copy, Debug)]
-enum Parcel {
-    Question(usize, ProofQuery),
+enum Message {
+    Query(usize, ProofQuery),
     Answer(ProofAnswer),
     /// The store's answer to a read begun at a time of the reader's clock, of a start:
     /// the newest version then.
@@ -71,10 +71,10 @@
     /// Time of the world at which its clock showed zero.
     started_ms: u64,
     frozen_until_ms: u64,
-    cut_until_ms: u64,
-    asks_next_ms: u64,
-    reads_next_ms: u64,
-    waiting: Vec<Parcel>,
+    partitioned_until_ms: u64,
+    next_query_ms: u64,
+    next_read_ms: u64,
+    inbox: Vec<Message>,
 }
 
 /// Instances and the store.
@@ -88,8 +88,8 @@
     /// Times that the store came back from a copy.
     era: u64,
     /// The version that it lacks from, and until when.
-    lost: Option<(u64, u64)>,
-    on_the_way: BTreeMap<u64, Vec<(usize, Parcel)>>,
+    missing: Option<(u64, u64)>,
+    in_flight: BTreeMap<u64, Vec<(usize, Message)>>,
     rng: StdRng,
 }
 
@@ -102,19 +102,19 @@
             now_ms: 100_000,
             acknowledged_ms: vec![0],
             era: 0,
-            lost: None,
-            on_the_way: BTreeMap::new(),
+            missing: None,
+            in_flight: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
         };
         for _ in 0..count {
-            let instance = world.fresh();
+            let instance = world.new_instance();
             world.instances.push(instance);
         }
         world
     }
 
     /// Makes an instance that has just started.
-    fn fresh(&mut self) -> Instance {
+    fn new_instance(&mut self) -> Instance {
         let boot = self.rng.random();
         Instance {
             proof: Proof::new(boot, CHANGE_MS),
@@ -122,87 +122,87 @@
             version: 0,
             started_ms: self.now_ms - self.rng.random_range(0..50_000),
             frozen_until_ms: 0,
-            cut_until_ms: 0,
-            asks_next_ms: self.now_ms + self.rng.random_range(0..ASK_EVERY_MS),
-            reads_next_ms: self.now_ms,
-            waiting: Vec::new(),
+            partitioned_until_ms: 0,
+            next_query_ms: self.now_ms + self.rng.random_range(0..QUERY_INTERVAL_MS),
+            next_read_ms: self.now_ms,
+            inbox: Vec::new(),
         }
     }
 
     /// Returns the version that the store has.
-    fn stored(&self) -> u64 {
+    fn stored_version(&self) -> u64 {
         let newest = self.acknowledged_ms.len() as u64 - 1;
-        let lost = self.lost.filter(|(_, until_ms)| self.now_ms < *until_ms);
-        lost.map_or(newest, |(version, _)| version - 1)
+        let missing = self.missing.filter(|(_, until_ms)| self.now_ms < *until_ms);
+        missing.map_or(newest, |(version, _)| version - 1)
     }
 
     /// Lets the operator write a version: one that was lost stands below it.
-    fn change(&mut self) {
+    fn write_version(&mut self) {
         self.acknowledged_ms.push(self.now_ms);
-        self.lost = None;
+        self.missing = None;
     }
 
     /// The store comes back from a copy of an age; the operator writes again what it lacks.
     fn restore(&mut self, age_ms: u64) {
-        let copied_ms = self.now_ms.saturating_sub(age_ms);
-        let is_lost = |at_ms: &u64| *at_ms > copied_ms;
+        let backup_ms = self.now_ms.saturating_sub(age_ms);
+        let is_lost = |at_ms: &u64| *at_ms > backup_ms;
         let first_lost = self.acknowledged_ms.iter().position(is_lost);
-        let until_ms = self.now_ms + self.rng.random_range(0..=WRITTEN_AGAIN_WITHIN_MS);
+        let until_ms = self.now_ms + self.rng.random_range(0..=REWRITE_WITHIN_MS);
         self.era += 1;
         // The first version was there long before.
-        self.lost = first_lost.map(|version| (version.max(2) as u64, until_ms));
+        self.missing = first_lost.map(|version| (version.max(2) as u64, until_ms));
     }
 
-    fn send(&mut self, to: usize, parcel: Parcel, extra_ms: u64) {
-        if self.rng.random_bool(self.network.lost_share) {
+    fn send(&mut self, to: usize, message: Message, extra_ms: u64) {
+        if self.rng.random_bool(self.network.loss_ratio) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(self.network.doubled_share));
+        let copies = 1 + usize::from(self.rng.random_bool(self.network.duplication_ratio));
         for _ in 0..copies {
             let delay_ms = extra_ms + self.rng.random_range(1..=self.network.delay_max_ms);
-            let due = self.on_the_way.entry(self.now_ms + delay_ms).or_default();
-            due.push((to, parcel));
+            let due = self.in_flight.entry(self.now_ms + delay_ms).or_default();
+            due.push((to, message));
         }
     }
 
     fn step(&mut self) {
         self.now_ms += STEP_MS;
-        let later = self.on_the_way.split_off(&(self.now_ms + 1));
-        for (to, parcel) in std::mem::replace(&mut self.on_the_way, later)
+        let later = self.in_flight.split_off(&(self.now_ms + 1));
+        for (to, message) in std::mem::replace(&mut self.in_flight, later)
             .into_values()
             .flatten()
         {
             let instance = &mut self.instances[to];
-            if self.now_ms >= instance.cut_until_ms {
-                instance.waiting.push(parcel);
+            if self.now_ms >= instance.partitioned_until_ms {
+                instance.inbox.push(message);
             }
         }
         for number in 0..self.instances.len() {
             if self.now_ms >= self.instances[number].frozen_until_ms {
-                self.run(number);
+                self.run_due(number);
             }
         }
     }
 
     /// Lets one instance do what is due: what waited in its socket comes first.
-    fn run(&mut self, number: usize) {
-        let stored = self.stored();
-        for parcel in std::mem::take(&mut self.instances[number].waiting) {
+    fn run_due(&mut self, number: usize) {
+        let stored_version = self.stored_version();
+        for message in std::mem::take(&mut self.instances[number].inbox) {
             let now_ms = self.now_ms - self.instances[number].started_ms;
             let instance = &mut self.instances[number];
-            match parcel {
-                Parcel::Question(from, question) => {
-                    let answer = instance.proof.answer(now_ms, question);
-                    self.send(from, Parcel::Answer(answer), 0);
+            match message {
+                Message::Query(from, query) => {
+                    let answer = instance.proof.answer(now_ms, query);
+                    self.send(from, Message::Answer(answer), 0);
                 }
-                Parcel::Answer(answer) => {
+                Message::Answer(answer) => {
                     // A newer version is fetched from the peer.
                     instance.version = instance.version.max(answer.version);
                     instance.proof.record_version(instance.version);
                     instance.proof.enter_era(now_ms, answer.era);
                     instance.proof.take(&answer);
                 }
-                Parcel::Read {
+                Message::Read {
                     boot,
                     begun_ms,
                     era,
@@ -213,34 +213,34 @@
                     instance.proof.enter_era(now_ms, era);
                     instance.proof.read(era, begun_ms);
                 }
-                Parcel::Read { .. } => {}
+                Message::Read { .. } => {}
             }
         }
-        let is_cut = self.now_ms < self.instances[number].cut_until_ms;
+        let is_partitioned = self.now_ms < self.instances[number].partitioned_until_ms;
         let instance = &mut self.instances[number];
         let now_ms = self.now_ms - instance.started_ms;
-        let is_watching = number < self.watcher_count;
-        let is_reading = is_watching || instance.version == 0;
-        if is_reading && self.now_ms >= instance.reads_next_ms {
-            instance.reads_next_ms = self.now_ms + WATCH_MS;
-            let read = Parcel::Read {
+        let is_watcher = number < self.watcher_count;
+        let is_reader = is_watcher || instance.version == 0;
+        if is_reader && self.now_ms >= instance.next_read_ms {
+            instance.next_read_ms = self.now_ms + WATCH_MS;
+            let read = Message::Read {
                 boot: instance.boot,
                 begun_ms: now_ms,
                 era: self.era,
-                version: stored,
+                version: stored_version,
             };
-            if !is_cut {
+            if !is_partitioned {
                 self.send(number, read, 0);
             }
         }
         let instance = &mut self.instances[number];
-        if self.now_ms >= instance.asks_next_ms {
-            instance.asks_next_ms = self.now_ms + ASK_EVERY_MS;
-            let question = instance.proof.question(now_ms);
+        if self.now_ms >= instance.next_query_ms {
+            instance.next_query_ms = self.now_ms + QUERY_INTERVAL_MS;
+            let query = instance.proof.question(now_ms);
             for _ in 0..2 {
                 let peer = self.rng.random_range(0..self.instances.len());
-                if !is_cut {
-                    self.send(peer, Parcel::Question(number, question), 0);
+                if !is_partitioned {
+                    self.send(peer, Message::Query(number, query), 0);
                 }
             }
         }
@@ -250,8 +250,8 @@
     fn serves(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let now_ms = self.now_ms - instance.started_ms;
-        let is_awake = self.now_ms >= instance.frozen_until_ms;
-        is_awake && instance.version > 0 && instance.proof.is_proven(now_ms, BOUND_MS)
+        let is_running = self.now_ms >= instance.frozen_until_ms;
+        is_running && instance.version > 0 && instance.proof.is_proven(now_ms, BOUND_MS)
     }
 
     /// Checks that whoever serves has missed no version acknowledged before the bound.
@@ -276,7 +276,7 @@
 enum Event {
     Change,
     Freeze(u64),
-    Cut(u64),
+    Partition(u64),
     Restart,
     /// Others watch the store from now on.
     Watchers(usize),
@@ -286,10 +286,10 @@
 
 fn event(is_restored: bool) -> impl Strategy<Value = Event> {
     prop_oneof![
-        2 * u32::from(is_restored) => (0..COPY_MAX_MS).prop_map(Event::Restore),
+        2 * u32::from(is_restored) => (0..BACKUP_AGE_MAX_MS).prop_map(Event::Restore),
         3 => Just(Event::Change),
         2 => (500_u64..12_000).prop_map(Event::Freeze),
-        2 => (500_u64..12_000).prop_map(Event::Cut),
+        2 => (500_u64..12_000).prop_map(Event::Partition),
         1 => Just(Event::Restart),
         1 => (0_usize..4).prop_map(Event::Watchers),
     ]
@@ -299,9 +299,9 @@
 type Events = Vec<(u64, usize, Event)>;
 
 /// Plays events; nobody serves a withdrawn key beyond the bound.
-fn play(network: Network, seed: u64, events: Events) {
+fn simulate(network: Network, seed: u64, events: Events) {
     let mut world = World::start(9, 2, network, seed);
-    world.change();
+    world.write_version();
     for (pause_ms, number, event) in events {
         let until_ms = world.now_ms + pause_ms;
         while world.now_ms < until_ms {
@@ -309,15 +309,15 @@
             world.check();
         }
         match event {
-            Event::Change => world.change(),
+            Event::Change => world.write_version(),
             Event::Freeze(for_ms) => {
                 world.instances[number].frozen_until_ms = world.now_ms + for_ms;
             }
-            Event::Cut(for_ms) => {
-                world.instances[number].cut_until_ms = world.now_ms + for_ms;
+            Event::Partition(for_ms) => {
+                world.instances[number].partitioned_until_ms = world.now_ms + for_ms;
             }
             Event::Restart => {
-                world.instances[number] = world.fresh();
+                world.instances[number] = world.new_instance();
             }
             Event::Watchers(count) => world.watcher_count = count,
             Event::Restore(age_ms) => world.restore(age_ms),
@@ -341,11 +341,11 @@
     fn nobody_serves_a_withdrawn_key_beyond_the_bound(
         seed in any::<u64>(),
         delay_max_ms in 2_u64..6_000,
-        lost_share in 0.0..0.5,
-        doubled_share in 0.0..0.5,
+        loss_ratio in 0.0..0.5,
+        duplication_ratio in 0.0..0.5,
         events in events(false),
     ) {
-        play(Network { delay_max_ms, lost_share, doubled_share }, seed, events);
+        simulate(Network { delay_max_ms, loss_ratio, duplication_ratio }, seed, events);
     }
 
     /// Guards against a copy that proves that nothing newer exists, while it lacks the
@@ -354,11 +354,11 @@
     fn nobody_serves_a_key_whose_withdrawal_the_store_has_lost(
         seed in any::<u64>(),
         delay_max_ms in 2_u64..600,
-        lost_share in 0.0..0.5,
-        doubled_share in 0.0..0.5,
+        loss_ratio in 0.0..0.5,
+        duplication_ratio in 0.0..0.5,
         events in events(true),
     ) {
-        play(Network { delay_max_ms, lost_share, doubled_share }, seed, events);
+        simulate(Network { delay_max_ms, loss_ratio, duplication_ratio }, seed, events);
     }
 }
 
@@ -366,22 +366,22 @@
 #[test]
 fn instances_that_start_on_a_copy_open_no_key_whose_withdrawal_it_lacks() {
     for seed in 0..40 {
-        let mut world = World::start(9, 2, CALM, seed);
-        world.change();
-        let run = |world: &mut World, for_ms: u64| {
+        let mut world = World::start(9, 2, HEALTHY_NETWORK, seed);
+        world.write_version();
+        let advance = |world: &mut World, for_ms: u64| {
             for _ in 0..for_ms / STEP_MS {
                 world.step();
                 world.check();
             }
         };
-        run(&mut world, 3_000);
-        world.change();
-        run(&mut world, 6_000);
+        advance(&mut world, 3_000);
+        world.write_version();
+        advance(&mut world, 6_000);
         world.restore(7_000);
         for number in 0..world.instances.len() {
-            world.instances[number] = world.fresh();
+            world.instances[number] = world.new_instance();
         }
-        run(&mut world, 8_000);
+        advance(&mut world, 8_000);
         let all = 0..world.instances.len();
         assert!(all.into_iter().all(|number| world.serves(number)));
     }
@@ -404,23 +404,24 @@
 #[test]
 fn calm_instances_always_serve_also_after_a_takeover_of_the_watchers() {
     for (count, seed) in [(3, 1), (90, 2), (300, 3)] {
-        let mut world = World::start(count, 2, CALM, seed);
-        world.change();
+        let mut world = World::start(count, 2, HEALTHY_NETWORK, seed);
+        world.write_version();
         for _ in 0..500 {
             world.step();
         }
         for step in 0..2_000 {
             world.step();
             if step % 300 == 0 {
-                world.change();
+                world.write_version();
             }
             if step == 1_000 && count > 2 {
                 // The first watcher is lost; the other one goes on alone.
-                world.instances[0].cut_until_ms = u64::MAX;
+                world.instances[0].partitioned_until_ms = u64::MAX;
                 world.instances[0].frozen_until_ms = u64::MAX;
             }
-            let calm = (0..count).filter(|number| world.instances[*number].cut_until_ms == 0);
-            for number in calm {
+            let healthy =
+                (0..count).filter(|number| world.instances[*number].partitioned_until_ms == 0);
+            for number in healthy {
                 assert!(
                     world.serves(number),
                     "instance {number} of {count}, step {step}"
@@ -435,9 +436,9 @@
     let mut proof = Proof::new(1, CHANGE_MS);
     proof.record_version(7);
     proof.evacuations_known(StorePosition::new(0, 3));
-    let question = proof.question(10_000);
+    let query = proof.question(10_000);
     let answer = |boot: u64, version: u64, age_ms: Option<u64>| ProofAnswer {
-        question: ProofQuery { boot, ..question },
+        question: ProofQuery { boot, ..query },
         version,
         era: 0,
         evacuations_position: StorePosition::new(0, 3),
--- a/crates/cranereach-fleet/tests/regions.rs
+++ b/crates/cranereach-fleet/tests/regions.rs
@@ -20,7 +20,7 @@
 use cranereach_fleet::worker::WorkerRecord;
 
 /// Returns the position of a version of a store that has never come back from a copy.
-fn at(version: u64) -> StorePosition {
+fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
@@ -37,12 +37,12 @@
     };
     let mut rng = SmallRng::seed_from_u64(1);
     let mut roster = Roster::default();
-    roster.put(at(1), record("near", &[]));
+    roster.put(position_at(1), record("near", &[]));
     let refused = roster.choose(0, &bound, None, &mut rng);
     assert_eq!(refused, Err(NoWorker::NotAllowed));
     for (id, domain) in [("far", "y"), ("unlisted", "nowhere")] {
         roster.put(
-            at(1),
+            position_at(1),
             WorkerRecord {
                 failure_domain: Arc::from(domain),
                 ..record(id, &[])
@@ -53,7 +53,7 @@
         let chosen = roster.choose(0, &bound, None, &mut rng).unwrap();
         assert_eq!(chosen.id.as_ref(), "far");
     }
-    roster.leaves(at(2), worker_key("far"));
+    roster.leaves(position_at(2), worker_key("far"));
     let refused = roster.choose(0, &bound, None, &mut rng);
     assert_eq!(refused, Err(NoWorker::NotAllowed));
 }
--- a/crates/cranereach-fleet/tests/repeats.rs
+++ b/crates/cranereach-fleet/tests/repeats.rs
@@ -18,25 +18,25 @@
         let mut windows = vec![RetryWindow::new(RATIO, ALLOWANCE, WINDOW_MS); 4];
         let mut now_ms = 0;
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for (instance, pause_ms, kind) in events {
             now_ms += pause_ms;
             if kind == 0 {
                 windows[instance].request(now_ms);
                 requests.push(now_ms);
             } else if windows[instance].spend(now_ms, 4) {
-                repeats.push(now_ms);
+                retries.push(now_ms);
             }
         }
-        for end_ms in repeats.iter().copied() {
+        for end_ms in retries.iter().copied() {
             let from_ms = end_ms.saturating_sub(WINDOW_MS);
             let within = |times: &[u64], from_ms: u64| {
                 times.iter().filter(|at_ms| (from_ms..=end_ms).contains(at_ms)).count() as f64
             };
             // Requests count in the window or the one before it.
-            let asked = within(&requests, from_ms.saturating_sub(WINDOW_MS));
-            let allowed = RATIO * asked + ALLOWANCE;
-            assert!(within(&repeats, from_ms) <= allowed);
+            let request_count = within(&requests, from_ms.saturating_sub(WINDOW_MS));
+            let allowed = RATIO * request_count + ALLOWANCE;
+            assert!(within(&retries, from_ms) <= allowed);
         }
     }
 }
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -20,23 +20,27 @@
 use cranereach_fleet::store_position::StorePosition;
 
 /// Returns the position of a version of a store that has never come back from a copy.
-fn at(version: u64) -> StorePosition {
+fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
 #[test]
 fn each_value_has_a_meaning() {
-    let said = |values: &[&[u8]]| read(values.iter().copied());
-    assert_eq!(said(&[]), RestRequest::Nothing);
-    assert_eq!(said(&[b"3"]), RestRequest::For(3_000));
-    assert_eq!(said(&[b" 0.25 "]), RestRequest::For(250));
-    assert_eq!(said(&[b"0.0001"]), RestRequest::For(1), "rounded up");
-    assert_eq!(said(&[b"0"]), RestRequest::Nothing);
-    assert_eq!(said(&[b"-0"]), RestRequest::Nothing);
-    assert_eq!(said(&[b"1", b"2"]), RestRequest::For(2_000), "the longest");
-    assert_eq!(said(&[b"soon", b"2"]), RestRequest::For(2_000));
+    let parsed = |values: &[&[u8]]| read(values.iter().copied());
+    assert_eq!(parsed(&[]), RestRequest::Nothing);
+    assert_eq!(parsed(&[b"3"]), RestRequest::For(3_000));
+    assert_eq!(parsed(&[b" 0.25 "]), RestRequest::For(250));
+    assert_eq!(parsed(&[b"0.0001"]), RestRequest::For(1), "rounded up");
+    assert_eq!(parsed(&[b"0"]), RestRequest::Nothing);
+    assert_eq!(parsed(&[b"-0"]), RestRequest::Nothing);
+    assert_eq!(
+        parsed(&[b"1", b"2"]),
+        RestRequest::For(2_000),
+        "the longest"
+    );
+    assert_eq!(parsed(&[b"soon", b"2"]), RestRequest::For(2_000));
     for far in [&b"1e300"[..], b"3601", b"99999999999999999999"] {
-        assert_eq!(said(&[far]), RestRequest::For(REST_MAX_MS), "{far:?}");
+        assert_eq!(parsed(&[far]), RestRequest::For(REST_MAX_MS), "{far:?}");
     }
     let unreadable: [&[u8]; 8] = [
         b"",
@@ -49,9 +53,9 @@
         b"\xff",
     ];
     for value in unreadable {
-        assert_eq!(said(&[value]), RestRequest::Unreadable, "{value:?}");
+        assert_eq!(parsed(&[value]), RestRequest::Unreadable, "{value:?}");
     }
-    assert_eq!(said(&[&[b'1'; 4_000]]), RestRequest::Unreadable);
+    assert_eq!(parsed(&[&[b'1'; 4_000]]), RestRequest::Unreadable);
 }
 
 #[test]
@@ -107,9 +111,9 @@
 fn others_are_chosen_and_where_there_are_none_the_first_end_is_told() {
     let mut roster = Roster::default();
     for id in ["a", "b"] {
-        roster.put(at(5), record(id, &[("m", &[])]));
+        roster.put(position_at(5), record(id, &[("m", &[])]));
     }
-    roster.put(at(5), record("c", &[]));
+    roster.put(position_at(5), record("c", &[]));
     let routing_request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().rest.requested(1_000, 3_000);
     assert_eq!(choose(&roster, 1_000, &routing_request).as_deref(), Ok("b"));
@@ -136,12 +140,12 @@
 #[test]
 fn a_new_start_rests_for_nobody() {
     let mut roster = Roster::default();
-    roster.put(at(5), record("a", &[]));
+    roster.put(position_at(5), record("a", &[]));
     roster.get_mut("a").unwrap().rest.requested(1_000, 60_000);
-    roster.put(at(6), record("a", &[]));
+    roster.put(position_at(6), record("a", &[]));
     assert!(roster.is_resting(2_000, "a"), "a newer row changes nothing");
     let mut next = record("a", &[]);
     next.started_unix_ms = 9;
-    roster.put(at(7), next);
+    roster.put(position_at(7), next);
     assert!(!roster.is_resting(2_000, "a"));
 }
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -22,7 +22,7 @@
 use cranereach_fleet::worker::WorkerRecord;
 
 /// Returns the position of a version of a store that has never come back from a copy.
-fn at(version: u64) -> StorePosition {
+fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
@@ -51,32 +51,38 @@
 #[test]
 fn the_newest_row_wins_whoever_brings_it() {
     let mut roster = Roster::default();
-    assert!(roster.put(at(5), record("a", &[])));
+    assert!(roster.put(position_at(5), record("a", &[])));
     let mut leaving = record("a", &[]);
     leaving.is_leaving = true;
     assert!(
-        !roster.put(at(4), leaving.clone()),
+        !roster.put(position_at(4), leaving.clone()),
         "an older row changes nothing"
     );
-    assert!(roster.put(at(6), leaving));
-    assert!(!roster.remove(at(5), "a"), "an older end changes nothing");
-    assert!(roster.remove(at(7), "a"));
+    assert!(roster.put(position_at(6), leaving));
     assert!(
-        !roster.put(at(7), record("a", &[])),
+        !roster.remove(position_at(5), "a"),
+        "an older end changes nothing"
+    );
+    assert!(roster.remove(position_at(7), "a"));
+    assert!(
+        !roster.put(position_at(7), record("a", &[])),
         "the end was at that version"
     );
-    assert!(roster.put(at(8), record("a", &[])), "it is listed again");
+    assert!(
+        roster.put(position_at(8), record("a", &[])),
+        "it is listed again"
+    );
 }
 
 #[test]
 fn ends_of_workers_do_not_pile_up() {
     let mut roster = Roster::default();
     for version in 1..10_000_u64 {
-        roster.remove(at(version), &format!("w{version}"));
+        roster.remove(position_at(version), &format!("w{version}"));
     }
     assert!(roster.tombstone_count() <= 2_048);
     assert!(
-        !roster.put(at(9_990), record("w9999", &[])),
+        !roster.put(position_at(9_990), record("w9999", &[])),
         "the newest are kept"
     );
 }
@@ -84,46 +90,46 @@
 #[test]
 fn a_worker_whose_row_lapsed_serves_until_it_is_due_back() {
     let mut roster = Roster::default();
-    roster.put(at(5), record("back", &[]));
-    roster.put(at(5), record("lost", &[]));
+    roster.put(position_at(5), record("back", &[]));
+    roster.put(position_at(5), record("lost", &[]));
     let mut leaving = record("leaving", &[]);
     leaving.is_leaving = true;
-    roster.put(at(5), leaving);
-    assert!(roster.lapse(at(8), "back", 1_000));
-    assert!(roster.lapse(at(8), "lost", 1_000));
+    roster.put(position_at(5), leaving);
+    assert!(roster.lapse(position_at(8), "back", 1_000));
+    assert!(roster.lapse(position_at(8), "lost", 1_000));
     assert!(
-        !roster.lapse(at(8), "leaving", 1_000),
+        !roster.lapse(position_at(8), "leaving", 1_000),
         "its end was announced"
     );
     assert!(
-        !roster.lapse(at(4), "back", 1_000),
+        !roster.lapse(position_at(4), "back", 1_000),
         "an older end changes nothing"
     );
     assert_matches!(choose(&roster, 500, &routing_request(None)), Ok(_));
-    roster.put(at(9), record("back", &[]));
+    roster.put(position_at(9), record("back", &[]));
     // A later word of the same end gives no more time.
-    assert!(roster.lapse(at(8), "lost", 2_000));
+    assert!(roster.lapse(position_at(8), "lost", 2_000));
     assert!(roster.lapsed(999).is_empty());
-    assert_eq!(roster.lapsed(1_000), [(at(8), Arc::from("lost"))]);
+    assert_eq!(roster.lapsed(1_000), [(position_at(8), Arc::from("lost"))]);
 }
 
 #[test]
 fn a_worker_that_a_peer_saw_leave_gets_nothing() {
     let mut roster = Roster::default();
-    roster.put(at(5), record("a", &[]));
+    roster.put(position_at(5), record("a", &[]));
     assert!(
-        !roster.leaves(at(5), worker_key("a")),
+        !roster.leaves(position_at(5), worker_key("a")),
         "the own row is as new"
     );
-    assert!(roster.leaves(at(7), worker_key("a")));
+    assert!(roster.leaves(position_at(7), worker_key("a")));
     // A row from before it left comes late.
-    roster.put(at(6), record("a", &[]));
+    roster.put(position_at(6), record("a", &[]));
     assert_eq!(
         choose(&roster, 0, &routing_request(None)),
         Err(NoWorker::Leaving)
     );
     // A newer row that says it is ready counts again.
-    roster.put(at(7), record("a", &[]));
+    roster.put(position_at(7), record("a", &[]));
     assert_eq!(
         choose(&roster, 0, &routing_request(None)).as_deref(),
         Ok("a")
@@ -133,8 +139,8 @@
 #[test]
 fn a_request_goes_where_its_model_and_adapter_are() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m1", &[])]));
-    roster.put(at(2), record("b", &[("m2", &["a1"])]));
+    roster.put(position_at(1), record("a", &[("m1", &[])]));
+    roster.put(position_at(2), record("b", &[("m2", &["a1"])]));
     let table = [
         (Some(("m1", None)), Ok("a")),
         (Some(("m2", None)), Ok("b")),
@@ -173,8 +179,8 @@
 #[test]
 fn load_here_and_at_peers_sends_requests_elsewhere() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &[])]));
-    roster.put(at(2), record("b", &[("m", &[])]));
+    roster.put(position_at(1), record("a", &[("m", &[])]));
+    roster.put(position_at(2), record("b", &[("m", &[])]));
     let request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().began(0, &request, 50.0);
     assert_eq!(choose(&roster, 0, &request).as_deref(), Ok("b"));
@@ -211,8 +217,8 @@
 #[test]
 fn a_failing_worker_is_left_alone_and_tried_again() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[]));
-    roster.put(at(2), record("b", &[]));
+    roster.put(position_at(1), record("a", &[]));
+    roster.put(position_at(2), record("b", &[]));
     for now_ms in 0..3 {
         roster.get_mut("a").unwrap().health.failed(now_ms);
     }
@@ -223,7 +229,7 @@
     );
     assert!(!roster.get("a").unwrap().health.is_ejected(20_000));
     // Alone, it is better than none.
-    roster.remove(at(3), "b");
+    roster.remove(position_at(3), "b");
     assert_eq!(
         choose(&roster, 100, &routing_request(None)).as_deref(),
         Ok("a")
@@ -233,7 +239,7 @@
 #[test]
 fn a_worker_that_can_not_be_reached_is_tried_now_and_then() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &[])]));
+    roster.put(position_at(1), record("a", &[("m", &[])]));
     let request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().health.unreachable(1_000);
     assert_eq!(
@@ -250,7 +256,7 @@
     assert_eq!(choose(&roster, 2_020, &request).as_deref(), Ok("a"));
     assert!(roster.unreachable(2_020).is_empty());
     // Where another one holds the model, that one is taken.
-    roster.put(at(2), record("b", &[("m", &[])]));
+    roster.put(position_at(2), record("b", &[("m", &[])]));
     roster.get_mut("a").unwrap().health.unreachable(3_000);
     assert_eq!(choose(&roster, 4_500, &request).as_deref(), Ok("b"));
 }
@@ -258,19 +264,22 @@
 #[test]
 fn what_several_peers_say_of_a_worker_counts_and_is_not_passed_on() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[]));
-    let is_aside = |roster: &Roster, now_ms| roster.get("a").unwrap().health.is_ejected(now_ms);
+    roster.put(position_at(1), record("a", &[]));
+    let is_ejected = |roster: &Roster, now_ms| roster.get("a").unwrap().health.is_ejected(now_ms);
     let tell = |roster: &mut Roster, now_ms, peer| {
         let worker = roster.by_key_mut(worker_key("a")).unwrap();
         worker.note_reported_unreachable(now_ms, peer);
     };
     tell(&mut roster, 0, 7);
     tell(&mut roster, 100, 7);
-    assert!(!is_aside(&roster, 100), "one peer may be cut off itself");
+    assert!(!is_ejected(&roster, 100), "one peer may be cut off itself");
     tell(&mut roster, 5_000, 8);
-    assert!(!is_aside(&roster, 5_000), "the other one said so long ago");
+    assert!(
+        !is_ejected(&roster, 5_000),
+        "the other one said so long ago"
+    );
     tell(&mut roster, 5_100, 9);
-    assert!(is_aside(&roster, 5_100));
+    assert!(is_ejected(&roster, 5_100));
     assert!(roster.unreachable(5_100).is_empty());
     // It may still be reached from here: the next call sees.
     assert_eq!(
@@ -282,8 +291,8 @@
 #[test]
 fn a_prompt_goes_where_its_parts_were_read() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &[])]));
-    roster.put(at(2), record("b", &[("m", &[])]));
+    roster.put(position_at(1), record("a", &[("m", &[])]));
+    roster.put(position_at(2), record("b", &[("m", &[])]));
     let parts = hash_parts("m", &[("shared", 600), ("own", 400)]);
     let mut request = routing_request(Some(("m", None)));
     request.parts = &parts;
@@ -301,8 +310,8 @@
 #[test]
 fn a_full_worker_is_left_for_one_with_a_free_slot() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &[])]));
-    roster.put(at(2), record("b", &[("m", &[])]));
+    roster.put(position_at(1), record("a", &[("m", &[])]));
+    roster.put(position_at(2), record("b", &[("m", &[])]));
     let engine = engine(8);
     let mut request = routing_request(Some(("m", None)));
     request.stay_ms = 1_000.0;
@@ -330,8 +339,8 @@
 #[test]
 fn a_long_prompt_goes_where_it_holds_up_nobody() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &[])]));
-    roster.put(at(2), record("b", &[("m", &[])]));
+    roster.put(position_at(1), record("a", &[("m", &[])]));
+    roster.put(position_at(2), record("b", &[("m", &[])]));
     let engine = engine(16);
     let mut request = routing_request(Some(("m", None)));
     request.stay_ms = 100.0;
@@ -362,7 +371,7 @@
 #[test]
 fn an_adapter_that_was_missing_is_asked_for_again_soon() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &["a1"])]));
+    roster.put(position_at(1), record("a", &[("m", &["a1"])]));
     let with_adapter = routing_request(Some(("m", Some("a1"))));
     let bare = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().lacks(0, "m", Some("a1"));
@@ -378,7 +387,7 @@
 #[test]
 fn an_urgent_request_waits_for_urgent_ones_alone() {
     let mut roster = Roster::default();
-    roster.put(at(1), record("a", &[("m", &[])]));
+    roster.put(position_at(1), record("a", &[("m", &[])]));
     let mut request = routing_request(Some(("m", None)));
     request.rank = 2;
     roster.get_mut("a").unwrap().began(0, &request, 400.0);
@@ -400,14 +409,14 @@
         started_unix_ms,
         ..record("a", held)
     };
-    roster.put(at(1), started(1_000, &[("m1", &["a1"])]));
+    roster.put(position_at(1), started(1_000, &[("m1", &["a1"])]));
     let worker = roster.get_mut("a").unwrap();
     for _ in 0..3 {
         worker.health.failed(0);
     }
     worker.note_adapter_loaded(0, "m1", "a2");
     assert!(worker.health.is_ejected(10));
-    assert!(roster.put(at(2), started(2_000, &[("m1", &["a1"])])));
+    assert!(roster.put(position_at(2), started(2_000, &[("m1", &["a1"])])));
     let worker = roster.get("a").unwrap();
     assert!(!worker.health.is_ejected(10));
     let of_adapter = routing_request(Some(("m1", Some("a2"))));
@@ -417,5 +426,5 @@
         .get_mut("a")
         .unwrap()
         .note_adapter_loaded(10, "m1", "a2");
-    assert!(!roster.put(at(3), started(2_000, &[("m1", &["a1"])])));
+    assert!(!roster.put(position_at(3), started(2_000, &[("m1", &["a1"])])));
 }
--- a/crates/cranereach-fleet/tests/service_time.rs
+++ b/crates/cranereach-fleet/tests/service_time.rs
@@ -58,9 +58,9 @@
 fn a_route_of_quick_calls_says_nothing_of_the_slow_ones_of_its_service() {
     let mut times = ServiceTimes::default();
     let service = Arc::from("registry");
-    let (look_up, fetch) = (Arc::from("look-up"), Arc::from("fetch"));
+    let (lookup, fetch) = (Arc::from("look-up"), Arc::from("fetch"));
     for _answer in 0..20 {
-        times.learn(&service, &look_up, 2.0, 0, 6);
+        times.learn(&service, &lookup, 2.0, 0, 6);
     }
     let of_route_ms =
         |times: &ServiceTimes, route: &str| times.expected_ms("registry", route) as u64;
--- a/crates/cranereach-fleet/tests/shortage.rs
+++ b/crates/cranereach-fleet/tests/shortage.rs
@@ -10,13 +10,13 @@
     // For ten seconds, ten callers a second are refused; each comes back once.
     let mut shortages = Shortages::default();
     let ends_at_ms = 10_000;
-    let back_at = (0..100).map(|number| {
+    let return_times_ms = (0..100).map(|number| {
         let now_ms = number * 100;
         now_ms + shortages.retry_delay_ms(now_ms, LIMIT, 60, 0.5)
     });
-    let in_vain_count = back_at.filter(|at_ms| *at_ms < ends_at_ms).count();
+    let early_count = return_times_ms.filter(|at_ms| *at_ms < ends_at_ms).count();
     // By the time of its own room, each but the last would.
-    assert!(in_vain_count <= 50, "{in_vain_count}");
+    assert!(early_count <= 50, "{early_count}");
 }
 
 #[test]
