--- a/crates/cranereach-fleet/tests/paces.rs
+++ b/crates/cranereach-fleet/tests/paces.rs
@@ -1,9 +1,10 @@
-//! How fast prompts are read, and what a request takes besides.
+//! Learned prefill cost of a model: a fixed time per request and a time per prompt token.
 
 use cranereach_fleet::prefill_cost::PrefillCost;
 use cranereach_fleet::prefill_cost::PrefillCosts;
 
-/// Teaches prompts of several lengths that take a fixed time and one a token.
+/// Returns the cost learned from prompts of four lengths, each of which takes a fixed time plus a
+/// time per token.
 fn learned_cost(fixed_ms: f64, token_ms: f64) -> PrefillCost {
     let mut costs = PrefillCosts::default();
     for sample in 0..300_u32 {
--- a/crates/cranereach-fleet/tests/pauses.rs
+++ b/crates/cranereach-fleet/tests/pauses.rs
@@ -1,4 +1,5 @@
-//! Pauses predicted from what a worker reads, and places found for prompts.
+//! Pauses predicted for the streams of a worker that prefills prompts, and send times found for
+//! prompts.
 
 #![expect(clippy::float_cmp, reason = "times are whole milliseconds here")]
 
@@ -9,14 +10,14 @@
 use cranereach_fleet::pause_prediction::find_send_time;
 use cranereach_fleet::pause_prediction::longest_ms;
 
-/// A worker that makes an event of three tokens in 30 ms when it reads nothing.
+/// A worker that produces an event of three tokens every 30 ms while it prefills nothing.
 const STEP_TIMING: StepTiming = StepTiming {
     event_steps: 3,
     step_ms: 10.0,
     chunk_ms: 200.0,
 };
 
-/// A prompt that isn't known to have been read.
+/// Returns the arrival of a prompt whose prefill is not known to be complete.
 fn prompt(at_ms: f64, reading_ms: f64) -> Arrival {
     Arrival {
         at_ms,
@@ -30,12 +31,12 @@
     let table = [
         (vec![], 30.0),
         (vec![prompt(0.0, 100.0)], 130.0),
-        // Both are read in one step, or one after the other within one event.
+        // Both are prefilled in one step, or one after the other within one event.
         (vec![prompt(0.0, 50.0), prompt(0.0, 50.0)], 130.0),
         (vec![prompt(0.0, 50.0), prompt(30.0, 50.0)], 130.0),
-        // Far apart they meet different events.
+        // Prompts that are far apart delay different events.
         (vec![prompt(0.0, 50.0), prompt(500.0, 50.0)], 80.0),
-        // Larger than a chunk: its rest is read in the next steps.
+        // Larger than a chunk: the remainder is prefilled in the next steps.
         (vec![prompt(0.0, 450.0)], 480.0),
         (vec![prompt(0.0, 1_000.0)], 630.0),
     ];
@@ -49,7 +50,7 @@
     let mut arrivals = [prompt(0.0, 150.0), prompt(0.0, 500.0)];
     assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), 630.0);
     arrivals[1].read_at_ms = Some(100.0);
-    // One chunk has begun by then.
+    // One chunk of the second prompt had begun by then.
     assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), 230.0);
 }
 
--- a/crates/cranereach-fleet/tests/placing.rs
+++ b/crates/cranereach-fleet/tests/placing.rs
@@ -1,4 +1,4 @@
-//! What the plan orders: tables of small fleets.
+//! Loads and unloads of models and adapters that the placement plan orders in small fleets.
 
 use std::collections::HashMap;
 
@@ -39,7 +39,8 @@
     }
 }
 
-/// Plans for models of 100 MB with one adapter each, on workers of 210 MB.
+/// Returns the next order for models of 100 MB with four adapters each, on workers with 210 MB for
+/// weights and two adapter slots.
 fn next_order(
     workers: &[WorkerView],
     demand: &[(ModelKey, f64)],
@@ -101,8 +102,8 @@
 
 #[test]
 fn the_last_ready_replica_stays_while_another_loads() {
-    // Found on a day of high load: the one ready replica was unloaded because
-    // a second one, seconds from being ready, counted as much.
+    // Guards against unloading the only ready replica of a model under high load because a second
+    // one, which is still loading, counts as much as a ready one.
     let workers = [
         worker(&[replica(7), replica(1)]),
         worker(&[loading(7), replica(2)]),
@@ -141,7 +142,7 @@
         (planned.worker, planned.order),
         (2, Order::LoadAdapter((0, 3)))
     );
-    // Where all slots are taken, the least wanted makes way.
+    // If all slots are taken, the adapter with the least demand is unloaded.
     let demand = [((0, 3), 10.0), ((0, 1), 9.0), ((0, 2), 0.1)];
     let planned = next_order(&[worker(&[full])], &demand, true).unwrap();
     assert_eq!(planned.order, Order::UnloadAdapter((0, 2)));
@@ -164,7 +165,7 @@
 
 #[test]
 fn a_replica_goes_where_time_is_left() {
-    // Both have room, but one of them is busy with another model.
+    // Two workers have room, but one of them is busier with its model.
     let workers = [
         worker(&[replica(6)]),
         worker(&[replica(5)]),
@@ -179,7 +180,7 @@
 fn models_that_share_a_worker_need_more_replicas_than_those_apart() {
     let apart = [worker(&[replica(6)]), worker(&[replica(7)]), worker(&[])];
     let together = [worker(&[replica(6), replica(7)]), worker(&[]), worker(&[])];
-    // Each model alone would leave its worker idle for most of the time.
+    // A worker with only one of the models would be idle most of the time.
     let demand = [((6, 0), 250.0), ((7, 0), 250.0)];
     let is_replicated = |workers: &[WorkerView]| {
         let mut workers = workers.to_vec();
@@ -192,7 +193,8 @@
     assert!(is_replicated(&together));
 }
 
-/// What the plan orders for adapters, by looking at every worker for each of them.
+/// Returns the adapter load that the plan is expected to order, by a reference implementation that
+/// looks at every worker for each adapter.
 fn expected_adapter_load(
     workers: &[WorkerView],
     demand: &HashMap<ModelKey, f64>,
--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -1,6 +1,6 @@
-//! No instance serves a withdrawn key beyond the bound, and calm ones always serve: in
-//! a simulated network with delay, loss, doubling, freezes, cuts and restarts, and a store
-//! that comes back from copies.
+//! No instance accepts a revoked key beyond the bound, and undisturbed instances always serve, in a
+//! simulated network with delays, loss, duplication, suspended processes, partitions and restarts,
+//! and a store that is restored from backups.
 
 use std::collections::BTreeMap;
 
@@ -13,28 +13,28 @@
 use cranereach_fleet::proof::ProofQuery;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Time after which a withdrawn key must open nothing, in milliseconds.
+/// Time after which a revoked key must be refused everywhere, in milliseconds.
 const BOUND_MS: u64 = 5_000;
 
-/// Time within which a change is in force in calm times, in milliseconds.
+/// Time within which a change is in force while nothing is disturbed, in milliseconds.
 const CHANGE_MS: u64 = 3_000;
 
-/// Time between two rounds of questions, in milliseconds, as in the gateway.
+/// Interval at which an instance queries peers, in milliseconds, as in the gateway.
 const QUERY_INTERVAL_MS: u64 = 200;
 
-/// Time that a watch waits at the store, in milliseconds, as in the gateway.
+/// Time that a watch request waits at the store, in milliseconds, as in the gateway.
 const WATCH_MS: u64 = 1_200;
 
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// Age of the oldest copy that the store comes back from, in milliseconds.
+/// Age of the oldest backup that the store is restored from, in milliseconds.
 const BACKUP_AGE_MAX_MS: u64 = 8_000;
 
-/// Longest time until the operator has written again what was lost, in milliseconds.
+/// Longest time until the operator has rewritten what a restore lost, in milliseconds.
 const REWRITE_WITHIN_MS: u64 = 2_000;
 
-/// How the network treats messages.
+/// Delays and faults of the simulated network.
 #[derive(Clone, Copy, Debug)]
 struct Network {
     delay_max_ms: u64,
@@ -48,13 +48,13 @@
     duplication_ratio: 0.0,
 };
 
-/// What is on its way.
+/// A message that is in flight.
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Query(usize, ProofQuery),
     Answer(ProofAnswer),
-    /// The store's answer to a read begun at a time of the reader's clock, of a start:
-    /// the newest version then.
+    /// The store's answer to a read: the newest version when the read began, on the clock of the
+    /// reader's process start `boot`.
     Read {
         boot: u64,
         begun_ms: u64,
@@ -68,7 +68,7 @@
     proof: Proof,
     boot: u64,
     version: u64,
-    /// Time of the world at which its clock showed zero.
+    /// Simulated time at which its own clock showed zero.
     started_ms: u64,
     frozen_until_ms: u64,
     partitioned_until_ms: u64,
@@ -77,17 +77,17 @@
     inbox: Vec<Message>,
 }
 
-/// Instances and the store.
+/// Simulated fleet: the instances, the network and the store.
 struct World {
     instances: Vec<Instance>,
     watcher_count: usize,
     network: Network,
     now_ms: u64,
-    /// When each version was acknowledged; the index is the version.
+    /// Time at which the store acknowledged each version; the index is the version.
     acknowledged_ms: Vec<u64>,
-    /// Times that the store came back from a copy.
+    /// Number of times that the store has been restored from a backup.
     era: u64,
-    /// The version that it lacks from, and until when.
+    /// First version that the store lacks since a restore, and the time until which it lacks it.
     missing: Option<(u64, u64)>,
     in_flight: BTreeMap<u64, Vec<(usize, Message)>>,
     rng: StdRng,
@@ -113,7 +113,7 @@
         world
     }
 
-    /// Makes an instance that has just started.
+    /// Returns an instance that has just started.
     fn new_instance(&mut self) -> Instance {
         let boot = self.rng.random();
         Instance {
@@ -129,27 +129,27 @@
         }
     }
 
-    /// Returns the version that the store has.
+    /// Returns the newest version that the store has.
     fn stored_version(&self) -> u64 {
         let newest = self.acknowledged_ms.len() as u64 - 1;
         let missing = self.missing.filter(|(_, until_ms)| self.now_ms < *until_ms);
         missing.map_or(newest, |(version, _)| version - 1)
     }
 
-    /// Lets the operator write a version: one that was lost stands below it.
+    /// Lets the operator write a version, which includes those that a restore lost.
     fn write_version(&mut self) {
         self.acknowledged_ms.push(self.now_ms);
         self.missing = None;
     }
 
-    /// The store comes back from a copy of an age; the operator writes again what it lacks.
+    /// Restores the store from a backup of the given age; the operator rewrites later what it lacks.
     fn restore(&mut self, age_ms: u64) {
         let backup_ms = self.now_ms.saturating_sub(age_ms);
         let is_lost = |at_ms: &u64| *at_ms > backup_ms;
         let first_lost = self.acknowledged_ms.iter().position(is_lost);
         let until_ms = self.now_ms + self.rng.random_range(0..=REWRITE_WITHIN_MS);
         self.era += 1;
-        // The first version was there long before.
+        // The first version is older than any backup.
         self.missing = first_lost.map(|version| (version.max(2) as u64, until_ms));
     }
 
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Lets one instance do what is due: what waited in its socket comes first.
+    /// Runs what is due at one instance, the messages that waited in its socket first.
     fn run_due(&mut self, number: usize) {
         let stored_version = self.stored_version();
         for message in std::mem::take(&mut self.instances[number].inbox) {
@@ -196,7 +196,7 @@
                     self.send(from, Message::Answer(answer), 0);
                 }
                 Message::Answer(answer) => {
-                    // A newer version is fetched from the peer.
+                    // A newer version is fetched from the peer, here at once.
                     instance.version = instance.version.max(answer.version);
                     instance.proof.record_version(instance.version);
                     instance.proof.enter_era(now_ms, answer.era);
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Whether an instance would serve a key of its version now.
+    /// Whether an instance would accept a key of its version now.
     fn serves(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let now_ms = self.now_ms - instance.started_ms;
@@ -254,7 +254,7 @@
         is_running && instance.version > 0 && instance.proof.is_proven(now_ms, BOUND_MS)
     }
 
-    /// Checks that whoever serves has missed no version acknowledged before the bound.
+    /// Checks that no instance that serves lacks a version acknowledged longer ago than the bound.
     fn check(&self) {
         for number in 0..self.instances.len() {
             let next = self.instances[number].version as usize + 1;
@@ -262,7 +262,7 @@
             if let (true, Some(missed_ms)) = (self.serves(number), missed_ms) {
                 assert!(
                     self.now_ms <= missed_ms + BOUND_MS,
-                    "instance {number} serves version {} at {}, {next} came at {missed_ms}",
+                    "instance {number} serves version {} at {} ms, {next} was acknowledged at {missed_ms} ms",
                     next - 1,
                     self.now_ms
                 );
@@ -271,16 +271,16 @@
     }
 }
 
-/// What happens to an instance, or to the store's content.
+/// A fault, a change of the configuration, or another event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Change,
     Freeze(u64),
     Partition(u64),
     Restart,
-    /// Others watch the store from now on.
+    /// Changes how many instances watch the store.
     Watchers(usize),
-    /// The store comes back from a copy of an age.
+    /// The store is restored from a backup of the given age.
     Restore(u64),
 }
 
@@ -295,10 +295,10 @@
     ]
 }
 
-/// Events, each after a pause and at an instance.
+/// Events, each with the pause before it in milliseconds and the instance that it happens to.
 type Events = Vec<(u64, usize, Event)>;
 
-/// Plays events; nobody serves a withdrawn key beyond the bound.
+/// Simulates events and checks that no instance accepts a revoked key beyond the bound.
 fn simulate(network: Network, seed: u64, events: Events) {
     let mut world = World::start(9, 2, network, seed);
     world.write_version();
@@ -348,8 +348,8 @@
         simulate(Network { delay_max_ms, loss_ratio, duplication_ratio }, seed, events);
     }
 
-    /// Guards against a copy that proves that nothing newer exists, while it lacks the
-    /// version that withdrew a key.
+    /// Guards against a restored store that proves that nothing newer exists, while it lacks the
+    /// version that revoked a key.
     #[test]
     fn nobody_serves_a_key_whose_withdrawal_the_store_has_lost(
         seed in any::<u64>(),
@@ -362,7 +362,8 @@
     }
 }
 
-/// Guards against instances that all start on a copy and open a key by it that was withdrawn.
+/// Guards against instances that all start while the store is restored and accept a revoked key
+/// because the backup lacks its revocation.
 #[test]
 fn instances_that_start_on_a_copy_open_no_key_whose_withdrawal_it_lacks() {
     for seed in 0..40 {
@@ -387,7 +388,8 @@
     }
 }
 
-/// Guards against an answer that proves something before its era has been entered.
+/// Guards against a read of the store that counts as proof before its era has been entered, or after
+/// a later one has been.
 #[test]
 fn an_answer_of_another_era_proves_nothing() {
     let mut proof = Proof::new(1, CHANGE_MS);
@@ -415,7 +417,7 @@
                 world.write_version();
             }
             if step == 1_000 && count > 2 {
-                // The first watcher is lost; the other one goes on alone.
+                // The first watcher fails; the other one continues alone.
                 world.instances[0].partitioned_until_ms = u64::MAX;
                 world.instances[0].frozen_until_ms = u64::MAX;
             }
@@ -456,7 +458,7 @@
     assert_eq!(proof.age_ms(10_000), None);
     assert!(proof.take(&answer(1, 6, Some(400))));
     assert_eq!(proof.age_ms(10_000), Some(400));
-    // An older moment changes nothing.
+    // An answer that proves an older moment changes nothing.
     assert!(!proof.take(&answer(1, 7, Some(900))));
     assert_eq!(proof.age_ms(10_000), Some(400));
 }
--- a/crates/cranereach-fleet/tests/reading_plan.rs
+++ b/crates/cranereach-fleet/tests/reading_plan.rs
@@ -1,17 +1,17 @@
-//! Places that an owner gives to prompts.
+//! Send times that a worker's owner gives to prompts.
 
 #![expect(clippy::float_cmp, reason = "times are whole milliseconds here")]
 
 use cranereach_fleet::prefill_schedule::PrefillSchedule;
 
-/// A plan of a worker whose streams may pause for 400 ms, three tokens an event.
+/// Returns the schedule of a worker with three tokens per event whose streams may pause for 400 ms.
 fn schedule() -> PrefillSchedule {
     let mut schedule = PrefillSchedule::default();
     schedule.set_limits(400.0, 3);
     schedule
 }
 
-/// Puts a prompt in its place; returns when that is.
+/// Schedules a prompt and returns its send time in milliseconds.
 fn schedule_prompt(
     schedule: &mut PrefillSchedule,
     now_ms: u64,
@@ -30,7 +30,7 @@
         .map(|number| schedule_prompt(&mut schedule, 1_000, number, 200.0))
         .collect();
     assert_eq!(send_times_ms[0], 1_000.0);
-    // Two would make a pause of 439 ms, 320 are allowed.
+    // Two at once would cause a pause of 439 ms; 320 ms are allowed.
     assert!(
         send_times_ms.is_sorted_by(|left, right| left + 200.0 < *right),
         "{send_times_ms:?}"
--- a/crates/cranereach-fleet/tests/regions.rs
+++ b/crates/cranereach-fleet/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may be served in some regions only.
+//! Requests that may be served only in some regions.
 
 mod workers;
 
@@ -19,7 +19,7 @@
 use cranereach_fleet::topology::Topology;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version of a store that has never been restored from a backup.
 fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
--- a/crates/cranereach-fleet/tests/repeats.rs
+++ b/crates/cranereach-fleet/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! The bound of repeats over all instances together.
+//! Retry budget: the bound on the retries of all instances together.
 
 use proptest::prelude::ProptestConfig;
 use proptest::proptest;
@@ -33,7 +33,7 @@
             let within = |times: &[u64], from_ms: u64| {
                 times.iter().filter(|at_ms| (from_ms..=end_ms).contains(at_ms)).count() as f64
             };
-            // Requests count in the window or the one before it.
+            // Requests count if they came within the window or the one before it.
             let request_count = within(&requests, from_ms.saturating_sub(WINDOW_MS));
             let allowed = RATIO * request_count + ALLOWANCE;
             assert!(within(&retries, from_ms) <= allowed);
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -1,4 +1,4 @@
-//! The rest that a worker asks an instance for.
+//! Backoff, called its rest, that a worker requests from an instance.
 
 mod workers;
 
@@ -19,7 +19,7 @@
 use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version of a store that has never been restored from a backup.
 fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -36,7 +36,7 @@
     assert_eq!(
         parsed(&[b"1", b"2"]),
         RestRequest::For(2_000),
-        "the longest"
+        "the longest counts"
     );
     assert_eq!(parsed(&[b"soon", b"2"]), RestRequest::For(2_000));
     for far in [&b"1e300"[..], b"3601", b"99999999999999999999"] {
@@ -78,7 +78,7 @@
     assert!(!rest.may_send(3_999, 0) && rest.is_resting(3_999));
     rest.sent(4_000);
     assert!(rest.accepted(4_000));
-    assert!(!rest.accepted(4_000), "it was over");
+    assert!(!rest.accepted(4_000), "the rest had already ended");
     assert_eq!(rest.may_send_from_ms(2), 0);
 }
 
@@ -92,7 +92,7 @@
     rest.sent(4_060);
     assert!(!rest.may_send(4_061, 0));
     assert!(rest.may_send(4_060 + TRIAL_INTERVAL_MS, 0), "no answer yet");
-    // It asks for rest once more.
+    // The worker requests a rest once more.
     rest.requested(4_070, 1_000);
     assert!(!rest.may_send(5_069, 0) && rest.may_send(5_070, 0));
 }
@@ -124,7 +124,7 @@
     );
     let free = roster.next_ask_and_free_ms(1_000, &routing_request);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(3_000 + 25), "by rank");
-    // One that leaves is no hope.
+    // A worker that is leaving doesn't count.
     roster.note_leaving_announced(1_500, "b", 0);
     let free = roster.next_ask_and_free_ms(1_500, &routing_request);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(4_000 + 25));
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The list of workers and the choice of one.
+//! The roster of known workers and the choice of one for a request.
 
 mod workers;
 
@@ -21,7 +21,7 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version of a store that has never been restored from a backup.
 fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -61,16 +61,16 @@
     assert!(roster.put(position_at(6), leaving));
     assert!(
         !roster.remove(position_at(5), "a"),
-        "an older end changes nothing"
+        "an older removal changes nothing"
     );
     assert!(roster.remove(position_at(7), "a"));
     assert!(
         !roster.put(position_at(7), record("a", &[])),
-        "the end was at that version"
+        "the removal was at that version"
     );
     assert!(
         roster.put(position_at(8), record("a", &[])),
-        "it is listed again"
+        "a newer row lists it again"
     );
 }
 
@@ -99,15 +99,15 @@
     assert!(roster.lapse(position_at(8), "lost", 1_000));
     assert!(
         !roster.lapse(position_at(8), "leaving", 1_000),
-        "its end was announced"
+        "it had announced that it leaves"
     );
     assert!(
         !roster.lapse(position_at(4), "back", 1_000),
-        "an older end changes nothing"
+        "an older removal changes nothing"
     );
     assert_matches!(choose(&roster, 500, &routing_request(None)), Ok(_));
     roster.put(position_at(9), record("back", &[]));
-    // A later word of the same end gives no more time.
+    // A later report of the same removal doesn't extend the time.
     assert!(roster.lapse(position_at(8), "lost", 2_000));
     assert!(roster.lapsed(999).is_empty());
     assert_eq!(roster.lapsed(1_000), [(position_at(8), Arc::from("lost"))]);
@@ -119,16 +119,16 @@
     roster.put(position_at(5), record("a", &[]));
     assert!(
         !roster.leaves(position_at(5), worker_key("a")),
-        "the own row is as new"
+        "this instance's row is as new"
     );
     assert!(roster.leaves(position_at(7), worker_key("a")));
-    // A row from before it left comes late.
+    // A row from before it began to leave arrives late.
     roster.put(position_at(6), record("a", &[]));
     assert_eq!(
         choose(&roster, 0, &routing_request(None)),
         Err(NoWorker::Leaving)
     );
-    // A newer row that says it is ready counts again.
+    // A newer row, which doesn't say that it is leaving, makes it usable again.
     roster.put(position_at(7), record("a", &[]));
     assert_eq!(
         choose(&roster, 0, &routing_request(None)).as_deref(),
@@ -200,12 +200,12 @@
         .unwrap()
         .set_owner_status(0, status(load));
     assert_eq!(choose(&roster, 1, &request).as_deref(), Ok("a"));
-    // An owner's word counts while it is fresh, the newest one alone.
+    // Only the newest status from an owner counts, and only while it is recent.
     assert_eq!(choose(&roster, 10_000, &request).as_deref(), Ok("b"));
     let idle = status(Load::default());
     roster.get_mut("b").unwrap().set_owner_status(2, idle);
     assert_eq!(choose(&roster, 3, &request).as_deref(), Ok("b"));
-    // An owner that is new knows less than this instance itself.
+    // An owner that has just taken over knows less than this instance itself.
     roster.get_mut("a").unwrap().set_owner_status(2, idle);
     assert_eq!(roster.get("a").unwrap().load(3).open_count, 1);
     let worker = roster.get_mut("a").unwrap();
@@ -228,7 +228,7 @@
         Ok("b")
     );
     assert!(!roster.get("a").unwrap().health.is_ejected(20_000));
-    // Alone, it is better than none.
+    // If it is the only worker, it is still used.
     roster.remove(position_at(3), "b");
     assert_eq!(
         choose(&roster, 100, &routing_request(None)).as_deref(),
@@ -245,17 +245,17 @@
     assert_eq!(
         choose(&roster, 1_010, &request),
         Err(NoWorker::Unreachable),
-        "nobody waits for it"
+        "no request waits for it"
     );
     assert_eq!(roster.unreachable(1_010), [worker_key("a")]);
     assert_eq!(choose(&roster, 2_000, &request).as_deref(), Ok("a"));
-    // One call looks whether it is back; others don't until it has ended.
+    // One call probes whether it is back; others are refused until that call has ended.
     roster.get_mut("a").unwrap().began(2_000, &request, 0.0);
     assert_eq!(choose(&roster, 2_010, &request), Err(NoWorker::Unreachable));
     roster.get_mut("a").unwrap().health.reached();
     assert_eq!(choose(&roster, 2_020, &request).as_deref(), Ok("a"));
     assert!(roster.unreachable(2_020).is_empty());
-    // Where another one holds the model, that one is taken.
+    // If another worker holds the model, that one is chosen.
     roster.put(position_at(2), record("b", &[("m", &[])]));
     roster.get_mut("a").unwrap().health.unreachable(3_000);
     assert_eq!(choose(&roster, 4_500, &request).as_deref(), Ok("b"));
@@ -272,16 +272,19 @@
     };
     tell(&mut roster, 0, 7);
     tell(&mut roster, 100, 7);
-    assert!(!is_ejected(&roster, 100), "one peer may be cut off itself");
+    assert!(
+        !is_ejected(&roster, 100),
+        "one peer may be partitioned itself"
+    );
     tell(&mut roster, 5_000, 8);
     assert!(
         !is_ejected(&roster, 5_000),
-        "the other one said so long ago"
+        "the report of the other peer is too old"
     );
     tell(&mut roster, 5_100, 9);
     assert!(is_ejected(&roster, 5_100));
     assert!(roster.unreachable(5_100).is_empty());
-    // It may still be reached from here: the next call sees.
+    // It may still be reachable from here: the next call finds out.
     assert_eq!(
         choose(&roster, 5_110, &routing_request(None)).as_deref(),
         Ok("a")
@@ -315,7 +318,7 @@
     let engine = engine(8);
     let mut request = routing_request(Some(("m", None)));
     request.stay_ms = 1_000.0;
-    // The other one has more to read, but nobody has to leave first.
+    // The other one has more to prefill, but a request needn't wait there for a slot.
     roster.get_mut("b").unwrap().began(0, &request, 90.0);
     for _request in 0..8 {
         let worker = roster.get_mut("a").unwrap();
@@ -326,7 +329,7 @@
     let choice = roster.choose(0, &request, Some(&engine), &mut rng).unwrap();
     assert_eq!(choice.id.as_ref(), "b");
     assert!(!choice.is_first);
-    // Full to the last slot but one it is still avoided; half full it isn't.
+    // With one free slot it is still avoided; half full it isn't.
     for (end_count, expected) in [(1, "b"), (3, "a")] {
         for _request in 0..end_count {
             roster.get_mut("a").unwrap().ended(1_100, 1_000.0);
@@ -344,7 +347,7 @@
     let engine = engine(16);
     let mut request = routing_request(Some(("m", None)));
     request.stay_ms = 100.0;
-    // Both run as many, but one of them has something to read already.
+    // Worker "b" runs fewer answers than "a", but has a prompt to prefill.
     for worker in ["a", "b"] {
         for _request in 0..4 {
             let worker = roster.get_mut(worker).unwrap();
@@ -361,8 +364,8 @@
         let choice = roster.choose(0, request, Some(&engine), &mut rng).unwrap();
         choice.id.to_string()
     };
-    // With 120 ms to read, some pauses get longer than 0.4 of 250 ms: two fewer
-    // streams wait for it at the second worker.
+    // A prefill of 120 ms makes some pauses longer than 0.4 of 250 ms; at worker "b" it holds up
+    // two streams fewer.
     request.prompt_tokens = 2_400;
     request.gap_aim_ms = Some(250.0);
     assert_eq!(chosen(&roster, &request), "b");
@@ -378,7 +381,7 @@
     assert_eq!(choose(&roster, 10, &with_adapter), Err(NoWorker::NoAdapter));
     assert_eq!(choose(&roster, 10, &bare).as_deref(), Ok("a"));
     assert_eq!(choose(&roster, 100, &with_adapter).as_deref(), Ok("a"));
-    // A model takes seconds.
+    // A missing model is tried again later than an adapter: loading it takes seconds.
     roster.get_mut("a").unwrap().lacks(200, "m", None);
     assert_eq!(choose(&roster, 1_000, &bare), Err(NoWorker::NoModel));
     assert_eq!(choose(&roster, 2_000, &bare).as_deref(), Ok("a"));
@@ -399,7 +402,10 @@
     };
     assert!(begins_in_ms(0) < 100.0);
     assert!(begins_in_ms(2) > 400.0);
-    assert!(begins_in_ms(7) > 400.0, "lower ranks count as the last");
+    assert!(
+        begins_in_ms(7) > 400.0,
+        "lower ranks count as the lowest one"
+    );
 }
 
 #[test]
@@ -421,7 +427,7 @@
     assert!(!worker.health.is_ejected(10));
     let of_adapter = routing_request(Some(("m1", Some("a2"))));
     assert_eq!(choose(&roster, 10, &of_adapter), Err(NoWorker::NoAdapter));
-    // A row of the same start changes nothing of that.
+    // A row of the same start keeps what was learned since.
     roster
         .get_mut("a")
         .unwrap()
--- a/crates/cranereach-fleet/tests/service_time.rs
+++ b/crates/cranereach-fleet/tests/service_time.rs
@@ -1,13 +1,13 @@
-//! What calls of a plain service take, learned from answers that waited in a queue.
+//! Service time of the calls of a plain service, learned from answers that include time in a queue.
 
 use std::sync::Arc;
 
 use cranereach_fleet::service_time::ServiceTimes;
 
-/// Route of the calls where it is the same for all.
+/// Route of the calls in tests that use only one.
 const ROUTE: &str = "r";
 
-/// Returns what a service's calls are expected to take, in whole milliseconds.
+/// Returns the expected service time of a service's calls, in whole milliseconds.
 fn expected_ms(times: &ServiceTimes, service: &str) -> u64 {
     times.expected_ms(service, ROUTE).round() as u64
 }
@@ -31,7 +31,7 @@
     let mut times = ServiceTimes::default();
     let service = Arc::from("registry");
     for _answer in 0..200 {
-        // Five times as many calls as slots: five turns.
+        // Five times as many calls as slots: five rounds.
         times.learn(&service, &Arc::from(ROUTE), 250.0, 29, 6);
     }
     assert_eq!(expected_ms(&times, "registry"), 50);
@@ -64,7 +64,11 @@
     }
     let of_route_ms =
         |times: &ServiceTimes, route: &str| times.expected_ms("registry", route) as u64;
-    assert_eq!(of_route_ms(&times, "fetch"), 2, "as others of its service");
+    assert_eq!(
+        of_route_ms(&times, "fetch"),
+        2,
+        "as for other routes of its service"
+    );
     for _answer in 0..5 {
         times.learn(&service, &fetch, 60.0, 3, 6);
     }
--- a/crates/cranereach-fleet/tests/shortage.rs
+++ b/crates/cranereach-fleet/tests/shortage.rs
@@ -1,8 +1,8 @@
-//! When refused callers are told to come back.
+//! Retry delays of refused callers.
 
 use cranereach_fleet::shortage::Shortages;
 
-/// What is lacking.
+/// Key of the resource that is short.
 const LIMIT: u64 = 1;
 
 #[test]
@@ -15,7 +15,7 @@
         now_ms + shortages.retry_delay_ms(now_ms, LIMIT, 60, 0.5)
     });
     let early_count = return_times_ms.filter(|at_ms| *at_ms < ends_at_ms).count();
-    // By the time of its own room, each but the last would.
+    // With a constant delay of 60 ms, all of them would return too early.
     assert!(early_count <= 50, "{early_count}");
 }
 
@@ -24,7 +24,7 @@
     let mut shortages = Shortages::default();
     assert_eq!(shortages.retry_delay_ms(5_000, LIMIT, 60, 0.5), 60);
     assert_eq!(shortages.retry_delay_ms(5_050, LIMIT, 60, 0.5), 60);
-    // Another one, later.
+    // Another shortage, later.
     assert_eq!(shortages.retry_delay_ms(9_000, LIMIT, 80, 0.5), 80);
     assert_eq!(shortages.retry_delay_ms(9_100, LIMIT + 1, 80, 0.5), 80);
 }
--- a/crates/cranereach-fleet/tests/starts_again.rs
+++ b/crates/cranereach-fleet/tests/starts_again.rs
@@ -1,4 +1,4 @@
-//! The holder's view of a worker that starts again under its identity.
+//! The ledger of the lease holder when a worker restarts under the same identity.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use cranereach_fleet::placement::Order;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Takes the row of a start of the worker.
+/// Enters the row of one start of the worker.
 fn take_row(ledger: &mut Ledger, id: &Arc<str>, version: u64, started_unix_ms: u64) {
     let row = WorkerRow {
         id,
@@ -35,7 +35,7 @@
     ledger.reports_due(1_000);
     ledger.reported(1_000, &id, report(40));
     assert!(ledger.begin(&id, Order::Load(0)).is_some());
-    // The order is open when the worker starts again.
+    // The order is still open when the worker restarts.
     take_row(&mut ledger, &id, 2, 9_000);
     assert_eq!(ledger.reports_due(2_000), [Arc::clone(&id)]);
     ledger.reported(2_000, &id, report(0));
--- a/crates/cranereach-fleet/tests/stays.rs
+++ b/crates/cranereach-fleet/tests/stays.rs
@@ -1,4 +1,4 @@
-//! How long answers are expected to stay.
+//! Expected time for which answers occupy a slot of a worker's batch.
 
 use cranereach_fleet::slot_times::SlotTimes;
 
@@ -20,7 +20,7 @@
 #[test]
 fn guesses_that_are_far_off_are_right_together() {
     let mut slot_times = SlotTimes::default();
-    // Every answer takes 1,000 ms; callers expect 25 or 400 tokens of it.
+    // Every answer takes 1,000 ms; callers announce 25 or 400 tokens for it.
     for _pair in 0..200 {
         slot_times.learn("m", 25, 1_000.0);
         slot_times.learn("m", 400, 1_000.0);
--- a/crates/cranereach-fleet/tests/topology.rs
+++ b/crates/cranereach-fleet/tests/topology.rs
@@ -1,4 +1,5 @@
-//! Failure domains and regions as settings list them, and where requests may be served.
+//! Failure domains and regions as the settings list them, and the regions in which requests may be
+//! served.
 
 use std::collections::BTreeMap;
 
--- a/crates/cranereach-fleet/tests/ways.rs
+++ b/crates/cranereach-fleet/tests/ways.rs
@@ -1,4 +1,4 @@
-//! How long answers are waited for, by distance.
+//! Round-trip times and reply timeouts by distance.
 
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::ways::RoundTrips;
@@ -13,7 +13,7 @@
     }
     assert!((20..40).contains(&round_trips.wait_ms(Distance::OtherRegion)));
     assert!((round_trips.round_trip_ms(Distance::OtherRegion) - 17.5).abs() < 2.0);
-    // What is learned of one distance says nothing of another.
+    // Samples of one distance don't change the timeout of another.
     assert_eq!(round_trips.wait_ms(Distance::OwnDomain), 20);
     assert_eq!(round_trips.wait_ms(Distance::OwnRegion), 20);
 }
@@ -31,7 +31,7 @@
         question_count += 1;
         assert!(question_count < 100);
     }
-    // One owner that has died among others that answer changes nothing.
+    // One failed owner among others that answer doesn't change the timeout.
     let mut round_trips = RoundTrips::default();
     for question in 0..400 {
         if question % 3 == 0 {
@@ -41,7 +41,7 @@
         }
     }
     assert_eq!(round_trips.wait_ms(Distance::OwnRegion), 20);
-    // Nothing makes a request wait without end.
+    // However many replies are lost, the timeout stays bounded.
     for _question in 0..1_000 {
         round_trips.reply_missed(Distance::OtherRegion);
     }
--- a/crates/cranereach-fleet/tests/workers/mod.rs
+++ b/crates/cranereach-fleet/tests/workers/mod.rs
@@ -1,4 +1,4 @@
-//! Workers and requests for tests of the choice.
+//! Workers and requests for tests of the choice of a worker.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
