--- a/crates/cranereach-fleet/tests/quarantine/fleet.rs
+++ b/crates/cranereach-fleet/tests/quarantine/fleet.rs
@@ -19,26 +19,26 @@
 pub const STEP_MS: i64 = 50;
 
 /// Time between two digests, in milliseconds.
-const DIGEST_EVERY_MS: i64 = 250;
+const DIGEST_INTERVAL_MS: i64 = 250;
 
 /// Instances that a digest goes to, and that count a request's ends.
 const FAN_OUT_COUNT: usize = 6;
-const COUNTED_BY_COUNT: usize = 2;
+const COUNTER_COUNT: usize = 2;
 
 /// Share of messages that are lost.
-const LOST_SHARE: f64 = 0.05;
+const MESSAGE_LOSS_RATIO: f64 = 0.05;
 
 /// Time for which a worker that ended is away, in milliseconds.
-const AWAY_MS: i64 = 4_000;
+const WORKER_RESTART_MS: i64 = 4_000;
 
 /// Time after which knowledge of a third end counts as gone round, in milliseconds.
-const KNOWN_WITHIN_MS: i64 = 3_000;
+const PROPAGATION_MS: i64 = 3_000;
 
 /// Workers of a rack.
-const RACK_COUNT: usize = 5;
+const WORKERS_PER_RACK: usize = 5;
 
 /// Times that a caller comes back whose request came to nothing.
-const RETURN_MAX_COUNT: u32 = 3;
+const CLIENT_RETRY_MAX_COUNT: u32 = 3;
 
 /// Returns what a request of a number is known by.
 pub fn mark(number: u64) -> RequestMark {
@@ -60,14 +60,14 @@
 
 /// What a world is like.
 #[derive(Clone, Copy, Debug)]
-pub struct World {
+pub struct Scenario {
     pub seed: u64,
     pub instance_count: usize,
     pub worker_count: usize,
     /// Workers that hold each model.
     pub replica_count: usize,
     /// Requests that end their workers.
-    pub ending_count: usize,
+    pub fatal_count: usize,
     /// Single workers lost a second, and racks.
     pub lost_per_s: f64,
     pub racks_lost_per_s: f64,
@@ -82,23 +82,23 @@
 pub struct Outcome {
     pub harmless: usize,
     pub harmless_refused: usize,
-    pub harmless_apart: usize,
+    pub harmless_unplaced: usize,
     pub worker_ends: usize,
     /// Sends beyond what may be of the request that was sent most often.
     pub late_sends: usize,
-    pub told_most: usize,
+    pub digest_max_len: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     number: u64,
-    is_ending: bool,
+    is_fatal: bool,
     model: usize,
-    returns: u32,
-    tries: u32,
+    client_retries: u32,
+    attempts: u32,
     instance: usize,
     knew_of_end: bool,
-    is_apart: bool,
+    is_isolated: bool,
     ends_at_ms: i64,
 }
 
@@ -108,8 +108,8 @@
     open: Vec<Call>,
 }
 
-struct Run {
-    world: World,
+struct Simulation {
+    scenario: Scenario,
     rng: StdRng,
     now_ms: i64,
     instances: Vec<Quarantine>,
@@ -123,59 +123,60 @@
 }
 
 /// Plays a world for a time, in milliseconds.
-pub fn play(world: World, for_ms: i64) -> Outcome {
+pub fn simulate(scenario: Scenario, for_ms: i64) -> Outcome {
     let worker = |number: usize| Worker {
         start: number as u64,
         back_at_ms: 0,
         open: Vec::new(),
     };
-    let mut run = Run {
-        world,
-        rng: StdRng::seed_from_u64(world.seed),
+    let mut simulation = Simulation {
+        scenario,
+        rng: StdRng::seed_from_u64(scenario.seed),
         now_ms: 0,
-        instances: vec![Quarantine::default(); world.instance_count],
-        workers: (0..world.worker_count).map(worker).collect(),
+        instances: vec![Quarantine::default(); scenario.instance_count],
+        workers: (0..scenario.worker_count).map(worker).collect(),
         waiting: Vec::new(),
         ends: HashMap::new(),
         sends: HashMap::new(),
-        next: world.worker_count as u64,
+        next: scenario.worker_count as u64,
         outcome: Outcome::default(),
     };
-    for _ in 0..world.ending_count {
-        let at_ms = run.rng.random_range(0..10_000);
-        let call = run.call(true);
-        run.waiting.push((at_ms, call));
+    for _ in 0..scenario.fatal_count {
+        let at_ms = simulation.rng.random_range(0..10_000);
+        let call = simulation.call(true);
+        simulation.waiting.push((at_ms, call));
     }
-    while run.now_ms < for_ms {
-        run.step();
-        run.now_ms += STEP_MS;
+    while simulation.now_ms < for_ms {
+        simulation.step();
+        simulation.now_ms += STEP_MS;
     }
-    run.outcome.late_sends = run.late_sends();
-    run.outcome
+    simulation.outcome.late_sends = simulation.late_sends();
+    simulation.outcome
 }
 
-impl Run {
-    fn call(&mut self, is_ending: bool) -> Call {
+impl Simulation {
+    fn call(&mut self, is_fatal: bool) -> Call {
         self.next += 1;
-        let model_count = self.world.worker_count / self.world.replica_count;
+        let model_count = self.scenario.worker_count / self.scenario.replica_count;
         Call {
             number: self.next,
-            is_ending,
+            is_fatal,
             model: self.rng.random_range(0..model_count),
-            returns: 0,
-            tries: 0,
+            client_retries: 0,
+            attempts: 0,
             instance: 0,
             knew_of_end: false,
-            is_apart: false,
+            is_isolated: false,
             ends_at_ms: 0,
         }
     }
 
     fn step(&mut self) {
-        self.finish();
-        self.lose_workers();
+        self.complete_calls();
+        self.stop_random_workers();
         // Each call stays for a second on the average.
-        let arrivals = self.world.worker_count * self.world.open_count * STEP_MS as usize / 1_000;
+        let arrivals =
+            self.scenario.worker_count * self.scenario.open_count * STEP_MS as usize / 1_000;
         for _ in 0..arrivals {
             let call = self.call(false);
             self.outcome.harmless += 1;
@@ -186,15 +187,15 @@
         for (_, call) in due.collect::<Vec<_>>() {
             self.receive(call);
         }
-        if now_ms % DIGEST_EVERY_MS == 0 {
-            self.tell();
+        if now_ms % DIGEST_INTERVAL_MS == 0 {
+            self.send_digests();
         }
     }
 
     /// A call comes to some instance.
     fn receive(&mut self, mut call: Call) {
         call.instance = self.rng.random_range(0..self.instances.len());
-        call.tries = 0;
+        call.attempts = 0;
         self.send(call);
     }
 
@@ -202,148 +203,148 @@
     fn send(&mut self, mut call: Call) {
         let suspicion = self.instances[call.instance].suspicion(mark(call.number));
         if suspicion.is_quarantined {
-            if call.is_ending {
-                self.come_back(call);
+            if call.is_fatal {
+                self.retry_later(call);
             } else {
                 self.outcome.harmless_refused += 1;
             }
             return;
         }
-        let model_count = self.world.worker_count / self.world.replica_count;
+        let model_count = self.scenario.worker_count / self.scenario.replica_count;
         let now_ms = self.now_ms;
         let holders = (0..self.workers.len()).filter(|worker| {
             worker % model_count == call.model && self.workers[*worker].back_at_ms <= now_ms
         });
-        let is_apart = suspicion.end_count >= 2;
+        let is_isolated = suspicion.end_count >= 2;
         let workers = &self.workers;
         let holders = holders.filter(|worker| {
-            !is_apart || workers[*worker].open.iter().all(|other| !other.is_apart)
+            !is_isolated || workers[*worker].open.iter().all(|other| !other.is_isolated)
         });
         let least = holders.min_by_key(|worker| self.workers[*worker].open.len());
         let Some(worker) = least else {
-            if is_apart && !call.is_ending {
-                self.outcome.harmless_apart += 1;
+            if is_isolated && !call.is_fatal {
+                self.outcome.harmless_unplaced += 1;
             }
-            self.come_back(call);
+            self.retry_later(call);
             return;
         };
-        call.is_apart = is_apart;
-        call.tries += 1;
+        call.is_isolated = is_isolated;
+        call.attempts += 1;
         call.knew_of_end = suspicion.end_count > 0;
-        let stays_ms = if call.is_ending {
+        let stays_ms = if call.is_fatal {
             100
         } else {
             self.rng.random_range(100..1_900)
         };
         call.ends_at_ms = now_ms + stays_ms;
         self.workers[worker].open.push(call);
-        if call.is_ending {
+        if call.is_fatal {
             self.sends.entry(call.number).or_default().push(now_ms);
         }
     }
 
-    fn come_back(&mut self, mut call: Call) {
-        call.returns += 1;
-        if call.is_ending || call.returns <= RETURN_MAX_COUNT {
+    fn retry_later(&mut self, mut call: Call) {
+        call.client_retries += 1;
+        if call.is_fatal || call.client_retries <= CLIENT_RETRY_MAX_COUNT {
             let at_ms = self.now_ms + self.rng.random_range(200..2_000);
             self.waiting.push((at_ms, call));
         }
     }
 
     /// Ends what is due: answers, and workers under requests that end them.
-    fn finish(&mut self) {
+    fn complete_calls(&mut self) {
         let now_ms = self.now_ms;
         for worker in 0..self.workers.len() {
             let open = &mut self.workers[worker].open;
-            let done: Vec<Call> = open
-                .extract_if(.., |call| call.ends_at_ms <= now_ms && !call.is_ending)
+            let completed: Vec<Call> = open
+                .extract_if(.., |call| call.ends_at_ms <= now_ms && !call.is_fatal)
                 .collect();
-            let is_its_end = open.iter().any(|call| call.ends_at_ms <= now_ms);
-            for call in done {
-                let known = &mut self.instances[call.instance];
-                if known.clear(now_ms, mark(call.number)).is_some() {
-                    self.report(call);
+            let is_fatal_due = open.iter().any(|call| call.ends_at_ms <= now_ms);
+            for call in completed {
+                let quarantine = &mut self.instances[call.instance];
+                if quarantine.clear(now_ms, mark(call.number)).is_some() {
+                    self.report_to_counters(call);
                 }
             }
-            if is_its_end {
-                self.end(worker);
+            if is_fatal_due {
+                self.stop_worker(worker);
             }
         }
     }
 
-    fn lose_workers(&mut self) {
+    fn stop_random_workers(&mut self) {
         let chance = |per_s: f64| (per_s * STEP_MS as f64 / 1_000.0).min(1.0);
-        if self.rng.random_bool(chance(self.world.lost_per_s)) {
+        if self.rng.random_bool(chance(self.scenario.lost_per_s)) {
             let worker = self.rng.random_range(0..self.workers.len());
-            self.end(worker);
+            self.stop_worker(worker);
         }
-        if self.rng.random_bool(chance(self.world.racks_lost_per_s)) {
+        if self.rng.random_bool(chance(self.scenario.racks_lost_per_s)) {
             let first = self.rng.random_range(0..self.workers.len());
-            for place in 0..RACK_COUNT {
-                self.end((first + place) % self.workers.len());
+            for offset in 0..WORKERS_PER_RACK {
+                self.stop_worker((first + offset) % self.workers.len());
             }
         }
     }
 
     /// A worker ends with all that it runs.
-    fn end(&mut self, worker: usize) {
+    fn stop_worker(&mut self, worker: usize) {
         let now_ms = self.now_ms;
         self.next += 1;
         let start = std::mem::replace(&mut self.workers[worker].start, self.next);
-        self.workers[worker].back_at_ms = now_ms + AWAY_MS;
+        self.workers[worker].back_at_ms = now_ms + WORKER_RESTART_MS;
         self.outcome.worker_ends += 1;
         for call in std::mem::take(&mut self.workers[worker].open) {
-            if call.is_ending {
+            if call.is_fatal {
                 self.ends.entry(call.number).or_default().push(now_ms);
             }
             self.instances[call.instance].ended(now_ms, mark(call.number), start, call.knew_of_end);
-            self.report(call);
+            self.report_to_counters(call);
             let end_count = self.instances[call.instance]
                 .suspicion(mark(call.number))
                 .end_count;
-            if call.tries < self.world.attempt_count && end_count < 2 {
+            if call.attempts < self.scenario.attempt_count && end_count < 2 {
                 self.send(call);
             } else {
-                self.come_back(call);
+                self.retry_later(call);
             }
         }
     }
 
     /// Tells those who count a request's ends.
-    fn report(&mut self, call: Call) {
+    fn report_to_counters(&mut self, call: Call) {
         let mark = mark(call.number);
-        let Some(news) = self.instances[call.instance].update_for(self.now_ms, mark) else {
+        let Some(update) = self.instances[call.instance].update_for(self.now_ms, mark) else {
             return;
         };
-        for place in 0..COUNTED_BY_COUNT {
+        for offset in 0..COUNTER_COUNT {
             let first = mark.fingerprint.ranking_key() as usize % self.instances.len();
-            self.pass(
-                (first + place) % self.instances.len(),
-                std::slice::from_ref(&news),
+            self.deliver(
+                (first + offset) % self.instances.len(),
+                std::slice::from_ref(&update),
             );
         }
     }
 
-    fn pass(&mut self, to: usize, news: &[SuspectUpdate]) {
-        if !self.rng.random_bool(LOST_SHARE) {
-            for of in news {
-                self.instances[to].apply_update(self.now_ms, of);
+    fn deliver(&mut self, to: usize, updates: &[SuspectUpdate]) {
+        if !self.rng.random_bool(MESSAGE_LOSS_RATIO) {
+            for update in updates {
+                self.instances[to].apply_update(self.now_ms, update);
             }
         }
     }
 
-    fn tell(&mut self) {
+    fn send_digests(&mut self) {
         let others: Vec<usize> = (0..self.instances.len()).collect();
         for reporter in 0..self.instances.len() {
             self.instances[reporter].forget(self.now_ms);
-            let news = self.instances[reporter].select_for_digest(self.now_ms, &mut self.rng);
-            self.outcome.told_most = self.outcome.told_most.max(news.len());
+            let updates = self.instances[reporter].select_for_digest(self.now_ms, &mut self.rng);
+            self.outcome.digest_max_len = self.outcome.digest_max_len.max(updates.len());
             let chosen: Vec<usize> = others
                 .sample(&mut self.rng, FAN_OUT_COUNT)
                 .copied()
                 .collect();
             for to in chosen.into_iter().filter(|to| *to != reporter) {
-                self.pass(to, &news);
+                self.deliver(to, &updates);
             }
         }
     }
@@ -356,7 +357,7 @@
                 .ends
                 .get(number)
                 .and_then(|ends| ends.get(END_MAX_COUNT - 1));
-            let from_ms = third.map_or(i64::MAX, |at_ms| at_ms + KNOWN_WITHIN_MS);
+            let from_ms = third.map_or(i64::MAX, |at_ms| at_ms + PROPAGATION_MS);
             sends.iter().filter(|at_ms| **at_ms > from_ms).count()
         });
         late.max().unwrap_or(0)
--- a/crates/cranereach-fleet/tests/quarantine/joining.rs
+++ b/crates/cranereach-fleet/tests/quarantine/joining.rs
@@ -22,33 +22,33 @@
 };
 
 /// Returns what an instance that saw ends of some workers one after the other tells.
-fn seen(workers: impl IntoIterator<Item = u64>) -> Quarantine {
+fn after_ends(workers: impl IntoIterator<Item = u64>) -> Quarantine {
     let mut instance = Quarantine::default();
-    for (place, worker) in (0_i64..).zip(workers) {
+    for (index, worker) in (0_i64..).zip(workers) {
         let knew_of_others = instance.suspicion(mark(1)).end_count > 0;
-        instance.ended(1_000 + place * 1_000, mark(1), worker, knew_of_others);
+        instance.ended(1_000 + index * 1_000, mark(1), worker, knew_of_others);
     }
     instance
 }
 
-fn news(of: &Quarantine, now_ms: i64) -> SuspectUpdate {
-    of.update_for(now_ms, mark(1)).unwrap()
+fn update_from(instance: &Quarantine, now_ms: i64) -> SuspectUpdate {
+    instance.update_for(now_ms, mark(1)).unwrap()
 }
 
 #[test]
 fn ends_that_three_instances_saw_add_up() {
     let mut counting = Quarantine::default();
     for worker in 1..=2 {
-        counting.apply_update(9_000, &news(&seen([worker]), 9_000));
+        counting.apply_update(9_000, &update_from(&after_ends([worker]), 9_000));
         assert!(!counting.suspicion(mark(1)).is_quarantined);
     }
     // The third came under a try whose sender knew of the others.
     let mut third = Quarantine::default();
-    third.apply_update(9_000, &news(&counting, 9_000));
+    third.apply_update(9_000, &update_from(&counting, 9_000));
     third.ended(9_500, mark(1), 3, true);
     assert_eq!(third.suspicion(mark(1)), QUARANTINED);
     assert_eq!(
-        counting.apply_update(9_600, &news(&third, 9_600)),
+        counting.apply_update(9_600, &update_from(&third, 9_600)),
         Change::Suspicion
     );
     assert_eq!(counting.suspicion(mark(1)), QUARANTINED);
@@ -56,11 +56,11 @@
 
 #[test]
 fn one_end_that_many_saw_and_told_counts_once() {
-    let mut instance = seen([7]);
-    let told = news(&instance, 1_000);
+    let mut instance = after_ends([7]);
+    let update = update_from(&instance, 1_000);
     // Also where it was told by someone who stood still meanwhile.
     for now_ms in [1_000, 1_010, 3_000, 9_000] {
-        assert_eq!(instance.apply_update(now_ms, &told), Change::None);
+        assert_eq!(instance.apply_update(now_ms, &update), Change::None);
     }
     assert_eq!(instance.suspicion(mark(1)).end_count, 1);
 }
@@ -91,7 +91,7 @@
         other.ended(1_000, mark(1), worker, false);
     }
     assert_eq!(
-        other.apply_update(2_100, &news(&instance, 2_100)),
+        other.apply_update(2_100, &update_from(&instance, 2_100)),
         Change::Suspicion
     );
     assert!(other.suspicion(mark(1)).is_quarantined);
@@ -108,34 +108,34 @@
     });
     for round in 0..20_usize {
         let now_ms = 1_100 + round as i64 * 50;
-        let told = news(&instances[round % 2], now_ms);
+        let update = update_from(&instances[round % 2], now_ms);
         // On its way for a while, so that what it tells of looks younger.
-        let change = instances[(round + 1) % 2].apply_update(now_ms + 40, &told);
+        let change = instances[(round + 1) % 2].apply_update(now_ms + 40, &update);
         assert_eq!(change, Change::None, "round {round}");
     }
 }
 
 #[test]
 fn a_whole_answer_ends_the_suspicion_wherever_it_is_told() {
-    let mut instance = seen([1, 2, 3]);
+    let mut instance = after_ends([1, 2, 3]);
     let mut other = Quarantine::default();
-    other.apply_update(5_000, &news(&instance, 5_000));
+    other.apply_update(5_000, &update_from(&instance, 5_000));
     assert_eq!(other.suspicion(mark(1)), QUARANTINED);
     instance.clear(6_000, mark(1));
     assert_eq!(
-        other.apply_update(6_100, &news(&instance, 6_100)),
+        other.apply_update(6_100, &update_from(&instance, 6_100)),
         Change::Suspicion
     );
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
     // Who was cut off meanwhile doesn't bring it back.
-    let behind = news(&seen([1, 2, 3]), 5_000);
-    other.apply_update(5_500, &behind);
+    let stale = update_from(&after_ends([1, 2, 3]), 5_000);
+    other.apply_update(5_500, &stale);
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
 }
 
 #[test]
 fn what_speaks_least_goes_first_when_too_many_are_known() {
-    let mut instance = seen([1, 2, 3]);
+    let mut instance = after_ends([1, 2, 3]);
     for number in 0..3 * SUSPECT_MAX_COUNT as u64 {
         instance.ended(10_000 + number as i64, mark(number + 2), number, false);
     }
@@ -143,10 +143,10 @@
     assert_eq!(instance.suspicion(mark(1)), QUARANTINED);
     let newest = mark(3 * SUSPECT_MAX_COUNT as u64 + 1);
     assert_eq!(instance.suspicion(newest).end_count, 1);
-    let told = instance.select_for_digest(23_000, &mut StdRng::seed_from_u64(1));
-    assert_eq!(told.len(), GOSSIPED_MAX_COUNT);
+    let updates = instance.select_for_digest(23_000, &mut StdRng::seed_from_u64(1));
+    assert_eq!(updates.len(), GOSSIPED_MAX_COUNT);
     assert_eq!(
-        told[0].fingerprint,
+        updates[0].fingerprint,
         mark(1).fingerprint,
         "it is told of first"
     );
@@ -155,12 +155,12 @@
 #[test]
 fn a_suspicion_is_forgotten_and_a_quarantine_lasts_while_it_is_asked_for() {
     let minutes = |count: i64| count * 60_000;
-    let mut instance = seen([1, 2]);
+    let mut instance = after_ends([1, 2]);
     instance.forget(minutes(9));
     assert_eq!(instance.suspicion(mark(1)).end_count, 2);
     instance.forget(minutes(11));
     assert_eq!(instance.known_count(), 0);
-    let mut instance = seen([1, 2, 3]);
+    let mut instance = after_ends([1, 2, 3]);
     for hour in 1..5 {
         instance.refused(minutes(hour * 50), mark(1));
         instance.forget(minutes(hour * 50 + 49));
@@ -172,27 +172,28 @@
 
 #[test]
 fn what_is_kept_loses_only_what_was_cleared() {
-    let quarantined = seen([1, 2, 3]);
-    let kept = [news(&quarantined, 5_000)];
-    let known = |of: &Quarantine| of.select_for_storage(9_000, &kept, 64).len();
+    let quarantined = after_ends([1, 2, 3]);
+    let stored = [update_from(&quarantined, 5_000)];
+    let stored_count =
+        |instance: &Quarantine| instance.select_for_storage(9_000, &stored, 64).len();
     // Neither who hasn't heard of it nor who knows of fewer ends takes it out.
-    assert_eq!(known(&Quarantine::default()), 1);
-    assert_eq!(known(&seen([4])), 1);
-    assert_eq!(known(&quarantined), 1);
-    let mut cleared = seen([1, 2, 3]);
+    assert_eq!(stored_count(&Quarantine::default()), 1);
+    assert_eq!(stored_count(&after_ends([4])), 1);
+    assert_eq!(stored_count(&quarantined), 1);
+    let mut cleared = after_ends([1, 2, 3]);
     cleared.clear(8_000, mark(1));
-    assert_eq!(known(&cleared), 0);
+    assert_eq!(stored_count(&cleared), 0);
 }
 
 #[test]
 fn requests_of_other_sizes_need_no_fingerprint() {
-    let instance = seen([1]);
+    let instance = after_ends([1]);
     assert!(instance.may_know(8));
     assert!(!instance.may_know(7) && !instance.may_know(9));
 }
 
 /// Some news of one request, as several instances may tell them.
-fn any_news() -> impl Strategy<Value = Vec<(u64, u32, bool)>> {
+fn any_updates() -> impl Strategy<Value = Vec<(u64, u32, bool)>> {
     let one = (0_u64..5, 0_u32..50_000, any::<bool>());
     proptest::collection::vec(one, 1..8)
 }
@@ -200,32 +201,32 @@
 proptest! {
     #[test]
     fn the_order_in_which_it_is_told_makes_no_difference(
-        told in any_news(),
+        updates in any_updates(),
         order in Just((0..8).collect::<Vec<usize>>()).prop_shuffle(),
     ) {
-        let of = |(worker, age_ms, is_repeated): (u64, u32, bool)| {
-            let mut told = news(&seen([worker]), 1_000);
-            told.ends[0].age_ms = age_ms;
-            told.is_repeated = is_repeated;
-            told
+        let make_update = |(worker, age_ms, is_repeated): (u64, u32, bool)| {
+            let mut altered = update_from(&after_ends([worker]), 1_000);
+            altered.ends[0].age_ms = age_ms;
+            altered.is_repeated = is_repeated;
+            altered
         };
         // Ends of one worker are the same here: starts of one are told apart by their key.
         let mut worker_seen = std::collections::HashSet::new();
-        let told: Vec<SuspectUpdate> = told
+        let updates: Vec<SuspectUpdate> = updates
             .into_iter()
             .filter(|(worker, ..)| worker_seen.insert(*worker))
-            .map(of)
+            .map(make_update)
             .collect();
-        let told: Vec<SuspectUpdate> = told.into_iter().take(END_MAX_COUNT).collect();
+        let updates: Vec<SuspectUpdate> = updates.into_iter().take(END_MAX_COUNT).collect();
         let mut forward = Quarantine::default();
         let mut shuffled = Quarantine::default();
-        for news in &told {
-            forward.apply_update(60_000, news);
+        for update in &updates {
+            forward.apply_update(60_000, update);
         }
-        for place in order {
-            if let Some(news) = told.get(place) {
-                shuffled.apply_update(60_000, news);
-                shuffled.apply_update(60_000, news);
+        for index in order {
+            if let Some(update) = updates.get(index) {
+                shuffled.apply_update(60_000, update);
+                shuffled.apply_update(60_000, update);
             }
         }
         assert_eq!(forward.suspicion(mark(1)), shuffled.suspicion(mark(1)));
--- a/crates/cranereach-fleet/tests/restores/gone.rs
+++ b/crates/cranereach-fleet/tests/restores/gone.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::TestRunner;
 
 use crate::events;
-use crate::play_in;
+use crate::simulate_world;
 use crate::world::Mutant;
 use crate::world::World;
 
@@ -19,8 +19,12 @@
     for seed in 0..WORLD_COUNT {
         let events = events().new_tree(&mut runner).unwrap().current();
         let mut world = World::start(seed, 12, Mutant::None);
-        world.judges_all_gone = true;
-        let broken = play_in(world, &events);
-        assert!(broken.is_empty(), "seed {seed}: {}", broken.join("\n"));
+        world.checks_gone_always = true;
+        let violations = simulate_world(world, &events);
+        assert!(
+            violations.is_empty(),
+            "seed {seed}: {}",
+            violations.join("\n")
+        );
     }
 }
--- a/crates/cranereach-fleet/tests/restores/instance.rs
+++ b/crates/cranereach-fleet/tests/restores/instance.rs
@@ -13,16 +13,16 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-use crate::store::Said;
+use crate::store::RowState;
 use crate::world::DRAIN_MS;
 use crate::world::Mutant;
 
 /// Time for which departures are told on, in milliseconds.
-const TOLD_FOR_MS: u64 = 4_000;
+const DEPARTURE_GOSSIP_MS: u64 = 4_000;
 
 /// A list, or changes of one, as somebody had it.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct ListPart {
     pub from: StorePosition,
     pub position: StorePosition,
     pub span: Span,
@@ -36,20 +36,20 @@
 /// One instance.
 pub struct Instance {
     pub listing: Listing,
-    pub list: Freshness,
+    pub freshness: Freshness,
     pub roster: Roster,
     pub era: u64,
     pub started_at_ms: u64,
     pub frozen_until_ms: u64,
-    pub cut_until_ms: u64,
+    pub partitioned_until_ms: u64,
     pub disturbed_at_ms: u64,
-    pub reads_until_ms: u64,
-    pub tells_next_ms: u64,
-    pub told: Vec<(u64, DepartureNews)>,
+    pub read_pending_until_ms: u64,
+    pub next_digest_ms: u64,
+    pub gossiped_departures: Vec<(u64, DepartureNews)>,
     /// Starts of which it knew that they leave: worker, start.
-    pub knew: HashSet<(usize, u64)>,
+    pub known_leaving: HashSet<(usize, u64)>,
     /// Starts of which it knew that their rows had ended, in which era.
-    pub knew_gone: HashMap<(usize, u64), u64>,
+    pub known_gone: HashMap<(usize, u64), u64>,
     mutant: Mutant,
 }
 
@@ -57,50 +57,50 @@
     pub fn start(now_ms: u64, mutant: Mutant) -> Self {
         Self {
             listing: Listing::default(),
-            list: Freshness::new(DRAIN_MS),
+            freshness: Freshness::new(DRAIN_MS),
             roster: Roster::default(),
             era: 0,
             started_at_ms: now_ms,
             frozen_until_ms: 0,
-            cut_until_ms: 0,
+            partitioned_until_ms: 0,
             disturbed_at_ms: now_ms,
-            reads_until_ms: 0,
-            tells_next_ms: now_ms,
-            told: Vec::new(),
-            knew: HashSet::new(),
-            knew_gone: HashMap::new(),
+            read_pending_until_ms: 0,
+            next_digest_ms: now_ms,
+            gossiped_departures: Vec::new(),
+            known_leaving: HashSet::new(),
+            known_gone: HashMap::new(),
             mutant,
         }
     }
 
     /// Hears of an era of the store.
-    pub fn hear_era(&mut self, now_ms: u64, era: u64) {
+    pub fn observe_era(&mut self, now_ms: u64, era: u64) {
         if era <= self.era || self.mutant == Mutant::NoEras {
             return;
         }
         self.era = era;
-        self.list.enter_era(now_ms, era);
+        self.freshness.enter_era(now_ms, era);
         let leaving = self.roster.enter_era(now_ms, era);
         match self.mutant {
-            Mutant::CopyClearsLeaving => {
+            Mutant::RestoreClearsLeaving => {
                 for news in leaving {
                     if let Some(worker) = self.roster.by_key_mut(news.worker) {
                         worker.departure = None;
                     }
                 }
             }
-            Mutant::CopyBringsBack => self.roster.trust_restored_rows(u64::MAX),
+            Mutant::RestoreRevivesWorker => self.roster.trust_restored_rows(u64::MAX),
             Mutant::None | Mutant::NoEras => {
-                let told = leaving.into_iter().map(|news| (now_ms, news));
-                self.told.extend(told);
+                let gossiped_departures = leaving.into_iter().map(|news| (now_ms, news));
+                self.gossiped_departures.extend(gossiped_departures);
             }
         }
     }
 
     /// Takes a list or changes, if they fit; returns whether they are new.
-    pub fn take(&mut self, now_ms: u64, part: &Part) -> bool {
-        let part = self.seen(part);
-        self.hear_era(now_ms, part.position.era);
+    pub fn apply(&mut self, now_ms: u64, part: &ListPart) -> bool {
+        let part = self.as_mutant_sees(part);
+        self.observe_era(now_ms, part.position.era);
         let before = self.listing.position();
         let changed = if part.is_whole {
             self.listing.take_whole(part.position, part.rows)
@@ -109,20 +109,20 @@
         };
         let mut lapse_until_ms = None;
         if part.position.era >= self.era {
-            if self.list.ends_outage(part.as_of_ms) {
+            if self.freshness.ends_outage(part.as_of_ms) {
                 self.roster.distrust_restored_rows(now_ms);
             }
-            lapse_until_ms = self.list.lapse_until_ms(now_ms, part.as_of_ms);
-            self.list.confirm(part.as_of_ms);
+            lapse_until_ms = self.freshness.lapse_until_ms(now_ms, part.as_of_ms);
+            self.freshness.confirm(part.as_of_ms);
         }
         for row in &changed {
-            self.take_row(row, lapse_until_ms);
+            self.apply_row(row, lapse_until_ms);
         }
         self.listing.position() > before
     }
 
     /// Returns a part as a mutant sees it.
-    fn seen(&self, part: &Part) -> Part {
+    fn as_mutant_sees(&self, part: &ListPart) -> ListPart {
         let mut part = part.clone();
         if self.mutant == Mutant::NoEras {
             part.from.era = 0;
@@ -134,7 +134,7 @@
         part
     }
 
-    fn take_row(&mut self, row: &ChangedRow, lapse_until_ms: Option<u64>) {
+    fn apply_row(&mut self, row: &ChangedRow, lapse_until_ms: Option<u64>) {
         let Some(value) = &row.value else {
             let lapses = lapse_until_ms
                 .is_some_and(|until_ms| self.roster.lapse(row.position, &row.key, until_ms));
@@ -143,55 +143,58 @@
             }
             return;
         };
-        let said = Said::read(value);
-        let start = (number(&row.key), said.start);
-        if self.knew_gone.get(&start) == Some(&row.position.era) {
+        let row_state = RowState::read(value);
+        let start = (worker_number(&row.key), row_state.start);
+        if self.known_gone.get(&start) == Some(&row.position.era) {
             // It was written since, and not by a copy.
-            self.knew_gone.remove(&start);
+            self.known_gone.remove(&start);
         }
-        self.roster.put(row.position, record(&row.key, said));
-        if said.leaves {
-            self.knew.insert((number(&row.key), said.start));
+        self.roster.put(row.position, record(&row.key, row_state));
+        if row_state.leaves {
+            self.known_leaving
+                .insert((worker_number(&row.key), row_state.start));
         }
     }
 
     fn remove(&mut self, position: StorePosition, id: &str) {
         if let Some(known) = self.roster.get(id) {
             let start = known.record.started_unix_ms;
-            self.knew_gone.insert((number(id), start), position.era);
+            self.known_gone
+                .insert((worker_number(id), start), position.era);
         }
         self.roster.remove(position, id);
     }
 
     /// Does what is due between messages.
-    pub fn look(&mut self, now_ms: u64) {
-        let age_ms = self.list.age_ms(now_ms);
+    pub fn tick(&mut self, now_ms: u64) {
+        let age_ms = self.freshness.age_ms(now_ms);
         if age_ms.is_some_and(|age_ms| age_ms < DRAIN_MS) {
             self.roster.trust_restored_rows(now_ms);
         }
         for (position, id) in self.roster.lapsed(now_ms) {
             self.remove(position, &id);
         }
-        self.told.retain(|(at_ms, _)| now_ms < at_ms + TOLD_FOR_MS);
+        self.gossiped_departures
+            .retain(|(at_ms, _)| now_ms < at_ms + DEPARTURE_GOSSIP_MS);
     }
 
     /// Hears from another instance which starts leave.
-    pub fn hear_departures(&mut self, now_ms: u64, told: &[DepartureNews]) {
-        for news in told {
+    pub fn observe_departures(&mut self, now_ms: u64, reported: &[DepartureNews]) {
+        for news in reported {
             if self.roster.note_leaving_reported(now_ms, news) {
-                self.told.push((now_ms, *news));
+                self.gossiped_departures.push((now_ms, *news));
             }
         }
     }
 
     /// Returns its newest changes, or all since a position.
-    pub fn part(&self, now_ms: u64, since: Option<StorePosition>) -> Option<Part> {
-        let age_ms = self.list.age_ms(now_ms)?;
+    pub fn part(&self, now_ms: u64, since: Option<StorePosition>) -> Option<ListPart> {
+        let age_ms = self.freshness.age_ms(now_ms)?;
         let as_of_ms = now_ms - age_ms;
         let position = self.listing.position();
         let Some(since) = since else {
             let part = self.listing.part()?;
-            return Some(Part {
+            return Some(ListPart {
                 from: part.from,
                 position,
                 span: part.span,
@@ -202,7 +205,7 @@
         };
         let missed = self.listing.since(since).filter(|_| !since.is_none());
         let is_whole = missed.is_none();
-        let whole = || {
+        let all_rows = || {
             let rows = self.listing.rows();
             let rows = rows.map(|(key, position, value)| ChangedRow {
                 key: key.to_owned(),
@@ -211,11 +214,11 @@
             });
             rows.collect()
         };
-        Some(Part {
+        Some(ListPart {
             from: since,
             position,
             span: self.listing.span_since(since),
-            rows: missed.unwrap_or_else(whole),
+            rows: missed.unwrap_or_else(all_rows),
             is_whole,
             as_of_ms,
         })
@@ -223,19 +226,19 @@
 }
 
 /// Returns the number of a worker.
-pub fn number(id: &str) -> usize {
+pub fn worker_number(id: &str) -> usize {
     id[1..].parse().unwrap()
 }
 
-fn record(id: &str, said: Said) -> WorkerRecord {
+fn record(id: &str, row_state: RowState) -> WorkerRecord {
     WorkerRecord {
         id: Arc::from(id),
-        started_unix_ms: said.start,
+        started_unix_ms: row_state.start,
         service: Arc::from("s"),
         address: format!("{id}:1"),
         failure_domain: Arc::from("z"),
         slot_count: 8,
-        is_leaving: said.leaves,
+        is_leaving: row_state.leaves,
         cold_for_ms: 0,
         models: Vec::new(),
         in_memory: Vec::new(),
--- a/crates/cranereach-fleet/tests/restores/main.rs
+++ b/crates/cranereach-fleet/tests/restores/main.rs
@@ -23,12 +23,12 @@
         3 => (200_u64..8_000).prop_map(Event::Restore),
         4 => any::<u8>().prop_map(Event::Leave),
         2 => any::<u8>().prop_map(Event::Crash),
-        2 => any::<u8>().prop_map(Event::GoesUnsaid),
-        2 => (any::<u8>(), 300_u64..6_000).prop_map(|(who, for_ms)| Event::Freeze(who, for_ms)),
-        2 => (any::<u8>(), 300_u64..6_000).prop_map(|(who, for_ms)| Event::Cut(who, for_ms)),
-        1 => (300_u64..6_000).prop_map(Event::CutHalf),
+        2 => any::<u8>().prop_map(Event::RowExpires),
+        2 => (any::<u8>(), 300_u64..6_000).prop_map(|(index, for_ms)| Event::Freeze(index, for_ms)),
+        2 => (any::<u8>(), 300_u64..6_000).prop_map(|(index, for_ms)| Event::Partition(index, for_ms)),
+        1 => (300_u64..6_000).prop_map(Event::PartitionHalf),
         2 => any::<u8>().prop_map(Event::Restart),
-        1 => (300_u64..4_000).prop_map(Event::StoreAway),
+        1 => (300_u64..4_000).prop_map(Event::StoreUnavailable),
     ]
 }
 
@@ -39,20 +39,20 @@
 }
 
 /// Plays events and a calm end; returns what was broken.
-fn play(seed: u64, instance_count: usize, mutant: Mutant, events: &Events) -> Vec<String> {
-    play_in(World::start(seed, instance_count, mutant), events)
+fn simulate(seed: u64, instance_count: usize, mutant: Mutant, events: &Events) -> Vec<String> {
+    simulate_world(World::start(seed, instance_count, mutant), events)
 }
 
 /// Plays events and a calm end in a world; returns what was broken.
-fn play_in(mut world: World, events: &Events) -> Vec<String> {
+fn simulate_world(mut world: World, events: &Events) -> Vec<String> {
     world.run(4_000);
     for (pause_ms, event) in events {
         world.run(*pause_ms);
-        world.happen(*event);
+        world.apply_event(*event);
     }
     world.run(14_000);
     world.check_all_serve();
-    world.broken
+    world.violations
 }
 
 proptest! {
@@ -65,8 +65,8 @@
         instance_count in 3_usize..24,
         events in events(),
     ) {
-        let broken = play(seed, instance_count, Mutant::None, &events);
-        prop_assert!(broken.is_empty(), "{}", broken.join("\n"));
+        let violations = simulate(seed, instance_count, Mutant::None, &events);
+        prop_assert!(violations.is_empty(), "{}", violations.join("\n"));
     }
 }
 
@@ -77,13 +77,13 @@
         (500, Event::Leave(3)),
         (900, Event::Restore(4_000)),
         (300, Event::Leave(5)),
-        (700, Event::CutHalf(3_000)),
+        (700, Event::PartitionHalf(3_000)),
         (400, Event::Restore(2_000)),
         (3_500, Event::Leave(7)),
-        (2_000, Event::GoesUnsaid(2)),
+        (2_000, Event::RowExpires(2)),
     ];
-    let broken = play(1, 100, Mutant::None, &events);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let violations = simulate(1, 100, Mutant::None, &events);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// Shows that each of the ways in which the design could have gone wrong is seen.
@@ -91,13 +91,13 @@
 fn worlds_without_a_part_of_the_design_are_found_out() {
     for mutant in [
         Mutant::NoEras,
-        Mutant::CopyClearsLeaving,
-        Mutant::CopyBringsBack,
+        Mutant::RestoreClearsLeaving,
+        Mutant::RestoreRevivesWorker,
     ] {
         let mut runner = TestRunner::deterministic();
         let is_found = (0..60).any(|seed| {
             let events = events().new_tree(&mut runner).unwrap().current();
-            !play(seed, 6, mutant, &events).is_empty()
+            !simulate(seed, 6, mutant, &events).is_empty()
         });
         assert!(is_found, "{mutant:?} goes unseen");
     }
--- a/crates/cranereach-fleet/tests/restores/store.rs
+++ b/crates/cranereach-fleet/tests/restores/store.rs
@@ -7,16 +7,16 @@
 use cranereach_fleet::store_position::StorePosition;
 
 /// Age of the oldest copy, in milliseconds.
-const COPY_MAX_MS: u64 = 8_000;
+const BACKUP_AGE_MAX_MS: u64 = 8_000;
 
 /// What is written in a row: the start of the worker, and whether it leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct RowState {
     pub start: u64,
     pub leaves: bool,
 }
 
-impl Said {
+impl RowState {
     pub fn bytes(self) -> Vec<u8> {
         format!("{} {}", self.start, u8::from(self.leaves)).into_bytes()
     }
@@ -32,10 +32,10 @@
 }
 
 /// A row's version and content; none if it has ended.
-type Row = (u64, Option<Said>);
+type Row = (u64, Option<RowState>);
 
 #[derive(Clone, Debug, Default)]
-struct Content {
+struct Snapshot {
     version: u64,
     rows: BTreeMap<usize, Row>,
 }
@@ -44,10 +44,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     pub era: u64,
-    content: Content,
-    copies: VecDeque<(u64, Content)>,
+    current: Snapshot,
+    backups: VecDeque<(u64, Snapshot)>,
     /// Until when it answers nobody, in milliseconds.
-    pub away_until_ms: u64,
+    pub unavailable_until_ms: u64,
     /// When it last came back from a copy, in milliseconds.
     pub restored_at_ms: u64,
     /// When it was last disturbed, in milliseconds.
@@ -56,42 +56,42 @@
 
 impl Store {
     pub fn position(&self) -> StorePosition {
-        StorePosition::new(self.era, self.content.version)
+        StorePosition::new(self.era, self.current.version)
     }
 
-    pub fn is_away(&self, now_ms: u64) -> bool {
-        now_ms < self.away_until_ms
+    pub fn is_unavailable(&self, now_ms: u64) -> bool {
+        now_ms < self.unavailable_until_ms
     }
 
-    pub fn row(&self, worker: usize) -> Option<Said> {
-        self.content.rows.get(&worker).and_then(|row| row.1)
+    pub fn row(&self, worker: usize) -> Option<RowState> {
+        self.current.rows.get(&worker).and_then(|row| row.1)
     }
 
-    pub fn write(&mut self, worker: usize, said: Option<Said>) {
-        self.content.version += 1;
-        let row = (self.content.version, said);
-        self.content.rows.insert(worker, row);
+    pub fn write(&mut self, worker: usize, row_state: Option<RowState>) {
+        self.current.version += 1;
+        let row = (self.current.version, row_state);
+        self.current.rows.insert(worker, row);
     }
 
-    pub fn keep_copy(&mut self, now_ms: u64) {
+    pub fn keep_backup(&mut self, now_ms: u64) {
         while self
-            .copies
+            .backups
             .front()
-            .is_some_and(|(at_ms, _)| now_ms > at_ms + COPY_MAX_MS)
+            .is_some_and(|(at_ms, _)| now_ms > at_ms + BACKUP_AGE_MAX_MS)
         {
-            self.copies.pop_front();
+            self.backups.pop_front();
         }
-        self.copies.push_back((now_ms, self.content.clone()));
+        self.backups.push_back((now_ms, self.current.clone()));
     }
 
     /// Comes back from the copy of an age.
     pub fn restore(&mut self, now_ms: u64, age_ms: u64) {
-        let is_old_enough = |(at_ms, _): &&(u64, Content)| now_ms >= at_ms + age_ms;
-        let copy = self.copies.iter().rev().find(is_old_enough);
-        let copy = copy.or(self.copies.front()).cloned();
-        if let Some((copied_ms, content)) = copy {
-            self.copies.retain(|(at_ms, _)| *at_ms <= copied_ms);
-            self.content = content;
+        let is_old_enough = |(at_ms, _): &&(u64, Snapshot)| now_ms >= at_ms + age_ms;
+        let backup = self.backups.iter().rev().find(is_old_enough);
+        let backup = backup.or(self.backups.front()).cloned();
+        if let Some((backup_ms, snapshot)) = backup {
+            self.backups.retain(|(at_ms, _)| *at_ms <= backup_ms);
+            self.current = snapshot;
         }
         self.era += 1;
         self.restored_at_ms = now_ms;
@@ -101,24 +101,24 @@
     /// version.
     pub fn changes(&self, after: StorePosition) -> Option<Vec<ChangedRow>> {
         let changed = self
-            .content
+            .current
             .rows
             .iter()
             .filter(|(_, row)| row.0 > after.version);
-        (after.version <= self.content.version)
-            .then(|| changed.map(|row| self.changed(row)).collect())
+        (after.version <= self.current.version)
+            .then(|| changed.map(|row| self.changed_row(row)).collect())
     }
 
-    pub fn whole(&self) -> Vec<ChangedRow> {
-        let listed = self.content.rows.iter().filter(|(_, row)| row.1.is_some());
-        listed.map(|row| self.changed(row)).collect()
+    pub fn all_rows(&self) -> Vec<ChangedRow> {
+        let listed = self.current.rows.iter().filter(|(_, row)| row.1.is_some());
+        listed.map(|row| self.changed_row(row)).collect()
     }
 
-    fn changed(&self, (worker, (version, said)): (&usize, &Row)) -> ChangedRow {
+    fn changed_row(&self, (worker, (version, row_state)): (&usize, &Row)) -> ChangedRow {
         ChangedRow {
             key: format!("w{worker}"),
             position: StorePosition::new(self.era, *version),
-            value: said.map(Said::bytes),
+            value: row_state.map(RowState::bytes),
         }
     }
 }
--- a/crates/cranereach-fleet/tests/restores/world.rs
+++ b/crates/cranereach-fleet/tests/restores/world.rs
@@ -14,8 +14,8 @@
 use cranereach_fleet::store_position::StorePosition;
 
 use crate::instance::Instance;
-use crate::instance::Part;
-use crate::store::Said;
+use crate::instance::ListPart;
+use crate::store::RowState;
 use crate::store::Store;
 
 /// Time after which a worker that leaves or is gone must get nothing, in milliseconds.
@@ -23,40 +23,40 @@
 
 /// Time without disturbance after which somebody is bound, in milliseconds; the platform's
 /// own figure.
-const CONTACT_MS: u64 = 4_000;
+const SETTLE_MS: u64 = 4_000;
 
 /// Length of a step, in milliseconds.
 const STEP_MS: u64 = 20;
 
 /// Time between two digests, in milliseconds.
-const DIGEST_EVERY_MS: u64 = 250;
+const DIGEST_INTERVAL_MS: u64 = 250;
 
 /// Longest time that a message takes, in milliseconds.
 const DELAY_MAX_MS: u64 = 60;
 
 /// Longest time that the store takes to answer, in milliseconds.
-const ANSWER_MAX_MS: u64 = 150;
+const STORE_ANSWER_MAX_MS: u64 = 150;
 
 /// Time after which a read without an answer is given up, in milliseconds.
-const READ_WITHIN_MS: u64 = 900;
+const READ_TIMEOUT_MS: u64 = 900;
 
 /// Time that a list may lag before what is missing is fetched, in milliseconds.
-const LAG_MS: u64 = 600;
+const FETCH_DELAY_MS: u64 = 600;
 
 /// Share of the messages that get lost.
-const LOST_SHARE: f64 = 0.05;
+const MESSAGE_LOSS_RATIO: f64 = 0.05;
 
 /// Time for which the store is away before it comes back from a copy, in milliseconds.
-const RESTORED_WITHIN_MS: u64 = 900;
+const RESTORE_OUTAGE_MS: u64 = 900;
 
 /// Longest time until workers have written again what the store has lost, in milliseconds.
-const WRITTEN_AGAIN_WITHIN_MS: u64 = 2_000;
+const REWRITE_WITHIN_MS: u64 = 2_000;
 
 /// Time until the row of a silent worker ends, in milliseconds.
-const LAPSES_AFTER_MS: u64 = 3_600;
+const ROW_EXPIRES_AFTER_MS: u64 = 3_600;
 
 /// Time for which a copy's row is no sign of life, in milliseconds.
-const COPY_HELD_MS: u64 = 6_000;
+const RESTORED_ROWS_HELD_MS: u64 = 6_000;
 
 /// Workers.
 const WORKER_COUNT: usize = 8;
@@ -68,9 +68,9 @@
     /// Versions are ordered without their eras.
     NoEras,
     /// A copy's row takes back that a worker leaves.
-    CopyClearsLeaving,
+    RestoreClearsLeaving,
     /// A copy's row brings back a worker that is gone.
-    CopyBringsBack,
+    RestoreRevivesWorker,
 }
 
 /// What befalls the world.
@@ -79,24 +79,24 @@
     /// The store comes back from a copy of an age.
     Restore(u64),
     /// The store answers nobody for a time.
-    StoreAway(u64),
+    StoreUnavailable(u64),
     /// A worker says that it leaves, and ends later.
     Leave(u8),
     /// A worker ends, and says nothing.
     Crash(u8),
     /// A worker's row ends; it serves on for a while.
-    GoesUnsaid(u8),
+    RowExpires(u8),
     Freeze(u8, u64),
-    Cut(u8, u64),
+    Partition(u8, u64),
     /// Half of the instances are cut off from all.
-    CutHalf(u64),
+    PartitionHalf(u64),
     Restart(u8),
 }
 
 /// A message, or an answer of the store.
 #[derive(Clone, Debug)]
-enum Parcel {
-    List(usize, Part),
+enum Message {
+    List(usize, ListPart),
     Digest {
         from: usize,
         era: u64,
@@ -107,15 +107,15 @@
     Fetch(usize, StorePosition),
     Answer {
         started_at_ms: u64,
-        part: Part,
+        part: ListPart,
     },
 }
 
 /// What happens by itself at a time.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum Action {
     /// A worker writes its row, if it still says so.
-    Write(usize, Said),
+    Write(usize, RowState),
     /// The row of a start ends.
     End(usize, u64),
     /// Another start comes up after one.
@@ -130,23 +130,23 @@
     /// When the store last took its word, in milliseconds.
     written_at_ms: u64,
     /// What it wants its row to say; none if it has none.
-    said: Option<Said>,
+    row_state: Option<RowState>,
     /// From when nobody in touch may send to its present start, as the store has taken its
     /// word, in milliseconds. A word that is lost before anybody has read it counts anew
     /// from when it is written again.
-    ends_for_all_ms: Option<u64>,
+    unusable_from_ms: Option<u64>,
 }
 
 pub struct World {
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Whether who is known to be gone must get nothing however long a copy lists it.
-    pub judges_all_gone: bool,
+    pub checks_gone_always: bool,
     now_ms: u64,
     store: Store,
     instances: Vec<Instance>,
     workers: Vec<Worker>,
-    parcels: BTreeMap<u64, Vec<(usize, Parcel)>>,
-    due: BTreeMap<u64, Vec<Due>>,
+    in_flight: BTreeMap<u64, Vec<(usize, Message)>>,
+    scheduled: BTreeMap<u64, Vec<Action>>,
     mutant: Mutant,
     rng: StdRng,
 }
@@ -154,19 +154,19 @@
 impl World {
     pub fn start(seed: u64, instance_count: usize, mutant: Mutant) -> Self {
         let mut world = Self {
-            broken: Vec::new(),
-            judges_all_gone: false,
+            violations: Vec::new(),
+            checks_gone_always: false,
             now_ms: 100_000,
             store: Store::default(),
             instances: Vec::new(),
             workers: vec![Worker::default(); WORKER_COUNT],
-            parcels: BTreeMap::new(),
-            due: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             mutant,
             rng: StdRng::seed_from_u64(seed),
         };
         for worker in 0..WORKER_COUNT {
-            world.come_up(worker);
+            world.start_worker(worker);
         }
         let start = |_| Instance::start(world.now_ms, mutant);
         world.instances = (0..instance_count).map(start).collect();
@@ -180,107 +180,116 @@
         }
     }
 
-    pub fn happen(&mut self, event: Event) {
+    pub fn apply_event(&mut self, event: Event) {
         let now_ms = self.now_ms;
         let instance_count = self.instances.len();
-        let instance_of = |who: u8| usize::from(who) % instance_count;
-        let worker_of = |who: u8| usize::from(who) % WORKER_COUNT;
+        let instance_of = |index: u8| usize::from(index) % instance_count;
+        let worker_of = |index: u8| usize::from(index) % WORKER_COUNT;
         match event {
             Event::Restore(age_ms) => {
-                self.disturb_store(RESTORED_WITHIN_MS);
-                self.at(RESTORED_WITHIN_MS, Due::Restore(age_ms));
+                self.disturb_store(RESTORE_OUTAGE_MS);
+                self.schedule(RESTORE_OUTAGE_MS, Action::Restore(age_ms));
             }
-            Event::StoreAway(for_ms) => self.disturb_store(for_ms),
-            Event::Leave(who) => self.leave(worker_of(who)),
-            Event::Crash(who) => self.end(worker_of(who), LAPSES_AFTER_MS),
-            Event::GoesUnsaid(who) => self.end(worker_of(who), 0),
-            Event::Freeze(who, for_ms) => {
-                self.instances[instance_of(who)].frozen_until_ms = now_ms + for_ms;
+            Event::StoreUnavailable(for_ms) => self.disturb_store(for_ms),
+            Event::Leave(index) => self.announce_leaving(worker_of(index)),
+            Event::Crash(index) => self.end_worker(worker_of(index), ROW_EXPIRES_AFTER_MS),
+            Event::RowExpires(index) => self.end_worker(worker_of(index), 0),
+            Event::Freeze(index, for_ms) => {
+                self.instances[instance_of(index)].frozen_until_ms = now_ms + for_ms;
             }
-            Event::Cut(who, for_ms) => {
-                self.instances[instance_of(who)].cut_until_ms = now_ms + for_ms;
+            Event::Partition(index, for_ms) => {
+                self.instances[instance_of(index)].partitioned_until_ms = now_ms + for_ms;
             }
-            Event::CutHalf(for_ms) => {
+            Event::PartitionHalf(for_ms) => {
                 for instance in self.instances.iter_mut().step_by(2) {
-                    instance.cut_until_ms = now_ms + for_ms;
+                    instance.partitioned_until_ms = now_ms + for_ms;
                 }
             }
-            Event::Restart(who) => {
-                self.instances[instance_of(who)] = Instance::start(now_ms, self.mutant);
+            Event::Restart(index) => {
+                self.instances[instance_of(index)] = Instance::start(now_ms, self.mutant);
             }
         }
     }
 
-    fn at(&mut self, after_ms: u64, due: Due) {
-        self.due
+    fn schedule(&mut self, after_ms: u64, action: Action) {
+        self.scheduled
             .entry(self.now_ms + after_ms)
             .or_default()
-            .push(due);
+            .push(action);
     }
 
     fn disturb_store(&mut self, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
-        self.store.away_until_ms = self.store.away_until_ms.max(until_ms);
+        self.store.unavailable_until_ms = self.store.unavailable_until_ms.max(until_ms);
         self.store.disturbed_at_ms = self.store.disturbed_at_ms.max(until_ms);
     }
 
-    fn come_up(&mut self, worker: usize) {
+    fn start_worker(&mut self, worker: usize) {
         let start = self.workers[worker].start + 1;
-        let said = Said {
+        let row_state = RowState {
             start,
             leaves: false,
         };
         self.workers[worker] = Worker {
             start,
             written_at_ms: self.now_ms,
-            said: Some(said),
-            ends_for_all_ms: None,
+            row_state: Some(row_state),
+            unusable_from_ms: None,
         };
         self.write(worker);
     }
 
     /// Writes what a worker wants its row to say, once the store takes it.
     fn write(&mut self, worker: usize) {
-        let said = self.workers[worker].said;
-        if self.store.is_away(self.now_ms) {
-            let wait_ms = self.store.away_until_ms - self.now_ms + self.rng.random_range(0..800);
+        let row_state = self.workers[worker].row_state;
+        if self.store.is_unavailable(self.now_ms) {
+            let wait_ms =
+                self.store.unavailable_until_ms - self.now_ms + self.rng.random_range(0..800);
             let start = self.workers[worker].start;
-            let due = said.map_or(Due::End(worker, start), |said| Due::Write(worker, said));
-            self.at(wait_ms, due);
+            let action = row_state.map_or(Action::End(worker, start), |row_state| {
+                Action::Write(worker, row_state)
+            });
+            self.schedule(wait_ms, action);
             return;
         }
-        self.store.write(worker, said);
+        self.store.write(worker, row_state);
         self.workers[worker].written_at_ms = self.now_ms;
-        let says_end = said.is_none_or(|said| said.leaves);
-        if says_end {
-            let ends_ms = &mut self.workers[worker].ends_for_all_ms;
+        let announces_end = row_state.is_none_or(|row_state| row_state.leaves);
+        if announces_end {
+            let ends_ms = &mut self.workers[worker].unusable_from_ms;
             ends_ms.get_or_insert(self.now_ms + DRAIN_MS);
         }
     }
 
-    fn leave(&mut self, worker: usize) {
-        let Some(said) = self.workers[worker].said.filter(|said| !said.leaves) else {
+    fn announce_leaving(&mut self, worker: usize) {
+        let Some(row_state) = self.workers[worker]
+            .row_state
+            .filter(|row_state| !row_state.leaves)
+        else {
             return;
         };
-        self.workers[worker].said = Some(Said {
+        self.workers[worker].row_state = Some(RowState {
             leaves: true,
-            ..said
+            ..row_state
         });
         self.write(worker);
         let serves_ms = self.rng.random_range(2_500..6_000);
-        self.at(serves_ms, Due::End(worker, said.start));
-        self.at(serves_ms + 1_500, Due::Start(worker, said.start));
+        self.schedule(serves_ms, Action::End(worker, row_state.start));
+        self.schedule(serves_ms + 1_500, Action::Start(worker, row_state.start));
     }
 
     /// Ends a worker whose row goes after a time.
-    fn end(&mut self, worker: usize, row_after_ms: u64) {
-        let Some(said) = self.workers[worker].said.filter(|said| !said.leaves) else {
+    fn end_worker(&mut self, worker: usize, row_after_ms: u64) {
+        let Some(row_state) = self.workers[worker]
+            .row_state
+            .filter(|row_state| !row_state.leaves)
+        else {
             return;
         };
-        self.workers[worker].said = None;
-        self.at(row_after_ms, Due::End(worker, said.start));
+        self.workers[worker].row_state = None;
+        self.schedule(row_after_ms, Action::End(worker, row_state.start));
         let back_ms = row_after_ms + self.rng.random_range(2_500..6_000);
-        self.at(back_ms, Due::Start(worker, said.start));
+        self.schedule(back_ms, Action::Start(worker, row_state.start));
     }
 
     fn restore(&mut self, age_ms: u64) {
@@ -288,41 +297,41 @@
         self.store.disturbed_at_ms = self.store.disturbed_at_ms.max(self.now_ms);
         for worker in 0..WORKER_COUNT {
             let row = self.store.row(worker);
-            let said = self.workers[worker].said;
-            if row == said {
+            let row_state = self.workers[worker].row_state;
+            if row == row_state {
                 continue;
             }
-            self.workers[worker].ends_for_all_ms = None;
-            if let Some(said) = said {
-                let after_ms = self.rng.random_range(0..=WRITTEN_AGAIN_WITHIN_MS);
-                self.at(after_ms, Due::Write(worker, said));
+            self.workers[worker].unusable_from_ms = None;
+            if let Some(row_state) = row_state {
+                let after_ms = self.rng.random_range(0..=REWRITE_WITHIN_MS);
+                self.schedule(after_ms, Action::Write(worker, row_state));
             } else {
                 let start = self.workers[worker].start;
-                self.at(LAPSES_AFTER_MS, Due::End(worker, start));
+                self.schedule(ROW_EXPIRES_AFTER_MS, Action::End(worker, start));
             }
         }
     }
 
-    fn happen_by_itself(&mut self) {
-        let later = self.due.split_off(&(self.now_ms + 1));
-        let due = std::mem::replace(&mut self.due, later);
-        for due in due.into_values().flatten() {
-            match due {
-                Due::Restore(age_ms) => self.restore(age_ms),
-                Due::Start(worker, start) => {
-                    let of = &self.workers[worker];
-                    if of.start == start && of.said.is_none() {
-                        self.come_up(worker);
+    fn run_scheduled(&mut self) {
+        let later = self.scheduled.split_off(&(self.now_ms + 1));
+        let due = std::mem::replace(&mut self.scheduled, later);
+        for action in due.into_values().flatten() {
+            match action {
+                Action::Restore(age_ms) => self.restore(age_ms),
+                Action::Start(worker, start) => {
+                    let state = &self.workers[worker];
+                    if state.start == start && state.row_state.is_none() {
+                        self.start_worker(worker);
                     }
                 }
-                Due::Write(worker, said) => {
-                    if self.workers[worker].said == Some(said) {
+                Action::Write(worker, row_state) => {
+                    if self.workers[worker].row_state == Some(row_state) {
                         self.write(worker);
                     }
                 }
-                Due::End(worker, start) => {
+                Action::End(worker, start) => {
                     if self.workers[worker].start == start {
-                        self.workers[worker].said = None;
+                        self.workers[worker].row_state = None;
                         self.write(worker);
                     }
                 }
@@ -332,27 +341,27 @@
 
     fn step(&mut self) {
         self.now_ms += STEP_MS;
-        self.happen_by_itself();
-        self.store.keep_copy(self.now_ms);
+        self.run_scheduled();
+        self.store.keep_backup(self.now_ms);
         self.deliver();
         for number in 0..self.instances.len() {
             let now_ms = self.now_ms;
             let instance = &mut self.instances[number];
-            if now_ms < instance.frozen_until_ms || now_ms < instance.cut_until_ms {
+            if now_ms < instance.frozen_until_ms || now_ms < instance.partitioned_until_ms {
                 instance.disturbed_at_ms = now_ms;
             }
             if now_ms < instance.frozen_until_ms {
                 continue;
             }
-            instance.look(now_ms);
+            instance.tick(now_ms);
             self.read_if_due(number);
-            self.tell_if_due(number);
-            self.send(number);
+            self.send_digest_if_due(number);
+            self.check_routing(number);
         }
     }
 
-    fn is_cut(&self, number: usize) -> bool {
-        self.now_ms < self.instances[number].cut_until_ms
+    fn is_partitioned(&self, number: usize) -> bool {
+        self.now_ms < self.instances[number].partitioned_until_ms
     }
 
     /// Reads the list at the store if that is due.
@@ -360,103 +369,109 @@
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
         let rank = number as u64;
-        if now_ms < instance.reads_until_ms || now_ms < instance.list.read_due_at_ms(rank) {
+        if now_ms < instance.read_pending_until_ms
+            || now_ms < instance.freshness.read_due_at_ms(rank)
+        {
             return;
         }
-        instance.reads_until_ms = now_ms + READ_WITHIN_MS;
-        if self.is_cut(number) || self.store.is_away(now_ms) {
+        instance.read_pending_until_ms = now_ms + READ_TIMEOUT_MS;
+        if self.is_partitioned(number) || self.store.is_unavailable(now_ms) {
             return;
         }
         let after = self.instances[number].listing.position();
         let knows_era = self.mutant == Mutant::NoEras || after.era == self.store.era;
         let changes = self.store.changes(after);
         let changes = changes.filter(|_| !after.is_none() && knows_era);
-        let part = Part {
+        let part = ListPart {
             from: after,
             position: self.store.position(),
             span: Span::Changes,
             is_whole: changes.is_none(),
-            rows: changes.unwrap_or_else(|| self.store.whole()),
+            rows: changes.unwrap_or_else(|| self.store.all_rows()),
             as_of_ms: now_ms,
         };
         let started_at_ms = self.instances[number].started_at_ms;
-        let takes_ms = self.rng.random_range(5..ANSWER_MAX_MS);
-        self.push(
+        let takes_ms = self.rng.random_range(5..STORE_ANSWER_MAX_MS);
+        self.enqueue(
             number,
             takes_ms,
-            Parcel::Answer {
+            Message::Answer {
                 started_at_ms,
                 part,
             },
         );
     }
 
-    fn push(&mut self, to: usize, after_ms: u64, parcel: Parcel) {
+    fn enqueue(&mut self, to: usize, after_ms: u64, message: Message) {
         let at_ms = self.now_ms + after_ms;
-        self.parcels.entry(at_ms).or_default().push((to, parcel));
+        self.in_flight.entry(at_ms).or_default().push((to, message));
     }
 
-    fn post(&mut self, from: usize, to: usize, after_ms: u64, parcel: Parcel) {
-        if self.is_cut(from) || self.rng.random_bool(LOST_SHARE) {
+    fn send_message(&mut self, from: usize, to: usize, after_ms: u64, message: Message) {
+        if self.is_partitioned(from) || self.rng.random_bool(MESSAGE_LOSS_RATIO) {
             return;
         }
         let delay_ms = after_ms + self.rng.random_range(1..=DELAY_MAX_MS);
-        self.push(to, delay_ms, parcel);
+        self.enqueue(to, delay_ms, message);
     }
 
-    fn others(&mut self, number: usize, count: usize) -> Vec<usize> {
+    fn random_peers(&mut self, number: usize, count: usize) -> Vec<usize> {
         let others = (0..self.instances.len()).filter(|other| *other != number);
         others.sample(&mut self.rng, count)
     }
 
     /// Tells some others what it knows, four times a second.
-    fn tell_if_due(&mut self, number: usize) {
+    fn send_digest_if_due(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
-        if now_ms < instance.tells_next_ms {
+        if now_ms < instance.next_digest_ms {
             return;
         }
-        instance.tells_next_ms = now_ms + DIGEST_EVERY_MS;
-        let age_ms = instance.list.age_ms(now_ms);
-        let digest = Parcel::Digest {
+        instance.next_digest_ms = now_ms + DIGEST_INTERVAL_MS;
+        let age_ms = instance.freshness.age_ms(now_ms);
+        let digest = Message::Digest {
             from: number,
             era: instance.era,
             position: instance.listing.position(),
             as_of_ms: age_ms.map(|age_ms| now_ms - age_ms),
-            departures: instance.told.iter().map(|(_, news)| *news).collect(),
+            departures: instance
+                .gossiped_departures
+                .iter()
+                .map(|(_, news)| *news)
+                .collect(),
         };
-        for other in self.others(number, 4) {
-            self.post(number, other, 0, digest.clone());
+        for other in self.random_peers(number, 4) {
+            self.send_message(number, other, 0, digest.clone());
         }
     }
 
-    fn tell_list(&mut self, number: usize) {
+    fn gossip_list(&mut self, number: usize) {
         let Some(part) = self.instances[number].part(self.now_ms, None) else {
             return;
         };
-        for other in self.others(number, 4) {
-            self.post(number, other, 0, Parcel::List(number, part.clone()));
+        for other in self.random_peers(number, 4) {
+            self.send_message(number, other, 0, Message::List(number, part.clone()));
         }
     }
 
     fn deliver(&mut self) {
-        let later = self.parcels.split_off(&(self.now_ms + 1));
-        let due = std::mem::replace(&mut self.parcels, later);
-        for (to, parcel) in due.into_values().flatten() {
+        let later = self.in_flight.split_off(&(self.now_ms + 1));
+        let due = std::mem::replace(&mut self.in_flight, later);
+        for (to, message) in due.into_values().flatten() {
             if self.now_ms < self.instances[to].frozen_until_ms {
                 // It waits in the socket.
                 let wait_ms = self.instances[to].frozen_until_ms - self.now_ms;
-                self.push(to, wait_ms, parcel);
-            } else if !self.is_cut(to) {
-                self.take(to, parcel);
+                self.enqueue(to, wait_ms, message);
+            } else if !self.is_partitioned(to) {
+                self.receive(to, message);
             }
         }
     }
 
-    fn take(&mut self, to: usize, parcel: Parcel) {
+    fn receive(&mut self, to: usize, message: Message) {
         let now_ms = self.now_ms;
-        match parcel {
-            Parcel::Answer {
+        match message {
+            Message::Answer {
                 started_at_ms,
                 part,
             } => {
@@ -465,17 +480,17 @@
                 if started_at_ms != instance.started_at_ms || is_late {
                     return;
                 }
-                instance.reads_until_ms = 0;
-                instance.take(now_ms, &part);
-                self.tell_list(to);
+                instance.read_pending_until_ms = 0;
+                instance.apply(now_ms, &part);
+                self.gossip_list(to);
             }
-            Parcel::List(from, part) => self.take_list(to, from, &part),
-            Parcel::Fetch(from, since) => {
+            Message::List(from, part) => self.receive_list(to, from, &part),
+            Message::Fetch(from, since) => {
                 if let Some(part) = self.instances[to].part(now_ms, Some(since)) {
-                    self.post(to, from, 0, Parcel::List(to, part));
+                    self.send_message(to, from, 0, Message::List(to, part));
                 }
             }
-            Parcel::Digest {
+            Message::Digest {
                 from,
                 era,
                 position,
@@ -483,23 +498,23 @@
                 departures,
             } => {
                 let instance = &mut self.instances[to];
-                instance.hear_era(now_ms, era);
-                instance.hear_departures(now_ms, &departures);
+                instance.observe_era(now_ms, era);
+                instance.observe_departures(now_ms, &departures);
                 let own = instance.listing.position();
                 if let Some(as_of_ms) = as_of_ms
                     && position == own
                     && position.era >= instance.era
                 {
-                    instance.list.confirm(as_of_ms);
+                    instance.freshness.confirm(as_of_ms);
                 }
                 if position > own {
-                    self.post(to, from, LAG_MS, Parcel::Fetch(to, own));
+                    self.send_message(to, from, FETCH_DELAY_MS, Message::Fetch(to, own));
                 }
             }
         }
     }
 
-    fn take_list(&mut self, to: usize, from: usize, part: &Part) {
+    fn receive_list(&mut self, to: usize, from: usize, part: &ListPart) {
         let instance = &mut self.instances[to];
         let own = instance.listing.position();
         let fits = if part.is_whole {
@@ -509,20 +524,20 @@
         };
         if !fits {
             if part.position > own {
-                self.post(to, from, 0, Parcel::Fetch(to, own));
+                self.send_message(to, from, 0, Message::Fetch(to, own));
             }
             return;
         }
-        if instance.take(self.now_ms, part) {
-            self.tell_list(to);
+        if instance.apply(self.now_ms, part) {
+            self.gossip_list(to);
         }
     }
 
     /// Whether an instance, and the store, have been undisturbed for long enough.
-    fn is_in_touch(&self, number: usize) -> bool {
+    fn is_connected(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let since_ms = instance.disturbed_at_ms.max(self.store.disturbed_at_ms);
-        self.now_ms >= since_ms.max(instance.started_at_ms) + CONTACT_MS
+        self.now_ms >= since_ms.max(instance.started_at_ms) + SETTLE_MS
     }
 
     /// Whether an instance itself has been undisturbed for long enough, whatever befell the
@@ -530,53 +545,58 @@
     fn is_steady(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let since_ms = instance.disturbed_at_ms.max(instance.started_at_ms);
-        self.now_ms >= since_ms + CONTACT_MS
+        self.now_ms >= since_ms + SETTLE_MS
     }
 
     /// Lets an instance send to each worker that it would use, and checks that it may.
-    fn send(&mut self, number: usize) {
+    fn check_routing(&mut self, number: usize) {
         let now_ms = self.now_ms;
-        let is_in_touch = self.is_in_touch(number);
+        let is_connected = self.is_connected(number);
         for worker in 0..WORKER_COUNT {
             let id = format!("w{worker}");
             let instance = &self.instances[number];
-            let truth = self.workers[worker];
+            let actual = self.workers[worker];
             let is_usable = instance
                 .roster
                 .barred(now_ms, &id, Purpose::Call, 1)
                 .is_none();
             let listed = instance.roster.get(&id);
             let start = listed.map(|known| known.record.started_unix_ms);
-            let mut broken = None;
-            if is_usable && instance.knew.contains(&(worker, start.unwrap_or(0))) {
-                broken = Some("uses a start of which it knew that it leaves");
+            let mut violation = None;
+            if is_usable
+                && instance
+                    .known_leaving
+                    .contains(&(worker, start.unwrap_or(0)))
+            {
+                violation = Some("uses a start of which it knew that it leaves");
             }
-            let is_over = start.is_some_and(|start| start != truth.start || truth.said.is_none());
-            let knew_gone = instance
-                .knew_gone
+            let has_ended =
+                start.is_some_and(|start| start != actual.start || actual.row_state.is_none());
+            let known_gone = instance
+                .known_gone
                 .contains_key(&(worker, start.unwrap_or(0)));
-            let is_held = self.judges_all_gone
+            let is_forbidden = self.checks_gone_always
                 || instance.era == self.store.era
-                    && now_ms < self.store.restored_at_ms + COPY_HELD_MS;
-            if is_usable && is_over && knew_gone && is_held && self.is_steady(number) {
-                broken = Some("uses a start of which it knew that it is gone");
+                    && now_ms < self.store.restored_at_ms + RESTORED_ROWS_HELD_MS;
+            if is_usable && has_ended && known_gone && is_forbidden && self.is_steady(number) {
+                violation = Some("uses a start of which it knew that it is gone");
             }
-            let ends_ms = truth.ends_for_all_ms.unwrap_or(u64::MAX);
-            if is_usable && is_in_touch && start == Some(truth.start) && now_ms > ends_ms {
-                broken = Some("uses a worker beyond the bound");
+            let ends_ms = actual.unusable_from_ms.unwrap_or(u64::MAX);
+            if is_usable && is_connected && start == Some(actual.start) && now_ms > ends_ms {
+                violation = Some("uses a worker beyond the bound");
             }
-            let is_due_ms = truth.written_at_ms + DRAIN_MS;
-            let is_listed = self.store.row(worker) == truth.said;
-            let serves = truth.said.is_some_and(|said| !said.leaves) && is_listed;
-            if serves && is_in_touch && now_ms > is_due_ms && start != Some(truth.start) {
-                broken = Some("doesn't list a worker");
+            let is_due_ms = actual.written_at_ms + DRAIN_MS;
+            let is_listed = self.store.row(worker) == actual.row_state;
+            let serves = actual.row_state.is_some_and(|row_state| !row_state.leaves) && is_listed;
+            if serves && is_connected && now_ms > is_due_ms && start != Some(actual.start) {
+                violation = Some("doesn't list a worker");
             }
-            if let Some(what) = broken
-                && self.broken.len() < 5
+            if let Some(what) = violation
+                && self.violations.len() < 5
             {
                 let position = self.instances[number].listing.position();
-                self.broken.push(format!(
-                    "{now_ms}: {number} at {position} {what}: {id}, {truth:?}"
+                self.violations.push(format!(
+                    "{now_ms}: {number} at {position} {what}: {id}, {actual:?}"
                 ));
             }
         }
@@ -584,16 +604,16 @@
 
     /// Checks that each instance uses each worker that serves.
     pub fn check_all_serve(&mut self) {
-        for (worker, truth) in self.workers.iter().enumerate() {
-            let is_new = self.now_ms < truth.written_at_ms + DRAIN_MS;
-            if is_new || truth.said.is_none_or(|said| said.leaves) {
+        for (worker, actual) in self.workers.iter().enumerate() {
+            let is_new = self.now_ms < actual.written_at_ms + DRAIN_MS;
+            if is_new || actual.row_state.is_none_or(|row_state| row_state.leaves) {
                 continue;
             }
             for (number, instance) in self.instances.iter().enumerate() {
                 let id = format!("w{worker}");
                 let barred = instance.roster.barred(self.now_ms, &id, Purpose::Call, 1);
                 if let Some(why) = barred {
-                    self.broken
+                    self.violations
                         .push(format!("{number} doesn't use {id} in the end: {why:?}"));
                 }
             }
--- a/crates/cranereach-fleet/tests/sends/cold.rs
+++ b/crates/cranereach-fleet/tests/sends/cold.rs
@@ -26,18 +26,18 @@
         seed in any::<u64>(),
         count in prop_oneof![Just(3_usize), Just(12), Just(73)],
         delay_max_ms in 1_u64..60,
-        lost_share in 0.0..0.3,
+        loss_ratio in 0.0..0.3,
         events in prop::collection::vec((100_u64..4_000, event::any()), 1..10),
     ) {
-        let mut world = World::start(count, delay_max_ms, lost_share, seed);
+        let mut world = World::start(count, delay_max_ms, loss_ratio, seed);
         world.demand(200.0, 4_000);
         for (pause_ms, event) in events {
-            world.happen(event);
+            world.apply_event(event);
             world.demand(200.0, pause_ms);
         }
         world.demand(200.0, 5_000);
-        let most_count = world.most_count(1_000);
-        prop_assert!(most_count <= TOLERATED_COUNT, "{most_count}");
+        let max_count = world.max_count(1_000);
+        prop_assert!(max_count <= TOLERATED_COUNT, "{max_count}");
     }
 }
 
@@ -47,25 +47,25 @@
         let mut world = World::start(count, 3, 0.02, seed);
         world.demand(0.0, 6_000);
         world.demand(60.0, 10_000);
-        let borne = world.arrivals.len() as f64 / 10.0 / RATE_PER_S;
-        assert!(borne > 0.8, "{count}: {borne} of what it bears");
+        let used_share = world.arrivals.len() as f64 / 10.0 / RATE_PER_S;
+        assert!(used_share > 0.8, "{count}: {used_share} of what it bears");
         for _takeover in 0..3 {
-            world.happen(Event::Kill(2_000));
+            world.apply_event(Event::Kill(2_000));
             world.demand(60.0, 5_000);
-            world.happen(Event::Freeze(4_000));
+            world.apply_event(Event::Freeze(4_000));
             world.demand(60.0, 8_000);
         }
-        let most_count = world.most_count(1_000);
-        assert!(most_count <= TOLERATED_COUNT, "{count}: {most_count}");
+        let max_count = world.max_count(1_000);
+        assert!(max_count <= TOLERATED_COUNT, "{count}: {max_count}");
     }
 }
 
 #[test]
 fn an_instance_that_is_cut_off_grants_nothing() {
     let seeds = [address(0), address(1), address(2)];
-    let mut lone = Membership::new(address(0), DomainTag::default(), &seeds);
-    lone.refresh(1_000);
-    let ownership = Ownership::of(&lone, 60_000, WORKER, 60_000);
+    let mut isolated = Membership::new(address(0), DomainTag::default(), &seeds);
+    isolated.refresh(1_000);
+    let ownership = Ownership::of(&isolated, 60_000, WORKER, 60_000);
     let share = 1.0 / 3.0;
     let for_ms = 59_000;
     assert_eq!(ownership, Ownership::Minority { share, for_ms });
@@ -77,13 +77,13 @@
 fn more_urgent_requests_that_were_refused_go_first() {
     let mut owner = SendGrants::default();
     let mut ask = |now_ms, rank| owner.ask(now_ms, WORKER, &[rule()], rank, Ownership::Settled);
-    let sent = (0..20).filter(|of| ask(1_000 + of, 2) == SendAnswer::Send);
+    let sent = (0..20).filter(|offset_ms| ask(1_000 + offset_ms, 2) == SendAnswer::Send);
     assert_eq!(sent.count(), rule().count());
     for _refused in 0..20 {
         assert_ne!(ask(1_500, 0), SendAnswer::Send);
     }
     // The window has passed: half of it is kept for the urgent ones.
-    let sent = (0..20).filter(|of| ask(2_200 + of, 2) == SendAnswer::Send);
+    let sent = (0..20).filter(|offset_ms| ask(2_200 + offset_ms, 2) == SendAnswer::Send);
     assert!(sent.count() <= rule().count().div_ceil(2));
     assert_eq!(ask(2_300, 0), SendAnswer::Send);
 }
@@ -92,14 +92,14 @@
 fn urgent_requests_go_first_also_after_many_others_were_refused() {
     let mut owner = SendGrants::default();
     let mut ask = |now_ms, rank| owner.ask(now_ms, WORKER, &[rule()], rank, Ownership::Settled);
-    for of in 0..500 {
-        ask(1_000 + of, 2);
+    for offset_ms in 0..500 {
+        ask(1_000 + offset_ms, 2);
     }
     for _refused in 0..20 {
         assert_ne!(ask(1_500, 0), SendAnswer::Send);
     }
     // The window has passed: half of it is kept for the urgent ones.
-    let sent = (0..20).filter(|of| ask(2_200 + of, 2) == SendAnswer::Send);
+    let sent = (0..20).filter(|offset_ms| ask(2_200 + offset_ms, 2) == SendAnswer::Send);
     assert!(sent.count() <= rule().count().div_ceil(2));
 }
 
@@ -110,18 +110,18 @@
     let mut world = World::start(12, 28, 0.23, 7);
     world.demand(200.0, 4_000);
     for (event, pause_ms) in [
-        (Event::Cut(12_501), 2_166),
+        (Event::Partition(12_501), 2_166),
         (Event::KillShare(0.555), 2_686),
         (Event::Kill(271), 321),
         (Event::Freeze(6_601), 1_796),
         (Event::Freeze(4_416), 806),
     ] {
-        world.happen(event);
+        world.apply_event(event);
         world.demand(200.0, pause_ms);
     }
     world.demand(200.0, 5_000);
-    let most_count = world.most_count(1_000);
-    assert!(most_count <= TOLERATED_COUNT, "{most_count}");
+    let max_count = world.max_count(1_000);
+    assert!(max_count <= TOLERATED_COUNT, "{max_count}");
 }
 
 /// Nearly all started at once, each hearing only some of the others at first: several took
@@ -130,8 +130,8 @@
 fn those_who_have_just_started_grant_nothing_until_they_hear_the_others() {
     let mut world = World::start(73, 7, 0.0, 2_424_007_614_795_423_581);
     world.demand(200.0, 4_000);
-    world.happen(Event::KillShare(0.956_461_985_834_992_4));
+    world.apply_event(Event::KillShare(0.956_461_985_834_992_4));
     world.demand(200.0, 5_100);
-    let most_count = world.most_count(1_000);
-    assert!(most_count <= TOLERATED_COUNT, "{most_count}");
+    let max_count = world.max_count(1_000);
+    assert!(max_count <= TOLERATED_COUNT, "{max_count}");
 }
--- a/crates/cranereach-fleet/tests/sends/fleet.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet.rs
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 
 use self::arrivals::Arrival;
-use self::parcels::Parcel;
+use self::parcels::Message;
 use cranereach_fleet::load::RANK_COUNT;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::named_limit::LimitReport;
@@ -34,16 +34,16 @@
 const STEP_MS: u64 = 5;
 
 /// Time between two rounds of signs of life, in milliseconds.
-const ROUND_MS: u64 = 250;
+const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
 /// The same in a large fleet, where what all hear of all takes the most time to play.
-const LARGE_ROUND_MS: u64 = 1_000;
+const LARGE_HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
 /// Instances from which on a fleet is large.
-const LARGE_FROM_COUNT: usize = 200;
+const LARGE_FLEET_MIN_COUNT: usize = 200;
 
 /// Rounds that a sign of life takes at most to reach another instance.
-const SIGN_ROUNDS: u64 = 5;
+const HEARTBEAT_DELAY_LIMIT: u64 = 5;
 
 /// Longest time until the worker's answer to a request, in milliseconds.
 const ANSWER_MAX_MS: u64 = 300;
@@ -67,7 +67,7 @@
     /// It is cold, as all know.
     Cold,
     /// It names in its answers what this returns for a time in milliseconds.
-    Names(Box<dyn Fn(u64) -> Option<f64>>),
+    NamesLimit(Box<dyn Fn(u64) -> Option<f64>>),
 }
 
 /// What a fleet does wrong, to see that the checks find it.
@@ -75,11 +75,11 @@
 pub enum Mutant {
     None,
     /// Each instance grants itself.
-    OwnBuckets,
+    PerInstanceGrants,
     /// Owners forget what they granted.
-    Forgets,
+    ForgetsGrants,
     /// Nobody hears what the worker names.
-    Deaf,
+    IgnoresLimit,
 }
 
 /// One instance.
@@ -88,15 +88,15 @@
     grants: SendGrants,
     limit: NamedLimit,
     /// When the worker first named its limit to it, in milliseconds.
-    told_ms: Option<u64>,
+    limit_named_ms: Option<u64>,
     /// Questions that wait: for which rank, and when they were asked, in milliseconds.
-    open: BTreeMap<u64, (u8, u64)>,
+    pending: BTreeMap<u64, (u8, u64)>,
     pause: AskPause,
     started_ms: u64,
     down_until_ms: u64,
     frozen_until_ms: u64,
-    cut_until_ms: u64,
-    waiting: Vec<Parcel>,
+    cut_off_until_ms: u64,
+    inbox: Vec<Message>,
 }
 
 /// A fleet that sends to one worker.
@@ -105,8 +105,8 @@
     number_of: HashMap<Ipv4Addr, usize>,
     now_ms: u64,
     delay_max_ms: u64,
-    lost_share: f64,
-    on_the_way: BTreeMap<u64, Vec<(usize, Parcel)>>,
+    loss_ratio: f64,
+    in_flight: BTreeMap<u64, Vec<(usize, Message)>>,
     regime: Regime,
     mutant: Mutant,
     pub arrivals: Vec<Arrival>,
@@ -119,8 +119,8 @@
 
 impl World {
     /// Makes a fleet that sends to a cold worker.
-    pub fn start(count: usize, delay_max_ms: u64, lost_share: f64, seed: u64) -> Self {
-        Self::with(Regime::Cold, count, (delay_max_ms, lost_share), seed)
+    pub fn start(count: usize, delay_max_ms: u64, loss_ratio: f64, seed: u64) -> Self {
+        Self::with(Regime::Cold, count, (delay_max_ms, loss_ratio), seed)
     }
 
     /// Makes a fleet of so many instances, with the longest delay of messages in
@@ -128,7 +128,7 @@
     pub fn with(
         regime: Regime,
         count: usize,
-        (delay_max_ms, lost_share): (u64, f64),
+        (delay_max_ms, loss_ratio): (u64, f64),
         seed: u64,
     ) -> Self {
         let mut world = Self {
@@ -136,8 +136,8 @@
             number_of: (0..count).map(|number| (address(number), number)).collect(),
             now_ms: 100_000,
             delay_max_ms,
-            lost_share,
-            on_the_way: BTreeMap::new(),
+            loss_ratio,
+            in_flight: BTreeMap::new(),
             regime,
             mutant: Mutant::None,
             arrivals: Vec::new(),
@@ -145,7 +145,9 @@
             granted_counts: [0; RANK_COUNT],
             rng: StdRng::seed_from_u64(seed),
         };
-        world.instances = (0..count).map(|number| world.fresh(number)).collect();
+        world.instances = (0..count)
+            .map(|number| world.new_instance(number))
+            .collect();
         world
     }
 
@@ -159,57 +161,58 @@
         self.now_ms
     }
 
-    fn fresh(&self, number: usize) -> Instance {
+    fn new_instance(&self, number: usize) -> Instance {
         let seeds = [address(0), address(1), address(2)];
         Instance {
             members: Membership::new(address(number), DomainTag::default(), &seeds),
             grants: SendGrants::default(),
             limit: NamedLimit::default(),
-            told_ms: None,
-            open: BTreeMap::new(),
+            limit_named_ms: None,
+            pending: BTreeMap::new(),
             pause: AskPause::default(),
             started_ms: self.now_ms,
             down_until_ms: 0,
             frozen_until_ms: 0,
-            cut_until_ms: 0,
-            waiting: Vec::new(),
+            cut_off_until_ms: 0,
+            inbox: Vec::new(),
         }
     }
 
-    fn runs(&self, number: usize) -> bool {
-        let of = &self.instances[number];
-        self.now_ms >= of.down_until_ms.max(of.frozen_until_ms)
+    fn is_running(&self, number: usize) -> bool {
+        let instance = &self.instances[number];
+        self.now_ms >= instance.down_until_ms.max(instance.frozen_until_ms)
     }
 
-    fn is_heard(&self, number: usize) -> bool {
-        self.runs(number) && self.now_ms >= self.instances[number].cut_until_ms
+    fn is_reachable(&self, number: usize) -> bool {
+        self.is_running(number) && self.now_ms >= self.instances[number].cut_off_until_ms
     }
 
-    fn round_ms(&self) -> u64 {
-        if self.instances.len() < LARGE_FROM_COUNT {
-            ROUND_MS
+    fn heartbeat_interval_ms(&self) -> u64 {
+        if self.instances.len() < LARGE_FLEET_MIN_COUNT {
+            HEARTBEAT_INTERVAL_MS
         } else {
-            LARGE_ROUND_MS
+            LARGE_HEARTBEAT_INTERVAL_MS
         }
     }
 
     /// Spreads signs of life of a few rounds ago.
-    fn round(&mut self) {
-        let heard: Vec<bool> = (0..self.instances.len())
-            .map(|number| self.is_heard(number))
+    fn spread_heartbeats(&mut self) {
+        let are_reachable: Vec<bool> = (0..self.instances.len())
+            .map(|number| self.is_reachable(number))
             .collect();
         for number in 0..self.instances.len() {
-            if !self.runs(number) {
+            if !self.is_running(number) {
                 continue;
             }
             for other in 0..self.instances.len() {
-                let age_ms = ROUND_MS * self.rng.random_range(0..SIGN_ROUNDS);
-                let sign_ms = self.now_ms - age_ms;
-                let of = &self.instances[other];
-                let was_up = sign_ms >= of.started_ms.max(of.frozen_until_ms);
-                if other != number && was_up && heard[number] && heard[other] {
+                let age_ms =
+                    HEARTBEAT_INTERVAL_MS * self.rng.random_range(0..HEARTBEAT_DELAY_LIMIT);
+                let heartbeat_ms = self.now_ms - age_ms;
+                let instance = &self.instances[other];
+                let was_up = heartbeat_ms >= instance.started_ms.max(instance.frozen_until_ms);
+                if other != number && was_up && are_reachable[number] && are_reachable[other] {
                     let members = &mut self.instances[number].members;
-                    members.heard_from(sign_ms, address(other), DomainTag::default(), false);
+                    members.heard_from(heartbeat_ms, address(other), DomainTag::default(), false);
                 }
             }
             self.instances[number].members.refresh(self.now_ms);
@@ -219,18 +222,18 @@
     /// Lets callers ask for so many requests a second for a while.
     pub fn demand(&mut self, per_s: f64, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
-        let mut owed = 0.0;
+        let mut due_count = 0.0;
         while self.now_ms < until_ms {
             self.now_ms += STEP_MS;
-            if self.now_ms.is_multiple_of(self.round_ms()) {
-                self.round();
+            if self.now_ms.is_multiple_of(self.heartbeat_interval_ms()) {
+                self.spread_heartbeats();
             }
             self.deliver();
-            owed += per_s * STEP_MS as f64 / 1_000.0;
-            while owed >= 1.0 {
-                owed -= 1.0;
+            due_count += per_s * STEP_MS as f64 / 1_000.0;
+            while due_count >= 1.0 {
+                due_count -= 1.0;
                 let number = self.rng.random_range(0..self.instances.len());
-                if self.runs(number) {
+                if self.is_running(number) {
                     self.request(number);
                 }
             }
@@ -238,7 +241,7 @@
     }
 
     /// What an instance tells of the worker's limit.
-    fn word(&self, number: usize) -> Option<LimitReport> {
+    fn limit_report(&self, number: usize) -> Option<LimitReport> {
         self.instances[number].limit.report(self.now_ms, || START)
     }
 
@@ -249,35 +252,35 @@
         let others = (0..self.instances.len()).filter(|number| *number != owner);
         others
             .into_iter()
-            .find(|number| self.is_heard(*number))
+            .find(|number| self.is_reachable(*number))
             .unwrap_or(owner)
     }
 
     fn grant(&mut self, number: usize, rank: u8) -> SendAnswer {
         let now_ms = self.now_ms;
         let mutant = self.mutant;
-        let of = &mut self.instances[number];
+        let instance = &mut self.instances[number];
         let rules = match self.regime {
             Regime::Cold => Some(rule()),
-            Regime::Names(_) => of.limit.rate_per_s(now_ms).map(SendRule::of_limit),
+            Regime::NamesLimit(_) => instance.limit.rate_per_s(now_ms).map(SendRule::of_limit),
         };
         let rules: Vec<SendRule> = rules.into_iter().collect();
-        let up_for_ms = now_ms - of.started_ms;
+        let up_for_ms = now_ms - instance.started_ms;
         let ownership = match mutant {
-            Mutant::OwnBuckets => Ownership::Settled,
-            _ => Ownership::of(&of.members, now_ms, WORKER, up_for_ms),
+            Mutant::PerInstanceGrants => Ownership::Settled,
+            _ => Ownership::of(&instance.members, now_ms, WORKER, up_for_ms),
         };
-        if mutant == Mutant::Forgets {
-            of.grants = SendGrants::default();
+        if mutant == Mutant::ForgetsGrants {
+            instance.grants = SendGrants::default();
         }
-        of.grants.ask(now_ms, WORKER, &rules, rank, ownership)
+        instance.grants.ask(now_ms, WORKER, &rules, rank, ownership)
     }
 
-    fn answered(&mut self, number: usize, rank: u8, answer: SendAnswer) {
+    fn handle_answer(&mut self, number: usize, rank: u8, answer: SendAnswer) {
         match answer {
             SendAnswer::Send => {
                 self.granted_counts[usize::from(rank)] += 1;
-                self.leave(number);
+                self.send_request(number);
             }
             SendAnswer::After(wait_ms) => {
                 let pause = &mut self.instances[number].pause;
@@ -287,62 +290,68 @@
     }
 
     /// A request leaves for the worker.
-    fn leave(&mut self, number: usize) {
-        let way_ms = self.rng.random_range(1..40);
-        let at_ms = self.now_ms + way_ms;
-        let is_judged = self.is_judged(number, at_ms);
-        self.arrivals.push(Arrival { at_ms, is_judged });
-        if let Regime::Names(names) = &self.regime {
-            let said = names(at_ms).map_or(NamedRate::Nothing, NamedRate::Limit);
+    fn send_request(&mut self, number: usize) {
+        let delay_ms = self.rng.random_range(1..40);
+        let at_ms = self.now_ms + delay_ms;
+        let is_counted = self.is_counted(number, at_ms);
+        self.arrivals.push(Arrival { at_ms, is_counted });
+        if let Regime::NamesLimit(names) = &self.regime {
+            let rate = names(at_ms).map_or(NamedRate::Nothing, NamedRate::Limit);
             let back_ms = self.rng.random_range(20..ANSWER_MAX_MS);
-            let answer = Parcel::Answered {
+            let answer = Message::Response {
                 start_ms: self.instances[number].started_ms,
                 sent_ms: self.now_ms,
-                said,
+                rate,
             };
-            let due = self.on_the_way.entry(at_ms + back_ms).or_default();
+            let due = self.in_flight.entry(at_ms + back_ms).or_default();
             due.push((number, answer));
         }
     }
 
     /// Whether the rule counts a request of an instance that arrives at a time.
-    fn is_judged(&self, number: usize, at_ms: u64) -> bool {
-        let of = &self.instances[number];
-        let troubled_ms = of.started_ms.max(of.frozen_until_ms).max(of.cut_until_ms);
-        let was_well = troubled_ms <= 100_000 || at_ms >= troubled_ms + 3_000;
-        was_well && of.told_ms.is_some_and(|told_ms| at_ms >= told_ms + 500)
+    fn is_counted(&self, number: usize, at_ms: u64) -> bool {
+        let instance = &self.instances[number];
+        let disturbed_ms = instance
+            .started_ms
+            .max(instance.frozen_until_ms)
+            .max(instance.cut_off_until_ms);
+        let was_undisturbed = disturbed_ms <= 100_000 || at_ms >= disturbed_ms + 3_000;
+        was_undisturbed
+            && instance
+                .limit_named_ms
+                .is_some_and(|limit_named_ms| at_ms >= limit_named_ms + 500)
     }
 
     /// One request at an instance.
     fn request(&mut self, number: usize) {
         let rank = self.rng.random_range(0..RANK_COUNT as u8);
-        let of = &self.instances[number];
-        if !of.pause.may_ask(self.now_ms, usize::from(rank)) {
+        let instance = &self.instances[number];
+        if !instance.pause.may_ask(self.now_ms, usize::from(rank)) {
             return;
         }
-        if matches!(self.regime, Regime::Names(_)) && !self.knows_limit(number) {
-            self.leave(number);
+        if matches!(self.regime, Regime::NamesLimit(_)) && !self.knows_limit(number) {
+            self.send_request(number);
             return;
         }
-        let of = &self.instances[number];
-        let other = other_owner(&of.members, self.now_ms, WORKER);
-        let other = other.filter(|_| self.mutant != Mutant::OwnBuckets);
+        let instance = &self.instances[number];
+        let other = other_owner(&instance.members, self.now_ms, WORKER);
+        let other = other.filter(|_| self.mutant != Mutant::PerInstanceGrants);
         let Some(owner) = other else {
             let answer = self.grant(number, rank);
-            self.answered(number, rank, answer);
+            self.handle_answer(number, rank, answer);
             return;
         };
-        let ticket = self.rng.random();
+        let request_id = self.rng.random();
         let asked = (rank, self.now_ms);
-        self.instances[number].open.insert(ticket, asked);
-        if self.is_heard(number) {
+        self.instances[number].pending.insert(request_id, asked);
+        if self.is_reachable(number) {
             self.asked_count += 1;
             let to = self.number_of[&owner];
-            let ask = Parcel::Ask {
+            let ask = Message::Ask {
                 from: number,
-                ticket,
+                request_id,
                 rank,
-                limit: self.word(number),
+                limit: self.limit_report(number),
             };
             self.send(to, ask);
         }
@@ -351,15 +360,15 @@
     /// Whether an instance knows of a limit once it has asked how the worker stands.
     fn knows_limit(&mut self, number: usize) -> bool {
         let reporter = self.reporter();
-        let is_answered = self.is_heard(number)
-            && self.is_heard(reporter)
-            && !self.rng.random_bool(self.lost_share);
-        if is_answered {
+        let has_reply = self.is_reachable(number)
+            && self.is_reachable(reporter)
+            && !self.rng.random_bool(self.loss_ratio);
+        if has_reply {
             // The question carries what the asker knows.
-            let asked = self.word(number);
-            self.told(reporter, asked);
-            let word = self.word(reporter);
-            self.told(number, word);
+            let asked = self.limit_report(number);
+            self.apply_limit_report(reporter, asked);
+            let report = self.limit_report(reporter);
+            self.apply_limit_report(number, report);
         }
         self.instances[number]
             .limit
@@ -368,12 +377,12 @@
     }
 
     fn owner(&self) -> usize {
-        let of = self
+        let instance = self
             .instances
             .iter()
-            .find(|of| self.now_ms >= of.cut_until_ms);
-        of.map_or(0, |of| {
-            self.number_of[&of.members.owner(self.now_ms, WORKER)]
+            .find(|instance| self.now_ms >= instance.cut_off_until_ms);
+        instance.map_or(0, |instance| {
+            self.number_of[&instance.members.owner(self.now_ms, WORKER)]
         })
     }
 }
--- a/crates/cranereach-fleet/tests/sends/fleet/arrivals.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/arrivals.rs
@@ -8,21 +8,21 @@
     pub at_ms: u64,
     /// Whether its sender had had an answer that names a limit for half a second, and no
     /// trouble of its own for some.
-    pub is_judged: bool,
+    pub is_counted: bool,
 }
 
 impl World {
     /// Returns the times of arrivals in their order, of the judged ones alone if asked for.
-    pub fn arrived_ms(&self, are_judged: bool) -> Vec<u64> {
+    pub fn arrived_ms(&self, only_counted: bool) -> Vec<u64> {
         let counted = self.arrivals.iter();
-        let counted = counted.filter(|arrival| arrival.is_judged || !are_judged);
+        let counted = counted.filter(|arrival| arrival.is_counted || !only_counted);
         let mut arrived_ms: Vec<u64> = counted.map(|arrival| arrival.at_ms).collect();
         arrived_ms.sort_unstable();
         arrived_ms
     }
 
     /// Returns the most that arrived in any one window.
-    pub fn most_count(&self, window_ms: u64) -> usize {
+    pub fn max_count(&self, window_ms: u64) -> usize {
         let arrived_ms = self.arrived_ms(false);
         let counts = arrived_ms.iter().enumerate().map(|(index, first_ms)| {
             let rest = &arrived_ms[index..];
--- a/crates/cranereach-fleet/tests/sends/fleet/event.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/event.rs
@@ -11,9 +11,9 @@
     /// Kills one by chance, not the owner.
     KillAnother(u64),
     Freeze(u64),
-    Cut(u64),
+    Partition(u64),
     KillShare(f64),
-    CutShare(f64),
+    PartitionShare(f64),
 }
 
 /// Makes any event.
@@ -21,15 +21,15 @@
     prop_oneof![
         3 => (200_u64..6_000).prop_map(Event::Kill),
         3 => (200_u64..8_000).prop_map(Event::Freeze),
-        3 => (200_u64..30_000).prop_map(Event::Cut),
+        3 => (200_u64..30_000).prop_map(Event::Partition),
         1 => (0.1..1.0).prop_map(Event::KillShare),
-        1 => (0.05..0.4).prop_map(Event::CutShare),
+        1 => (0.05..0.4).prop_map(Event::PartitionShare),
     ]
 }
 
 impl World {
     /// Strikes the owner, or others by chance.
-    pub fn happen(&mut self, event: Event) {
+    pub fn apply_event(&mut self, event: Event) {
         let owner = self.owner();
         let now_ms = self.now_ms;
         match event {
@@ -39,7 +39,7 @@
                 self.kill((owner + step) % self.instances.len(), for_ms);
             }
             Event::Freeze(for_ms) => self.instances[owner].frozen_until_ms = now_ms + for_ms,
-            Event::Cut(for_ms) => self.instances[owner].cut_until_ms = now_ms + for_ms,
+            Event::Partition(for_ms) => self.instances[owner].cut_off_until_ms = now_ms + for_ms,
             Event::KillShare(share) => {
                 for number in 0..self.instances.len() {
                     if self.rng.random_bool(share) {
@@ -47,10 +47,10 @@
                     }
                 }
             }
-            Event::CutShare(share) => {
+            Event::PartitionShare(share) => {
                 for number in 0..self.instances.len() {
                     if self.rng.random_bool(share) {
-                        self.instances[number].cut_until_ms = now_ms + 9_000;
+                        self.instances[number].cut_off_until_ms = now_ms + 9_000;
                     }
                 }
             }
@@ -58,10 +58,10 @@
     }
 
     fn kill(&mut self, number: usize, for_ms: u64) {
-        let mut fresh = self.fresh(number);
-        fresh.down_until_ms = self.now_ms + for_ms;
-        fresh.started_ms = self.now_ms + for_ms;
-        fresh.cut_until_ms = self.instances[number].cut_until_ms;
-        self.instances[number] = fresh;
+        let mut new_instance = self.new_instance(number);
+        new_instance.down_until_ms = self.now_ms + for_ms;
+        new_instance.started_ms = self.now_ms + for_ms;
+        new_instance.cut_off_until_ms = self.instances[number].cut_off_until_ms;
+        self.instances[number] = new_instance;
     }
 }
--- a/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
@@ -12,143 +12,144 @@
 
 /// What is on its way.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Parcel {
+pub(super) enum Message {
     Ask {
         from: usize,
-        ticket: u64,
+        request_id: u64,
         rank: u8,
         limit: Option<LimitReport>,
     },
     Answer {
-        ticket: u64,
+        request_id: u64,
         answer: SendAnswer,
         limit: Option<LimitReport>,
     },
     /// The worker's answer to a request sent at a time, in milliseconds.
-    Answered {
+    Response {
         start_ms: u64,
         sent_ms: u64,
-        said: NamedRate,
+        rate: NamedRate,
     },
     /// What an instance tells whoever is asked how the worker stands.
-    Told(LimitReport),
+    LimitUpdate(LimitReport),
 }
 
 impl World {
-    pub(super) fn send(&mut self, to: usize, parcel: Parcel) {
-        if self.rng.random_bool(self.lost_share) {
+    pub(super) fn send(&mut self, to: usize, message: Message) {
+        if self.rng.random_bool(self.loss_ratio) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(self.lost_share));
+        let copies = 1 + usize::from(self.rng.random_bool(self.loss_ratio));
         for _ in 0..copies {
             let delay_ms = self.rng.random_range(1..=self.delay_max_ms);
-            let due = self.on_the_way.entry(self.now_ms + delay_ms).or_default();
-            due.push((to, parcel));
+            let due = self.in_flight.entry(self.now_ms + delay_ms).or_default();
+            due.push((to, message));
         }
     }
 
     pub(super) fn deliver(&mut self) {
-        let later = self.on_the_way.split_off(&(self.now_ms + 1));
-        let due = std::mem::replace(&mut self.on_the_way, later);
-        for (to, parcel) in due.into_values().flatten() {
-            let of = &mut self.instances[to];
-            if self.now_ms >= of.cut_until_ms.max(of.down_until_ms) {
-                of.waiting.push(parcel);
+        let later = self.in_flight.split_off(&(self.now_ms + 1));
+        let due = std::mem::replace(&mut self.in_flight, later);
+        for (to, message) in due.into_values().flatten() {
+            let instance = &mut self.instances[to];
+            if self.now_ms >= instance.cut_off_until_ms.max(instance.down_until_ms) {
+                instance.inbox.push(message);
             }
         }
         for number in 0..self.instances.len() {
-            if !self.runs(number) {
+            if !self.is_running(number) {
                 continue;
             }
-            for parcel in std::mem::take(&mut self.instances[number].waiting) {
-                self.take(number, parcel);
+            for message in std::mem::take(&mut self.instances[number].inbox) {
+                self.receive(number, message);
             }
-            self.time_out(number);
+            self.expire_pending(number);
         }
     }
 
-    fn time_out(&mut self, number: usize) {
+    fn expire_pending(&mut self, number: usize) {
         let now_ms = self.now_ms;
-        let of = &mut self.instances[number];
-        of.open
+        let instance = &mut self.instances[number];
+        instance
+            .pending
             .retain(|_, (_, asked_ms)| now_ms <= *asked_ms + GRANT_VALID_MS);
     }
 
-    fn take(&mut self, number: usize, parcel: Parcel) {
-        match parcel {
-            Parcel::Ask {
+    fn receive(&mut self, number: usize, message: Message) {
+        match message {
+            Message::Ask {
                 from,
-                ticket,
+                request_id,
                 rank,
                 limit,
             } => {
-                self.told(number, limit);
+                self.apply_limit_report(number, limit);
                 let answer = self.grant(number, rank);
-                if self.is_heard(number) {
-                    let limit = self.word(number);
-                    let answer = Parcel::Answer {
-                        ticket,
+                if self.is_reachable(number) {
+                    let limit = self.limit_report(number);
+                    let answer = Message::Answer {
+                        request_id,
                         answer,
                         limit,
                     };
                     self.send(from, answer);
                 }
             }
-            Parcel::Answer {
-                ticket,
+            Message::Answer {
+                request_id,
                 answer,
                 limit,
             } => {
-                self.told(number, limit);
+                self.apply_limit_report(number, limit);
                 let now_ms = self.now_ms;
-                let of = &mut self.instances[number];
-                let Some((rank, asked_ms)) = of.open.remove(&ticket) else {
+                let instance = &mut self.instances[number];
+                let Some((rank, asked_ms)) = instance.pending.remove(&request_id) else {
                     return;
                 };
                 // One that comes late, as after a freeze, isn't used.
                 if now_ms <= asked_ms + GRANT_VALID_MS {
-                    self.answered(number, rank, answer);
+                    self.handle_answer(number, rank, answer);
                 }
             }
-            Parcel::Answered {
+            Message::Response {
                 start_ms,
                 sent_ms,
-                said,
+                rate,
             } => {
                 if self.instances[number].started_ms == start_ms {
-                    self.heard(number, sent_ms, said);
+                    self.observe_limit(number, sent_ms, rate);
                 }
             }
-            Parcel::Told(word) => self.told(number, Some(word)),
+            Message::LimitUpdate(report) => self.apply_limit_report(number, Some(report)),
         }
     }
 
-    pub(super) fn told(&mut self, number: usize, word: Option<LimitReport>) {
-        let of = &mut self.instances[number];
-        if let Some(word) = word
-            && of.limit.merge(self.now_ms, &word)
+    pub(super) fn apply_limit_report(&mut self, number: usize, report: Option<LimitReport>) {
+        let instance = &mut self.instances[number];
+        if let Some(report) = report
+            && instance.limit.merge(self.now_ms, &report)
         {
-            of.pause = AskPause::default();
+            instance.pause = AskPause::default();
         }
     }
 
     /// An instance hears the worker's answer, and tells whoever is asked how it stands and
     /// the owner of its grants.
-    fn heard(&mut self, number: usize, sent_ms: u64, said: NamedRate) {
+    fn observe_limit(&mut self, number: usize, sent_ms: u64, rate: NamedRate) {
         let now_ms = self.now_ms;
-        let of = &mut self.instances[number];
-        if matches!(said, NamedRate::Limit(_)) {
-            of.told_ms.get_or_insert(now_ms);
+        let instance = &mut self.instances[number];
+        if matches!(rate, NamedRate::Limit(_)) {
+            instance.limit_named_ms.get_or_insert(now_ms);
         }
-        if self.mutant == Mutant::Deaf {
+        if self.mutant == Mutant::IgnoresLimit {
             return;
         }
-        let has_changed = of.limit.observe(said, true, sent_ms, now_ms);
+        let has_changed = instance.limit.observe(rate, true, sent_ms, now_ms);
         if has_changed {
-            of.pause = AskPause::default();
-            if let (Some(word), true) = (self.word(number), self.is_heard(number)) {
-                self.send(self.reporter(), Parcel::Told(word));
-                self.send(self.owner(), Parcel::Told(word));
+            instance.pause = AskPause::default();
+            if let (Some(report), true) = (self.limit_report(number), self.is_reachable(number)) {
+                self.send(self.reporter(), Message::LimitUpdate(report));
+                self.send(self.owner(), Message::LimitUpdate(report));
             }
         }
     }
--- a/crates/cranereach-fleet/tests/sends/grants.rs
+++ b/crates/cranereach-fleet/tests/sends/grants.rs
@@ -15,7 +15,7 @@
 fn granted_count(rate_per_s: f64, for_ms: u64, ownership: Ownership) -> usize {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_limit(rate_per_s)];
-    let times = (0..for_ms).step_by(10).map(|of| 1_000 + of);
+    let times = (0..for_ms).step_by(10).map(|offset_ms| 1_000 + offset_ms);
     let answers = times.map(|now_ms| owner.ask(now_ms, WORKER, &rules, 0, ownership));
     answers.filter(|answer| *answer == SendAnswer::Send).count()
 }
@@ -60,7 +60,7 @@
 fn of_two_rules_the_stricter_holds() {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_cold(8.7, 1.5, 5.0), SendRule::of_limit(0.3)];
-    let times = (0..3_000).step_by(10).map(|of| 1_000 + of);
+    let times = (0..3_000).step_by(10).map(|offset_ms| 1_000 + offset_ms);
     let answers = times.map(|now_ms| owner.ask(now_ms, WORKER, &rules, 0, Ownership::Settled));
     let sent = answers.filter(|answer| *answer == SendAnswer::Send);
     assert_eq!(sent.count(), SendRule::of_limit(0.3).count());
@@ -83,7 +83,7 @@
 }
 
 /// The order of instances for the worker, this one first.
-fn first_of(count: usize) -> (Ipv4Addr, Vec<Ipv4Addr>) {
+fn ranked_addresses(count: usize) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let all: Vec<Ipv4Addr> = (0..count).map(address).collect();
     let probe = Membership::new(Ipv4Addr::new(10, 9, 9, 9), DomainTag::default(), &all);
     let mut seen = probe;
@@ -96,48 +96,53 @@
 
 #[test]
 fn only_a_change_before_it_makes_an_owner_new() {
-    let (_, order) = first_of(9);
+    let (_, order) = ranked_addresses(9);
     let own = order[1];
-    let others: Vec<Ipv4Addr> = order.iter().copied().filter(|of| *of != own).collect();
+    let others: Vec<Ipv4Addr> = order
+        .iter()
+        .copied()
+        .filter(|other| *other != own)
+        .collect();
     let mut members = Membership::new(own, DomainTag::default(), &[]);
     let now_ms = 100_000;
     for other in &others {
         members.heard_from(now_ms, *other, DomainTag::default(), false);
     }
     members.refresh(now_ms);
-    let of = |members: &Membership, at_ms: u64| Ownership::of(members, at_ms, WORKER, 90_000);
-    let look_on = |members: &mut Membership, from_ms: u64, to_ms: u64| {
+    let ownership =
+        |members: &Membership, at_ms: u64| Ownership::of(members, at_ms, WORKER, 90_000);
+    let refresh_during = |members: &mut Membership, from_ms: u64, to_ms: u64| {
         for at_ms in (from_ms..=to_ms).step_by(250) {
             members.refresh(at_ms);
         }
     };
     assert_eq!(
-        of(&members, now_ms),
+        ownership(&members, now_ms),
         Ownership::Other,
         "another one comes first"
     );
     // The first one leaves: this one takes over, and is new for a while.
     members.heard_from(now_ms + 10, others[0], DomainTag::default(), true);
-    assert_eq!(of(&members, now_ms + 20), Ownership::New);
+    assert_eq!(ownership(&members, now_ms + 20), Ownership::New);
     for other in &others[1..] {
         members.heard_from(now_ms + 2_600, *other, DomainTag::default(), false);
     }
-    look_on(&mut members, now_ms, now_ms + 2_600);
-    assert_eq!(of(&members, now_ms + 2_600), Ownership::Settled);
+    refresh_during(&mut members, now_ms, now_ms + 2_600);
+    assert_eq!(ownership(&members, now_ms + 2_600), Ownership::Settled);
     // One that comes after it leaves: nothing changes for the worker.
     members.heard_from(now_ms + 2_650, others[5], DomainTag::default(), true);
     members.refresh(now_ms + 2_660);
-    assert_eq!(of(&members, now_ms + 2_700), Ownership::Settled);
+    assert_eq!(ownership(&members, now_ms + 2_700), Ownership::Settled);
     // It stands still, and hears at once what has waited: others may have taken over.
-    assert_eq!(of(&members, now_ms + 3_700), Ownership::New);
+    assert_eq!(ownership(&members, now_ms + 3_700), Ownership::New);
     for other in &others[1..] {
         members.heard_from(now_ms + 6_000, *other, DomainTag::default(), false);
     }
     members.refresh(now_ms + 6_000);
-    assert_eq!(of(&members, now_ms + 6_100), Ownership::New);
-    look_on(&mut members, now_ms + 6_000, now_ms + 8_500);
+    assert_eq!(ownership(&members, now_ms + 6_100), Ownership::New);
+    refresh_during(&mut members, now_ms + 6_000, now_ms + 8_500);
     for other in &others[1..] {
         members.heard_from(now_ms + 8_500, *other, DomainTag::default(), false);
     }
-    assert_eq!(of(&members, now_ms + 8_600), Ownership::Settled);
+    assert_eq!(ownership(&members, now_ms + 8_600), Ownership::Settled);
 }
--- a/crates/cranereach-fleet/tests/sends/limited.rs
+++ b/crates/cranereach-fleet/tests/sends/limited.rs
@@ -17,39 +17,39 @@
 const ALLOWANCE_COUNT: f64 = 5.0;
 
 /// Time from the worker's first word on, in milliseconds, from which windows may end.
-const JUDGED_AFTER_MS: u64 = 3_000;
+const CHECKED_AFTER_MS: u64 = 3_000;
 
 /// When the worker begins to name its limit, in milliseconds.
 const NAMED_AT_MS: u64 = 108_000;
 
 /// Time by which what the worker changes may take effect later, in milliseconds: its
 /// answer comes, and the next request is sent after that.
-const EFFECT_MS: u64 = 700;
+const CHANGE_DELAY_MS: u64 = 700;
 
 /// Share of what it names that a worker gets at least while there is demand.
-const LEAST_SHARE: f64 = 0.7;
+const MIN_USED_SHARE: f64 = 0.7;
 
 /// A worker that names one rate.
 fn one_rate(rate_per_s: f64) -> Regime {
-    Regime::Names(Box::new(move |at_ms| {
+    Regime::NamesLimit(Box::new(move |at_ms| {
         (at_ms >= NAMED_AT_MS).then_some(rate_per_s)
     }))
 }
 
 /// Returns how a window of judged requests exceeds what is tolerated, if one does. The
 /// figure is what the worker names at a time.
-fn excess(world: &World, figure: impl Fn(u64) -> f64) -> Option<String> {
+fn excess(world: &World, rate_at: impl Fn(u64) -> f64) -> Option<String> {
     let arrived_ms = world.arrived_ms(true);
     let highest = |at_ms: u64| {
-        let times = (at_ms.saturating_sub(EFFECT_MS)..=at_ms).step_by(50);
-        times.map(&figure).fold(0.0, f64::max)
+        let times = (at_ms.saturating_sub(CHANGE_DELAY_MS)..=at_ms).step_by(50);
+        times.map(&rate_at).fold(0.0, f64::max)
     };
     let mut first = 0;
     for (index, end_ms) in arrived_ms.iter().enumerate() {
         while arrived_ms[first] + WINDOW_MS <= *end_ms {
             first += 1;
         }
-        if *end_ms < NAMED_AT_MS + JUDGED_AFTER_MS {
+        if *end_ms < NAMED_AT_MS + CHECKED_AFTER_MS {
             continue;
         }
         let times = (end_ms - WINDOW_MS..*end_ms).step_by(100);
@@ -64,7 +64,7 @@
 }
 
 /// Lets a fleet come up, and callers ask before and while the worker names its limit.
-fn play(mut world: World, per_s: f64, for_ms: u64) -> World {
+fn simulate(mut world: World, per_s: f64, for_ms: u64) -> World {
     world.demand(0.0, NAMED_AT_MS - 2_000 - world.now_ms());
     world.demand(per_s, 2_000 + for_ms);
     world
@@ -79,14 +79,14 @@
         count in prop_oneof![Just(3_usize), Just(9), Just(40)],
         rate_per_s in prop_oneof![Just(0.3), Just(1.0), Just(1.2), Just(10.0), Just(60.0)],
         delay_max_ms in 1_u64..60,
-        lost_share in 0.0..0.3,
+        loss_ratio in 0.0..0.3,
         events in prop::collection::vec((100_u64..4_000, event::any()), 1..10),
     ) {
         let per_s = (rate_per_s * 3.0_f64).max(40.0);
-        let world = World::with(one_rate(rate_per_s), count, (delay_max_ms, lost_share), seed);
-        let mut world = play(world, per_s, 3_000);
+        let world = World::with(one_rate(rate_per_s), count, (delay_max_ms, loss_ratio), seed);
+        let mut world = simulate(world, per_s, 3_000);
         for (pause_ms, event) in events {
-            world.happen(event);
+            world.apply_event(event);
             world.demand(per_s, pause_ms);
         }
         world.demand(per_s, 5_000);
@@ -96,23 +96,23 @@
     #[test]
     fn it_stays_so_while_the_figure_moves(
         seed in any::<u64>(),
-        figures in prop::collection::vec(
+        rates in prop::collection::vec(
             prop_oneof![Just(0.3), Just(1.0), Just(1.2), Just(4.0), Just(10.0)], 6,
         ),
-        each_ms in 300_u64..4_000,
+        step_ms in 300_u64..4_000,
         delay_max_ms in 1_u64..30,
-        lost_share in 0.0..0.1,
+        loss_ratio in 0.0..0.1,
     ) {
-        let figure = move |at_ms: u64| {
-            let place = at_ms.saturating_sub(NAMED_AT_MS) / each_ms;
-            figures[place as usize % figures.len()]
+        let rate_at = move |at_ms: u64| {
+            let index = at_ms.saturating_sub(NAMED_AT_MS) / step_ms;
+            rates[index as usize % rates.len()]
         };
-        let named = figure.clone();
-        let names = move |at_ms: u64| (at_ms >= NAMED_AT_MS).then(|| named(at_ms));
-        let regime = Regime::Names(Box::new(names));
-        let world = World::with(regime, 9, (delay_max_ms, lost_share), seed);
-        let world = play(world, 60.0, 14_000);
-        prop_assert_eq!(excess(&world, figure), None);
+        let named_rate_at = rate_at.clone();
+        let names = move |at_ms: u64| (at_ms >= NAMED_AT_MS).then(|| named_rate_at(at_ms));
+        let regime = Regime::NamesLimit(Box::new(names));
+        let world = World::with(regime, 9, (delay_max_ms, loss_ratio), seed);
+        let world = simulate(world, 60.0, 14_000);
+        prop_assert_eq!(excess(&world, rate_at), None);
     }
 }
 
@@ -130,7 +130,7 @@
             let world = World::with(one_rate(rate_per_s), count, (3, 0.02), seed);
             // Of a low rate, single requests would count for much in less time.
             let for_ms = ((24.0 / rate_per_s) as u64 * 1_000).max(20_000);
-            let world = play(world, per_s, for_ms);
+            let world = simulate(world, per_s, for_ms);
             assert_eq!(
                 excess(&world, |_| rate_per_s),
                 None,
@@ -139,13 +139,16 @@
             let from_ms = NAMED_AT_MS + 2_000;
             let arrived_ms = world.arrived_ms(false);
             let got_count = arrived_ms.iter().filter(|at_ms| **at_ms >= from_ms).count();
-            let owed = rate_per_s * (for_ms - 2_000) as f64 / 1_000.0;
-            let share = got_count as f64 / owed;
+            let allowed_count = rate_per_s * (for_ms - 2_000) as f64 / 1_000.0;
+            let share = got_count as f64 / allowed_count;
             println!(
                 "{count} instances, {rate_per_s}/s: {share:.2} of it, {} asked",
                 world.asked_count
             );
-            assert!(share > LEAST_SHARE, "{count}, {rate_per_s}: {share} of it");
+            assert!(
+                share > MIN_USED_SHARE,
+                "{count}, {rate_per_s}: {share} of it"
+            );
         }
     }
 }
@@ -154,7 +157,7 @@
 fn the_more_urgent_get_more_of_it() {
     for (count, rate_per_s) in [(3, 1.2), (9, 1.2), (9, 10.0), (100, 10.0)] {
         let world = World::with(one_rate(rate_per_s), count, (3, 0.02), 8);
-        let world = play(world, rate_per_s * 9.0, 60_000);
+        let world = simulate(world, rate_per_s * 9.0, 60_000);
         let counts = world.granted_counts;
         println!("{count} instances, {rate_per_s}/s: {counts:?} by rank");
         let all: usize = counts.iter().sum();
@@ -168,20 +171,20 @@
     let mut world = World::with(one_rate(1.2), 100, (3, 0.02), 5);
     world.demand(0.0, NAMED_AT_MS - world.now_ms());
     for _loss in 0..20 {
-        world.happen(event::Event::KillAnother(1_500));
+        world.apply_event(event::Event::KillAnother(1_500));
         world.demand(60.0, 1_000);
     }
     assert_eq!(excess(&world, |_| 1.2), None);
     let share = world.arrivals.len() as f64 / (20.0 * 1.2);
-    assert!(share > LEAST_SHARE, "{share} of it");
+    assert!(share > MIN_USED_SHARE, "{share} of it");
 }
 
 #[test]
 fn a_limit_that_ends_gives_all_back() {
     let ends_at_ms = NAMED_AT_MS + 6_000;
     let names = move |at_ms: u64| (NAMED_AT_MS..ends_at_ms).contains(&at_ms).then_some(1.2);
-    let world = World::with(Regime::Names(Box::new(names)), 9, (3, 0.0), 6);
-    let world = play(world, 60.0, 12_000);
+    let world = World::with(Regime::NamesLimit(Box::new(names)), 9, (3, 0.0), 6);
+    let world = simulate(world, 60.0, 12_000);
     let arrived_ms = world.arrived_ms(false);
     let from_ms = ends_at_ms + 4_000;
     let got_count = arrived_ms.iter().filter(|at_ms| **at_ms >= from_ms).count();
@@ -190,9 +193,13 @@
 
 #[test]
 fn what_is_wrong_is_found() {
-    for mutant in [Mutant::OwnBuckets, Mutant::Forgets, Mutant::Deaf] {
+    for mutant in [
+        Mutant::PerInstanceGrants,
+        Mutant::ForgetsGrants,
+        Mutant::IgnoresLimit,
+    ] {
         let world = World::with(one_rate(1.2), 9, (3, 0.02), 7).mutated(mutant);
-        let world = play(world, 60.0, 12_000);
+        let world = simulate(world, 60.0, 12_000);
         assert_ne!(excess(&world, |_| 1.2), None, "{mutant:?}");
     }
 }
