--- a/crates/cranereach-fleet/tests/quarantine/fleet.rs
+++ b/crates/cranereach-fleet/tests/quarantine/fleet.rs
@@ -1,4 +1,6 @@
-//! Instances that tell each other of requests, workers that end, callers that come back.
+//! Simulated fleet: instances that gossip about requests, workers that end, and callers that retry.
+//!
+//! A fatal request is one under which each worker that runs it ends; all others are harmless.
 
 use std::collections::HashMap;
 
@@ -18,29 +20,29 @@
 /// Time of one step, in milliseconds.
 pub const STEP_MS: i64 = 50;
 
-/// Time between two digests, in milliseconds.
+/// Interval at which instances send gossip digests, in milliseconds.
 const DIGEST_INTERVAL_MS: i64 = 250;
 
-/// Instances that a digest goes to, and that count a request's ends.
+/// Number of instances that a digest is sent to, and that count the ends under a request.
 const FAN_OUT_COUNT: usize = 6;
 const COUNTER_COUNT: usize = 2;
 
-/// Share of messages that are lost.
+/// Share of the messages that are lost.
 const MESSAGE_LOSS_RATIO: f64 = 0.05;
 
-/// Time for which a worker that ended is away, in milliseconds.
+/// Time for which a worker that ended is down, in milliseconds.
 const WORKER_RESTART_MS: i64 = 4_000;
 
-/// Time after which knowledge of a third end counts as gone round, in milliseconds.
+/// Time after which all instances are expected to know of a third end, in milliseconds.
 const PROPAGATION_MS: i64 = 3_000;
 
-/// Workers of a rack.
+/// Number of workers in a rack.
 const WORKERS_PER_RACK: usize = 5;
 
-/// Times that a caller comes back whose request came to nothing.
+/// Maximum number of times that a caller repeats a harmless request that failed.
 const CLIENT_RETRY_MAX_COUNT: u32 = 3;
 
-/// Returns what a request of a number is known by.
+/// Returns the mark of the request with the given number.
 pub fn mark(number: u64) -> RequestMark {
     let content = Content {
         account: None,
@@ -58,33 +60,34 @@
     }
 }
 
-/// What a world is like.
+/// Parameters of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub instance_count: usize,
     pub worker_count: usize,
-    /// Workers that hold each model.
+    /// Number of workers that hold each model.
     pub replica_count: usize,
-    /// Requests that end their workers.
+    /// Number of fatal requests.
     pub fatal_count: usize,
-    /// Single workers lost a second, and racks.
+    /// Single workers that end per second for other reasons, and whole racks.
     pub lost_per_s: f64,
     pub racks_lost_per_s: f64,
-    /// Requests open at a worker, about.
+    /// Approximate number of requests that run on a worker.
     pub open_count: usize,
-    /// Tries of one call.
+    /// Maximum number of attempts of one call.
     pub attempt_count: u32,
 }
 
-/// What happened in a world.
+/// Counts from a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     pub harmless: usize,
     pub harmless_refused: usize,
     pub harmless_unplaced: usize,
     pub worker_ends: usize,
-    /// Sends beyond what may be of the request that was sent most often.
+    /// Sends of a fatal request later than its third end should be known everywhere; of the request
+    /// with the most.
     pub late_sends: usize,
     pub digest_max_len: usize,
 }
@@ -115,14 +118,14 @@
     instances: Vec<Quarantine>,
     workers: Vec<Worker>,
     waiting: Vec<(i64, Call)>,
-    /// Ends under each ending request, and its sends: when, in milliseconds.
+    /// Times of the worker ends under each fatal request, and of its sends, in milliseconds.
     ends: HashMap<u64, Vec<i64>>,
     sends: HashMap<u64, Vec<i64>>,
     next: u64,
     outcome: Outcome,
 }
 
-/// Plays a world for a time, in milliseconds.
+/// Simulates a scenario for a time in milliseconds.
 pub fn simulate(scenario: Scenario, for_ms: i64) -> Outcome {
     let worker = |number: usize| Worker {
         start: number as u64,
@@ -174,7 +177,7 @@
     fn step(&mut self) {
         self.complete_calls();
         self.stop_random_workers();
-        // Each call stays for a second on the average.
+        // A call takes one second on average.
         let arrivals =
             self.scenario.worker_count * self.scenario.open_count * STEP_MS as usize / 1_000;
         for _ in 0..arrivals {
@@ -192,14 +195,14 @@
         }
     }
 
-    /// A call comes to some instance.
+    /// Receives a call at a random instance.
     fn receive(&mut self, mut call: Call) {
         call.instance = self.rng.random_range(0..self.instances.len());
         call.attempts = 0;
         self.send(call);
     }
 
-    /// Sends a call to a worker unless it is quarantined.
+    /// Sends a call to the least busy worker that may run it, unless the call is quarantined.
     fn send(&mut self, mut call: Call) {
         let suspicion = self.instances[call.instance].suspicion(mark(call.number));
         if suspicion.is_quarantined {
@@ -251,7 +254,7 @@
         }
     }
 
-    /// Ends what is due: answers, and workers under requests that end them.
+    /// Completes the harmless calls that are due, and ends workers whose fatal requests are due.
     fn complete_calls(&mut self) {
         let now_ms = self.now_ms;
         for worker in 0..self.workers.len() {
@@ -286,7 +289,7 @@
         }
     }
 
-    /// A worker ends with all that it runs.
+    /// Ends a worker, and with it all calls that it runs.
     fn stop_worker(&mut self, worker: usize) {
         let now_ms = self.now_ms;
         self.next += 1;
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Tells those who count a request's ends.
+    /// Sends what an instance knows about a request to the instances that count its ends.
     fn report_to_counters(&mut self, call: Call) {
         let mark = mark(call.number);
         let Some(update) = self.instances[call.instance].update_for(self.now_ms, mark) else {
@@ -349,8 +352,8 @@
         }
     }
 
-    /// Counts the sends of each ending request later than its third end can be known, and
-    /// returns the most.
+    /// Counts the sends of each fatal request after all instances should know of its third end, and
+    /// returns the highest count.
     fn late_sends(&self) -> usize {
         let late = self.sends.iter().map(|(number, sends)| {
             let third = self
--- a/crates/cranereach-fleet/tests/quarantine/joining.rs
+++ b/crates/cranereach-fleet/tests/quarantine/joining.rs
@@ -1,4 +1,4 @@
-//! What instances make of what they see and hear, in whatever order.
+//! Merging of worker ends that an instance observes and of updates from others, in any order.
 
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
@@ -21,7 +21,7 @@
     is_quarantined: true,
 };
 
-/// Returns what an instance that saw ends of some workers one after the other tells.
+/// Returns the state of an instance that observed the ends of these workers, one second apart.
 fn after_ends(workers: impl IntoIterator<Item = u64>) -> Quarantine {
     let mut instance = Quarantine::default();
     for (index, worker) in (0_i64..).zip(workers) {
@@ -42,7 +42,7 @@
         counting.apply_update(9_000, &update_from(&after_ends([worker]), 9_000));
         assert!(!counting.suspicion(mark(1)).is_quarantined);
     }
-    // The third came under a try whose sender knew of the others.
+    // The third end came under an attempt whose sender knew of the others.
     let mut third = Quarantine::default();
     third.apply_update(9_000, &update_from(&counting, 9_000));
     third.ended(9_500, mark(1), 3, true);
@@ -58,7 +58,7 @@
 fn one_end_that_many_saw_and_told_counts_once() {
     let mut instance = after_ends([7]);
     let update = update_from(&instance, 1_000);
-    // Also where it was told by someone who stood still meanwhile.
+    // Also if the update comes from an instance that was suspended in between.
     for now_ms in [1_000, 1_010, 3_000, 9_000] {
         assert_eq!(instance.apply_update(now_ms, &update), Change::None);
     }
@@ -72,7 +72,7 @@
         instance.ended(1_000, mark(1), worker, false);
     }
     assert!(!instance.suspicion(mark(1)).is_quarantined);
-    // The next that comes tells whether it was they or the request.
+    // The next attempt shows whether the request caused the ends.
     instance.clear(2_000, mark(1));
     assert_eq!(instance.suspicion(mark(1)), Suspicion::default());
 }
@@ -85,7 +85,7 @@
     }
     instance.ended(2_000, mark(1), 20, true);
     assert!(instance.suspicion(mark(1)).is_quarantined);
-    // Also where others know of other ends of those many.
+    // Also at an instance that knows of other ends of the same moment.
     let mut other = Quarantine::default();
     for worker in 10..20 {
         other.ended(1_000, mark(1), worker, false);
@@ -109,7 +109,7 @@
     for round in 0..20_usize {
         let now_ms = 1_100 + round as i64 * 50;
         let update = update_from(&instances[round % 2], now_ms);
-        // On its way for a while, so that what it tells of looks younger.
+        // Delivered late, so that the ends it reports look more recent.
         let change = instances[(round + 1) % 2].apply_update(now_ms + 40, &update);
         assert_eq!(change, Change::None, "round {round}");
     }
@@ -127,7 +127,7 @@
         Change::Suspicion
     );
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
-    // Who was cut off meanwhile doesn't bring it back.
+    // An instance that was partitioned in between doesn't bring the suspicion back.
     let stale = update_from(&after_ends([1, 2, 3]), 5_000);
     other.apply_update(5_500, &stale);
     assert_eq!(other.suspicion(mark(1)), Suspicion::default());
@@ -148,7 +148,7 @@
     assert_eq!(
         updates[0].fingerprint,
         mark(1).fingerprint,
-        "it is told of first"
+        "the quarantined request is gossiped first"
     );
 }
 
@@ -176,7 +176,7 @@
     let stored = [update_from(&quarantined, 5_000)];
     let stored_count =
         |instance: &Quarantine| instance.select_for_storage(9_000, &stored, 64).len();
-    // Neither who hasn't heard of it nor who knows of fewer ends takes it out.
+    // Neither an instance that doesn't know of it nor one that knows of fewer ends removes it.
     assert_eq!(stored_count(&Quarantine::default()), 1);
     assert_eq!(stored_count(&after_ends([4])), 1);
     assert_eq!(stored_count(&quarantined), 1);
@@ -192,7 +192,7 @@
     assert!(!instance.may_know(7) && !instance.may_know(9));
 }
 
-/// Some news of one request, as several instances may tell them.
+/// Generates updates about one request, as several instances may send them.
 fn any_updates() -> impl Strategy<Value = Vec<(u64, u32, bool)>> {
     let one = (0_u64..5, 0_u32..50_000, any::<bool>());
     proptest::collection::vec(one, 1..8)
@@ -210,7 +210,7 @@
             altered.is_repeated = is_repeated;
             altered
         };
-        // Ends of one worker are the same here: starts of one are told apart by their key.
+        // One end per worker: here, several ends of one worker would count as the same one.
         let mut worker_seen = std::collections::HashSet::new();
         let updates: Vec<SuspectUpdate> = updates
             .into_iter()
--- a/crates/cranereach-fleet/tests/quarantine/main.rs
+++ b/crates/cranereach-fleet/tests/quarantine/main.rs
@@ -1,4 +1,5 @@
-//! Requests under which workers end: who is refused, who isn't, what is kept and told.
+//! Quarantine of requests under which workers end: which requests are refused, and what is stored
+//! and gossiped.
 
 mod fleet;
 mod joining;
--- a/crates/cranereach-fleet/tests/quarantine/worlds.rs
+++ b/crates/cranereach-fleet/tests/quarantine/worlds.rs
@@ -1,10 +1,10 @@
-//! Random worlds: workers lost one at a time, by racks and by requests that end them.
+//! Random simulations: workers that end one at a time, by racks, and under fatal requests.
 
 use super::fleet::Outcome;
 use super::fleet::Scenario;
 use super::fleet::simulate;
 
-/// Time that a world is played for, in milliseconds.
+/// Duration of a simulation, in milliseconds.
 const SIMULATED_MS: i64 = 30_000;
 
 const BASE_SCENARIO: Scenario = Scenario {
@@ -19,7 +19,7 @@
     attempt_count: 3,
 };
 
-/// Sums what happened with several seeds.
+/// Simulates a scenario with three seeds; returns the sum or, for two of the counts, the maximum.
 fn simulate_seeds(scenario: Scenario) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..3 {
@@ -55,8 +55,8 @@
 
 #[test]
 fn where_workers_are_lost_all_the_time_hardly_anybody_is_refused() {
-    // A worker is lost every second, half of them by racks of five: with 15 workers a
-    // quarter of them is always away.
+    // A worker ends every second, half of them in racks of five: of 15 workers, a quarter is
+    // always down.
     for (worker_count, refused_max_per_mille) in [(15, 0.5), (100, 0.02)] {
         for fatal_count in [0, 2] {
             let outcome = simulate_seeds(Scenario {
@@ -69,7 +69,7 @@
             let refused_per_mille =
                 outcome.harmless_refused as f64 * 1_000.0 / outcome.harmless as f64;
             assert!(refused_per_mille <= refused_max_per_mille, "{outcome:?}");
-            // Three later ones are tolerated.
+            // Three late sends are tolerated.
             assert!(outcome.late_sends <= 3, "{outcome:?}");
         }
     }
--- a/crates/cranereach-fleet/tests/restores/gone.rs
+++ b/crates/cranereach-fleet/tests/restores/gone.rs
@@ -1,4 +1,4 @@
-//! Who is known to be gone gets nothing, however long a copy lists it.
+//! A worker that is known to be gone gets nothing, for however long a restored row lists it.
 
 use proptest::strategy::Strategy;
 use proptest::strategy::ValueTree;
@@ -9,10 +9,10 @@
 use crate::world::Mutant;
 use crate::world::World;
 
-/// Worlds that are played.
+/// Number of worlds that are simulated.
 const WORLD_COUNT: u64 = 200;
 
-/// Guards against a copy's row that is trusted while its worker is gone.
+/// Guards against trusting a restored row whose worker is gone.
 #[test]
 fn who_is_known_to_be_gone_gets_nothing_however_long_a_copy_lists_it() {
     let mut runner = TestRunner::deterministic();
--- a/crates/cranereach-fleet/tests/restores/instance.rs
+++ b/crates/cranereach-fleet/tests/restores/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the worlds: its list, and what it makes of rows.
+//! One simulated instance: its list of workers, and how it applies rows.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,23 +17,23 @@
 use crate::world::DRAIN_MS;
 use crate::world::Mutant;
 
-/// Time for which departures are told on, in milliseconds.
+/// Time for which departures are gossiped, in milliseconds.
 const DEPARTURE_GOSSIP_MS: u64 = 4_000;
 
-/// A list, or changes of one, as somebody had it.
+/// A list of workers, or changes to one, as the store or an instance had it.
 #[derive(Clone, Debug)]
 pub struct ListPart {
     pub from: StorePosition,
     pub position: StorePosition,
     pub span: Span,
     pub rows: Vec<ChangedRow>,
-    /// Whether the rows are the whole list.
+    /// Whether the rows are the complete list.
     pub is_whole: bool,
-    /// When it was so, in milliseconds.
+    /// Time at which it was up to date, in milliseconds.
     pub as_of_ms: u64,
 }
 
-/// One instance.
+/// One simulated instance.
 pub struct Instance {
     pub listing: Listing,
     pub freshness: Freshness,
@@ -46,9 +46,9 @@
     pub read_pending_until_ms: u64,
     pub next_digest_ms: u64,
     pub gossiped_departures: Vec<(u64, DepartureNews)>,
-    /// Starts of which it knew that they leave: worker, start.
+    /// Worker starts that it knew to be leaving: worker, start.
     pub known_leaving: HashSet<(usize, u64)>,
-    /// Starts of which it knew that their rows had ended, in which era.
+    /// Worker starts whose rows it knew to have been removed, with the era of the removal.
     pub known_gone: HashMap<(usize, u64), u64>,
     mutant: Mutant,
 }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Hears of an era of the store.
+    /// Takes note of an era of the store.
     pub fn observe_era(&mut self, now_ms: u64, era: u64) {
         if era <= self.era || self.mutant == Mutant::NoEras {
             return;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes a list or changes, if they fit; returns whether they are new.
+    /// Applies a list or changes if they fit; returns whether they advanced the list.
     pub fn apply(&mut self, now_ms: u64, part: &ListPart) -> bool {
         let part = self.as_mutant_sees(part);
         self.observe_era(now_ms, part.position.era);
@@ -121,7 +121,7 @@
         self.listing.position() > before
     }
 
-    /// Returns a part as a mutant sees it.
+    /// Returns a part of the list as the mutant reads it: without eras, if it ignores them.
     fn as_mutant_sees(&self, part: &ListPart) -> ListPart {
         let mut part = part.clone();
         if self.mutant == Mutant::NoEras {
@@ -146,7 +146,7 @@
         let row_state = RowState::read(value);
         let start = (worker_number(&row.key), row_state.start);
         if self.known_gone.get(&start) == Some(&row.position.era) {
-            // It was written since, and not by a copy.
+            // The row was written after the removal, not restored from a backup.
             self.known_gone.remove(&start);
         }
         self.roster.put(row.position, record(&row.key, row_state));
@@ -165,7 +165,7 @@
         self.roster.remove(position, id);
     }
 
-    /// Does what is due between messages.
+    /// Does the periodic work of an instance.
     pub fn tick(&mut self, now_ms: u64) {
         let age_ms = self.freshness.age_ms(now_ms);
         if age_ms.is_some_and(|age_ms| age_ms < DRAIN_MS) {
@@ -178,7 +178,7 @@
             .retain(|(at_ms, _)| now_ms < at_ms + DEPARTURE_GOSSIP_MS);
     }
 
-    /// Hears from another instance which starts leave.
+    /// Takes the departures that another instance reports.
     pub fn observe_departures(&mut self, now_ms: u64, reported: &[DepartureNews]) {
         for news in reported {
             if self.roster.note_leaving_reported(now_ms, news) {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Returns its newest changes, or all since a position.
+    /// Returns its newest changes, or all changes since a position.
     pub fn part(&self, now_ms: u64, since: Option<StorePosition>) -> Option<ListPart> {
         let age_ms = self.freshness.age_ms(now_ms)?;
         let as_of_ms = now_ms - age_ms;
--- a/crates/cranereach-fleet/tests/restores/main.rs
+++ b/crates/cranereach-fleet/tests/restores/main.rs
@@ -1,9 +1,9 @@
-//! Instances that follow the list of workers at a store that comes back from copies, in a
-//! simulated network with delay, loss, freezes, cuts and restarts.
+//! Instances that follow the list of workers in a store that is restored from backups, in a
+//! simulated network with delays, loss, suspended processes, partitions and restarts.
 //!
-//! Nobody in touch sends to a worker later than the bound after its word was taken by a store
-//! that is stable; nobody sends to a start of which it knew that it leaves; and lists are
-//! complete again within their bound.
+//! No connected instance sends to a worker later than the bound after a stable store has accepted
+//! that the worker leaves or is gone; no instance sends to a worker start that it knew to be
+//! leaving; and lists are complete again within their bound.
 
 mod gone;
 mod instance;
@@ -38,12 +38,12 @@
     proptest::collection::vec((100_u64..2_500, event()), 1..24)
 }
 
-/// Plays events and a calm end; returns what was broken.
+/// Simulates events and an undisturbed end; returns the violations found.
 fn simulate(seed: u64, instance_count: usize, mutant: Mutant, events: &Events) -> Vec<String> {
     simulate_world(World::start(seed, instance_count, mutant), events)
 }
 
-/// Plays events and a calm end in a world; returns what was broken.
+/// Simulates events and an undisturbed end in a given world; returns the violations found.
 fn simulate_world(mut world: World, events: &Events) -> Vec<String> {
     world.run(4_000);
     for (pause_ms, event) in events {
@@ -58,7 +58,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, max_shrink_iters: 60, ..ProptestConfig::default() })]
 
-    /// Guards against lists, and what is known of workers, that go back with the store.
+    /// Guards against lists, and knowledge of workers, that revert together with the store.
     #[test]
     fn nothing_is_sent_to_who_left_and_lists_are_complete_again(
         seed in any::<u64>(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Guards against what only many instances show.
+/// Guards against faults that only show with many instances.
 #[test]
 fn a_hundred_instances_follow_a_store_that_comes_back_twice() {
     let events = vec![
@@ -86,7 +86,7 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Shows that each of the ways in which the design could have gone wrong is seen.
+/// Shows that the checks find each deliberate fault.
 #[test]
 fn worlds_without_a_part_of_the_design_are_found_out() {
     for mutant in [
@@ -99,6 +99,6 @@
             let events = events().new_tree(&mut runner).unwrap().current();
             !simulate(seed, 6, mutant, &events).is_empty()
         });
-        assert!(is_found, "{mutant:?} goes unseen");
+        assert!(is_found, "{mutant:?} is not found");
     }
 }
--- a/crates/cranereach-fleet/tests/restores/store.rs
+++ b/crates/cranereach-fleet/tests/restores/store.rs
@@ -1,4 +1,4 @@
-//! The store of the worlds: rows of workers, their changes, and copies to come back from.
+//! The simulated store: rows of workers, their changes, and backups to restore it from.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -6,10 +6,10 @@
 use cranereach_fleet::listing::ChangedRow;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Age of the oldest copy, in milliseconds.
+/// Age of the oldest backup that is kept, in milliseconds.
 const BACKUP_AGE_MAX_MS: u64 = 8_000;
 
-/// What is written in a row: the start of the worker, and whether it leaves.
+/// Content of a row: the start of the worker, and whether it is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RowState {
     pub start: u64,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A row's version and content; none if it has ended.
+/// Version of a row and its content; none if the row has been removed.
 type Row = (u64, Option<RowState>);
 
 #[derive(Clone, Debug, Default)]
@@ -40,17 +40,17 @@
     rows: BTreeMap<usize, Row>,
 }
 
-/// The store.
+/// The simulated store.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     pub era: u64,
     current: Snapshot,
     backups: VecDeque<(u64, Snapshot)>,
-    /// Until when it answers nobody, in milliseconds.
+    /// Time until which it answers no requests, in milliseconds.
     pub unavailable_until_ms: u64,
-    /// When it last came back from a copy, in milliseconds.
+    /// Time at which it was last restored from a backup, in milliseconds.
     pub restored_at_ms: u64,
-    /// When it was last disturbed, in milliseconds.
+    /// Time at which it was last disturbed, in milliseconds.
     pub disturbed_at_ms: u64,
 }
 
@@ -84,7 +84,7 @@
         self.backups.push_back((now_ms, self.current.clone()));
     }
 
-    /// Comes back from the copy of an age.
+    /// Restores the newest backup that has at least the given age, else the oldest one.
     pub fn restore(&mut self, now_ms: u64, age_ms: u64) {
         let is_old_enough = |(at_ms, _): &&(u64, Snapshot)| now_ms >= at_ms + age_ms;
         let backup = self.backups.iter().rev().find(is_old_enough);
@@ -97,8 +97,8 @@
         self.restored_at_ms = now_ms;
     }
 
-    /// Returns the rows that changed after a version, and ends; none where it has no such
-    /// version.
+    /// Returns the rows that were changed or removed after a version; none if the store has not
+    /// reached that version.
     pub fn changes(&self, after: StorePosition) -> Option<Vec<ChangedRow>> {
         let changed = self
             .current
--- a/crates/cranereach-fleet/tests/restores/world.rs
+++ b/crates/cranereach-fleet/tests/restores/world.rs
@@ -1,4 +1,4 @@
-//! Workers, a store and instances, and what befalls them.
+//! Simulated workers, store and instances, the events that disturb them, and the checks.
 
 use std::collections::BTreeMap;
 
@@ -18,82 +18,84 @@
 use crate::store::RowState;
 use crate::store::Store;
 
-/// Time after which a worker that leaves or is gone must get nothing, in milliseconds.
+/// Time after which a worker that is leaving or gone must get nothing, in milliseconds.
 pub const DRAIN_MS: u64 = 2_000;
 
-/// Time without disturbance after which somebody is bound, in milliseconds; the platform's
-/// own figure.
+/// Time without disturbance after which the bounds apply to an instance, in milliseconds, as in the
+/// platform.
 const SETTLE_MS: u64 = 4_000;
 
-/// Length of a step, in milliseconds.
+/// Length of a simulation step, in milliseconds.
 const STEP_MS: u64 = 20;
 
-/// Time between two digests, in milliseconds.
+/// Interval at which instances send gossip digests, in milliseconds.
 const DIGEST_INTERVAL_MS: u64 = 250;
 
-/// Longest time that a message takes, in milliseconds.
+/// Longest delay of a message between instances, in milliseconds.
 const DELAY_MAX_MS: u64 = 60;
 
 /// Longest time that the store takes to answer, in milliseconds.
 const STORE_ANSWER_MAX_MS: u64 = 150;
 
-/// Time after which a read without an answer is given up, in milliseconds.
+/// Timeout of a read from the store, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 900;
 
-/// Time that a list may lag before what is missing is fetched, in milliseconds.
+/// Time for which an instance that lags behind a peer waits before it fetches what is missing, in
+/// milliseconds.
 const FETCH_DELAY_MS: u64 = 600;
 
-/// Share of the messages that get lost.
+/// Share of the messages that are lost.
 const MESSAGE_LOSS_RATIO: f64 = 0.05;
 
-/// Time for which the store is away before it comes back from a copy, in milliseconds.
+/// Time for which the store is unavailable before a restore, in milliseconds.
 const RESTORE_OUTAGE_MS: u64 = 900;
 
-/// Longest time until workers have written again what the store has lost, in milliseconds.
+/// Longest time until workers have rewritten what a restore lost, in milliseconds.
 const REWRITE_WITHIN_MS: u64 = 2_000;
 
-/// Time until the row of a silent worker ends, in milliseconds.
+/// Time after which the row of a silent worker expires, in milliseconds.
 const ROW_EXPIRES_AFTER_MS: u64 = 3_600;
 
-/// Time for which a copy's row is no sign of life, in milliseconds.
+/// Time after a restore for which a restored row doesn't show that its worker is alive, in
+/// milliseconds.
 const RESTORED_ROWS_HELD_MS: u64 = 6_000;
 
-/// Workers.
+/// Number of workers.
 const WORKER_COUNT: usize = 8;
 
-/// A part of the design that is missing.
+/// A deliberate fault, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
-    /// Versions are ordered without their eras.
+    /// Positions are compared without their eras.
     NoEras,
-    /// A copy's row takes back that a worker leaves.
+    /// A restored row clears the mark that a worker is leaving.
     RestoreClearsLeaving,
-    /// A copy's row brings back a worker that is gone.
+    /// A restored row makes a worker usable that is gone.
     RestoreRevivesWorker,
 }
 
-/// What befalls the world.
+/// An event that disturbs the simulation. Times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// The store comes back from a copy of an age.
+    /// The store is restored from a backup of the given age.
     Restore(u64),
-    /// The store answers nobody for a time.
+    /// The store answers no requests for a time.
     StoreUnavailable(u64),
-    /// A worker says that it leaves, and ends later.
+    /// A worker announces that it is leaving, and ends later.
     Leave(u8),
-    /// A worker ends, and says nothing.
+    /// A worker ends without announcing it.
     Crash(u8),
-    /// A worker's row ends; it serves on for a while.
+    /// A worker's row is removed at once, without an announcement.
     RowExpires(u8),
     Freeze(u8, u64),
     Partition(u8, u64),
-    /// Half of the instances are cut off from all.
+    /// Half of the instances are cut off from all others and from the store.
     PartitionHalf(u64),
     Restart(u8),
 }
 
-/// A message, or an answer of the store.
+/// A message between instances, or an answer of the store.
 #[derive(Clone, Debug)]
 enum Message {
     List(usize, ListPart),
@@ -111,35 +113,36 @@
     },
 }
 
-/// What happens by itself at a time.
+/// An action scheduled for a time.
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// A worker writes its row, if it still says so.
+    /// A worker writes its row, if its content is still this.
     Write(usize, RowState),
-    /// The row of a start ends.
+    /// The row of a worker start is removed.
     End(usize, u64),
-    /// Another start comes up after one.
+    /// The worker starts again after the given start.
     Start(usize, u64),
     Restore(u64),
 }
 
-/// A worker as it is.
+/// Actual state of a worker.
 #[derive(Clone, Copy, Debug, Default)]
 struct Worker {
     start: u64,
-    /// When the store last took its word, in milliseconds.
+    /// Time at which the store last accepted its row, in milliseconds.
     written_at_ms: u64,
-    /// What it wants its row to say; none if it has none.
+    /// Content that its row should have; none if it should have no row.
     row_state: Option<RowState>,
-    /// From when nobody in touch may send to its present start, as the store has taken its
-    /// word, in milliseconds. A word that is lost before anybody has read it counts anew
-    /// from when it is written again.
+    /// Time from which no connected instance may send to its present start, since the store has
+    /// accepted that it leaves or is gone, in milliseconds. If a restore loses that write, the time
+    /// is set again when it is rewritten.
     unusable_from_ms: Option<u64>,
 }
 
 pub struct World {
     pub violations: Vec<String>,
-    /// Whether who is known to be gone must get nothing however long a copy lists it.
+    /// Whether a worker that is known to be gone must get nothing for however long a restored row
+    /// lists it.
     pub checks_gone_always: bool,
     now_ms: u64,
     store: Store,
@@ -239,7 +242,7 @@
         self.write(worker);
     }
 
-    /// Writes what a worker wants its row to say, once the store takes it.
+    /// Writes the content that a worker's row should have, as soon as the store is available.
     fn write(&mut self, worker: usize) {
         let row_state = self.workers[worker].row_state;
         if self.store.is_unavailable(self.now_ms) {
@@ -278,7 +281,7 @@
         self.schedule(serves_ms + 1_500, Action::Start(worker, row_state.start));
     }
 
-    /// Ends a worker whose row goes after a time.
+    /// Ends a worker whose row is removed after a time in milliseconds.
     fn end_worker(&mut self, worker: usize, row_after_ms: u64) {
         let Some(row_state) = self.workers[worker]
             .row_state
@@ -364,7 +367,7 @@
         self.now_ms < self.instances[number].partitioned_until_ms
     }
 
-    /// Reads the list at the store if that is due.
+    /// Reads the list from the store if that is due.
     fn read_if_due(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
@@ -420,7 +423,7 @@
         others.sample(&mut self.rng, count)
     }
 
-    /// Tells some others what it knows, four times a second.
+    /// Sends a digest of what it knows to some peers, four times a second.
     fn send_digest_if_due(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
@@ -459,7 +462,7 @@
         let due = std::mem::replace(&mut self.in_flight, later);
         for (to, message) in due.into_values().flatten() {
             if self.now_ms < self.instances[to].frozen_until_ms {
-                // It waits in the socket.
+                // The message waits in the socket.
                 let wait_ms = self.instances[to].frozen_until_ms - self.now_ms;
                 self.enqueue(to, wait_ms, message);
             } else if !self.is_partitioned(to) {
@@ -533,14 +536,14 @@
         }
     }
 
-    /// Whether an instance, and the store, have been undisturbed for long enough.
+    /// Whether an instance and the store have been undisturbed for long enough.
     fn is_connected(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let since_ms = instance.disturbed_at_ms.max(self.store.disturbed_at_ms);
         self.now_ms >= since_ms.max(instance.started_at_ms) + SETTLE_MS
     }
 
-    /// Whether an instance itself has been undisturbed for long enough, whatever befell the
+    /// Whether an instance itself has been undisturbed for long enough, whatever happened to the
     /// store.
     fn is_steady(&self, number: usize) -> bool {
         let instance = &self.instances[number];
@@ -548,7 +551,7 @@
         self.now_ms >= since_ms + SETTLE_MS
     }
 
-    /// Lets an instance send to each worker that it would use, and checks that it may.
+    /// Checks for each worker that an instance uses it only if it may, and lists it if it must.
     fn check_routing(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let is_connected = self.is_connected(number);
@@ -568,7 +571,7 @@
                     .known_leaving
                     .contains(&(worker, start.unwrap_or(0)))
             {
-                violation = Some("uses a start of which it knew that it leaves");
+                violation = Some("uses a worker start that it knew to be leaving");
             }
             let has_ended =
                 start.is_some_and(|start| start != actual.start || actual.row_state.is_none());
@@ -579,7 +582,7 @@
                 || instance.era == self.store.era
                     && now_ms < self.store.restored_at_ms + RESTORED_ROWS_HELD_MS;
             if is_usable && has_ended && known_gone && is_forbidden && self.is_steady(number) {
-                violation = Some("uses a start of which it knew that it is gone");
+                violation = Some("uses a worker start that it knew to be gone");
             }
             let ends_ms = actual.unusable_from_ms.unwrap_or(u64::MAX);
             if is_usable && is_connected && start == Some(actual.start) && now_ms > ends_ms {
@@ -596,13 +599,13 @@
             {
                 let position = self.instances[number].listing.position();
                 self.violations.push(format!(
-                    "{now_ms}: {number} at {position} {what}: {id}, {actual:?}"
+                    "{now_ms} ms: instance {number} at {position} {what}: {id}, {actual:?}"
                 ));
             }
         }
     }
 
-    /// Checks that each instance uses each worker that serves.
+    /// Checks that each instance would use each worker that serves.
     pub fn check_all_serve(&mut self) {
         for (worker, actual) in self.workers.iter().enumerate() {
             let is_new = self.now_ms < actual.written_at_ms + DRAIN_MS;
@@ -613,8 +616,9 @@
                 let id = format!("w{worker}");
                 let barred = instance.roster.barred(self.now_ms, &id, Purpose::Call, 1);
                 if let Some(why) = barred {
-                    self.violations
-                        .push(format!("{number} doesn't use {id} in the end: {why:?}"));
+                    self.violations.push(format!(
+                        "instance {number} doesn't use {id} at the end: {why:?}"
+                    ));
                 }
             }
         }
--- a/crates/cranereach-fleet/tests/sends/cold.rs
+++ b/crates/cranereach-fleet/tests/sends/cold.rs
@@ -1,4 +1,4 @@
-//! A cold worker: the sum in any one second.
+//! A cold worker: the total number of requests that it gets within any second.
 
 use proptest::prelude::*;
 
@@ -15,7 +15,7 @@
 use cranereach_fleet::send_grants::SendGrants;
 use cranereach_fleet::topology::DomainTag;
 
-/// Requests that are tolerated in any one second: 1.5 times the rate, and 5 more.
+/// Number of requests that are tolerated within any second: 1.5 times the rate, and 5 more.
 const TOLERATED_COUNT: usize = 18;
 
 proptest! {
@@ -48,7 +48,10 @@
         world.demand(0.0, 6_000);
         world.demand(60.0, 10_000);
         let used_share = world.arrivals.len() as f64 / 10.0 / RATE_PER_S;
-        assert!(used_share > 0.8, "{count}: {used_share} of what it bears");
+        assert!(
+            used_share > 0.8,
+            "{count}: {used_share} of the rate that it sustains"
+        );
         for _takeover in 0..3 {
             world.apply_event(Event::Kill(2_000));
             world.demand(60.0, 5_000);
@@ -82,7 +85,7 @@
     for _refused in 0..20 {
         assert_ne!(ask(1_500, 0), SendAnswer::Send);
     }
-    // The window has passed: half of it is kept for the urgent ones.
+    // The window has passed: half of the next one is reserved for the urgent requests.
     let sent = (0..20).filter(|offset_ms| ask(2_200 + offset_ms, 2) == SendAnswer::Send);
     assert!(sent.count() <= rule().count().div_ceil(2));
     assert_eq!(ask(2_300, 0), SendAnswer::Send);
@@ -98,13 +101,13 @@
     for _refused in 0..20 {
         assert_ne!(ask(1_500, 0), SendAnswer::Send);
     }
-    // The window has passed: half of it is kept for the urgent ones.
+    // The window has passed: half of the next one is reserved for the urgent requests.
     let sent = (0..20).filter(|offset_ms| ask(2_200 + offset_ms, 2) == SendAnswer::Send);
     assert!(sent.count() <= rule().count().div_ceil(2));
 }
 
-/// Three owners in one second, of which two had stood still, granted 19: both took
-/// themselves for settled as they woke up.
+/// Guards against instances that resume after a suspension and still take themselves for settled
+/// owners. Three owners, two of which had been suspended, granted 19 requests within one second.
 #[test]
 fn owners_that_stood_still_are_new_as_they_wake_up() {
     let mut world = World::start(12, 28, 0.23, 7);
@@ -124,8 +127,9 @@
     assert!(max_count <= TOLERATED_COUNT, "{max_count}");
 }
 
-/// Nearly all started at once, each hearing only some of the others at first: several took
-/// themselves for the owner, and granted 21 in a second.
+/// Guards against several owners after nearly all instances start at the same time and each hears
+/// only some of the others at first. Several took themselves for the owner, and granted 21 requests
+/// within one second.
 #[test]
 fn those_who_have_just_started_grant_nothing_until_they_hear_the_others() {
     let mut world = World::start(73, 7, 0.0, 2_424_007_614_795_423_581);
--- a/crates/cranereach-fleet/tests/sends/fleet.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet that sends to one worker, which is cold or names a limit.
+//! A simulated fleet that sends to one worker, which is cold or names a rate limit.
 
 mod arrivals;
 pub mod event;
@@ -27,25 +27,26 @@
 use cranereach_fleet::send_grants::other_owner;
 use cranereach_fleet::topology::DomainTag;
 
-/// Requests a second that a cold worker bears.
+/// Requests per second that a cold worker sustains.
 pub const RATE_PER_S: f64 = 8.7;
 
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 5;
 
-/// Time between two rounds of signs of life, in milliseconds.
+/// Interval at which heartbeats are spread, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
-/// The same in a large fleet, where what all hear of all takes the most time to play.
+/// The same interval in a large fleet, where heartbeats between all pairs of instances dominate the
+/// run time of the simulation.
 const LARGE_HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
-/// Instances from which on a fleet is large.
+/// Number of instances from which on a fleet is large.
 const LARGE_FLEET_MIN_COUNT: usize = 200;
 
-/// Rounds that a sign of life takes at most to reach another instance.
+/// Limit, not reached, of the delay of a heartbeat, as a multiple of [`HEARTBEAT_INTERVAL_MS`].
 const HEARTBEAT_DELAY_LIMIT: u64 = 5;
 
-/// Longest time until the worker's answer to a request, in milliseconds.
+/// Longest response time of the worker, in milliseconds.
 const ANSWER_MAX_MS: u64 = 300;
 
 /// Key of the worker.
@@ -62,23 +63,23 @@
     SendRule::of_cold(RATE_PER_S, 1.5, 5.0)
 }
 
-/// Why the worker gets only so many requests.
+/// Reason why the worker gets only a limited number of requests.
 pub enum Regime {
-    /// It is cold, as all know.
+    /// It is cold, and all instances know so.
     Cold,
-    /// It names in its answers what this returns for a time in milliseconds.
+    /// It names in its answers the limit that the function returns for a time in milliseconds.
     NamesLimit(Box<dyn Fn(u64) -> Option<f64>>),
 }
 
-/// What a fleet does wrong, to see that the checks find it.
+/// A deliberate fault, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
-    /// Each instance grants itself.
+    /// Each instance grants its own requests.
     PerInstanceGrants,
-    /// Owners forget what they granted.
+    /// Owners forget what they have granted.
     ForgetsGrants,
-    /// Nobody hears what the worker names.
+    /// Instances ignore the limit that the worker names.
     IgnoresLimit,
 }
 
@@ -87,9 +88,9 @@
     members: Membership,
     grants: SendGrants,
     limit: NamedLimit,
-    /// When the worker first named its limit to it, in milliseconds.
+    /// Time at which the worker first named its limit to it, in milliseconds.
     limit_named_ms: Option<u64>,
-    /// Questions that wait: for which rank, and when they were asked, in milliseconds.
+    /// Requests for grants without an answer yet: rank, and time of the request in milliseconds.
     pending: BTreeMap<u64, (u8, u64)>,
     pause: AskPause,
     started_ms: u64,
@@ -110,21 +111,21 @@
     regime: Regime,
     mutant: Mutant,
     pub arrivals: Vec<Arrival>,
-    /// Questions to owners.
+    /// Number of requests for grants sent to owners.
     pub asked_count: usize,
-    /// Grants by rank.
+    /// Number of grants by priority rank.
     pub granted_counts: [usize; RANK_COUNT],
     rng: StdRng,
 }
 
 impl World {
-    /// Makes a fleet that sends to a cold worker.
+    /// Creates a fleet that sends to a cold worker.
     pub fn start(count: usize, delay_max_ms: u64, loss_ratio: f64, seed: u64) -> Self {
         Self::with(Regime::Cold, count, (delay_max_ms, loss_ratio), seed)
     }
 
-    /// Makes a fleet of so many instances, with the longest delay of messages in
-    /// milliseconds and the share that is lost.
+    /// Creates a fleet of `count` instances, with the longest delay of messages in milliseconds and
+    /// the share that is lost.
     pub fn with(
         regime: Regime,
         count: usize,
@@ -151,7 +152,7 @@
         world
     }
 
-    /// Makes it do something wrong.
+    /// Adds a deliberate fault.
     pub fn mutated(mut self, mutant: Mutant) -> Self {
         self.mutant = mutant;
         self
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Spreads signs of life of a few rounds ago.
+    /// Delivers heartbeats that were sent up to a few intervals ago.
     fn spread_heartbeats(&mut self) {
         let are_reachable: Vec<bool> = (0..self.instances.len())
             .map(|number| self.is_reachable(number))
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Lets callers ask for so many requests a second for a while.
+    /// Simulates callers that send `per_s` requests per second for a time in milliseconds.
     pub fn demand(&mut self, per_s: f64, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         let mut due_count = 0.0;
@@ -240,13 +241,13 @@
         }
     }
 
-    /// What an instance tells of the worker's limit.
+    /// Returns what an instance reports about the worker's limit.
     fn limit_report(&self, number: usize) -> Option<LimitReport> {
         self.instances[number].limit.report(self.now_ms, || START)
     }
 
-    /// The instance that tells all others how the worker stands: one that lives, other
-    /// than the owner of its grants.
+    /// Returns the instance that others query for the worker's status: one that is reachable, if
+    /// possible other than the owner of its grants.
     fn reporter(&self) -> usize {
         let owner = self.owner();
         let others = (0..self.instances.len()).filter(|number| *number != owner);
@@ -289,7 +290,7 @@
         }
     }
 
-    /// A request leaves for the worker.
+    /// Sends a request to the worker.
     fn send_request(&mut self, number: usize) {
         let delay_ms = self.rng.random_range(1..40);
         let at_ms = self.now_ms + delay_ms;
@@ -308,7 +309,7 @@
         }
     }
 
-    /// Whether the rule counts a request of an instance that arrives at a time.
+    /// Whether the limit is checked for a request of an instance that arrives at a time.
     fn is_counted(&self, number: usize, at_ms: u64) -> bool {
         let instance = &self.instances[number];
         let disturbed_ms = instance
@@ -322,7 +323,7 @@
                 .is_some_and(|limit_named_ms| at_ms >= limit_named_ms + 500)
     }
 
-    /// One request at an instance.
+    /// Handles a caller's request at an instance.
     fn request(&mut self, number: usize) {
         let rank = self.rng.random_range(0..RANK_COUNT as u8);
         let instance = &self.instances[number];
@@ -357,14 +358,14 @@
         }
     }
 
-    /// Whether an instance knows of a limit once it has asked how the worker stands.
+    /// Whether an instance knows of a limit, after it has queried the worker's status.
     fn knows_limit(&mut self, number: usize) -> bool {
         let reporter = self.reporter();
         let has_reply = self.is_reachable(number)
             && self.is_reachable(reporter)
             && !self.rng.random_bool(self.loss_ratio);
         if has_reply {
-            // The question carries what the asker knows.
+            // The query carries what its sender knows.
             let asked = self.limit_report(number);
             self.apply_limit_report(reporter, asked);
             let report = self.limit_report(reporter);
--- a/crates/cranereach-fleet/tests/sends/fleet/arrivals.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/arrivals.rs
@@ -1,4 +1,4 @@
-//! What arrived at the worker of the simulated fleet.
+//! Requests that arrived at the worker of the simulated fleet.
 
 use super::World;
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
-    /// Whether its sender had had an answer that names a limit for half a second, and no
-    /// trouble of its own for some.
+    /// Whether the limit is checked for it: its sender had received an answer that names a limit at
+    /// least half a second before, and had not been disturbed recently.
     pub is_counted: bool,
 }
 
 impl World {
-    /// Returns the times of arrivals in their order, of the judged ones alone if asked for.
+    /// Returns the sorted times of all arrivals, or only of those for which the limit is checked.
     pub fn arrived_ms(&self, only_counted: bool) -> Vec<u64> {
         let counted = self.arrivals.iter();
         let counted = counted.filter(|arrival| arrival.is_counted || !only_counted);
@@ -21,7 +21,7 @@
         arrived_ms
     }
 
-    /// Returns the most that arrived in any one window.
+    /// Returns the highest number of arrivals within any window.
     pub fn max_count(&self, window_ms: u64) -> usize {
         let arrived_ms = self.arrived_ms(false);
         let counts = arrived_ms.iter().enumerate().map(|(index, first_ms)| {
--- a/crates/cranereach-fleet/tests/sends/fleet/event.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/event.rs
@@ -1,14 +1,14 @@
-//! What strikes the instances of the simulated fleet.
+//! Failures of instances of the simulated fleet.
 
 use proptest::prelude::*;
 
 use super::World;
 
-/// What happens to the owner, or to others by chance.
+/// A failure of the owner, for a time in milliseconds, or of a random share of the instances.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     Kill(u64),
-    /// Kills one by chance, not the owner.
+    /// Kills a random instance other than the owner.
     KillAnother(u64),
     Freeze(u64),
     Partition(u64),
@@ -16,7 +16,7 @@
     PartitionShare(f64),
 }
 
-/// Makes any event.
+/// Generates any event but [`Event::KillAnother`].
 pub fn any() -> impl Strategy<Value = Event> {
     prop_oneof![
         3 => (200_u64..6_000).prop_map(Event::Kill),
@@ -28,7 +28,7 @@
 }
 
 impl World {
-    /// Strikes the owner, or others by chance.
+    /// Applies a failure to the owner or to random instances.
     pub fn apply_event(&mut self, event: Event) {
         let owner = self.owner();
         let now_ms = self.now_ms;
--- a/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
@@ -1,4 +1,4 @@
-//! Messages of the simulated fleet, on their way and taken.
+//! Messages of the simulated fleet: sending, delivery and handling.
 
 use rand::RngExt;
 
@@ -10,7 +10,7 @@
 use cranereach_fleet::send_grants::GRANT_VALID_MS;
 use cranereach_fleet::send_grants::SendAnswer;
 
-/// What is on its way.
+/// A message that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Message {
     Ask {
@@ -24,13 +24,14 @@
         answer: SendAnswer,
         limit: Option<LimitReport>,
     },
-    /// The worker's answer to a request sent at a time, in milliseconds.
+    /// The worker's answer to a request sent at a time, in milliseconds, with the limit it names.
     Response {
         start_ms: u64,
         sent_ms: u64,
         rate: NamedRate,
     },
-    /// What an instance tells whoever is asked how the worker stands.
+    /// An instance's report of the worker's limit, to the owner and to the instance that others
+    /// query for the worker's status.
     LimitUpdate(LimitReport),
 }
 
@@ -106,7 +107,7 @@
                 let Some((rank, asked_ms)) = instance.pending.remove(&request_id) else {
                     return;
                 };
-                // One that comes late, as after a freeze, isn't used.
+                // A late answer, for example after a suspension, isn't used.
                 if now_ms <= asked_ms + GRANT_VALID_MS {
                     self.handle_answer(number, rank, answer);
                 }
@@ -133,8 +134,8 @@
         }
     }
 
-    /// An instance hears the worker's answer, and tells whoever is asked how it stands and
-    /// the owner of its grants.
+    /// Handles the worker's answer at an instance, which reports a changed limit to the owner of the
+    /// grants and to the instance that others query for the worker's status.
     fn observe_limit(&mut self, number: usize, sent_ms: u64, rate: NamedRate) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
--- a/crates/cranereach-fleet/tests/sends/grants.rs
+++ b/crates/cranereach-fleet/tests/sends/grants.rs
@@ -1,4 +1,4 @@
-//! What one owner grants, by the letter.
+//! Grants that a single owner gives.
 
 use std::net::Ipv4Addr;
 
@@ -11,7 +11,7 @@
 use cranereach_fleet::send_grants::SendRule;
 use cranereach_fleet::topology::DomainTag;
 
-/// Counts what is granted where one question comes each 10 ms.
+/// Counts the grants if one request for a grant comes every 10 ms.
 fn granted_count(rate_per_s: f64, for_ms: u64, ownership: Ownership) -> usize {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_limit(rate_per_s)];
@@ -82,7 +82,7 @@
     assert!(waits[99] > waits[0] + 4_000, "{waits:?}");
 }
 
-/// The order of instances for the worker, this one first.
+/// Returns the instance that ranks first for the worker, and all instances in rank order.
 fn ranked_addresses(count: usize) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let all: Vec<Ipv4Addr> = (0..count).map(address).collect();
     let probe = Membership::new(Ipv4Addr::new(10, 9, 9, 9), DomainTag::default(), &all);
@@ -119,9 +119,9 @@
     assert_eq!(
         ownership(&members, now_ms),
         Ownership::Other,
-        "another one comes first"
+        "another instance ranks first"
     );
-    // The first one leaves: this one takes over, and is new for a while.
+    // The instance that ranks first leaves: this one takes over, and is new for a while.
     members.heard_from(now_ms + 10, others[0], DomainTag::default(), true);
     assert_eq!(ownership(&members, now_ms + 20), Ownership::New);
     for other in &others[1..] {
@@ -129,11 +129,12 @@
     }
     refresh_during(&mut members, now_ms, now_ms + 2_600);
     assert_eq!(ownership(&members, now_ms + 2_600), Ownership::Settled);
-    // One that comes after it leaves: nothing changes for the worker.
+    // An instance that ranks after it leaves: nothing changes for the worker.
     members.heard_from(now_ms + 2_650, others[5], DomainTag::default(), true);
     members.refresh(now_ms + 2_660);
     assert_eq!(ownership(&members, now_ms + 2_700), Ownership::Settled);
-    // It stands still, and hears at once what has waited: others may have taken over.
+    // It is suspended, and then receives all waiting heartbeats at once: others may have taken
+    // over.
     assert_eq!(ownership(&members, now_ms + 3_700), Ownership::New);
     for other in &others[1..] {
         members.heard_from(now_ms + 6_000, *other, DomainTag::default(), false);
--- a/crates/cranereach-fleet/tests/sends/limited.rs
+++ b/crates/cranereach-fleet/tests/sends/limited.rs
@@ -1,4 +1,5 @@
-//! A worker that names a limit: the sum in any four seconds, and what it gets of it.
+//! A worker that names a rate limit: the total number of requests that it gets within any four
+//! seconds, and the share of the limit that is used.
 
 use proptest::prelude::*;
 
@@ -7,37 +8,37 @@
 use crate::fleet::World;
 use crate::fleet::event;
 
-/// Length of the window that the rule counts in, in milliseconds.
+/// Length of the window in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// How many times what the limit allows is tolerated in a window.
+/// Factor by which a window may exceed what the limit allows.
 const EXCESS_RATIO: f64 = 1.5;
 
-/// Requests that are tolerated besides.
+/// Number of requests that are tolerated in addition.
 const ALLOWANCE_COUNT: f64 = 5.0;
 
-/// Time from the worker's first word on, in milliseconds, from which windows may end.
+/// Time after the worker first names its limit from which on windows are checked, in milliseconds.
 const CHECKED_AFTER_MS: u64 = 3_000;
 
-/// When the worker begins to name its limit, in milliseconds.
+/// Time at which the worker begins to name its limit, in milliseconds.
 const NAMED_AT_MS: u64 = 108_000;
 
-/// Time by which what the worker changes may take effect later, in milliseconds: its
-/// answer comes, and the next request is sent after that.
+/// Time until a changed limit takes effect, in milliseconds: the worker's answer has to arrive, and
+/// the next request to be sent after it.
 const CHANGE_DELAY_MS: u64 = 700;
 
-/// Share of what it names that a worker gets at least while there is demand.
+/// Minimum share of the named rate that a worker gets while there is demand.
 const MIN_USED_SHARE: f64 = 0.7;
 
-/// A worker that names one rate.
+/// Returns the regime of a worker that names a constant rate.
 fn one_rate(rate_per_s: f64) -> Regime {
     Regime::NamesLimit(Box::new(move |at_ms| {
         (at_ms >= NAMED_AT_MS).then_some(rate_per_s)
     }))
 }
 
-/// Returns how a window of judged requests exceeds what is tolerated, if one does. The
-/// figure is what the worker names at a time.
+/// Describes the first window that exceeds what is tolerated, if any, counting only arrivals for
+/// which the limit is checked. `rate_at` returns the rate that the worker names at a time.
 fn excess(world: &World, rate_at: impl Fn(u64) -> f64) -> Option<String> {
     let arrived_ms = world.arrived_ms(true);
     let highest = |at_ms: u64| {
@@ -57,13 +58,13 @@
         let tolerated = EXCESS_RATIO * allowed + ALLOWANCE_COUNT;
         let count = index + 1 - first;
         if count as f64 > tolerated {
-            return Some(format!("{count} at {end_ms}, {tolerated:.1} are tolerated"));
+            return Some(format!("{count} at {end_ms}, {tolerated:.1} tolerated"));
         }
     }
     None
 }
 
-/// Lets a fleet come up, and callers ask before and while the worker names its limit.
+/// Starts a fleet, and simulates callers before and while the worker names its limit.
 fn simulate(mut world: World, per_s: f64, for_ms: u64) -> World {
     world.demand(0.0, NAMED_AT_MS - 2_000 - world.now_ms());
     world.demand(per_s, 2_000 + for_ms);
@@ -128,7 +129,7 @@
         for rate_per_s in rates.iter().copied() {
             let per_s = (rate_per_s * 3.0_f64).max(80.0);
             let world = World::with(one_rate(rate_per_s), count, (3, 0.02), seed);
-            // Of a low rate, single requests would count for much in less time.
+            // At a low rate, single requests would weigh too much in a shorter time.
             let for_ms = ((24.0 / rate_per_s) as u64 * 1_000).max(20_000);
             let world = simulate(world, per_s, for_ms);
             assert_eq!(
@@ -142,12 +143,12 @@
             let allowed_count = rate_per_s * (for_ms - 2_000) as f64 / 1_000.0;
             let share = got_count as f64 / allowed_count;
             println!(
-                "{count} instances, {rate_per_s}/s: {share:.2} of it, {} asked",
+                "{count} instances, {rate_per_s}/s: {share:.2} of the limit used, {} requests for grants",
                 world.asked_count
             );
             assert!(
                 share > MIN_USED_SHARE,
-                "{count}, {rate_per_s}: {share} of it"
+                "{count}, {rate_per_s}: {share} of the limit"
             );
         }
     }
@@ -176,7 +177,7 @@
     }
     assert_eq!(excess(&world, |_| 1.2), None);
     let share = world.arrivals.len() as f64 / (20.0 * 1.2);
-    assert!(share > MIN_USED_SHARE, "{share} of it");
+    assert!(share > MIN_USED_SHARE, "{share} of the limit");
 }
 
 #[test]
