--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -53,8 +53,8 @@
 enum Message {
     Query(usize, ProofQuery),
     Answer(ProofAnswer),
-    /// The store's answer to a read: the newest version when the read began, on the clock of the
-    /// reader's process start `boot`.
+    /// The store's answer to a read, with the newest version at that time. The read began at
+    /// `begun_ms` on the clock of the process start `boot`.
     Read {
         boot: u64,
         begun_ms: u64,
@@ -262,7 +262,7 @@
             if let (true, Some(missed_ms)) = (self.serves(number), missed_ms) {
                 assert!(
                     self.now_ms <= missed_ms + BOUND_MS,
-                    "instance {number} serves version {} at {} ms, {next} was acknowledged at {missed_ms} ms",
+                    "instance {number} serves version {} at {} ms, {next} came at {missed_ms} ms",
                     next - 1,
                     self.now_ms
                 );
@@ -278,7 +278,7 @@
     Freeze(u64),
     Partition(u64),
     Restart,
-    /// Changes how many instances watch the store.
+    /// Sets how many instances watch the store.
     Watchers(usize),
     /// The store is restored from a backup of the given age.
     Restore(u64),
--- a/crates/cranereach-fleet/tests/quarantine/fleet.rs
+++ b/crates/cranereach-fleet/tests/quarantine/fleet.rs
@@ -86,8 +86,8 @@
     pub harmless_refused: usize,
     pub harmless_unplaced: usize,
     pub worker_ends: usize,
-    /// Sends of a fatal request later than its third end should be known everywhere; of the request
-    /// with the most.
+    /// Highest number of sends of one fatal request later than all instances should know of its
+    /// third end.
     pub late_sends: usize,
     pub digest_max_len: usize,
 }
--- a/crates/cranereach-fleet/tests/sends/limited.rs
+++ b/crates/cranereach-fleet/tests/sends/limited.rs
@@ -143,7 +143,7 @@
             let allowed_count = rate_per_s * (for_ms - 2_000) as f64 / 1_000.0;
             let share = got_count as f64 / allowed_count;
             println!(
-                "{count} instances, {rate_per_s}/s: {share:.2} of the limit used, {} requests for grants",
+                "{count} instances, {rate_per_s}/s: {share:.2} of the limit, {} grant requests",
                 world.asked_count
             );
             assert!(
