--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -142,7 +142,7 @@
         self.missing = None;
     }
 
-    /// Restores the store from a backup of the given age; the operator rewrites later what it lacks.
+    /// Restores the store from a backup of the given age; the operator later rewrites what is lost.
     fn restore(&mut self, age_ms: u64) {
         let backup_ms = self.now_ms.saturating_sub(age_ms);
         let is_lost = |at_ms: &u64| *at_ms > backup_ms;
@@ -388,8 +388,8 @@
     }
 }
 
-/// Guards against a read of the store that counts as proof before its era has been entered, or after
-/// a later one has been.
+/// Guards against a read of the store that counts as proof before its era has been entered, or
+/// after a later one has been.
 #[test]
 fn an_answer_of_another_era_proves_nothing() {
     let mut proof = Proof::new(1, CHANGE_MS);
--- a/crates/cranereach-fleet/tests/restores/world.rs
+++ b/crates/cranereach-fleet/tests/restores/world.rs
@@ -86,8 +86,8 @@
     Leave(u8),
     /// A worker ends without announcing it.
     Crash(u8),
-    /// A worker's row is removed at once, without an announcement, and the worker still serves for a
-    /// while.
+    /// A worker's row is removed at once, without an announcement, and the worker still serves for
+    /// a while.
     RowExpires(u8),
     Freeze(u8, u64),
     Partition(u8, u64),
--- a/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet/parcels.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Handles the worker's answer at an instance, which reports a changed limit to the owner of the
-    /// grants and to the instance that others query for the worker's status.
+    /// Handles the worker's answer at an instance, which reports a changed limit to the owner of
+    /// the grants and to the instance that others query for the worker's status.
     fn observe_limit(&mut self, number: usize, sent_ms: u64, rate: NamedRate) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
