--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -1,4 +1,4 @@
-//! The rest that a worker asks an instance for.
+//! Backoff, called its rest, that a worker requests from an instance.
 
 mod workers;
 
@@ -19,24 +19,28 @@
 use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
-fn at(version: u64) -> StorePosition {
+/// Returns the position of a version of a store that has never been restored from a backup.
+fn position_at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
 #[test]
 fn each_value_has_a_meaning() {
-    let said = |values: &[&[u8]]| read(values.iter().copied());
-    assert_eq!(said(&[]), RestRequest::Nothing);
-    assert_eq!(said(&[b"3"]), RestRequest::For(3_000));
-    assert_eq!(said(&[b" 0.25 "]), RestRequest::For(250));
-    assert_eq!(said(&[b"0.0001"]), RestRequest::For(1), "rounded up");
-    assert_eq!(said(&[b"0"]), RestRequest::Nothing);
-    assert_eq!(said(&[b"-0"]), RestRequest::Nothing);
-    assert_eq!(said(&[b"1", b"2"]), RestRequest::For(2_000), "the longest");
-    assert_eq!(said(&[b"soon", b"2"]), RestRequest::For(2_000));
+    let parsed = |values: &[&[u8]]| read(values.iter().copied());
+    assert_eq!(parsed(&[]), RestRequest::Nothing);
+    assert_eq!(parsed(&[b"3"]), RestRequest::For(3_000));
+    assert_eq!(parsed(&[b" 0.25 "]), RestRequest::For(250));
+    assert_eq!(parsed(&[b"0.0001"]), RestRequest::For(1), "rounded up");
+    assert_eq!(parsed(&[b"0"]), RestRequest::Nothing);
+    assert_eq!(parsed(&[b"-0"]), RestRequest::Nothing);
+    assert_eq!(
+        parsed(&[b"1", b"2"]),
+        RestRequest::For(2_000),
+        "the longest counts"
+    );
+    assert_eq!(parsed(&[b"soon", b"2"]), RestRequest::For(2_000));
     for far in [&b"1e300"[..], b"3601", b"99999999999999999999"] {
-        assert_eq!(said(&[far]), RestRequest::For(REST_MAX_MS), "{far:?}");
+        assert_eq!(parsed(&[far]), RestRequest::For(REST_MAX_MS), "{far:?}");
     }
     let unreadable: [&[u8]; 8] = [
         b"",
@@ -49,9 +53,9 @@
         b"\xff",
     ];
     for value in unreadable {
-        assert_eq!(said(&[value]), RestRequest::Unreadable, "{value:?}");
+        assert_eq!(parsed(&[value]), RestRequest::Unreadable, "{value:?}");
     }
-    assert_eq!(said(&[&[b'1'; 4_000]]), RestRequest::Unreadable);
+    assert_eq!(parsed(&[&[b'1'; 4_000]]), RestRequest::Unreadable);
 }
 
 #[test]
@@ -74,7 +78,7 @@
     assert!(!rest.may_send(3_999, 0) && rest.is_resting(3_999));
     rest.sent(4_000);
     assert!(rest.accepted(4_000));
-    assert!(!rest.accepted(4_000), "it was over");
+    assert!(!rest.accepted(4_000), "the rest had already ended");
     assert_eq!(rest.may_send_from_ms(2), 0);
 }
 
@@ -88,7 +92,7 @@
     rest.sent(4_060);
     assert!(!rest.may_send(4_061, 0));
     assert!(rest.may_send(4_060 + TRIAL_INTERVAL_MS, 0), "no answer yet");
-    // It asks for rest once more.
+    // The worker requests a rest once more.
     rest.requested(4_070, 1_000);
     assert!(!rest.may_send(5_069, 0) && rest.may_send(5_070, 0));
 }
@@ -107,9 +111,9 @@
 fn others_are_chosen_and_where_there_are_none_the_first_end_is_told() {
     let mut roster = Roster::default();
     for id in ["a", "b"] {
-        roster.put(at(5), record(id, &[("m", &[])]));
+        roster.put(position_at(5), record(id, &[("m", &[])]));
     }
-    roster.put(at(5), record("c", &[]));
+    roster.put(position_at(5), record("c", &[]));
     let routing_request = routing_request(Some(("m", None)));
     roster.get_mut("a").unwrap().rest.requested(1_000, 3_000);
     assert_eq!(choose(&roster, 1_000, &routing_request).as_deref(), Ok("b"));
@@ -120,7 +124,7 @@
     );
     let free = roster.next_ask_and_free_ms(1_000, &routing_request);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(3_000 + 25), "by rank");
-    // One that leaves is no hope.
+    // A worker that is leaving doesn't count.
     roster.note_leaving_announced(1_500, "b", 0);
     let free = roster.next_ask_and_free_ms(1_500, &routing_request);
     assert_eq!(free.map(|(_, at_ms)| at_ms), Some(4_000 + 25));
@@ -136,12 +140,12 @@
 #[test]
 fn a_new_start_rests_for_nobody() {
     let mut roster = Roster::default();
-    roster.put(at(5), record("a", &[]));
+    roster.put(position_at(5), record("a", &[]));
     roster.get_mut("a").unwrap().rest.requested(1_000, 60_000);
-    roster.put(at(6), record("a", &[]));
+    roster.put(position_at(6), record("a", &[]));
     assert!(roster.is_resting(2_000, "a"), "a newer row changes nothing");
     let mut next = record("a", &[]);
     next.started_unix_ms = 9;
-    roster.put(at(7), next);
+    roster.put(position_at(7), next);
     assert!(!roster.is_resting(2_000, "a"));
 }
