--- a/crates/cranereach-fleet/tests/accounts.rs
+++ b/crates/cranereach-fleet/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Accounts by their keys, and what makes no sense about them.
+//! Client accounts are found by their keys; invalid ones are rejected.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -64,7 +64,7 @@
             Err(AccountError::Limit(name)) if name == "ships"
         );
     }
-    // The same key twice in one account is a slip without consequence.
+    // A key that is listed twice in one account is harmless.
     assert_matches!(Accounts::new(vec![account("crews", &["a", "a"])]), Ok(_));
 }
 
--- a/crates/cranereach-fleet/tests/admission.rs
+++ b/crates/cranereach-fleet/tests/admission.rs
@@ -1,12 +1,12 @@
-//! Who is sent, waits or is refused where a queue is long.
+//! Which requests are sent, delayed or refused when a worker's queue is long.
 
 use cranereach_fleet::admission::Admission;
 use cranereach_fleet::admission::Verdict;
 
-/// Aim of urgent calls and of ordinary ones, in milliseconds.
+/// Latency target of urgent and of ordinary requests, in milliseconds.
 const AIM_MS: f64 = 800.0;
 
-/// Time that a worker reads a prompt for, in milliseconds.
+/// Prefill time of one prompt, in milliseconds.
 const READING_MS: f64 = 94.0;
 
 const URGENT: Admission = Admission {
@@ -20,8 +20,8 @@
     ..URGENT
 };
 
-/// Plays a worker whose prompts queue for ten seconds, with an ordinary call each 60 ms
-/// and an urgent one each 300 ms; returns how many urgent ones were late or refused.
+/// Simulates an overloaded worker for ten seconds, with an ordinary request every 60 ms and an
+/// urgent one every 300 ms; returns how many urgent requests were late or refused.
 fn urgent_in_vain_count(ordinary: Admission) -> usize {
     let mut read_until_ms = 0.0_f64;
     let mut in_vain_count = 0;
@@ -50,7 +50,7 @@
 #[test]
 fn in_overload_urgent_calls_find_room() {
     assert_eq!(urgent_in_vain_count(ORDINARY), 0);
-    // Were all admitted alike, most urgent ones would be late.
+    // If all requests were admitted alike, most urgent ones would be late.
     let alike = Admission {
         urgent_latency_target_ms: None,
         latency_target_ms: AIM_MS + 1.0,
--- a/crates/cranereach-fleet/tests/asked.rs
+++ b/crates/cranereach-fleet/tests/asked.rs
@@ -1,4 +1,4 @@
-//! Which workers a holder asks for reports.
+//! Which workers the lease holder asks for reports.
 
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
         "nobody else is asked for it"
     );
     assert_eq!(ledger.reports_due(0), [Arc::clone(last)]);
-    // Its report says what it really holds, and at which sequence.
+    // The report gives the replicas that the worker really holds and its sequence number.
     let state = WorkerState {
         sequence: 7,
         is_busy: false,
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Whose owners are asked before a worker is chosen.
+//! Which workers' owners are queried before a worker is chosen.
 
 mod workers;
 
@@ -18,12 +18,12 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::topology::Topology;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
-/// Workers that are asked about at once.
+/// Number of workers whose owners are queried at once.
 const COUNT: usize = 3;
 
 fn engine() -> Engine {
@@ -38,14 +38,14 @@
     }
 }
 
-/// Failure domains `z` and `y` in region `r`, `x` in another one.
+/// Returns a topology with failure domains `z` and `y` in region `r`, and `x` in another region.
 fn topology() -> Topology {
     let listed = [("z", "r"), ("y", "r"), ("x", "q")];
     let listed = listed.map(|(domain, region)| (domain.to_owned(), region.to_owned()));
     Topology::new("z", "r", &BTreeMap::from(listed)).unwrap()
 }
 
-/// Makes a list of workers in failure domains that hold a model.
+/// Builds a roster of workers that hold model `m`, each given with its failure domain.
 fn roster(workers: &[(&str, &str)]) -> Roster {
     let mut roster = Roster::default();
     for (id, domain) in workers {
@@ -56,7 +56,7 @@
     roster
 }
 
-/// A request of an instance that knows the table.
+/// Returns a request at an instance that knows the failure domains.
 fn request<'a>(
     topology: &'a Topology,
     model: Option<(&'a str, Option<&'a str>)>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// An owner's word that so much is to be read before.
+/// Returns an owner's status of a worker with the given prefill backlog in milliseconds.
 fn busy(unread_ms: f64) -> WorkerStatus {
     WorkerStatus {
         load: Load {
@@ -109,7 +109,7 @@
         let further = roster.further_candidates(1, &asked, &request, engine, COUNT, rng);
         names(&further)
     };
-    // One of them is idle, or nearly: nobody else is asked.
+    // One of them is idle or nearly idle: no other owners are queried.
     roster
         .get_mut("z1")
         .unwrap()
@@ -119,8 +119,8 @@
         .unwrap()
         .set_owner_status(0, busy(10.0));
     assert!(further(&roster, &mut rng).is_empty());
-    // Both are busy: whoever is elsewhere may be idle, in another region only if the
-    // way there is worth it.
+    // Both are busy: workers in other domains may be idle. Those in another region are
+    // queried only if the backlog outweighs the network delay.
     roster
         .get_mut("z2")
         .unwrap()
@@ -151,7 +151,7 @@
         .candidates(0, &request, engine, COUNT, &mut rng)
         .unwrap();
     assert_eq!(names(&asked), ["x1", "x2"]);
-    // One that failed is left alone while others, however far, are well.
+    // An ejected worker is avoided while others, however far away, are healthy.
     let mut roster = self::roster(&[("z1", "z"), ("x1", "x")]);
     let put_aside = WorkerStatus {
         is_aside: true,
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -1,4 +1,5 @@
-//! What a choice goes by besides load: owners' words, and the domain that a row names.
+//! Criteria for choosing a worker besides load: the statuses that owners report, and the failure
+//! domain in a worker's row.
 
 mod workers;
 
@@ -24,7 +25,7 @@
 use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -86,7 +87,7 @@
     assert_eq!(chosen(&roster, 900), "a");
     roster.get_mut("b").unwrap().set_owner_status(1_000, busy);
     assert_eq!(chosen(&roster, 1_010), "b");
-    // Old words say nothing, and one that is to be left alone is not preferred.
+    // An outdated status is ignored, and an ejected worker is not preferred.
     assert_eq!(chosen(&roster, 2_000), "a");
     let aside = WorkerStatus {
         is_aside: true,
@@ -125,7 +126,7 @@
         choose(ALONE_FROM_COUNT, [true, true]),
         Err(NoWorker::NotAlone)
     );
-    // Others run beside such ones.
+    // Other requests may run beside them.
     assert_matches!(choose(0, [true, true]), Ok(_));
 }
 
@@ -141,7 +142,7 @@
         let status = WorkerStatus {
             slowdown_ratio: 1.0,
             load,
-            // The busy one has read most of the prompt before.
+            // The busy worker has the prompt in its prefix cache.
             kept_part_count: usize::from(id == "busy"),
             ..WorkerStatus::default()
         };
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -1,4 +1,4 @@
-//! The word of a worker that it leaves, beside its rows.
+//! Departures that workers announce, and how they combine with the rows of the store.
 
 mod workers;
 
@@ -20,12 +20,12 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
-/// The row of a start of a worker.
+/// Returns the row of one incarnation of a worker.
 fn start(id: &str, started_unix_ms: u64) -> WorkerRecord {
     WorkerRecord {
         started_unix_ms,
@@ -116,7 +116,7 @@
         (1_000, DepartureSource::Peer)
     );
     assert_eq!(roster.departure_news("w"), Some(news("w", 100)));
-    // A worker that isn't listed here yet.
+    // A worker that is not listed yet.
     assert!(roster.note_leaving_reported(1_000, &news("late", 1)));
     roster.put(at(6), start("late", 1));
     assert!(roster.get("late").unwrap().is_leaving());
@@ -158,8 +158,8 @@
     );
 }
 
-/// Seen by reading: where the words of more starts than are remembered came within one
-/// millisecond, all of them were forgotten, the newest too.
+/// Guards against an eviction that drops every announcement: when more departures than are kept
+/// were announced within one millisecond, all of them were forgotten, even the newest.
 #[test]
 fn words_that_come_at_once_are_not_all_forgotten_for_the_last() {
     let mut roster = Roster::default();
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -1,4 +1,4 @@
-//! What a store that came back from a copy must not take back of workers.
+//! Departures and ends of workers that a store restored from a copy must not undo.
 
 mod workers;
 
@@ -18,10 +18,11 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// When the second era begins, in milliseconds.
+/// Time at which the store is restored and its second era begins, in milliseconds.
 const RESTORED_MS: u64 = 10_000;
 
-/// Time after which a copy's row that still stands counts, in milliseconds.
+/// Time after the restore from which a row of the copy that still exists is trusted, in
+/// milliseconds.
 const TRUSTED_AFTER_MS: u64 = 6_000;
 
 /// Returns a position before the restore.
@@ -29,7 +30,7 @@
     StorePosition::new(1, version)
 }
 
-/// Returns a position after it.
+/// Returns a position after the restore.
 fn after(version: u64) -> StorePosition {
     StorePosition::new(2, version)
 }
@@ -42,7 +43,8 @@
     }
 }
 
-/// Returns what speaks against the worker, by the choice as by the look before a send.
+/// Returns why nothing may be sent to the worker, and checks that the choice of a worker and the
+/// check before a send agree.
 fn barred(roster: &Roster) -> Option<Barred> {
     let barred = roster.barred(RESTORED_MS, "w", Purpose::Call, 0);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -51,7 +53,7 @@
     barred
 }
 
-/// Returns workers of which one is gone, as the second era begins.
+/// Returns a roster whose only worker is gone when the second era begins.
 fn gone() -> Roster {
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
@@ -60,8 +62,8 @@
     roster
 }
 
-/// Guards against a copy's row that takes back that a worker leaves; a start after it is
-/// another worker.
+/// Guards against a row of the copy that cancels a departure. A later incarnation isn't affected by
+/// that departure.
 #[test]
 fn a_start_that_leaves_by_its_row_leaves_though_a_copys_row_says_otherwise() {
     let mut roster = Roster::default();
@@ -82,8 +84,8 @@
     assert_eq!(barred(&roster), None);
 }
 
-/// Guards against a copy's row that brings back a start that is gone, without a sign of
-/// life of its own.
+/// Guards against a row of the copy that brings back an incarnation that is gone and has shown no
+/// sign of life since.
 #[test]
 fn a_start_that_is_gone_stays_gone_until_it_gives_a_sign_of_life() {
     let mut roster = gone();
@@ -121,7 +123,7 @@
     assert_eq!(barred(&roster), None, "rows of silent workers end before");
 }
 
-/// Guards against starts that are kept out for one that is gone.
+/// Guards against the exclusion of a new incarnation because an earlier one is gone.
 #[test]
 fn another_start_of_a_worker_that_is_gone_serves_at_once() {
     let mut roster = gone();
@@ -129,7 +131,7 @@
     assert_eq!(barred(&roster), None);
 }
 
-/// Guards against a worker's own word that is forgotten with what only a copy's row says.
+/// Guards against forgetting a worker's own announcement once rows of the copy are trusted again.
 #[test]
 fn its_own_word_holds_on_beyond_what_is_held_against_a_copy() {
     for is_listed_before in [true, false] {
@@ -148,8 +150,8 @@
     }
 }
 
-/// Guards against a worker that the copy lacks and that is dropped before it can write its
-/// row again.
+/// Guards against dropping a worker that is missing from the copy before it can write its row
+/// again.
 #[test]
 fn a_worker_that_the_copy_lacks_is_back_with_its_next_row() {
     let mut roster = Roster::default();
@@ -164,7 +166,7 @@
     assert_eq!(lapsed, [(after(59), Arc::from("w"))]);
 }
 
-/// Guards against a copy's row that brings back the start before the one that serves.
+/// Guards against a row of the copy that brings back the incarnation before the serving one.
 #[test]
 fn a_start_that_another_has_followed_is_over_for_good() {
     let mut roster = Roster::default();
@@ -177,7 +179,7 @@
     assert_eq!(barred(&roster), Some(Barred::Leaving));
     roster.put(after(60), row(200, false));
     assert_eq!(barred(&roster), None);
-    // A start that has come back itself isn't over.
+    // An incarnation that came back after the other one is not superseded.
     let mut back = Roster::default();
     back.put(before(40), row(100, false));
     back.put(before(75), row(200, false));
@@ -187,8 +189,8 @@
     assert_eq!(barred(&back), None);
 }
 
-/// Guards against a start that said that it leaves, is gone, and is trusted again after a
-/// while since a copy lists it.
+/// Guards against trusting an incarnation that announced its departure and is gone, only because
+/// the copy lists it for a while.
 #[test]
 fn a_start_that_left_and_is_gone_is_over_for_good() {
     let mut roster = Roster::default();
@@ -199,7 +201,7 @@
     roster.put(after(40), row(100, false));
     roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
-    // Gone, and followed by another start: the one before is over as well.
+    // Gone and followed by another incarnation: the earlier one stays excluded as well.
     let mut followed = gone();
     followed.put(after(80), row(200, false));
     followed.remove(after(81), "w");
@@ -210,8 +212,8 @@
     assert_eq!(barred(&followed), Some(Barred::Leaving));
 }
 
-/// Guards against a copy that brings back a worker whose end became known between the word of
-/// the era and its list.
+/// Guards against a copy that brings back a worker whose end became known after the new era was
+/// announced and before its list was read.
 #[test]
 fn a_worker_that_lapses_before_the_list_of_an_era_comes_is_held_back_as_well() {
     let mut roster = Roster::default();
--- a/crates/cranereach-fleet/tests/evacuations.rs
+++ b/crates/cranereach-fleet/tests/evacuations.rs
@@ -1,6 +1,8 @@
-//! No instance that can prove to know the newest sends to an evacuated domain beyond the
-//! bound, and those in touch can: in a simulated network with delay, loss, doubling,
-//! freezes, cuts, restarts, and the watchers of the store lost.
+//! Evacuations in a simulated network with delay, loss, duplicates, freezes, disconnections,
+//! restarts and the loss of the instances that watch the store.
+//!
+//! An instance with a proof that its list is the newest doesn't send to an evacuated domain after
+//! the bound, and every instance in contact with the others has such a proof.
 
 use std::collections::BTreeMap;
 
@@ -15,40 +17,41 @@
 use cranereach_fleet::proof::ProofQuery;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
-/// Time from a demand to the last request, in milliseconds.
+/// Time from the operator's request of an evacuation to the last send to the domain, in
+/// milliseconds.
 const BOUND_MS: u64 = 5_000;
 
-/// Time within which changes are in force in calm times, in milliseconds.
+/// Time within which changes take effect without disturbances, in milliseconds.
 const CHANGE_MS: u64 = 3_000;
 
-/// Time for which an instance must be undisturbed to count as in touch, in milliseconds.
+/// Time for which an instance must be undisturbed to count as in contact, in milliseconds.
 const CONTACT_MS: u64 = 4_000;
 
-/// Time between two rounds of questions and digests, in milliseconds, as in the gateway.
+/// Time between two rounds of queries and digests, in milliseconds, as in the gateway.
 const ASK_EVERY_MS: u64 = 200;
 
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 20;
 
-/// Domains that are asked for.
+/// Number of domains that may be evacuated.
 const DOMAIN_COUNT: u64 = 3;
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Parcel {
     Question(usize, ProofQuery),
     Answer(ProofAnswer),
     News(EvacuationList),
-    /// The whole table, asked for at a time of the reader's clock, of a start.
+    /// The reader's boot number, the time of the read by the reader's clock, and the whole table.
     Read(u64, u64, EvacuationList),
 }
 
-/// One instance.
+/// A simulated instance.
 struct Instance {
     proof: Proof,
     known: Evacuations,
@@ -72,14 +75,14 @@
     }
 }
 
-/// Instances and the store.
+/// The simulated instances and the store.
 struct World {
     instances: Vec<Instance>,
     delay_max_ms: u64,
     lost_share: f64,
     now_ms: u64,
     store: EvacuationList,
-    /// Since when each domain is asked for, in milliseconds.
+    /// Time at which the evacuation of each domain was requested, in milliseconds.
     asked_ms: BTreeMap<u64, u64>,
     on_the_way: BTreeMap<u64, Vec<(usize, Parcel)>>,
     rng: StdRng,
@@ -107,7 +110,7 @@
         world
     }
 
-    /// Makes an instance that has just started.
+    /// Creates an instance that has just started.
     fn fresh(&mut self) -> Instance {
         let boot = self.rng.random();
         Instance {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// The operator asks for a domain, or withdraws what was asked.
+    /// Lets the operator request the evacuation of a domain, or withdraw the request.
     fn operate(&mut self, domain: u64) {
         let position = at(self.store.position.version + 1);
         let is_withdrawn = self.asked_ms.remove(&domain).is_some();
@@ -168,7 +171,7 @@
         self.check();
     }
 
-    /// Lets one instance do what is due: what waited in its socket comes first.
+    /// Runs what is due at one instance; messages that waited in its socket come first.
     fn run(&mut self, number: usize) {
         for parcel in std::mem::take(&mut self.instances[number].waiting) {
             self.take(number, parcel);
@@ -176,7 +179,8 @@
         let instance = &self.instances[number];
         let now_ms = self.now_ms - instance.started_ms;
         let is_cut = instance.is_cut(self.now_ms);
-        // The first two that live watch; the others read when nobody tells them anything.
+        // The first two live instances watch the store; the others read it when no peer proves
+        // anything newer.
         let before = &self.instances[..number];
         let rank = before.iter().filter(|of| of.is_calm(self.now_ms)).count() as u64;
         let is_due = rank < 2 || now_ms >= instance.proof.read_due_at_ms(rank);
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Lists who would send to a domain that was to be empty by now.
+    /// Iterates over the instances that still send to a domain after the bound.
     fn late_senders(&self) -> impl Iterator<Item = &Instance> {
         let awake = self.instances.iter();
         let awake = awake.filter(|of| self.now_ms >= of.frozen_until_ms);
@@ -249,7 +253,7 @@
         })
     }
 
-    /// Checks that nobody sends late who can prove to know what is newest.
+    /// Checks that no instance sends late although its proof is newer than the request.
     fn check(&self) {
         for sender in self.late_senders() {
             let now_ms = self.now_ms - sender.started_ms;
@@ -268,7 +272,7 @@
         }
     }
 
-    /// Checks that nobody in touch sends late.
+    /// Checks that no instance in contact sends late.
     fn check_in_touch(&self) {
         let mut in_touch = self.late_senders();
         let found = in_touch.find(|of| self.now_ms > of.disturbed_at_ms + CONTACT_MS);
@@ -276,7 +280,7 @@
     }
 }
 
-/// What happens.
+/// A disturbance or an action of the operator.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Operate(u64),
@@ -360,7 +364,7 @@
             world.check_in_touch();
             match step {
                 300 => world.happen(0, Event::Operate(1)),
-                // Right after the demand, before anybody has read it.
+                // Right after the request, before any instance has read it.
                 301 => world.happen(0, Event::Cut(30_000)),
                 302 => world.happen(1, Event::Freeze(30_000)),
                 700 => world.happen(2, Event::Operate(1)),
--- a/crates/cranereach-fleet/tests/fingerprint.rs
+++ b/crates/cranereach-fleet/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Equal requests have equal fingerprints, others don't.
+//! Equal requests have equal fingerprints, and different ones don't.
 
 use std::collections::HashSet;
 
--- a/crates/cranereach-fleet/tests/freshness.rs
+++ b/crates/cranereach-fleet/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Who reads the list of workers, and when.
+//! When instances of each rank read the list of workers.
 
 use assert_matches::assert_matches;
 
@@ -27,7 +27,7 @@
         "{due:?}"
     );
     assert_eq!(due[3], due[5]);
-    // What is left is enough for a read with its time-out halved.
+    // The time that is left is enough for a read with half of its time-out.
     assert!(due[5] <= 10_000 + BOUND_MS * 4 / 5, "{due:?}");
 }
 
@@ -38,7 +38,7 @@
     let before = list.read_due_at_ms(0);
     list.confirm(1_500);
     assert_eq!(list.read_due_at_ms(0), before + 500);
-    // Older news takes nothing back.
+    // Older news has no effect.
     list.confirm(1_200);
     assert_eq!(list.read_due_at_ms(0), before + 500);
     list.invalidate();
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -1,4 +1,4 @@
-//! What is made of a prompt that its worker's owner holds back.
+//! Prompts whose send is delayed by the owner of their worker.
 
 mod workers;
 
@@ -14,13 +14,13 @@
 use cranereach_fleet::roster::Roster;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
-/// Returns the choice of the only worker, whose owner says at 1,000 ms when a prompt is
-/// to be sent.
+/// Returns the choice of the only worker, whose owner requests at 1,000 ms that a prompt be sent
+/// after `send_in_ms`.
 fn choice(now_ms: u64, send_in_ms: f64) -> Choice {
     let mut roster = Roster::default();
     roster.put(at(1), record("a", &[]));
--- a/crates/cranereach-fleet/tests/holders.rs
+++ b/crates/cranereach-fleet/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Choices that look at the workers that list a model alone, against a look at all.
+//! Compares candidates from the index of workers by model with a scan of all workers.
 
 mod workers;
 
@@ -15,7 +15,7 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::Worker;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -23,7 +23,7 @@
 const MODELS: [&str; 4] = ["a", "b", "c", "d"];
 const WORKER_COUNT: usize = 8;
 
-/// What a look at all workers finds for a model.
+/// Returns what a scan of all workers finds for a model.
 fn look_at_all(roster: &Roster, model: &str) -> Result<Vec<Arc<str>>, NoWorker> {
     let (holders, others): (Vec<_>, Vec<_>) = roster.workers().partition(|worker| {
         let mut held = worker.record.models.iter();
@@ -62,7 +62,7 @@
                     held.map(|model| (*model, [].as_slice())).collect();
                 let mut record = record(&id, &held);
                 record.is_leaving = rng.random_bool(0.2);
-                // Some are back under their identity.
+                // Some restart under the same identity.
                 record.started_unix_ms = rng.random_range(0..2);
                 roster.put(at(version), record);
             }
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -1,8 +1,8 @@
 //! The lease under lost, late and refused writes, freezes and restarts.
 //!
-//! A world of machines and one row runs in random order. What must hold: two
-//! machines never order within the pause, and tokens only grow; also where the store comes
-//! back from copies some seconds old.
+//! Simulates machines that contend for one row, with random events. Two machines never issue
+//! orders within the pause of each other, and fencing tokens only grow, even when the store is
+//! restored from copies that are some seconds old.
 
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
 use cranereach_fleet::lease_state::TERM_MS;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -28,23 +28,23 @@
 const SEED_COUNT: u64 = 400;
 const STEP_COUNT: u64 = 12_000;
 
-/// Age of the oldest copy that a store comes back from, in milliseconds.
+/// Age of the oldest copy that a store is restored from, in milliseconds.
 const COPY_MAX_MS: u64 = 8_000;
 
 /// Time between two copies, in milliseconds.
 const COPY_EVERY_MS: u64 = 200;
 
-/// A write that the store does later, if its condition still holds.
+/// A write that reaches the store late, and succeeds if its condition still holds.
 struct LateWrite {
     at_ms: u64,
     expected_version: u64,
     row: LeaseRow,
 }
 
-/// What the store holds.
+/// Content of the store.
 #[derive(Clone, Default)]
 struct Content {
-    /// Newest version that was given out.
+    /// Newest version that was assigned.
     counter: u64,
     /// Version of the row; zero if there is none.
     version: u64,
@@ -54,7 +54,7 @@
 struct World {
     era: u64,
     content: Content,
-    /// What it held, oldest first, and when, in milliseconds.
+    /// Copies of the content, oldest first, each with its time in milliseconds.
     copies: VecDeque<(u64, Content)>,
     late: Vec<LateWrite>,
 }
@@ -86,7 +86,7 @@
         self.copies.push_back((now_ms, self.content.clone()));
     }
 
-    /// Comes back from one of the copies.
+    /// Restores the store from one of the copies.
     fn restore(&mut self, rng: &mut SmallRng) {
         let copy = rng.random_range(0..self.copies.len());
         self.content = self.copies[copy].1.clone();
@@ -118,7 +118,8 @@
     }
 }
 
-/// Lets a machine write the row at a time: with success, in vain, or late.
+/// Writes the row for a machine. The write succeeds, conflicts, loses its request or its answer,
+/// or reaches the store late.
 fn attempt(
     world: &mut World,
     rng: &mut SmallRng,
@@ -156,8 +157,8 @@
     }
 }
 
-/// Runs one world, whose store comes back from copies or not, and returns how many times
-/// the orders changed hands.
+/// Runs one simulation, with or without restores of the store, and returns how many times the
+/// lease changed hands.
 fn run(seed: u64, is_restored: bool) -> u32 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World {
@@ -199,16 +200,16 @@
                 _ => {}
             }
             if is_restored && rng.random_range(0..100) == 0 {
-                // Some peer told of it, or another answer of the store.
+                // A peer or another answer of the store tells of the new era.
                 lease_state.enter_era(world.era);
             }
-            // Hearing is a hint only: it may be wrong either way, for a while.
+            // Whether the holder is heard is only a hint; it may be wrong either way for a while.
             if rng.random_range(0..400) == 0 {
                 hears[machine] = rng.random_bool(0.3);
             }
             if let Some(ended) = lease_state.ended(now_ms) {
-                // Said once and heard by all, maybe long after; the age that is told
-                // may be that of the word when it was made.
+                // Announced once and heard by all, possibly much later; the reported age
+                // may be that at the time of the announcement.
                 let heard_at_ms = now_ms + rng.random_range(0..5_000);
                 let at_ms = rng.random_range(ended.at_ms..=heard_at_ms);
                 said_ended.push((heard_at_ms, EndedTerm { at_ms, ..ended }));
@@ -265,7 +266,7 @@
     );
 }
 
-/// Guards against two holders at once where a restored store has lost the row of one.
+/// Guards against two holders at once when a restored store has lost the row of one.
 #[test]
 fn two_machines_never_order_within_the_pause_though_the_store_loses_the_row() {
     let hand_overs: u32 = (0..SEED_COUNT).map(|seed| run(seed, true)).sum();
@@ -275,7 +276,7 @@
     );
 }
 
-/// Guards against orders that stop for a whole term and pause with each restore.
+/// Guards against orders that stop for a whole term and pause after each restore.
 #[test]
 fn a_holder_whose_row_was_lost_goes_on_within_its_term() {
     let mut lease_state = LeaseState::new("a", PAUSE_MS);
@@ -293,7 +294,7 @@
     assert_eq!(lease_state.step(420, false), Step::Write { expected });
     lease_state.written(420, StorePosition::new(2, 58));
     assert_eq!(lease_state.token(900), token);
-    // One whose term has run out waits as all do.
+    // A holder whose term has ended waits like any other candidate.
     let mut late = LeaseState::new("a", PAUSE_MS);
     late.written(0, StorePosition::new(1, 80));
     late.enter_era(2);
@@ -302,7 +303,8 @@
     assert_eq!(late.step(TERM_MS + PAUSE_MS, false), Step::Wait);
 }
 
-/// Guards against a candidate that takes a copy's row, or none, for the last holder's.
+/// Guards against a candidate that takes a row of the copy, or a missing row, for the state that
+/// the last holder left.
 #[test]
 fn what_a_copy_says_of_holders_saves_no_wait() {
     let of_copy = |holder: &str, is_released: bool| LeaseRow {
@@ -320,7 +322,7 @@
         let mut lease_state = LeaseState::new("a", PAUSE_MS);
         lease_state.enter_era(2);
         lease_state.read(0, StorePosition::new(2, 50), row.clone());
-        // A word of the era before, about a row that had the same version.
+        // An announcement from the previous era, about a row that had the same version.
         lease_state.record_ended_term(EndedTerm {
             position: StorePosition::new(1, 50),
             at_ms: 0,
@@ -386,7 +388,7 @@
         Step::Wait,
         "another version"
     );
-    // The earliest word counts, also if it is heard last.
+    // The earliest announcement counts, even if it is heard last.
     lease_state.record_ended_term(ended(5, 900));
     lease_state.record_ended_term(ended(5, 20));
     lease_state.record_ended_term(ended(5, 400));
@@ -401,8 +403,8 @@
     let mut lease_state = LeaseState::new("b", PAUSE_MS);
     assert_eq!(lease_state.step(0, true), Step::Wait);
     assert_eq!(lease_state.step(0, false), Step::Read);
-    // Found in an incident: a row read long ago made every instance write in vain
-    // when the holder fell silent, and wait from there on.
+    // Guards against an incident in which every instance based its write on a row read long ago
+    // when the holder fell silent: the writes conflicted, and the wait began anew.
     let held = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
--- a/crates/cranereach-fleet/tests/loads.rs
+++ b/crates/cranereach-fleet/tests/loads.rs
@@ -1,4 +1,4 @@
-//! What the requests at a worker mean for one more.
+//! How long a request waits for a slot of a worker under load.
 
 use cranereach_fleet::load::Load;
 
@@ -10,7 +10,7 @@
         stay_ms: f64::from(open_count) * 1_600.0,
         ..Load::default()
     };
-    // Sixteen slots, each kept for 1.6 s: one is free every 100 ms.
+    // Sixteen slots, each occupied for 1.6 s: one becomes free every 100 ms.
     let table = [
         (running(0, [0; 3]), 0, 0.0),
         (running(15, [0; 3]), 0, 0.0),
