--- a/crates/cranereach-fleet/tests/accounts.rs
+++ b/crates/cranereach-fleet/tests/accounts.rs
@@ -80,11 +80,11 @@
     let found = accounts.by_secret("9999-19").unwrap();
     assert_eq!(found.name.as_ref(), "account-9999");
     assert_eq!(accounts.label(found), "other");
-    let begun = Instant::now();
+    let started = Instant::now();
     let wrong =
         (0..20_000).filter(|number| accounts.by_secret(&format!("wrong-{number}")).is_some());
     assert_eq!(wrong.count(), 0);
-    println!("20,000 wrong keys: {:?}", begun.elapsed());
+    println!("20,000 wrong keys: {:?}", started.elapsed());
 }
 
 #[test]
--- a/crates/cranereach-fleet/tests/asked.rs
+++ b/crates/cranereach-fleet/tests/asked.rs
@@ -15,7 +15,7 @@
     let ids: Vec<Arc<str>> = (0..10_000)
         .map(|number| Arc::from(format!("w-{number:05}")))
         .collect();
-    let holds = |model: u16| {
+    let replicas_of = |model: u16| {
         vec![ModelReplica {
             model,
             ..ModelReplica::default()
@@ -28,7 +28,7 @@
                 id,
                 position: StorePosition::new(0, 1),
                 started_unix_ms: 0,
-                replicas: holds(1),
+                replicas: replicas_of(1),
                 copies: Vec::new(),
                 is_serving: true,
             },
@@ -37,24 +37,27 @@
     assert_eq!(
         ledger.reports_due(0).len(),
         256,
-        "as many as a small fleet has"
+        "no more than in a small fleet"
     );
     let (last, order) = (&ids[9_999], Order::LoadAdapter((1, 3)));
-    assert!(ledger.view(last).unwrap().is_free, "the plan may choose it");
+    assert!(
+        ledger.view(last).unwrap().is_free,
+        "the plan may choose this worker"
+    );
     assert_eq!(ledger.begin(last, order), None);
-    let wanted = ledger.view(last).unwrap();
-    assert!(!wanted.is_free);
+    let planned = ledger.view(last).unwrap();
+    assert!(!planned.is_free);
     assert_eq!(
-        wanted.replicas[0].adapters,
+        planned.replicas[0].adapters,
         [3],
-        "nobody else is asked for it"
+        "the adapter counts as loaded, so no other worker is ordered to load it"
     );
     assert_eq!(ledger.reports_due(0), [Arc::clone(last)]);
     // The report gives the replicas that the worker really holds and its sequence number.
     let state = WorkerState {
         sequence: 7,
         is_busy: false,
-        replicas: holds(1),
+        replicas: replicas_of(1),
     };
     ledger.reported(10, last, Some(state));
     assert!(ledger.view(last).unwrap().replicas[0].adapters.is_empty());
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -24,7 +24,7 @@
 }
 
 /// Number of workers whose owners are queried at once.
-const COUNT: usize = 3;
+const CANDIDATE_COUNT: usize = 3;
 
 fn engine() -> Engine {
     Engine {
@@ -81,10 +81,10 @@
     }
 }
 
-fn names(asked: &[Arc<str>]) -> Vec<String> {
-    let mut names: Vec<String> = asked.iter().map(ToString::to_string).collect();
-    names.sort_unstable();
-    names
+fn sorted_ids(queried: &[Arc<str>]) -> Vec<String> {
+    let mut sorted: Vec<String> = queried.iter().map(ToString::to_string).collect();
+    sorted.sort_unstable();
+    sorted
 }
 
 #[test]
@@ -101,13 +101,14 @@
     ];
     let mut roster = roster(&all);
     let mut rng = SmallRng::seed_from_u64(1);
-    let asked = roster
-        .candidates(0, &request, engine, COUNT, &mut rng)
+    let queried = roster
+        .candidates(0, &request, engine, CANDIDATE_COUNT, &mut rng)
         .unwrap();
-    assert_eq!(names(&asked), ["z1", "z2"]);
+    assert_eq!(sorted_ids(&queried), ["z1", "z2"]);
     let further = |roster: &Roster, rng: &mut SmallRng| {
-        let further = roster.further_candidates(1, &asked, &request, engine, COUNT, rng);
-        names(&further)
+        let further =
+            roster.further_candidates(1, &queried, &request, engine, CANDIDATE_COUNT, rng);
+        sorted_ids(&further)
     };
     // One of them is idle or nearly idle: no other owners are queried.
     roster
@@ -140,28 +141,28 @@
     let engine = Some(&engine());
     let mut rng = SmallRng::seed_from_u64(2);
     let mut roster = roster(&[("y1", "y"), ("y2", "y"), ("x1", "x"), ("x2", "x")]);
-    let asked = roster
-        .candidates(0, &request, engine, COUNT, &mut rng)
+    let queried = roster
+        .candidates(0, &request, engine, CANDIDATE_COUNT, &mut rng)
         .unwrap();
-    assert_eq!(names(&asked), ["y1", "y2"]);
+    assert_eq!(sorted_ids(&queried), ["y1", "y2"]);
     for id in ["y1", "y2"] {
         roster.remove(at(2), id);
     }
-    let asked = roster
-        .candidates(0, &request, engine, COUNT, &mut rng)
+    let queried = roster
+        .candidates(0, &request, engine, CANDIDATE_COUNT, &mut rng)
         .unwrap();
-    assert_eq!(names(&asked), ["x1", "x2"]);
+    assert_eq!(sorted_ids(&queried), ["x1", "x2"]);
     // An ejected worker is avoided while others, however far away, are healthy.
     let mut roster = self::roster(&[("z1", "z"), ("x1", "x")]);
-    let put_aside = WorkerStatus {
+    let ejected = WorkerStatus {
         is_aside: true,
         ..busy(0.0)
     };
-    roster.get_mut("z1").unwrap().set_owner_status(0, put_aside);
-    let asked = roster
-        .candidates(1, &request, engine, COUNT, &mut rng)
+    roster.get_mut("z1").unwrap().set_owner_status(0, ejected);
+    let queried = roster
+        .candidates(1, &request, engine, CANDIDATE_COUNT, &mut rng)
         .unwrap();
-    assert_eq!(names(&asked), ["x1"]);
+    assert_eq!(sorted_ids(&queried), ["x1"]);
 }
 
 #[test]
@@ -170,10 +171,10 @@
     let request = request(&topology, None);
     let roster = roster(&[("z1", "z"), ("y1", "y"), ("x1", "x")]);
     let mut rng = SmallRng::seed_from_u64(3);
-    let asked = roster
-        .candidates(0, &request, None, COUNT, &mut rng)
+    let queried = roster
+        .candidates(0, &request, None, CANDIDATE_COUNT, &mut rng)
         .unwrap();
-    assert_eq!(names(&asked), ["x1", "y1", "z1"]);
+    assert_eq!(sorted_ids(&queried), ["x1", "y1", "z1"]);
 }
 
 #[test]
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -49,11 +49,15 @@
     let mut moved = record("w", &[("m", &[])]);
     moved.failure_domain = Arc::from("other");
     roster.put(at(2), moved);
-    let asked = EvacuationList::default().changed(worker_key("other"), at(3), false);
-    roster.evacuations.take(1_000, asked, None, 5_000);
+    let evacuation_list = EvacuationList::default().changed(worker_key("other"), at(3), false);
+    roster.evacuations.take(1_000, evacuation_list, None, 5_000);
     let barred = |purpose| roster.barred(1_001, "w", purpose, 0);
     assert_eq!(barred(Purpose::Call), Some(Barred::Evacuated));
-    assert_eq!(barred(Purpose::Order), None, "orders empty the domain");
+    assert_eq!(
+        barred(Purpose::Order),
+        None,
+        "orders are still sent, to empty the domain"
+    );
     assert!(roster.is_evacuated("w"));
 }
 
@@ -63,12 +67,18 @@
     for id in ["a", "b"] {
         roster.put(at(1), record(id, &[("m", &[])]));
     }
-    let among = [Arc::from("a"), Arc::from("b")];
+    let candidates = [Arc::from("a"), Arc::from("b")];
     let routing_request = routing_request(Some(("m", None)));
     let chosen = |roster: &Roster, now_ms: u64| {
         let mut rng = SmallRng::seed_from_u64(1);
         let engine = engine(8);
-        let choice = roster.choose_among(now_ms, &among, &routing_request, Some(&engine), &mut rng);
+        let choice = roster.choose_among(
+            now_ms,
+            &candidates,
+            &routing_request,
+            Some(&engine),
+            &mut rng,
+        );
         choice.unwrap().id.to_string()
     };
     let busy = WorkerStatus {
@@ -89,11 +99,14 @@
     assert_eq!(chosen(&roster, 1_010), "b");
     // An outdated status is ignored, and an ejected worker is not preferred.
     assert_eq!(chosen(&roster, 2_000), "a");
-    let aside = WorkerStatus {
+    let ejected = WorkerStatus {
         is_aside: true,
         ..busy
     };
-    roster.get_mut("b").unwrap().set_owner_status(3_000, aside);
+    roster
+        .get_mut("b")
+        .unwrap()
+        .set_owner_status(3_000, ejected);
     assert_eq!(chosen(&roster, 3_010), "a");
 }
 
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns the row of one incarnation of a worker.
-fn start(id: &str, started_unix_ms: u64) -> WorkerRecord {
+fn incarnation(id: &str, started_unix_ms: u64) -> WorkerRecord {
     WorkerRecord {
         started_unix_ms,
         ..record(id, &[("m", &[])])
@@ -42,58 +42,64 @@
 
 #[test]
 fn each_value_has_a_meaning() {
-    let said = |values: &[&[u8]]| read(values.iter().copied());
-    assert_eq!(said(&[]), Said::Nothing);
-    assert_eq!(said(&[b"1"]), Said::Leaves);
-    assert_eq!(said(&[b" 1 "]), Said::Leaves);
-    assert_eq!(said(&[b"0"]), Said::Nothing, "it stays");
+    let parsed = |values: &[&[u8]]| read(values.iter().copied());
+    assert_eq!(parsed(&[]), Said::Nothing);
+    assert_eq!(parsed(&[b"1"]), Said::Leaves);
+    assert_eq!(parsed(&[b" 1 "]), Said::Leaves);
+    assert_eq!(parsed(&[b"0"]), Said::Nothing, "the worker stays");
     assert_eq!(
-        said(&[b"0", b"1"]),
+        parsed(&[b"0", b"1"]),
         Said::Leaves,
-        "one that says so is enough"
+        "one such value is enough"
     );
-    assert_eq!(said(&[b"1", b"true"]), Said::Leaves);
+    assert_eq!(parsed(&[b"1", b"true"]), Said::Leaves);
     let unreadable: [&[u8]; 6] = [b"", b"true", b"yes", b"-1", b"1.0", b"\xff"];
     for value in unreadable {
-        assert_eq!(said(&[value]), Said::Unreadable, "{value:?}");
+        assert_eq!(parsed(&[value]), Said::Unreadable, "{value:?}");
     }
-    assert_eq!(said(&[&[b'1'; 4_000]]), Said::Unreadable);
+    assert_eq!(parsed(&[&[b'1'; 4_000]]), Said::Unreadable);
 }
 
 #[test]
 fn it_holds_for_its_start_whatever_rows_come() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     assert!(roster.note_leaving_announced(1_000, "w", 100));
     assert!(
         !roster.note_leaving_announced(1_100, "w", 100),
-        "it is known"
+        "already known"
     );
     let is_leaving = |roster: &Roster| roster.get("w").unwrap().is_leaving();
-    roster.put(at(6), start("w", 100));
+    roster.put(at(6), incarnation("w", 100));
     assert!(is_leaving(&roster), "a newer row");
-    assert!(!roster.lapse(at(7), "w", 9_000), "its end is no lapse");
+    assert!(
+        !roster.lapse(at(7), "w", 9_000),
+        "the end of its row is no lapse"
+    );
     roster.remove(at(7), "w");
-    roster.put(at(8), start("w", 100));
+    roster.put(at(8), incarnation("w", 100));
     assert!(is_leaving(&roster), "the row is back");
-    roster.put(at(9), start("w", 200));
-    assert!(!is_leaving(&roster), "it has started again");
-    roster.put(at(10), start("w", 100));
-    assert!(is_leaving(&roster), "the row of the start before is back");
-    roster.put(at(11), start("w", 200));
+    roster.put(at(9), incarnation("w", 200));
+    assert!(!is_leaving(&roster), "a new incarnation");
+    roster.put(at(10), incarnation("w", 100));
+    assert!(
+        is_leaving(&roster),
+        "the row of the previous incarnation is back"
+    );
+    roster.put(at(11), incarnation("w", 200));
     assert!(!is_leaving(&roster));
 }
 
 #[test]
 fn a_word_of_another_start_than_the_listed_one_counts_for_that_one() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     assert!(
         roster.note_leaving_announced(1_000, "w", 200),
-        "its row isn't here yet"
+        "the row of this incarnation hasn't arrived yet"
     );
     assert!(!roster.get("w").unwrap().is_leaving());
-    roster.put(at(6), start("w", 200));
+    roster.put(at(6), incarnation("w", 200));
     assert!(roster.get("w").unwrap().is_leaving());
     assert_eq!(roster.unlisted_departure_count(), 0);
 }
@@ -101,7 +107,7 @@
 #[test]
 fn a_peers_word_counts_for_the_start_that_it_names() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     let news = |id: &str, started_unix_ms| DepartureNews {
         worker: worker_key(id),
         start: incarnation_key(id, started_unix_ms),
@@ -118,14 +124,14 @@
     assert_eq!(roster.departure_news("w"), Some(news("w", 100)));
     // A worker that is not listed yet.
     assert!(roster.note_leaving_reported(1_000, &news("late", 1)));
-    roster.put(at(6), start("late", 1));
+    roster.put(at(6), incarnation("late", 1));
     assert!(roster.get("late").unwrap().is_leaving());
 }
 
 #[test]
 fn nothing_is_sent_to_one_that_leaves_or_is_gone() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     for purpose in [Purpose::Call, Purpose::Order, Purpose::Report] {
         assert_eq!(roster.barred(900, "w", purpose, 0), None);
         assert_eq!(roster.barred(900, "other", purpose, 0), Some(Barred::Gone));
@@ -141,7 +147,7 @@
     assert_eq!(
         choose(&roster, Some("m")),
         Err(NoWorker::NoModel),
-        "another one could load it"
+        "another worker could load the model"
     );
 }
 
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -54,7 +54,7 @@
 }
 
 /// Returns a roster whose only worker is gone when the second era begins.
-fn gone() -> Roster {
+fn roster_of_gone_worker() -> Roster {
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
     roster.remove(before(75), "w");
@@ -69,12 +69,12 @@
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
     roster.put(before(75), row(100, true));
-    let told = roster.enter_era(RESTORED_MS, 2);
+    let announced = roster.enter_era(RESTORED_MS, 2);
     let news = DepartureNews {
         worker: worker_key("w"),
         start: incarnation_key("w", 100),
     };
-    assert_eq!(told, [news], "others hear of it who never had that row");
+    assert_eq!(announced, [news], "peers that never had that row are told");
     assert_eq!(roster.enter_era(RESTORED_MS, 2), [], "once");
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
@@ -88,45 +88,65 @@
 /// sign of life since.
 #[test]
 fn a_start_that_is_gone_stays_gone_until_it_gives_a_sign_of_life() {
-    let mut roster = gone();
+    let mut roster = roster_of_gone_worker();
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
-    assert_eq!(roster.departure_news("w"), None, "nobody said so");
+    assert_eq!(
+        roster.departure_news("w"),
+        None,
+        "nobody announced a departure"
+    );
     roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS - 1);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
 
-    let mut written = roster.clone();
-    written.put(after(60), row(100, false));
+    let mut rewritten = roster.clone();
+    rewritten.put(after(60), row(100, false));
     assert_eq!(
-        barred(&written),
+        barred(&rewritten),
         Some(Barred::Leaving),
-        "it may be the copy's"
+        "this may be the row of the copy"
     );
     let other = WorkerRecord {
         slot_count: 3,
         ..row(100, false)
     };
-    written.put(after(61), other);
-    assert_eq!(barred(&written), None, "it was written since");
+    rewritten.put(after(61), other);
+    assert_eq!(
+        barred(&rewritten),
+        None,
+        "the row was written after the restore"
+    );
 
-    let mut again = roster.clone();
-    again.enter_era(RESTORED_MS, 3);
-    again.put(StorePosition::new(3, 40), row(100, false));
-    assert_eq!(barred(&again), Some(Barred::Leaving), "another copy's");
+    let mut restored_again = roster.clone();
+    restored_again.enter_era(RESTORED_MS, 3);
+    restored_again.put(StorePosition::new(3, 40), row(100, false));
+    assert_eq!(
+        barred(&restored_again),
+        Some(Barred::Leaving),
+        "the row of another copy"
+    );
 
-    let mut away = roster.clone();
-    away.distrust_restored_rows(RESTORED_MS + 3_000);
-    away.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
-    assert_eq!(barred(&away), Some(Barred::Leaving), "the store was away");
+    let mut interrupted = roster.clone();
+    interrupted.distrust_restored_rows(RESTORED_MS + 3_000);
+    interrupted.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
+    assert_eq!(
+        barred(&interrupted),
+        Some(Barred::Leaving),
+        "the store was unreachable"
+    );
 
     roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
-    assert_eq!(barred(&roster), None, "rows of silent workers end before");
+    assert_eq!(
+        barred(&roster),
+        None,
+        "rows of silent workers have ended by now"
+    );
 }
 
 /// Guards against the exclusion of a new incarnation because an earlier one is gone.
 #[test]
 fn another_start_of_a_worker_that_is_gone_serves_at_once() {
-    let mut roster = gone();
+    let mut roster = roster_of_gone_worker();
     roster.put(after(40), row(200, false));
     assert_eq!(barred(&roster), None);
 }
@@ -135,13 +155,13 @@
 #[test]
 fn its_own_word_holds_on_beyond_what_is_held_against_a_copy() {
     for is_listed_before in [true, false] {
-        let mut roster = gone();
+        let mut roster = roster_of_gone_worker();
         if is_listed_before {
             roster.put(after(40), row(100, false));
         }
         assert!(
             roster.note_leaving_announced(RESTORED_MS, "w", 100),
-            "it is new"
+            "the announcement is new"
         );
         roster.put(after(40), row(100, false));
         roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
@@ -180,13 +200,13 @@
     roster.put(after(60), row(200, false));
     assert_eq!(barred(&roster), None);
     // An incarnation that came back after the other one is not superseded.
-    let mut back = Roster::default();
-    back.put(before(40), row(100, false));
-    back.put(before(75), row(200, false));
-    back.put(before(76), row(100, false));
-    back.enter_era(RESTORED_MS, 2);
-    back.put(after(76), row(100, false));
-    assert_eq!(barred(&back), None);
+    let mut returned = Roster::default();
+    returned.put(before(40), row(100, false));
+    returned.put(before(75), row(200, false));
+    returned.put(before(76), row(100, false));
+    returned.enter_era(RESTORED_MS, 2);
+    returned.put(after(76), row(100, false));
+    assert_eq!(barred(&returned), None);
 }
 
 /// Guards against trusting an incarnation that announced its departure and is gone, only because
@@ -202,7 +222,7 @@
     roster.trust_restored_rows(RESTORED_MS + TRUSTED_AFTER_MS);
     assert_eq!(barred(&roster), Some(Barred::Leaving));
     // Gone and followed by another incarnation: the earlier one stays excluded as well.
-    let mut followed = gone();
+    let mut followed = roster_of_gone_worker();
     followed.put(after(80), row(200, false));
     followed.remove(after(81), "w");
     followed.put(after(82), row(300, false));
--- a/crates/cranereach-fleet/tests/evacuations.rs
+++ b/crates/cranereach-fleet/tests/evacuations.rs
@@ -33,7 +33,7 @@
 const CONTACT_MS: u64 = 4_000;
 
 /// Time between two rounds of queries and digests, in milliseconds, as in the gateway.
-const ASK_EVERY_MS: u64 = 200;
+const QUERY_INTERVAL_MS: u64 = 200;
 
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 20;
@@ -43,8 +43,8 @@
 
 /// A message in transit.
 #[derive(Clone, Debug)]
-enum Parcel {
-    Question(usize, ProofQuery),
+enum Message {
+    Query(usize, ProofQuery),
     Answer(ProofAnswer),
     News(EvacuationList),
     /// The reader's boot number, the time of the read by the reader's clock, and the whole table.
@@ -60,9 +60,9 @@
     disturbed_at_ms: u64,
     frozen_until_ms: u64,
     cut_until_ms: u64,
-    asks_next_ms: u64,
-    reads_next_ms: u64,
-    waiting: Vec<Parcel>,
+    next_query_ms: u64,
+    next_read_ms: u64,
+    inbox: Vec<Message>,
 }
 
 impl Instance {
@@ -79,39 +79,39 @@
 struct World {
     instances: Vec<Instance>,
     delay_max_ms: u64,
-    lost_share: f64,
+    loss_rate: f64,
     now_ms: u64,
     store: EvacuationList,
     /// Time at which the evacuation of each domain was requested, in milliseconds.
-    asked_ms: BTreeMap<u64, u64>,
-    on_the_way: BTreeMap<u64, Vec<(usize, Parcel)>>,
+    requested_ms: BTreeMap<u64, u64>,
+    in_transit: BTreeMap<u64, Vec<(usize, Message)>>,
     rng: StdRng,
 }
 
 impl World {
-    fn start(count: usize, delay_max_ms: u64, lost_share: f64, seed: u64) -> Self {
+    fn start(count: usize, delay_max_ms: u64, loss_rate: f64, seed: u64) -> Self {
         let mut world = Self {
             instances: Vec::new(),
             delay_max_ms,
-            lost_share,
+            loss_rate,
             now_ms: 100_000,
             store: EvacuationList {
                 position: at(1),
                 domains: Vec::new(),
             },
-            asked_ms: BTreeMap::new(),
-            on_the_way: BTreeMap::new(),
+            requested_ms: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
         };
         for _ in 0..count {
-            let instance = world.fresh();
+            let instance = world.new_instance();
             world.instances.push(instance);
         }
         world
     }
 
     /// Creates an instance that has just started.
-    fn fresh(&mut self) -> Instance {
+    fn new_instance(&mut self) -> Instance {
         let boot = self.rng.random();
         Instance {
             proof: Proof::new(boot, CHANGE_MS),
@@ -121,42 +121,42 @@
             disturbed_at_ms: self.now_ms,
             frozen_until_ms: 0,
             cut_until_ms: 0,
-            asks_next_ms: self.now_ms + self.rng.random_range(0..ASK_EVERY_MS),
-            reads_next_ms: self.now_ms,
-            waiting: Vec::new(),
+            next_query_ms: self.now_ms + self.rng.random_range(0..QUERY_INTERVAL_MS),
+            next_read_ms: self.now_ms,
+            inbox: Vec::new(),
         }
     }
 
     /// Lets the operator request the evacuation of a domain, or withdraw the request.
-    fn operate(&mut self, domain: u64) {
+    fn toggle_evacuation(&mut self, domain: u64) {
         let position = at(self.store.position.version + 1);
-        let is_withdrawn = self.asked_ms.remove(&domain).is_some();
+        let is_withdrawn = self.requested_ms.remove(&domain).is_some();
         if !is_withdrawn {
-            self.asked_ms.insert(domain, self.now_ms);
+            self.requested_ms.insert(domain, self.now_ms);
         }
         self.store = self.store.clone().changed(domain, position, is_withdrawn);
     }
 
-    fn send(&mut self, to: usize, parcel: &Parcel) {
-        if self.rng.random_bool(self.lost_share) {
+    fn send(&mut self, to: usize, message: &Message) {
+        if self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(self.lost_share));
+        let copies = 1 + usize::from(self.rng.random_bool(self.loss_rate));
         for _ in 0..copies {
             let delay_ms = self.rng.random_range(1..=self.delay_max_ms);
-            let due = self.on_the_way.entry(self.now_ms + delay_ms).or_default();
-            due.push((to, parcel.clone()));
+            let due = self.in_transit.entry(self.now_ms + delay_ms).or_default();
+            due.push((to, message.clone()));
         }
     }
 
     fn step(&mut self) {
         self.now_ms += STEP_MS;
-        let later = self.on_the_way.split_off(&(self.now_ms + 1));
-        let due = std::mem::replace(&mut self.on_the_way, later);
-        for (to, parcel) in due.into_values().flatten() {
+        let later = self.in_transit.split_off(&(self.now_ms + 1));
+        let due = std::mem::replace(&mut self.in_transit, later);
+        for (to, message) in due.into_values().flatten() {
             let instance = &mut self.instances[to];
             if !instance.is_cut(self.now_ms) {
-                instance.waiting.push(parcel);
+                instance.inbox.push(message);
             }
         }
         for number in 0..self.instances.len() {
@@ -173,8 +173,8 @@
 
     /// Runs what is due at one instance; messages that waited in its socket come first.
     fn run(&mut self, number: usize) {
-        for parcel in std::mem::take(&mut self.instances[number].waiting) {
-            self.take(number, parcel);
+        for message in std::mem::take(&mut self.instances[number].inbox) {
+            self.receive(number, message);
         }
         let instance = &self.instances[number];
         let now_ms = self.now_ms - instance.started_ms;
@@ -182,73 +182,76 @@
         // The first two live instances watch the store; the others read it when no peer proves
         // anything newer.
         let before = &self.instances[..number];
-        let rank = before.iter().filter(|of| of.is_calm(self.now_ms)).count() as u64;
+        let rank = before
+            .iter()
+            .filter(|peer| peer.is_calm(self.now_ms))
+            .count() as u64;
         let is_due = rank < 2 || now_ms >= instance.proof.read_due_at_ms(rank);
-        if is_due && self.now_ms >= instance.reads_next_ms {
-            let read = Parcel::Read(instance.boot, now_ms, self.store.clone());
-            self.instances[number].reads_next_ms = self.now_ms + ASK_EVERY_MS;
+        if is_due && self.now_ms >= instance.next_read_ms {
+            let read = Message::Read(instance.boot, now_ms, self.store.clone());
+            self.instances[number].next_read_ms = self.now_ms + QUERY_INTERVAL_MS;
             if !is_cut {
                 self.send(number, &read);
             }
         }
         let instance = &mut self.instances[number];
-        if self.now_ms >= instance.asks_next_ms {
-            instance.asks_next_ms = self.now_ms + ASK_EVERY_MS;
+        if self.now_ms >= instance.next_query_ms {
+            instance.next_query_ms = self.now_ms + QUERY_INTERVAL_MS;
             let question = instance.proof.question(now_ms);
             let news = instance.known.list().clone();
             for _ in 0..2 {
                 let peer = self.rng.random_range(0..self.instances.len());
                 if !is_cut {
-                    self.send(peer, &Parcel::Question(number, question));
-                    self.send(peer, &Parcel::News(news.clone()));
+                    self.send(peer, &Message::Query(number, question));
+                    self.send(peer, &Message::News(news.clone()));
                 }
             }
         }
     }
 
-    fn take(&mut self, number: usize, parcel: Parcel) {
+    fn receive(&mut self, number: usize, message: Message) {
         let instance = &mut self.instances[number];
         let now_ms = self.now_ms - instance.started_ms;
         let known_at_ms = instance.proof.known_at_ms(now_ms);
-        match parcel {
-            Parcel::Question(from, question) => {
+        match message {
+            Message::Query(from, question) => {
                 let answer = instance.proof.answer(now_ms, question);
                 let news = instance.known.list().clone();
                 let is_cut = instance.is_cut(self.now_ms);
                 if !is_cut && news.position > question.evacuations_position {
-                    self.send(from, &Parcel::News(news));
+                    self.send(from, &Message::News(news));
                 }
                 if !is_cut {
-                    self.send(from, &Parcel::Answer(answer));
+                    self.send(from, &Message::Answer(answer));
                 }
             }
-            Parcel::Answer(answer) => {
+            Message::Answer(answer) => {
                 instance.proof.take(&answer);
             }
-            Parcel::News(list) => {
+            Message::News(list) => {
                 let position = list.position;
                 let _change = instance.known.take(now_ms, list, known_at_ms, BOUND_MS);
                 instance.proof.evacuations_known(position);
             }
-            Parcel::Read(boot, begun_ms, list) if boot == instance.boot => {
+            Message::Read(boot, begun_ms, list) if boot == instance.boot => {
                 let position = list.position;
                 let _change = instance.known.take(now_ms, list, known_at_ms, BOUND_MS);
                 instance.proof.evacuations_known(position);
                 instance.proof.read(0, begun_ms);
             }
-            Parcel::Read(..) => {}
+            Message::Read(..) => {}
         }
     }
 
     /// Iterates over the instances that still send to a domain after the bound.
     fn late_senders(&self) -> impl Iterator<Item = &Instance> {
         let awake = self.instances.iter();
-        let awake = awake.filter(|of| self.now_ms >= of.frozen_until_ms);
-        awake.filter(|of| {
-            let now_ms = self.now_ms - of.started_ms;
-            let mut late = self.asked_ms.iter();
+        let awake = awake.filter(|instance| self.now_ms >= instance.frozen_until_ms);
+        awake.filter(|instance| {
+            let now_ms = self.now_ms - instance.started_ms;
+            let mut late = self.requested_ms.iter();
             late.any(|(domain, at_ms)| {
-                self.now_ms > at_ms + BOUND_MS && of.known.may_send(now_ms, *domain)
+                self.now_ms > at_ms + BOUND_MS && instance.known.may_send(now_ms, *domain)
             })
         })
     }
@@ -258,32 +261,36 @@
         for sender in self.late_senders() {
             let now_ms = self.now_ms - sender.started_ms;
             let known_at_ms = sender.proof.known_at_ms(now_ms);
-            let is_proven = |domain: u64, asked_ms: u64| {
+            let is_proven = |domain: u64, requested_ms: u64| {
                 let known_ms = known_at_ms.map(|at_ms| at_ms + sender.started_ms);
-                let is_late = self.now_ms > asked_ms + BOUND_MS;
+                let is_late = self.now_ms > requested_ms + BOUND_MS;
                 is_late
                     && sender.known.may_send(now_ms, domain)
-                    && known_ms.is_some_and(|known_ms| known_ms > asked_ms)
+                    && known_ms.is_some_and(|known_ms| known_ms > requested_ms)
             };
-            for (domain, asked_ms) in &self.asked_ms {
-                let message = "sends late, and was told that nobody had asked";
-                assert!(!is_proven(*domain, *asked_ms), "{message}");
+            for (domain, requested_ms) in &self.requested_ms {
+                let failure = "sends late with a proof that is newer than the request";
+                assert!(!is_proven(*domain, *requested_ms), "{failure}");
             }
         }
     }
 
     /// Checks that no instance in contact sends late.
-    fn check_in_touch(&self) {
-        let mut in_touch = self.late_senders();
-        let found = in_touch.find(|of| self.now_ms > of.disturbed_at_ms + CONTACT_MS);
-        assert!(found.is_none(), "one in touch sends at {}", self.now_ms);
+    fn check_in_contact(&self) {
+        let mut late = self.late_senders();
+        let found = late.find(|instance| self.now_ms > instance.disturbed_at_ms + CONTACT_MS);
+        assert!(
+            found.is_none(),
+            "an instance in contact sends late at {}",
+            self.now_ms
+        );
     }
 }
 
 /// A disturbance or an action of the operator.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Operate(u64),
+    ToggleEvacuation(u64),
     Freeze(u64),
     Cut(u64),
     Restart,
@@ -291,7 +298,7 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        3 => (0..DOMAIN_COUNT).prop_map(Event::Operate),
+        3 => (0..DOMAIN_COUNT).prop_map(Event::ToggleEvacuation),
         2 => (500_u64..12_000).prop_map(Event::Freeze),
         2 => (500_u64..12_000).prop_map(Event::Cut),
         1 => Just(Event::Restart),
@@ -299,15 +306,15 @@
 }
 
 impl World {
-    fn happen(&mut self, number: usize, event: Event) {
+    fn apply(&mut self, number: usize, event: Event) {
         let until_ms = |for_ms: u64| self.now_ms + for_ms;
         match event {
-            Event::Operate(domain) => self.operate(domain),
+            Event::ToggleEvacuation(domain) => self.toggle_evacuation(domain),
             Event::Freeze(for_ms) => {
                 self.instances[number].frozen_until_ms = until_ms(for_ms);
             }
             Event::Cut(for_ms) => self.instances[number].cut_until_ms = until_ms(for_ms),
-            Event::Restart => self.instances[number] = self.fresh(),
+            Event::Restart => self.instances[number] = self.new_instance(),
         }
     }
 }
@@ -319,15 +326,15 @@
     fn whoever_is_proven_to_know_the_newest_stops_within_the_bound(
         seed in any::<u64>(),
         delay_max_ms in 2_u64..6_000,
-        lost_share in 0.0..0.5,
+        loss_rate in 0.0..0.5,
         events in prop::collection::vec((0_u64..2_500, 0_usize..9, event()), 1..40),
     ) {
-        let mut world = World::start(9, delay_max_ms, lost_share, seed);
+        let mut world = World::start(9, delay_max_ms, loss_rate, seed);
         for (pause_ms, number, event) in events {
             for _step in 0..pause_ms / STEP_MS {
                 world.step();
             }
-            world.happen(number, event);
+            world.apply(number, event);
         }
         for _step in 0..500 {
             world.step();
@@ -337,20 +344,20 @@
     #[test]
     fn nobody_in_touch_sends_beyond_the_bound(
         seed in any::<u64>(),
-        lost_share in 0.0..0.04,
+        loss_rate in 0.0..0.04,
         events in prop::collection::vec((0_u64..2_500, 0_usize..9, event()), 1..30),
     ) {
-        let mut world = World::start(9, 8, lost_share, seed);
+        let mut world = World::start(9, 8, loss_rate, seed);
         for (pause_ms, number, event) in events {
             for _step in 0..pause_ms / STEP_MS {
                 world.step();
-                world.check_in_touch();
+                world.check_in_contact();
             }
-            world.happen(number, event);
+            world.apply(number, event);
         }
         for _step in 0..500 {
             world.step();
-            world.check_in_touch();
+            world.check_in_contact();
         }
     }
 }
@@ -361,18 +368,21 @@
         let mut world = World::start(count, 8, 0.03, seed);
         for step in 0..1_500 {
             world.step();
-            world.check_in_touch();
+            world.check_in_contact();
             match step {
-                300 => world.happen(0, Event::Operate(1)),
+                300 => world.apply(0, Event::ToggleEvacuation(1)),
                 // Right after the request, before any instance has read it.
-                301 => world.happen(0, Event::Cut(30_000)),
-                302 => world.happen(1, Event::Freeze(30_000)),
-                700 => world.happen(2, Event::Operate(1)),
-                1_000 => world.happen(2, Event::Operate(2)),
+                301 => world.apply(0, Event::Cut(30_000)),
+                302 => world.apply(1, Event::Freeze(30_000)),
+                700 => world.apply(2, Event::ToggleEvacuation(1)),
+                1_000 => world.apply(2, Event::ToggleEvacuation(2)),
                 _ => {}
             }
         }
-        let stopped = world.instances.iter().filter(|of| !of.known.is_listed(1));
+        let stopped = world
+            .instances
+            .iter()
+            .filter(|instance| !instance.known.is_listed(1));
         assert!(stopped.count() >= count - 2, "the withdrawal is known");
     }
 }
@@ -380,15 +390,18 @@
 #[test]
 fn a_list_that_is_older_or_too_long_changes_nothing() {
     let mut known = Evacuations::default();
-    let asked = known.list().clone().changed(7, at(40), false);
-    assert!(known.take(0, asked.clone(), None, BOUND_MS).is_some());
-    assert!(!known.may_send(0, 7), "who can prove nothing stops at once");
+    let requested = known.list().clone().changed(7, at(40), false);
+    assert!(known.take(0, requested.clone(), None, BOUND_MS).is_some());
+    assert!(
+        !known.may_send(0, 7),
+        "an instance without a proof stops at once"
+    );
     let older = EvacuationList::whole(at(39), [].into_iter());
     assert_eq!(known.take(1, older, None, BOUND_MS), None);
     let long = EvacuationList::whole(at(41), (0..1_000).map(|domain| (domain, at(1))));
     assert_eq!(known.take(1, long, None, BOUND_MS), None);
-    assert_eq!(known.list(), &asked);
-    let withdrawn = asked.changed(7, at(42), true);
+    assert_eq!(known.list(), &requested);
+    let withdrawn = requested.changed(7, at(42), true);
     let change = known.take(900, withdrawn, Some(900), BOUND_MS).unwrap();
     assert_eq!(change.ended, [7]);
     assert!(known.may_send(900, 7));
@@ -397,9 +410,9 @@
 #[test]
 fn a_demand_written_again_keeps_its_time() {
     let mut known = Evacuations::default();
-    let asked = known.list().clone().changed(7, at(40), false);
-    known.take(1_000, asked.clone(), Some(1_000), BOUND_MS);
-    let again = asked.changed(7, at(44), false);
+    let requested = known.list().clone().changed(7, at(40), false);
+    known.take(1_000, requested.clone(), Some(1_000), BOUND_MS);
+    let again = requested.changed(7, at(44), false);
     known.take(4_000, again, Some(4_000), BOUND_MS);
     assert!(known.may_send(4_000, 7) && !known.may_send(4_600, 7));
 }
--- a/crates/cranereach-fleet/tests/fingerprint.rs
+++ b/crates/cranereach-fleet/tests/fingerprint.rs
@@ -64,7 +64,10 @@
             ..CONTENT
         },
     ];
-    let fingerprints: HashSet<_> = variants.iter().map(|of| of.fingerprint(&key)).collect();
+    let fingerprints: HashSet<_> = variants
+        .iter()
+        .map(|content| content.fingerprint(&key))
+        .collect();
     assert_eq!(fingerprints.len(), variants.len());
 }
 
@@ -73,5 +76,5 @@
     let secret = FingerprintKey::new("secret");
     let guessed = FingerprintKey::new("");
     assert_ne!(CONTENT.fingerprint(&secret), CONTENT.fingerprint(&guessed));
-    assert!(!format!("{secret:?}").contains(|of: char| of.is_ascii_digit()));
+    assert!(!format!("{secret:?}").contains(|character: char| character.is_ascii_digit()));
 }
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -31,8 +31,8 @@
     };
     roster.get_mut("a").unwrap().set_owner_status(1_000, status);
     let mut rng = SmallRng::seed_from_u64(1);
-    let among = [Arc::from("a")];
-    let chosen = roster.choose_among(now_ms, &among, &routing_request(None), None, &mut rng);
+    let candidates = [Arc::from("a")];
+    let chosen = roster.choose_among(now_ms, &candidates, &routing_request(None), None, &mut rng);
     chosen.unwrap()
 }
 
--- a/crates/cranereach-fleet/tests/holders.rs
+++ b/crates/cranereach-fleet/tests/holders.rs
@@ -24,7 +24,7 @@
 const WORKER_COUNT: usize = 8;
 
 /// Returns what a scan of all workers finds for a model.
-fn look_at_all(roster: &Roster, model: &str) -> Result<Vec<Arc<str>>, NoWorker> {
+fn scan_all(roster: &Roster, model: &str) -> Result<Vec<Arc<str>>, NoWorker> {
     let (holders, others): (Vec<_>, Vec<_>) = roster.workers().partition(|worker| {
         let mut held = worker.record.models.iter();
         held.any(|held| held.name.as_ref() == model)
@@ -49,7 +49,7 @@
 #[test]
 fn whatever_rows_come_and_go_the_same_workers_are_found() {
     let mut rng = SmallRng::seed_from_u64(11);
-    let mut found = [0, 0, 0];
+    let mut outcome_counts = [0, 0, 0];
     for _world in 0..60 {
         let mut roster = Roster::default();
         for version in 1..60 {
@@ -74,8 +74,8 @@
                     ids.sort_unstable();
                     ids
                 });
-                let expected = look_at_all(&roster, model);
-                found[match expected {
+                let expected = scan_all(&roster, model);
+                outcome_counts[match expected {
                     Ok(_) => 0,
                     Err(NoWorker::NoModel) => 1,
                     Err(_) => 2,
@@ -84,5 +84,8 @@
             }
         }
     }
-    assert!(found.iter().all(|count| *count > 100), "{found:?}");
+    assert!(
+        outcome_counts.iter().all(|count| *count > 100),
+        "{outcome_counts:?}"
+    );
 }
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -94,7 +94,7 @@
         self.era += 1;
     }
 
-    fn carry_out_late(&mut self, now_ms: u64) {
+    fn apply_late_writes(&mut self, now_ms: u64) {
         let due: Vec<LateWrite> = self
             .late
             .extract_if(.., |write| write.at_ms <= now_ms)
@@ -120,7 +120,7 @@
 
 /// Writes the row for a machine. The write succeeds, conflicts, loses its request or its answer,
 /// or reaches the store late.
-fn attempt(
+fn attempt_write(
     world: &mut World,
     rng: &mut SmallRng,
     lease_state: &mut LeaseState,
@@ -159,7 +159,7 @@
 
 /// Runs one simulation, with or without restores of the store, and returns how many times the
 /// lease changed hands.
-fn run(seed: u64, is_restored: bool) -> u32 {
+fn run_simulation(seed: u64, is_restored: bool) -> u32 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World {
         era: 0,
@@ -171,13 +171,13 @@
         .map(|machine| LeaseState::new(&name(machine), PAUSE_MS))
         .collect();
     let mut frozen_until_ms = [0_u64; MACHINE_COUNT];
-    let mut hears = [false; MACHINE_COUNT];
-    let mut said_ended: Vec<(u64, EndedTerm)> = Vec::new();
+    let mut hears_holder = [false; MACHINE_COUNT];
+    let mut ended_terms: Vec<(u64, EndedTerm)> = Vec::new();
     let mut last_order: Option<(usize, u64, u64)> = None;
-    let mut hand_overs = 0;
+    let mut handover_count = 0;
     for step in 0..STEP_COUNT {
         let now_ms = step * 10;
-        world.carry_out_late(now_ms);
+        world.apply_late_writes(now_ms);
         world.keep_copy(now_ms);
         if is_restored && rng.random_range(0..1_200) == 0 {
             world.restore(&mut rng);
@@ -205,22 +205,22 @@
             }
             // Whether the holder is heard is only a hint; it may be wrong either way for a while.
             if rng.random_range(0..400) == 0 {
-                hears[machine] = rng.random_bool(0.3);
+                hears_holder[machine] = rng.random_bool(0.3);
             }
             if let Some(ended) = lease_state.ended(now_ms) {
                 // Announced once and heard by all, possibly much later; the reported age
                 // may be that at the time of the announcement.
                 let heard_at_ms = now_ms + rng.random_range(0..5_000);
                 let at_ms = rng.random_range(ended.at_ms..=heard_at_ms);
-                said_ended.push((heard_at_ms, EndedTerm { at_ms, ..ended }));
+                ended_terms.push((heard_at_ms, EndedTerm { at_ms, ..ended }));
             }
-            said_ended.retain(|(heard_at_ms, _)| now_ms < heard_at_ms + 3_000);
-            for (heard_at_ms, ended) in &said_ended {
+            ended_terms.retain(|(heard_at_ms, _)| now_ms < heard_at_ms + 3_000);
+            for (heard_at_ms, ended) in &ended_terms {
                 if now_ms >= *heard_at_ms {
                     lease_state.record_ended_term(*ended);
                 }
             }
-            match lease_state.step(now_ms, hears[machine]) {
+            match lease_state.step(now_ms, hears_holder[machine]) {
                 Step::Wait => {}
                 Step::Read => {
                     if rng.random_bool(0.9) {
@@ -229,7 +229,7 @@
                     }
                 }
                 Step::Write { expected } => {
-                    attempt(
+                    attempt_write(
                         &mut world,
                         &mut rng,
                         lease_state,
@@ -243,10 +243,10 @@
             };
             if let Some((other, at_ms, other_token)) = last_order {
                 let is_same = other == machine;
-                hand_overs += u32::from(!is_same);
+                handover_count += u32::from(!is_same);
                 assert!(
                     is_same || now_ms > at_ms + PAUSE_MS,
-                    "seed {seed}: turns within the pause at {now_ms}"
+                    "seed {seed}: two holders within the pause at {now_ms}"
                 );
                 let grows = token > other_token || (is_same && token == other_token);
                 assert!(grows, "seed {seed}: token {token} after {other_token}");
@@ -254,25 +254,27 @@
             last_order = Some((machine, now_ms, token));
         }
     }
-    hand_overs
+    handover_count
 }
 
 #[test]
 fn two_machines_never_order_within_the_pause() {
-    let hand_overs: u32 = (0..SEED_COUNT).map(|seed| run(seed, false)).sum();
+    let handover_count: u32 = (0..SEED_COUNT)
+        .map(|seed| run_simulation(seed, false))
+        .sum();
     assert!(
-        hand_overs > SEED_COUNT as u32,
-        "the worlds hand over: {hand_overs}"
+        handover_count > SEED_COUNT as u32,
+        "too few handovers: {handover_count}"
     );
 }
 
 /// Guards against two holders at once when a restored store has lost the row of one.
 #[test]
 fn two_machines_never_order_within_the_pause_though_the_store_loses_the_row() {
-    let hand_overs: u32 = (0..SEED_COUNT).map(|seed| run(seed, true)).sum();
+    let handover_count: u32 = (0..SEED_COUNT).map(|seed| run_simulation(seed, true)).sum();
     assert!(
-        hand_overs > SEED_COUNT as u32,
-        "the worlds hand over: {hand_overs}"
+        handover_count > SEED_COUNT as u32,
+        "too few handovers: {handover_count}"
     );
 }
 
@@ -307,7 +309,7 @@
 /// the last holder left.
 #[test]
 fn what_a_copy_says_of_holders_saves_no_wait() {
-    let of_copy = |holder: &str, is_released: bool| LeaseRow {
+    let copied_row = |holder: &str, is_released: bool| LeaseRow {
         holder: holder.to_owned(),
         is_released,
         era: 1,
@@ -315,9 +317,9 @@
     };
     for row in [
         None,
-        Some(of_copy("a", false)),
-        Some(of_copy("b", true)),
-        Some(of_copy("b", false)),
+        Some(copied_row("a", false)),
+        Some(copied_row("b", true)),
+        Some(copied_row("b", false)),
     ] {
         let mut lease_state = LeaseState::new("a", PAUSE_MS);
         lease_state.enter_era(2);
@@ -327,8 +329,8 @@
             position: StorePosition::new(1, 50),
             at_ms: 0,
         });
-        let whole_ms = TERM_MS + PAUSE_MS;
-        assert_eq!(lease_state.step(whole_ms, false), Step::Wait, "{row:?}");
+        let full_wait_ms = TERM_MS + PAUSE_MS;
+        assert_eq!(lease_state.step(full_wait_ms, false), Step::Wait, "{row:?}");
     }
 }
 
@@ -361,12 +363,16 @@
             ..held_by_a.clone()
         };
         lease_state.read(0, at(5), Some(seen));
-        let waits = (0..20_000).find(|now_ms| lease_state.step(*now_ms, false) != Step::Wait);
+        let wait_end_ms = (0..20_000).find(|now_ms| lease_state.step(*now_ms, false) != Step::Wait);
         assert!(
-            waits.is_some_and(|ms| ms + 1 >= least_ms),
-            "{machine} {is_released}: {waits:?}"
+            wait_end_ms.is_some_and(|ms| ms + 1 >= least_ms),
+            "{machine} {is_released}: {wait_end_ms:?}"
+        );
+        assert_eq!(
+            wait_end_ms == Some(0),
+            machine == "a",
+            "{machine} {is_released}"
         );
-        assert_eq!(waits == Some(0), machine == "a", "{machine} {is_released}");
     }
 }
 
--- a/crates/cranereach-fleet/tests/loads.rs
+++ b/crates/cranereach-fleet/tests/loads.rs
@@ -26,6 +26,6 @@
             (wait_ms - expected_ms).abs() < 0.01,
             "{load:?} {rank}: {wait_ms}"
         );
-        assert!(load.slot_wait_ms(rank, 0) < 0.01, "slots that aren't known");
+        assert!(load.slot_wait_ms(rank, 0) < 0.01, "unknown number of slots");
     }
 }
