--- a/crates/cranereach-fleet/tests/limits/fleet.rs
+++ b/crates/cranereach-fleet/tests/limits/fleet.rs
@@ -26,13 +26,13 @@
     allowance: 17_000.0,
 };
 
-/// Account that all use.
+/// Key of the account that all callers use.
 pub const ACCOUNT: u64 = 77;
 
-/// Time between two rounds of signs of life, in milliseconds.
+/// Time between two rounds of heartbeats, in milliseconds.
 pub const ROUND_MS: u64 = 250;
 
-/// Rounds that a sign of life takes at most to reach another instance.
+/// Maximum number of rounds that a heartbeat takes to reach another instance.
 pub const SIGN_ROUNDS: u64 = 5;
 
 pub fn limit(rate_per_s: f64) -> Limit {
@@ -47,18 +47,18 @@
     Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 1)) + number as u32)
 }
 
-/// One instance.
+/// A simulated instance.
 pub struct Instance {
     pub members: Membership,
     pub uses: AccountUsages,
     pub owned: OwnedLimits,
     pub down_until_ms: u64,
-    /// Until when it answers nobody, although it lives.
+    /// Time until which it is alive but answers nobody, in milliseconds.
     pub busy_until_ms: u64,
     pub started_ms: u64,
 }
 
-/// What came of requests.
+/// Numbers of requests by outcome, and of queries to owners.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub run: u64,
@@ -73,13 +73,13 @@
     pub number_of: HashMap<Ipv4Addr, usize>,
     pub limit: Limit,
     pub now_ms: u64,
-    /// When how much was run.
+    /// Requests run within the last window: time in milliseconds and cost in units.
     pub run: VecDeque<(u64, f64)>,
     pub run_sum: f64,
-    /// The most that was run within one window.
+    /// The most units that were run within one window.
     pub most: f64,
     pub counts: Counts,
-    /// Share of the paid requests that workers refuse, so that they are given back.
+    /// Share of the paid requests that workers refuse, so that their units are given back.
     pub given_back_share: f64,
     pub rng: StdRng,
 }
@@ -121,7 +121,7 @@
         self.now_ms >= self.instances[number].down_until_ms
     }
 
-    /// Ends some instances at once; they start again a while later.
+    /// Kills a share of the instances at once; they restart after `for_ms`.
     pub fn kill(&mut self, share: f64, for_ms: u64) {
         for number in 0..self.instances.len() {
             if self.rng.random_bool(share) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Keeps some instances too busy to answer for a while.
+    /// Keeps a share of the instances too busy to answer for `for_ms`.
     pub fn keep_busy(&mut self, share: f64, for_ms: u64) {
         for number in 0..self.instances.len() {
             if self.rng.random_bool(share) {
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Spreads signs of life: each instance knows some of each other from a few rounds
-    /// ago, as long as that one was up then.
+    /// Spreads heartbeats: each instance gets one from every live instance, sent up to a few rounds
+    /// ago, unless the sender hadn't started then.
     pub fn round(&mut self) {
         for number in 0..self.instances.len() {
             if !self.is_up(number) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Lets callers ask for so many units a second for a while.
+    /// Lets callers send requests for `units_per_s` units per second, for `for_ms`.
     pub fn demand(&mut self, units_per_s: f64, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         let mut owed = 0.0;
@@ -179,7 +179,7 @@
         }
     }
 
-    /// One request at some instance that is up.
+    /// Sends a request to a random instance, if that one is up.
     pub fn charge(&mut self, cost: f64) {
         let number = self.rng.random_range(0..self.instances.len());
         if !self.is_up(number) {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns what an instance is to a part, as the gateway tells it.
+    /// Returns the ownership of a part by an instance, determined as in the gateway.
     pub fn ownership(&self, number: usize, key: PartKey) -> Ownership {
         let of = &self.instances[number];
         let is_young = |of: &Instance| self.now_ms < of.started_ms + 3_000;
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Asks owners as the gateway does.
+    /// Queries owners as the gateway does.
     pub fn ask(&mut self, number: usize, request: UnitRequest) -> Option<Grant> {
         let part_count = TOLERANCE.part_count(self.limit);
         let first: u32 = self.rng.random();
@@ -283,7 +283,7 @@
         refusal
     }
 
-    /// Gives units back: what the instance doesn't keep goes to the owner of a part.
+    /// Gives units back; those that the instance doesn't keep go to the owner of a random part.
     pub fn give_back(&mut self, number: usize, units: f64) {
         let now_ms = self.now_ms;
         let uses = &mut self.instances[number].uses;
@@ -297,7 +297,7 @@
         self.instances[owner].owned.give_back(now_ms, key, surplus);
     }
 
-    /// Runs a request that is paid for, unless workers refuse it.
+    /// Runs a paid request, unless workers refuse it.
     pub fn paid(&mut self, number: usize, cost: f64) {
         if self.rng.random_bool(self.given_back_share) {
             self.give_back(number, cost);
@@ -320,12 +320,12 @@
         self.most = self.most.max(self.run_sum);
     }
 
-    /// Forgets what was counted so far.
+    /// Resets the counts.
     pub fn count_anew(&mut self) {
         self.counts = Counts::default();
     }
 
-    /// Returns the most that was run within a window, as a share of what is tolerated.
+    /// Returns the most units that were run within a window, as a share of the tolerated number.
     pub fn most_share(&self) -> f64 {
         self.most / (TOLERANCE.units_per_window(self.limit) + TOLERANCE.excess(self.limit))
     }
--- a/crates/cranereach-fleet/tests/limits/main.rs
+++ b/crates/cranereach-fleet/tests/limits/main.rs
@@ -1,5 +1,5 @@
-//! Limits over simulated fleets: what may be used beyond them, and that what lies
-//! within isn't refused, while owners die, are cut off and come back.
+//! Account limits in simulated fleets: how far use may exceed them, and that use within them isn't
+//! refused, while owners die, don't answer and come back.
 
 mod fleet;
 
@@ -100,7 +100,7 @@
             fleet.demand(0.0, 10_000);
             fleet.given_back_share = given_back_share;
             fleet.demand(8.0 * rate_per_s, 5_000);
-            // Others have left room at the workers: all that is paid for runs now.
+            // Workers have capacity again: every paid request runs now.
             fleet.given_back_share = 0.0;
             fleet.demand(8.0 * rate_per_s, 10_000);
             let share = fleet.most_share();
@@ -157,7 +157,7 @@
             "{count}: {counts:?}"
         );
         fleet.count_anew();
-        // Far beyond the limit, most requests are refused without a question.
+        // Far beyond the limit, most requests are refused without a query.
         fleet.demand(2_500_000.0, 6_000);
         let counts = fleet.counts;
         let requests = counts.run + counts.refused;
@@ -219,7 +219,8 @@
     assert_eq!((second.min_units, held), (100.0, 1_900.0));
     let (third, held) = ask(uses.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
     assert_eq!((third.min_units, held), (2_000.0, 0.0));
-    // What it may hold in advance pays for the next one; the rest goes to an owner.
+    // Units that the instance may hold in advance pay for the next request; the rest goes to an
+    // owner.
     let surplus = uses.give_back(1, ACCOUNT, &TOLERANCE, 1_900.0);
     let kept = 1_900.0 - surplus;
     assert!(kept > 10.0 && surplus > 10.0, "{kept} kept, {surplus} not");
--- a/crates/cranereach-fleet/tests/listing.rs
+++ b/crates/cranereach-fleet/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The rows of the list of workers: what is told of them, and to whom it fits.
+//! The list of workers: the deltas that instances send each other, and the lists they apply to.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use cranereach_fleet::listing::Verdict;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Gives a part to an instance, if it fits.
+/// Offers a delta to a list, which takes it if it applies.
 fn tell(part: &ListPart<'_>, listing: &mut Listing) -> Verdict {
     let verdict = listing.judge(part.from, part.position, part.span);
     if verdict == Verdict::Applies {
@@ -53,7 +53,7 @@
     let mut old = Listing::default();
     old.take_whole(at(5), vec![changed("stays", 1), changed("ends", 2)]);
     let mut new = Listing::default();
-    // The row ended at version 7; the new instance never knew it.
+    // The row ended at version 7; the new instance never had it.
     new.take_whole(at(9), vec![changed("stays", 1)]);
     assert_eq!(tell(&new.part().unwrap(), &mut old), Verdict::Gap);
     assert_eq!(old.position(), at(5), "it still asks for what came after 5");
@@ -68,17 +68,17 @@
     for listing in [&mut reader, &mut same, &mut ahead] {
         listing.take_whole(at(5), start.clone());
     }
-    // A row that came at 6 and went at 7 is on neither of the reader's lists.
+    // A row added at 6 and removed at 7 is on neither of the reader's lists.
     ahead.take(at(6), Span::Changes, vec![changed("short", 6)]);
     reader.take_whole(at(8), Vec::new());
     assert_eq!(tell(&reader.part().unwrap(), &mut ahead), Verdict::Gap);
     assert_eq!(tell(&reader.part().unwrap(), &mut same), Verdict::Applies);
     assert!(keys(&same).is_empty());
-    // Changes read later are told without what was worked out from whole lists.
+    // Changes read later are sent without the difference that was computed from whole lists.
     reader.take(at(9), Span::Changes, vec![changed("b", 9)]);
     let part = reader.part().unwrap();
     assert_eq!((part.from, part.span), (at(8), Span::Changes));
-    // Whoever was told a difference passes it on as one.
+    // An instance that received a difference passes it on as one.
     assert_eq!(same.part().unwrap().span, Span::Difference);
 }
 
@@ -224,10 +224,10 @@
     assert_eq!(list.since(at(4_900)).map(|rows| rows.len()), Some(99));
 }
 
-/// Rows of the store: their positions and contents.
+/// Rows of the store by key, with their positions and contents.
 type Rows = BTreeMap<String, (StorePosition, Vec<u8>)>;
 
-/// The store: its rows, every change in order, and what it held at each position.
+/// The store: its rows, all changes in order, and its rows at each earlier position.
 #[derive(Clone, Debug, Default)]
 struct Store {
     position: StorePosition,
@@ -248,7 +248,7 @@
         self.past.insert(self.position, self.rows.clone());
     }
 
-    /// Writes a row, or drops it.
+    /// Writes or deletes a row.
     fn change(&mut self, key: &str, value: Option<Vec<u8>>) {
         self.position.version += 1;
         let row = ChangedRow {
@@ -271,7 +271,7 @@
         self.keep_copy();
     }
 
-    /// Comes back from a copy that lacks some of the last changes.
+    /// Restores the store from a copy that lacks the last `lost_count` changes.
     fn restore(&mut self, lost_count: u64) {
         let before = self.position;
         let era = before.era + 1;
@@ -296,8 +296,8 @@
         self.keep_copy();
     }
 
-    /// Returns the newest change of each row that changed after a position; none
-    /// if the history before it is gone, or of an earlier era.
+    /// Returns the newest change of each row that changed after a position; none if that history
+    /// has been discarded or the position is of an earlier era.
     fn changes_after(&self, after: StorePosition) -> Option<Vec<ChangedRow>> {
         let mut newest: BTreeMap<&str, &ChangedRow> = BTreeMap::new();
         for row in self.history.iter().filter(|row| row.position > after) {
@@ -318,36 +318,36 @@
     }
 }
 
-/// What happens next in a random order of events.
+/// One event of a random sequence.
 #[derive(Clone, Debug)]
 enum Event {
     /// A worker's row is written, with one of a few contents.
     Put(u8, u8),
     /// A worker's row ends.
     End(u8),
-    /// The store forgets its history.
+    /// The store discards its history.
     Forget,
-    /// The store comes back from a copy that lacks so many of the last changes.
+    /// The store is restored from a copy that lacks this many of the last changes.
     Restore(u64),
-    /// An instance reads, and what it tells is on its way.
+    /// An instance reads the store and sends a delta.
     Read(usize),
-    /// A message arrives at an instance, and maybe again later.
+    /// A message arrives at an instance; if `is_kept`, it may arrive again later.
     Arrive {
         message: usize,
         at: usize,
         again: bool,
     },
-    /// An instance takes the whole list of another.
+    /// An instance fetches the whole list of another.
     Fetch { from: usize, by: usize },
-    /// An instance asks another for all that has changed since its own position.
+    /// An instance requests all changes since its own position from another.
     CatchUp { from: usize, by: usize },
-    /// An instance starts anew and knows nothing.
+    /// An instance restarts and knows nothing.
     Start(usize),
 }
 
 const INSTANCE_COUNT: usize = 4;
 
-/// Events of a store that comes back from copies, or never does.
+/// Generates events, with or without restores of the store.
 fn event(is_restored: bool) -> impl Strategy<Value = Event> {
     let instance = 0..INSTANCE_COUNT;
     prop_oneof![
@@ -365,7 +365,7 @@
     ]
 }
 
-/// A part on its way.
+/// A delta in transit.
 struct Message {
     from: StorePosition,
     position: StorePosition,
@@ -383,7 +383,7 @@
     })
 }
 
-/// Makes the message that tells an instance all it has missed.
+/// Returns the message with all changes that an instance has missed.
 fn missed(from: &Listing, by: &Listing) -> Option<Message> {
     let rows = from.since(by.position())?;
     (by.position() < from.position()).then(|| Message {
@@ -402,7 +402,7 @@
     };
 }
 
-/// Plays events; the rows of each instance must be those of the store at its position.
+/// Runs events, and checks after each that every list equals the store's at its position.
 fn play(events: Vec<Event>) -> Result<(), TestCaseError> {
     let mut store = Store::begin();
     let mut listings = vec![Listing::default(); INSTANCE_COUNT];
@@ -460,7 +460,7 @@
 
 /// Checks that the rows of an instance are those of the store at its position.
 ///
-/// Rows that stand as they did before a restore keep the position that they had then.
+/// Rows that a restore left unchanged keep the position that they had before.
 fn check(store: &Store, listing: &Listing) -> Result<(), TestCaseError> {
     let expected = &store.past[&listing.position()];
     let keys: Vec<&str> = keys(listing);
@@ -486,8 +486,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Whatever is lost, doubled, late or forgotten: the rows of an instance are
-    /// those of the store at the instance's position.
+    /// Whatever messages are lost, duplicated or late, and whatever history is discarded: the rows
+    /// of an instance are those of the store at the instance's position.
     #[test]
     fn a_list_equals_the_stores_at_its_version(
         events in proptest::collection::vec(event(false), 1..120)
@@ -495,8 +495,8 @@
         play(events)?;
     }
 
-    /// Guards against rows of an earlier era that stay, or are missing, where the store
-    /// has lost changes and gives their versions out again.
+    /// Guards against rows of an earlier era that remain or are missing when the store has lost
+    /// changes and assigns their versions again.
     #[test]
     fn a_list_equals_the_stores_though_it_comes_back_from_copies(
         events in proptest::collection::vec(event(true), 1..120)
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How news of instances spread in a simulated network: loss, delay, cuts, restarts.
+//! Gossip about instances in a simulated network with loss, delay, disconnections and restarts.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -19,7 +19,7 @@
 /// Time between two rounds, in milliseconds, as in the default settings.
 const ROUND_MS: u64 = 250;
 
-/// Others that an instance tells in one round.
+/// Live peers that an instance gossips to in one round.
 const FAN_OUT_COUNT: usize = 6;
 
 fn address(number: usize) -> Ipv4Addr {
@@ -34,7 +34,7 @@
     DomainTag::of(DOMAINS[number % DOMAINS.len()].0)
 }
 
-/// Instances that tell each other of members.
+/// Simulated instances that gossip about each other.
 struct Fleet {
     members: Vec<Membership>,
     is_up: Vec<bool>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Lets each instance tell some others.
+    /// Lets each instance gossip to some others.
     fn round(&mut self) {
         self.now_ms += ROUND_MS;
         for sender in 0..self.members.len() {
@@ -93,7 +93,8 @@
         of.merge(self.now_ms + delay_ms, news);
     }
 
-    /// Rounds until a share of the instances that are up think as told of a member.
+    /// Returns the number of rounds until 99 % of the other live instances agree on whether a
+    /// member is alive.
     fn until(&mut self, number: usize, is_alive: bool, round_max_count: usize) -> usize {
         for round in 0..round_max_count {
             let observers = (0..self.members.len())
@@ -127,7 +128,7 @@
         .map(|of| of.alive(fleet.now_ms).count());
     let least = known.min().unwrap_or_default();
     assert!(least >= 296, "{least} of 299 known");
-    // One dies: all know it within the time for which silence counts as life.
+    // One instance dies: the others detect it within the liveness time-out.
     fleet.is_up[77] = false;
     let within_ms = fleet.members[0].liveness_timeout_ms();
     let round_count = fleet.until(77, false, 80);
@@ -135,12 +136,12 @@
         round_count as u64 * ROUND_MS <= within_ms + 2_000,
         "{round_count}"
     );
-    // It comes back, knowing its seeds alone.
+    // It restarts and knows only its seeds.
     fleet.is_up[77] = true;
     fleet.members[77] = Membership::new(address(77), domain(77), &[address(0), address(1)]);
     let round_count = fleet.until(77, true, 40);
     assert!(round_count <= 20, "{round_count} rounds");
-    // A tenth is cut off for some seconds and rejoins.
+    // A tenth of the fleet is cut off for some seconds and rejoins.
     fleet.cut = (100..130).collect();
     for _round in 0..60 {
         fleet.round();
@@ -173,7 +174,7 @@
     assert!(ranks.len() >= 58, "{}", ranks.len());
 }
 
-/// Returns the table of the fleet as seen from the first domain.
+/// Returns the topology of the fleet as seen from the first domain.
 fn topology() -> Topology {
     let listed = DOMAINS.map(|(domain, region)| (domain.to_owned(), region.to_owned()));
     Topology::new(DOMAINS[0].0, DOMAINS[0].1, &BTreeMap::from(listed)).unwrap()
@@ -200,7 +201,7 @@
         }
         assert!(key_counts.iter().max() <= Some(&24), "{key_counts:?}");
     }
-    // A whole domain dies: the other one of its region owns its workers.
+    // A whole domain dies: the other domain of its region owns its workers.
     for number in (0..60).filter(|number| number % DOMAINS.len() == 2) {
         fleet.is_up[number] = false;
     }
@@ -212,7 +213,7 @@
         let owner = fleet.members[0].owner_near(fleet.now_ms, key, &topology.proximity_of("c"));
         assert_eq!(number_of(owner) % DOMAINS.len(), 3, "{key}");
     }
-    // Then the other one, too: whoever lives.
+    // Then the other domain dies too: any live instance may own the workers.
     for number in (0..60).filter(|number| number % DOMAINS.len() == 3) {
         fleet.is_up[number] = false;
     }
@@ -239,7 +240,7 @@
     };
     members.merge(10_000, &[news(domain(1), 500)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(1)));
-    // Its address has been taken by an instance elsewhere.
+    // Its address has been taken over by an instance in another domain.
     members.heard_from(11_000, address(1), domain(2), false);
     members.merge(11_100, &[news(domain(1), 1_600)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(2)));
--- a/crates/cranereach-fleet/tests/named_limits/main.rs
+++ b/crates/cranereach-fleet/tests/named_limits/main.rs
@@ -1,5 +1,5 @@
-//! What workers name as the requests a second that they take: how it is read, and which
-//! of several words holds.
+//! Limits that workers name for their requests per second: how the values are parsed, and which of
+//! several reports holds.
 
 mod reading;
 mod words;
--- a/crates/cranereach-fleet/tests/named_limits/reading.rs
+++ b/crates/cranereach-fleet/tests/named_limits/reading.rs
@@ -1,4 +1,4 @@
-//! How the values of an answer are read, sensible or not.
+//! Parsing of the limit values of an answer, valid or not.
 
 use proptest::prelude::*;
 
@@ -43,7 +43,7 @@
         assert_eq!(of(&[text]), NamedRate::Unreadable, "{text}");
     }
     assert_eq!(read([&[0xff, 0x31][..]].into_iter()), NamedRate::Unreadable);
-    // Twice: the lowest that can be read.
+    // Several values: the lowest valid one counts.
     assert_eq!(of(&["3", "2"]), NamedRate::Limit(2.0));
     assert_eq!(of(&["2", "3"]), NamedRate::Limit(2.0));
     assert_eq!(of(&["nan", "3"]), NamedRate::Limit(3.0));
--- a/crates/cranereach-fleet/tests/named_limits/words.rs
+++ b/crates/cranereach-fleet/tests/named_limits/words.rs
@@ -1,4 +1,4 @@
-//! Which of several words on a worker's limit holds, and what ends it.
+//! Which of several reports of a worker's limit holds, and what ends a limit.
 
 use proptest::prelude::*;
 
@@ -7,10 +7,10 @@
 use cranereach_fleet::named_limit::NamedLimit;
 use cranereach_fleet::named_limit::NamedRate;
 
-/// Start of the worker.
+/// Incarnation of the worker.
 const START: u64 = 5;
 
-/// A limit heard at a time, to a request sent 50 ms before.
+/// Returns a limit named in an answer at `at_ms`, to a request sent 50 ms before.
 fn named(rate: f64, at_ms: u64) -> NamedLimit {
     let mut limit = NamedLimit::default();
     limit.observe(NamedRate::Limit(rate), true, at_ms - 50, at_ms);
@@ -21,7 +21,7 @@
 fn a_tighter_word_counts_at_once_a_looser_one_only_if_it_was_asked_for_later() {
     let mut limit = named(10.0, 1_000);
     assert!(limit.observe(NamedRate::Limit(2.0), true, 900, 1_010));
-    // Its answer may have been made before the other.
+    // This answer may have been made before the other one.
     assert!(!limit.observe(NamedRate::Limit(10.0), true, 1_005, 1_020));
     assert_eq!(limit.rate_per_s(1_030), Some(2.0));
     assert!(limit.observe(NamedRate::Limit(10.0), true, 1_011, 1_100));
@@ -30,7 +30,7 @@
 
 #[test]
 fn what_ends_a_limit() {
-    // An answer of success that names none, to a request sent after the limit was heard.
+    // A successful answer without a limit, to a request sent after the limit was received.
     let mut limit = named(2.0, 1_000);
     assert!(
         !limit.observe(NamedRate::Nothing, false, 1_500, 1_600),
@@ -42,11 +42,11 @@
     );
     assert!(limit.observe(NamedRate::Nothing, true, 1_500, 1_600));
     assert_eq!(limit.rate_per_s(1_600), None);
-    // No word for a bounded time.
+    // No report within the expiry time.
     let limit = named(2.0, 1_000);
     assert_eq!(limit.rate_per_s(999 + LIMIT_EXPIRES_AFTER_MS), Some(2.0));
     assert_eq!(limit.rate_per_s(1_000 + LIMIT_EXPIRES_AFTER_MS), None);
-    // Another instance's word of its end.
+    // A peer's report that the limit has ended.
     let mut limit = named(2.0, 1_000);
     let mut other = named(2.0, 1_000);
     other.observe(NamedRate::Nothing, true, 1_500, 1_600);
@@ -114,15 +114,15 @@
 }
 
 proptest! {
-    /// Answers of one worker come to one instance in any order within their delay. Once
-    /// one has come to a request sent after the worker's last change, what it names holds,
-    /// and no older answer changes that.
+    /// Answers of one worker reach an instance in any order, within their delays. Once the answer
+    /// to a request sent after the worker's last change has arrived, its limit holds, and no older
+    /// answer changes that.
     #[test]
     fn the_last_figure_holds_whatever_overtakes_it(
         figures in prop::collection::vec((1_u64..400, prop::option::of(0_u8..5)), 1..12),
         delays_ms in prop::collection::vec((0_u64..200, 0_u64..200), 1..60),
     ) {
-        // What it names from when on.
+        // Limits of the worker, each with the time from which it applies.
         let mut changes = vec![(0_u64, Some(1.0))];
         let mut at_ms = 1_000;
         for (for_ms, figure) in figures {
@@ -143,7 +143,7 @@
         for (heard_ms, asked_ms, figure) in answers {
             let said = figure.map_or(NamedRate::Nothing, NamedRate::Limit);
             limit.observe(said, true, asked_ms, heard_ms);
-            // All answers made before the last change have come 200 ms after it.
+            // All answers made before the last change have arrived 200 ms after it.
             is_settled |= asked_ms >= last_ms + 200 && asked_ms >= tightest_since_ms;
             if asked_ms < last_ms {
                 tightest_since_ms = heard_ms;
--- a/crates/cranereach-fleet/tests/orders.rs
+++ b/crates/cranereach-fleet/tests/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to workers that answer late, not at all, or carry orders out later.
+//! Orders to workers that answer late or not at all, or that carry orders out later.
 //!
-//! Random worlds of workers under successive holders. What must hold: no worker
-//! ever has to hold more than its memory or its adapter slots.
+//! Simulates workers under successive lease holders, with random events. No worker may ever have to
+//! hold more than its memory or its adapter slots allow.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -30,14 +30,14 @@
 const STEP_COUNT: u64 = 2_500;
 const LOAD_MS: u64 = 1_000;
 
-/// A worker that keeps count of what it was made to hold.
+/// A simulated worker that records what it was ordered to hold.
 #[derive(Default)]
 struct Worker {
     sequence: u64,
     replicas: Vec<ModelReplica>,
     under_way: Option<(u64, Order)>,
     late: Vec<(u64, OpenOrder)>,
-    /// State some time ago, as reports show it.
+    /// Earlier states with their times in milliseconds; reports show one of them.
     history: Vec<(u64, WorkerState)>,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Memory at its worst, with what is being loaded.
+    /// Checks memory and adapter slots, counting a model that is being loaded.
     fn check(&self, seed: u64) {
         let sizes = sizes();
         let coming = match self.under_way {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Answers that are on their way to the holder.
+/// An answer in transit to the lease holder.
 enum Answer {
     Report(Option<WorkerState>),
     Order(OrderEnd, u32),
@@ -191,12 +191,12 @@
             }
         }
         if rng.random_bool(0.002) {
-            // Another holder starts with nothing but rows and reports.
+            // Another holder takes over and knows only rows and reports.
             ledger.clear();
             on_way.clear();
         }
         for (number, worker) in workers.iter().enumerate() {
-            // Rows are older still than reports.
+            // Rows are even older than reports.
             let row = worker
                 .report(now_ms, rng.random_range(0..1_500))
                 .unwrap_or_default();
@@ -289,7 +289,7 @@
     );
 }
 
-/// A ledger that has seen the row of one empty worker and nothing else.
+/// Returns a ledger that has seen only the row of one empty worker.
 fn ledger_of_one() -> (Arc<str>, Ledger) {
     let id: Arc<str> = Arc::from("w");
     let mut ledger = Ledger::default();
@@ -382,7 +382,7 @@
     };
     assert_eq!(told(&mut ledger, 0), [1]);
     ledger.begin(&id, Order::LoadAdapter((2, 5))).unwrap();
-    // Found on a quiet day: requests came before the adapter and were turned away.
+    // Guards against requests that reach the worker before the adapter and are refused.
     assert_eq!(told(&mut ledger, 10), [1], "the order is on its way");
     ledger.ended(20, &id, OrderEnd::Taken, 1, 1_000);
     assert_eq!(told(&mut ledger, 21), [1], "the worker is loading it");
--- a/crates/cranereach-fleet/tests/outage_pace.rs
+++ b/crates/cranereach-fleet/tests/outage_pace.rs
@@ -1,4 +1,4 @@
-//! A store that turns some instances away, just the first in rank among them.
+//! Probes of a store that refuses some instances, among them all those of the lowest ranks.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -8,11 +8,11 @@
 
 const LOOK_EVERY_MS: u64 = 100;
 
-/// Share of the instances that the store turns away.
+/// Share of the instances that the store refuses.
 const TURNED_AWAY_SHARE: f64 = 0.35;
 
-/// Returns the time until one of the others reaches the store, in milliseconds, and how
-/// many tries they made.
+/// Returns the time until one of the other instances reaches the store, in milliseconds, and the
+/// number of their probes.
 fn until_reached(instance_count: usize, seed: u64) -> (u64, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut try_count = 0;
@@ -32,8 +32,8 @@
 
 #[test]
 fn one_of_the_others_reaches_a_store_that_turns_the_first_away_at_any_size() {
-    // A pause of half its mean at least would keep all others away for 3 s among 78
-    // instances, 41 s among 984.
+    // With a minimum pause of half the mean, all other instances would stay away for 3 s in a fleet
+    // of 78 instances, and for 41 s in one of 984.
     for instance_count in [20, 78, 984, 3_300] {
         let mut times_ms: Vec<u64> = (0..200)
             .map(|seed| until_reached(instance_count, seed).0)
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -1,4 +1,4 @@
-//! What the owner of a worker knows of it.
+//! The state of a worker that its owner keeps.
 
 use proptest::prelude::*;
 
@@ -43,7 +43,7 @@
     owned.request_ended(500, WORKER, (1, 1), Outcome::Whole);
     owned.request_ended(500, WORKER, (2, 1), Outcome::Neutral);
     assert_eq!(owned.status(501, WORKER, &[], 0.0).load.open_count, 0);
-    // A word for the second time, or without the first, does no harm.
+    // A repeated end, and the end of a prefill without a start, have no effect.
     owned.request_ended(502, WORKER, (2, 1), Outcome::Neutral);
     owned.prefilled(502, WORKER, (9, 9), 80.0);
     assert_eq!(owned.status(503, WORKER, &[], 0.0).load.open_count, 0);
@@ -96,14 +96,14 @@
         answer(&mut owned, round * 200, round as u32, 100.0);
     }
     assert!(owned.status(1_000, WORKER, &[], 0.0).slowdown_ratio < 1.05);
-    // One answer alone condemns nobody; some do.
+    // One slow answer is not enough evidence; several are.
     answer(&mut owned, 1_000, 9, 1_300.0);
     assert!(owned.status(2_300, WORKER, &[], 0.0).slowdown_ratio < 4.0);
     for round in 0..4 {
         answer(&mut owned, 2_300 + round * 10, round as u32, 1_300.0);
     }
     assert!(owned.status(3_600, WORKER, &[], 0.0).slowdown_ratio > 4.0);
-    // Without news the evidence fades.
+    // Without new answers the evidence decays.
     assert!(owned.status(40_000, WORKER, &[], 0.0).slowdown_ratio < 1.05);
 }
 
@@ -121,7 +121,7 @@
     };
     assert!(!give_up(&mut owned, 900), "callers leave as they like");
     assert!(give_up(&mut owned, 4_900));
-    // One that began is the caller's affair.
+    // A request cancelled after its prefill says nothing about the worker.
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
         owned.request_started(0, WORKER, (peer, 1), opening(80.0), &[]);
@@ -140,7 +140,7 @@
         owned.request_started(now_ms, WORKER, (1, ticket), opening(0.0), &[]);
         owned.request_ended(now_ms + 10, WORKER, (1, ticket), outcome);
     };
-    // Each time it is put aside for longer: four times here, the last for 4.8 s.
+    // Each ejection lasts longer: there are four in this loop, the last for 4.8 s.
     let mut now_ms = 0;
     for _round in 0..4 {
         for _call in 0..3 {
@@ -156,7 +156,7 @@
             .status_for_repeatable(now_ms, WORKER, &[], 0.0)
             .is_aside
     };
-    // Calls that may not be repeated go elsewhere all the while; others one by one.
+    // Meanwhile, calls that may not be repeated go elsewhere; others probe it one at a time.
     assert!(!may_go(&mut owned, now_ms + 100));
     assert!(may_go(&mut owned, now_ms + 300));
     assert!(!may_go(&mut owned, now_ms + 301));
@@ -170,7 +170,7 @@
     assert!(!owned.status(now_ms + 1_100, WORKER, &[], 0.0).is_aside);
 }
 
-/// A prompt of a service whose streams may pause for 500 ms.
+/// Returns a prompt of a service whose streams may pause for 500 ms.
 fn streamed(unread_ms: f32) -> SentRequest {
     SentRequest {
         gap_aim_ms: 500,
@@ -179,7 +179,7 @@
     }
 }
 
-/// Lets a worker end a number of answers, some of which paused for too long.
+/// Lets a worker finish `whole_count` answers without a long pause and `paused_count` with one.
 fn answer(owned: &mut OwnedWorkers, now_ms: u64, whole_count: u64, paused_count: u64) {
     for number in 0..whole_count + paused_count {
         let ticket = (9, 1_000 + number);
@@ -193,7 +193,7 @@
     }
 }
 
-/// Sends a prompt when it is to be sent, and returns when that was.
+/// Sends a prompt after the delay that the owner requests, and returns the time of the send.
 fn send(owned: &mut OwnedWorkers, now_ms: u64, number: u64) -> u64 {
     let status = owned.status(now_ms, WORKER, &[], 100.0);
     let sent = SentRequest {
@@ -208,8 +208,9 @@
 fn a_worker_whose_answers_pause_gets_prompts_where_they_make_no_long_pause() {
     let mut owned = OwnedWorkers::default();
     answer(&mut owned, 0, 40, 4);
-    // All come at once: three are read in one step of 313 ms, and an event of three
-    // tokens takes 339 ms of the 400 planned for. The next ones meet the event after.
+    // All prompts arrive at once. Three are prefilled in one step of 313 ms, so that an event of
+    // three tokens takes 339 ms of the 400 planned for it. The next prompts wait for the event
+    // after it.
     let sent_at_ms: Vec<u64> = (0..8)
         .map(|number| send(&mut owned, 5_000, number))
         .collect();
@@ -225,7 +226,7 @@
 fn an_owner_says_how_long_streams_pause_by_a_prompt() {
     let mut owned = OwnedWorkers::default();
     send(&mut owned, 5_000, 1);
-    // Predicted also where nothing is held back yet.
+    // The pause is predicted even if no prompt is delayed yet.
     let status = owned.status(5_000, WORKER, &[], 400.0);
     assert!(status.send_in_ms <= 0.0);
     assert!(status.pause_ms > 400.0, "{}", status.pause_ms);
@@ -239,7 +240,7 @@
     assert!(all_at_once);
     answer(&mut owned, 1_000, 0, 10);
     assert!(send(&mut owned, 1_000, 10) > 1_900);
-    // Old pauses fade.
+    // The evidence of old pauses decays.
     let all_at_once = (20..30).all(|number| send(&mut owned, 90_000, number) == 90_000);
     assert!(all_at_once);
 }
