--- a/crates/cranereach-fleet/tests/limits/fleet.rs
+++ b/crates/cranereach-fleet/tests/limits/fleet.rs
@@ -33,7 +33,7 @@
 pub const ROUND_MS: u64 = 250;
 
 /// Maximum number of rounds that a heartbeat takes to reach another instance.
-pub const SIGN_ROUNDS: u64 = 5;
+pub const HEARTBEAT_MAX_ROUNDS: u64 = 5;
 
 pub fn limit(rate_per_s: f64) -> Limit {
     Limit {
@@ -50,7 +50,7 @@
 /// A simulated instance.
 pub struct Instance {
     pub members: Membership,
-    pub uses: AccountUsages,
+    pub usages: AccountUsages,
     pub owned: OwnedLimits,
     pub down_until_ms: u64,
     /// Time until which it is alive but answers nobody, in milliseconds.
@@ -74,10 +74,10 @@
     pub limit: Limit,
     pub now_ms: u64,
     /// Requests run within the last window: time in milliseconds and cost in units.
-    pub run: VecDeque<(u64, f64)>,
-    pub run_sum: f64,
+    pub recent_runs: VecDeque<(u64, f64)>,
+    pub recent_units: f64,
     /// The most units that were run within one window.
-    pub most: f64,
+    pub peak_units: f64,
     pub counts: Counts,
     /// Share of the paid requests that workers refuse, so that their units are given back.
     pub given_back_share: f64,
@@ -91,25 +91,25 @@
             number_of: (0..count).map(|number| (address(number), number)).collect(),
             limit,
             now_ms: 100_000,
-            run: VecDeque::new(),
-            run_sum: 0.0,
-            most: 0.0,
+            recent_runs: VecDeque::new(),
+            recent_units: 0.0,
+            peak_units: 0.0,
             counts: Counts::default(),
             given_back_share: 0.0,
             rng: StdRng::seed_from_u64(seed),
         };
         for number in 0..count {
-            let instance = fleet.fresh(number);
+            let instance = fleet.new_instance(number);
             fleet.instances.push(instance);
         }
         fleet
     }
 
-    pub fn fresh(&self, number: usize) -> Instance {
+    pub fn new_instance(&self, number: usize) -> Instance {
         let seeds = [address(0), address(1), address(2)];
         Instance {
             members: Membership::new(address(number), DomainTag::default(), &seeds),
-            uses: AccountUsages::default(),
+            usages: AccountUsages::default(),
             owned: OwnedLimits::default(),
             down_until_ms: 0,
             busy_until_ms: 0,
@@ -125,7 +125,7 @@
     pub fn kill(&mut self, share: f64, for_ms: u64) {
         for number in 0..self.instances.len() {
             if self.rng.random_bool(share) {
-                self.instances[number] = self.fresh(number);
+                self.instances[number] = self.new_instance(number);
                 self.instances[number].down_until_ms = self.now_ms + for_ms;
                 self.instances[number].started_ms = self.now_ms + for_ms;
             }
@@ -149,12 +149,12 @@
                 continue;
             }
             for other in 0..self.instances.len() {
-                let age_ms = ROUND_MS * self.rng.random_range(0..SIGN_ROUNDS);
-                let sign_ms = self.now_ms - age_ms;
-                let was_up = sign_ms >= self.instances[other].started_ms;
+                let age_ms = ROUND_MS * self.rng.random_range(0..HEARTBEAT_MAX_ROUNDS);
+                let sent_ms = self.now_ms - age_ms;
+                let was_up = sent_ms >= self.instances[other].started_ms;
                 if other != number && was_up && self.is_up(other) {
                     let members = &mut self.instances[number].members;
-                    members.heard_from(sign_ms, address(other), DomainTag::default(), false);
+                    members.heard_from(sent_ms, address(other), DomainTag::default(), false);
                 }
             }
             self.instances[number].members.refresh(self.now_ms);
@@ -187,33 +187,33 @@
         }
         let now_ms = self.now_ms;
         let decision = self.instances[number]
-            .uses
+            .usages
             .decide(now_ms, ACCOUNT, self.limit, &TOLERANCE, cost);
         let (request, held) = match decision {
-            Decision::Paid => return self.paid(number, cost),
+            Decision::Paid => return self.run_paid(number, cost),
             Decision::Beyond(_) => {
                 self.counts.refused += 1;
                 return;
             }
             Decision::Ask { request, held } => (request, held),
         };
-        let grant = self.ask(number, request);
-        let uses = &mut self.instances[number].uses;
+        let grant = self.query_owners(number, request);
+        let usages = &mut self.instances[number].usages;
         match grant {
             Some(Grant::Units(units)) => {
-                uses.granted(now_ms, ACCOUNT, held + units, cost);
-                self.paid(number, cost);
+                usages.granted(now_ms, ACCOUNT, held + units, cost);
+                self.run_paid(number, cost);
             }
             Some(Grant::After(wait_ms)) => {
-                uses.refused(now_ms, ACCOUNT, wait_ms);
+                usages.refused(now_ms, ACCOUNT, wait_ms);
                 self.give_back(number, held);
                 self.counts.refused += 1;
             }
             None => {
-                let may_run = uses.may_run_without_owner(now_ms, ACCOUNT, cost);
+                let may_run = usages.may_run_without_owner(now_ms, ACCOUNT, cost);
                 self.give_back(number, held);
                 if may_run {
-                    self.ran(cost);
+                    self.record_run(cost);
                 } else {
                     self.counts.unknown += 1;
                 }
@@ -223,16 +223,21 @@
 
     /// Returns the ownership of a part by an instance, determined as in the gateway.
     pub fn ownership(&self, number: usize, key: PartKey) -> Ownership {
-        let of = &self.instances[number];
-        let is_young = |of: &Instance| self.now_ms < of.started_ms + 3_000;
-        let seed_owner = of.members.seed_owner(self.now_ms, key.owner_key());
-        let is_asked = is_young(of) && seed_owner == Some(address(number));
-        let up_for_ms = self.now_ms - of.started_ms;
-        if !is_asked && !of.members.is_own(self.now_ms, key.owner_key()) {
+        let instance = &self.instances[number];
+        let is_young = |instance: &Instance| self.now_ms < instance.started_ms + 3_000;
+        let seed_owner = instance.members.seed_owner(self.now_ms, key.owner_key());
+        let is_asked_as_seed = is_young(instance) && seed_owner == Some(address(number));
+        let up_for_ms = self.now_ms - instance.started_ms;
+        if !is_asked_as_seed && !instance.members.is_own(self.now_ms, key.owner_key()) {
             Ownership::StandIn
         } else if self.instances.iter().all(is_young) {
             Ownership::Restarted
-        } else if of.members.unchanged_for_ms(self.now_ms).min(up_for_ms) >= 8_000 {
+        } else if instance
+            .members
+            .unchanged_for_ms(self.now_ms)
+            .min(up_for_ms)
+            >= 8_000
+        {
             Ownership::Settled
         } else {
             Ownership::Fresh
@@ -240,7 +245,7 @@
     }
 
     /// Queries owners as the gateway does.
-    pub fn ask(&mut self, number: usize, request: UnitRequest) -> Option<Grant> {
+    pub fn query_owners(&mut self, number: usize, request: UnitRequest) -> Option<Grant> {
         let part_count = TOLERANCE.part_count(self.limit);
         let first: u32 = self.rng.random();
         let mut refusal = None;
@@ -250,12 +255,13 @@
                 account: ACCOUNT,
                 part,
             };
-            let of = &self.instances[number];
-            let is_settling = self.now_ms < of.started_ms + 1_500;
-            let seed = is_settling.then(|| of.members.seed_owner(self.now_ms, key.owner_key()));
+            let instance = &self.instances[number];
+            let is_settling = self.now_ms < instance.started_ms + 1_500;
+            let seed =
+                is_settling.then(|| instance.members.seed_owner(self.now_ms, key.owner_key()));
             let owner = seed
                 .flatten()
-                .unwrap_or_else(|| of.members.owner(self.now_ms, key.owner_key()));
+                .unwrap_or_else(|| instance.members.owner(self.now_ms, key.owner_key()));
             let owner_number = self.number_of[&owner];
             self.counts.asked += 1;
             let is_busy = self.now_ms < self.instances[owner_number].busy_until_ms;
@@ -267,11 +273,15 @@
             }
             self.instances[number].members.reply_received(owner);
             let ownership = self.ownership(owner_number, key);
-            let asked = &mut self.instances[owner_number];
-            let grant =
-                asked
-                    .owned
-                    .take(self.now_ms, key, self.limit, &TOLERANCE, request, ownership);
+            let owner_instance = &mut self.instances[owner_number];
+            let grant = owner_instance.owned.take(
+                self.now_ms,
+                key,
+                self.limit,
+                &TOLERANCE,
+                request,
+                ownership,
+            );
             match grant {
                 Grant::Units(units) => return Some(Grant::Units(units)),
                 refused @ Grant::After(_) => refusal = Some(refused),
@@ -286,8 +296,8 @@
     /// Gives units back; those that the instance doesn't keep go to the owner of a random part.
     pub fn give_back(&mut self, number: usize, units: f64) {
         let now_ms = self.now_ms;
-        let uses = &mut self.instances[number].uses;
-        let surplus = uses.give_back(now_ms, ACCOUNT, &TOLERANCE, units);
+        let usages = &mut self.instances[number].usages;
+        let surplus = usages.give_back(now_ms, ACCOUNT, &TOLERANCE, units);
         let key = PartKey {
             account: ACCOUNT,
             part: self.rng.random_range(0..TOLERANCE.part_count(self.limit)),
@@ -298,35 +308,35 @@
     }
 
     /// Runs a paid request, unless workers refuse it.
-    pub fn paid(&mut self, number: usize, cost: f64) {
+    pub fn run_paid(&mut self, number: usize, cost: f64) {
         if self.rng.random_bool(self.given_back_share) {
             self.give_back(number, cost);
         } else {
-            self.ran(cost);
+            self.record_run(cost);
         }
     }
 
-    pub fn ran(&mut self, cost: f64) {
+    pub fn record_run(&mut self, cost: f64) {
         self.counts.run += 1;
-        self.run.push_back((self.now_ms, cost));
-        self.run_sum += cost;
-        while let Some((at_ms, units)) = self.run.front().copied() {
+        self.recent_runs.push_back((self.now_ms, cost));
+        self.recent_units += cost;
+        while let Some((at_ms, units)) = self.recent_runs.front().copied() {
             if at_ms + 8_000 > self.now_ms {
                 break;
             }
-            self.run_sum -= units;
-            self.run.pop_front();
+            self.recent_units -= units;
+            self.recent_runs.pop_front();
         }
-        self.most = self.most.max(self.run_sum);
+        self.peak_units = self.peak_units.max(self.recent_units);
     }
 
     /// Resets the counts.
-    pub fn count_anew(&mut self) {
+    pub fn reset_counts(&mut self) {
         self.counts = Counts::default();
     }
 
     /// Returns the most units that were run within a window, as a share of the tolerated number.
-    pub fn most_share(&self) -> f64 {
-        self.most / (TOLERANCE.units_per_window(self.limit) + TOLERANCE.excess(self.limit))
+    pub fn peak_ratio(&self) -> f64 {
+        self.peak_units / (TOLERANCE.units_per_window(self.limit) + TOLERANCE.excess(self.limit))
     }
 }
--- a/crates/cranereach-fleet/tests/limits/main.rs
+++ b/crates/cranereach-fleet/tests/limits/main.rs
@@ -27,12 +27,12 @@
         let mut fleet = Fleet::start(count, limit(rate_per_s), 1);
         fleet.demand(0.5 * rate_per_s, 5_000);
         fleet.demand(8.0 * rate_per_s, 20_000);
-        let share = fleet.most_share();
+        let share = fleet.peak_ratio();
         assert!(share <= 1.0, "{count} instances, {rate_per_s}: {share}");
-        let of_limit = fleet.most / TOLERANCE.units_per_window(fleet.limit);
+        let limit_ratio = fleet.peak_units / TOLERANCE.units_per_window(fleet.limit);
         assert!(
-            of_limit >= 0.9,
-            "{count} instances, {rate_per_s}: {of_limit}"
+            limit_ratio >= 0.9,
+            "{count} instances, {rate_per_s}: {limit_ratio}"
         );
     }
 }
@@ -42,7 +42,7 @@
     for (count, rate_per_s) in [(3, 60_000.0), (90, 60_000.0), (300, 311_000.0)] {
         let mut fleet = Fleet::start(count, limit(rate_per_s), 2);
         fleet.demand(0.3 * rate_per_s, 4_000);
-        fleet.count_anew();
+        fleet.reset_counts();
         fleet.demand(0.55 * rate_per_s, 30_000);
         let counts = fleet.counts;
         let refused = (counts.refused + counts.unknown) as f64 / counts.run as f64;
@@ -62,8 +62,8 @@
             fleet.demand(800_000.0, 7_000);
             fleet.kill(share, for_ms);
             fleet.demand(800_000.0, 12_000);
-            let most = fleet.most_share();
-            assert!(most <= 1.0, "seed {seed}, {share} killed: {most}");
+            let peak = fleet.peak_ratio();
+            assert!(peak <= 1.0, "seed {seed}, {share} killed: {peak}");
         }
     }
 }
@@ -83,10 +83,10 @@
                 }
             }
             fleet.demand(4_000_000.0, 8_000);
-            let most = fleet.most_share();
+            let peak = fleet.peak_ratio();
             assert!(
-                most <= 1.0,
-                "seed {seed}, {share} busy for {for_ms}: {most}"
+                peak <= 1.0,
+                "seed {seed}, {share} busy for {for_ms}: {peak}"
             );
         }
     }
@@ -103,7 +103,7 @@
             // Workers have capacity again: every paid request runs now.
             fleet.given_back_share = 0.0;
             fleet.demand(8.0 * rate_per_s, 10_000);
-            let share = fleet.most_share();
+            let share = fleet.peak_ratio();
             assert!(
                 share <= 1.0,
                 "{count} instances, {given_back_share}: {share}"
@@ -117,7 +117,7 @@
     for seed in 0..4 {
         let mut fleet = Fleet::start(90, limit(60_000.0), seed);
         fleet.demand(30_000.0, 6_000);
-        fleet.count_anew();
+        fleet.reset_counts();
         fleet.kill(0.2, 3_500);
         fleet.demand(30_000.0, 8_000);
         let counts = fleet.counts;
@@ -135,7 +135,7 @@
             fleet.demand(0.5 * rate_per_s, 6_000);
             fleet.kill(1.0, 1_000);
             fleet.demand(0.0, 1_200);
-            fleet.count_anew();
+            fleet.reset_counts();
             fleet.demand(0.5 * rate_per_s, 4_000);
             run += fleet.counts.run;
             refused += fleet.counts.refused + fleet.counts.unknown;
@@ -149,14 +149,14 @@
     for count in [90, 300, 1_000] {
         let mut fleet = Fleet::start(count, limit(311_000.0), 3);
         fleet.demand(150_000.0, 5_000);
-        fleet.count_anew();
+        fleet.reset_counts();
         fleet.demand(150_000.0, 3_000);
         let counts = fleet.counts;
         assert!(
             counts.asked <= counts.run + counts.run / 10,
             "{count}: {counts:?}"
         );
-        fleet.count_anew();
+        fleet.reset_counts();
         // Far beyond the limit, most requests are refused without a query.
         fleet.demand(2_500_000.0, 6_000);
         let counts = fleet.counts;
@@ -167,9 +167,9 @@
             "{count}: {counts:?}"
         );
     }
-    let mut at_rest = Fleet::start(90, limit(311_000.0), 4);
-    at_rest.demand(0.0, 2_000);
-    assert_eq!(at_rest.counts.asked, 0);
+    let mut idle = Fleet::start(90, limit(311_000.0), 4);
+    idle.demand(0.0, 2_000);
+    assert_eq!(idle.counts.asked, 0);
 }
 
 #[test]
@@ -178,15 +178,15 @@
     fleet.demand(250_000.0, 5_000);
     fleet.limit = limit(20_000.0);
     fleet.demand(250_000.0, 2_000);
-    fleet.run.clear();
-    fleet.run_sum = 0.0;
-    fleet.most = 0.0;
+    fleet.recent_runs.clear();
+    fleet.recent_units = 0.0;
+    fleet.peak_units = 0.0;
     fleet.demand(250_000.0, 12_000);
-    let share = fleet.most_share();
+    let share = fleet.peak_ratio();
     assert!((0.5..=1.0).contains(&share), "{share}");
     fleet.limit = limit(500_000.0);
     fleet.demand(250_000.0, 1_000);
-    fleet.count_anew();
+    fleet.reset_counts();
     fleet.demand(250_000.0, 5_000);
     assert!(
         fleet.counts.refused * 50 < fleet.counts.run,
@@ -207,37 +207,40 @@
 #[test]
 fn units_that_one_request_set_aside_pay_for_no_other() {
     let limit = limit(100_000.0);
-    let mut uses = AccountUsages::default();
+    let mut usages = AccountUsages::default();
     let ask = |decision: Decision| match decision {
         Decision::Ask { request, held } => (request, held),
         other => panic!("{other:?}"),
     };
-    let (first, held) = ask(uses.decide(0, ACCOUNT, limit, &TOLERANCE, 1_000.0));
+    let (first, held) = ask(usages.decide(0, ACCOUNT, limit, &TOLERANCE, 1_000.0));
     assert_eq!((first.min_units, held), (1_000.0, 0.0));
-    uses.granted(0, ACCOUNT, 2_900.0, 1_000.0);
-    let (second, held) = ask(uses.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
+    usages.granted(0, ACCOUNT, 2_900.0, 1_000.0);
+    let (second, held) = ask(usages.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
     assert_eq!((second.min_units, held), (100.0, 1_900.0));
-    let (third, held) = ask(uses.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
+    let (third, held) = ask(usages.decide(1, ACCOUNT, limit, &TOLERANCE, 2_000.0));
     assert_eq!((third.min_units, held), (2_000.0, 0.0));
     // Units that the instance may hold in advance pay for the next request; the rest goes to an
     // owner.
-    let surplus = uses.give_back(1, ACCOUNT, &TOLERANCE, 1_900.0);
+    let surplus = usages.give_back(1, ACCOUNT, &TOLERANCE, 1_900.0);
     let kept = 1_900.0 - surplus;
     assert!(kept > 10.0 && surplus > 10.0, "{kept} kept, {surplus} not");
     assert_eq!(
-        uses.decide(2, ACCOUNT, limit, &TOLERANCE, kept),
+        usages.decide(2, ACCOUNT, limit, &TOLERANCE, kept),
         Decision::Paid
     );
-    let (last, held) = ask(uses.decide(2, ACCOUNT, limit, &TOLERANCE, 1_000.0));
+    let (last, held) = ask(usages.decide(2, ACCOUNT, limit, &TOLERANCE, 1_000.0));
     assert_eq!((last.min_units, held), (1_000.0, 0.0));
 }
 
 #[test]
 fn a_request_beyond_the_whole_limit_is_hopeless_and_one_beyond_the_burst_is_not() {
     let limit = limit(1_000.0);
-    let mut uses = AccountUsages::default();
-    let hopeless = uses.decide(0, ACCOUNT, limit, &TOLERANCE, 9_001.0);
-    assert!(matches!(hopeless, Decision::Beyond(_)), "{hopeless:?}");
+    let mut usages = AccountUsages::default();
+    let above_limit = usages.decide(0, ACCOUNT, limit, &TOLERANCE, 9_001.0);
+    assert!(
+        matches!(above_limit, Decision::Beyond(_)),
+        "{above_limit:?}"
+    );
     let mut owned = OwnedLimits::default();
     let key = PartKey {
         account: ACCOUNT,
--- a/crates/cranereach-fleet/tests/listing.rs
+++ b/crates/cranereach-fleet/tests/listing.rs
@@ -33,7 +33,7 @@
 }
 
 /// Offers a delta to a list, which takes it if it applies.
-fn tell(part: &ListPart<'_>, listing: &mut Listing) -> Verdict {
+fn offer(part: &ListPart<'_>, listing: &mut Listing) -> Verdict {
     let verdict = listing.judge(part.from, part.position, part.span);
     if verdict == Verdict::Applies {
         let rows = part.rows.iter().copied().cloned().collect();
@@ -55,8 +55,8 @@
     let mut new = Listing::default();
     // The row ended at version 7; the new instance never had it.
     new.take_whole(at(9), vec![changed("stays", 1)]);
-    assert_eq!(tell(&new.part().unwrap(), &mut old), Verdict::Gap);
-    assert_eq!(old.position(), at(5), "it still asks for what came after 5");
+    assert_eq!(offer(&new.part().unwrap(), &mut old), Verdict::Gap);
+    assert_eq!(old.position(), at(5), "it still needs the changes after 5");
     old.take(at(9), Span::Changes, vec![ended("ends", 7)]);
     assert_eq!(keys(&old), ["stays"]);
 }
@@ -71,8 +71,8 @@
     // A row added at 6 and removed at 7 is on neither of the reader's lists.
     ahead.take(at(6), Span::Changes, vec![changed("short", 6)]);
     reader.take_whole(at(8), Vec::new());
-    assert_eq!(tell(&reader.part().unwrap(), &mut ahead), Verdict::Gap);
-    assert_eq!(tell(&reader.part().unwrap(), &mut same), Verdict::Applies);
+    assert_eq!(offer(&reader.part().unwrap(), &mut ahead), Verdict::Gap);
+    assert_eq!(offer(&reader.part().unwrap(), &mut same), Verdict::Applies);
     assert!(keys(&same).is_empty());
     // Changes read later are sent without the difference that was computed from whole lists.
     reader.take(at(9), Span::Changes, vec![changed("b", 9)]);
@@ -89,7 +89,7 @@
     let mut ahead = reader.clone();
     ahead.take(at(6), Span::Changes, vec![changed("short", 6)]);
     reader.take(at(8), Span::Changes, vec![ended("short", 7)]);
-    assert_eq!(tell(&reader.part().unwrap(), &mut ahead), Verdict::Applies);
+    assert_eq!(offer(&reader.part().unwrap(), &mut ahead), Verdict::Applies);
     assert!(keys(&ahead).is_empty());
 }
 
@@ -98,11 +98,11 @@
     let mut listing = Listing::default();
     listing.take_whole(at(5), vec![changed("old", 3), changed("new", 6)]);
     assert_eq!(listing.take_whole(at(4), Vec::new()), []);
-    let gone = listing.take_whole(at(5), Vec::new());
+    let ends = listing.take_whole(at(5), Vec::new());
     assert_eq!(
-        gone,
+        ends,
         [ended("old", 5)],
-        "a later page showed a later version"
+        "the row on a later page is newer than the list"
     );
     assert_eq!(keys(&listing), ["new"]);
     assert_eq!(
@@ -151,8 +151,8 @@
     list.take(at(2), Span::Changes, vec![changed("b", 2)]);
     let part = list.part().unwrap();
     assert_eq!((part.from, part.position), (at(0), at(2)));
-    let told: Vec<&str> = part.rows.iter().map(|row| row.key.as_str()).collect();
-    assert_eq!(told, ["a", "b"]);
+    let sent_keys: Vec<&str> = part.rows.iter().map(|row| row.key.as_str()).collect();
+    assert_eq!(sent_keys, ["a", "b"]);
     let many = |count: u64, version: u64| {
         let rows = (0..count).map(|row| changed(&format!("{version}-{row}"), version));
         rows.collect()
@@ -180,36 +180,40 @@
         Verdict::Gap
     );
     let rows = list.since(at(5)).unwrap();
-    assert_eq!(rows.len(), 35, "a part of a few reads would not do");
+    assert_eq!(rows.len(), 35, "more than a delta of the last reads holds");
     assert_eq!(rows.last(), Some(&ended("ends", 40)));
     assert_eq!(list.span_since(at(5)), Span::Changes);
     assert_eq!(
         list.since(at(4)),
         None,
-        "what ended before the first list isn't known"
+        "rows that ended before the first list are unknown"
     );
     list.take_whole(at(50), Vec::new());
     assert_eq!(list.span_since(at(5)), Span::Difference);
     assert_eq!(
         list.since(at(45)),
         None,
-        "a row may have come and gone unseen"
+        "a row may have been added and removed unseen"
     );
     assert!(list.since(at(40)).is_some());
 }
 
 #[test]
 fn whoever_takes_the_whole_list_can_tell_as_much_as_its_giver() {
-    let mut giver = Listing::default();
-    giver.take_whole(at(5), vec![changed("a", 1), changed("b", 2)]);
-    giver.take(at(9), Span::Changes, vec![ended("b", 7)]);
-    let mut taker = Listing::default();
-    taker.take_whole(at(9), vec![changed("a", 1)]);
-    assert_eq!(taker.since(at(6)), None, "it never knew what ended");
-    taker.adopt_history(at(8), giver.history().clone());
-    assert_eq!(taker.since(at(6)), None, "of another version");
-    taker.adopt_history(at(9), giver.history().clone());
-    assert_eq!(taker.since(at(6)), Some(vec![ended("b", 7)]));
+    let mut source = Listing::default();
+    source.take_whole(at(5), vec![changed("a", 1), changed("b", 2)]);
+    source.take(at(9), Span::Changes, vec![ended("b", 7)]);
+    let mut fetcher = Listing::default();
+    fetcher.take_whole(at(9), vec![changed("a", 1)]);
+    assert_eq!(
+        fetcher.since(at(6)),
+        None,
+        "it has no history of ended rows"
+    );
+    fetcher.adopt_history(at(8), source.history().clone());
+    assert_eq!(fetcher.since(at(6)), None, "history of another version");
+    fetcher.adopt_history(at(9), source.history().clone());
+    assert_eq!(fetcher.since(at(6)), Some(vec![ended("b", 7)]));
 }
 
 #[test]
@@ -233,12 +237,12 @@
     position: StorePosition,
     rows: Rows,
     history: Vec<ChangedRow>,
-    forgotten_before: StorePosition,
+    history_from: StorePosition,
     past: BTreeMap<StorePosition, Rows>,
 }
 
 impl Store {
-    fn begin() -> Self {
+    fn new() -> Self {
         let mut store = Self::default();
         store.keep_copy();
         store
@@ -275,22 +279,23 @@
     fn restore(&mut self, lost_count: u64) {
         let before = self.position;
         let era = before.era + 1;
-        let copied = before.version.saturating_sub(lost_count);
-        let of_copy = |position: StorePosition| StorePosition::new(era, position.version);
-        let rows = self.past[&StorePosition::new(before.era, copied)].clone();
+        let restored_version = before.version.saturating_sub(lost_count);
+        let in_new_era = |position: StorePosition| StorePosition::new(era, position.version);
+        let rows = self.past[&StorePosition::new(before.era, restored_version)].clone();
         let rows = rows.into_iter();
-        let rows = rows.map(|(key, (position, value))| (key, (of_copy(position), value)));
+        let rows = rows.map(|(key, (position, value))| (key, (in_new_era(position), value)));
         self.rows = rows.collect();
-        self.position = StorePosition::new(era, copied);
-        self.history.retain(|row| row.position.version <= copied);
+        self.position = StorePosition::new(era, restored_version);
+        self.history
+            .retain(|row| row.position.version <= restored_version);
         for row in &mut self.history {
-            row.position = of_copy(row.position);
+            row.position = in_new_era(row.position);
         }
-        self.forgotten_before.era = era;
+        self.history_from.era = era;
         let earlier = self.past.range(StorePosition::start_of(before.era)..);
         let earlier: Vec<(StorePosition, Rows)> = earlier
-            .filter(|(position, _)| position.version < copied)
-            .map(|(position, rows)| (of_copy(*position), rows.clone()))
+            .filter(|(position, _)| position.version < restored_version)
+            .map(|(position, rows)| (in_new_era(*position), rows.clone()))
             .collect();
         self.past.extend(earlier);
         self.keep_copy();
@@ -303,7 +308,7 @@
         for row in self.history.iter().filter(|row| row.position > after) {
             newest.insert(&row.key, row);
         }
-        let is_known = after.era == self.position.era && after >= self.forgotten_before;
+        let is_known = after.era == self.position.era && after >= self.history_from;
         is_known.then(|| newest.into_values().cloned().collect())
     }
 
@@ -326,7 +331,7 @@
     /// A worker's row ends.
     End(u8),
     /// The store discards its history.
-    Forget,
+    DiscardHistory,
     /// The store is restored from a copy that lacks this many of the last changes.
     Restore(u64),
     /// An instance reads the store and sends a delta.
@@ -335,14 +340,14 @@
     Arrive {
         message: usize,
         at: usize,
-        again: bool,
+        is_kept: bool,
     },
     /// An instance fetches the whole list of another.
-    Fetch { from: usize, by: usize },
+    Fetch { from: usize, to: usize },
     /// An instance requests all changes since its own position from another.
-    CatchUp { from: usize, by: usize },
+    CatchUp { from: usize, to: usize },
     /// An instance restarts and knows nothing.
-    Start(usize),
+    Restart(usize),
 }
 
 const INSTANCE_COUNT: usize = 4;
@@ -354,14 +359,14 @@
         u32::from(is_restored) => (0_u64..6).prop_map(Event::Restore),
         4 => (0_u8..5, 0_u8..3).prop_map(|(worker, content)| Event::Put(worker, content)),
         3 => (0_u8..5).prop_map(Event::End),
-        1 => Just(Event::Forget),
+        1 => Just(Event::DiscardHistory),
         6 => instance.clone().prop_map(Event::Read),
         9 => (0_usize..6, instance.clone(), any::<bool>())
-            .prop_map(|(message, at, again)| Event::Arrive { message, at, again }),
-        2 => (instance.clone(), instance.clone()).prop_map(|(from, by)| Event::Fetch { from, by }),
+            .prop_map(|(message, at, is_kept)| Event::Arrive { message, at, is_kept }),
+        2 => (instance.clone(), instance.clone()).prop_map(|(from, to)| Event::Fetch { from, to }),
         4 => (instance.clone(), instance.clone())
-            .prop_map(|(from, by)| Event::CatchUp { from, by }),
-        2 => instance.prop_map(Event::Start),
+            .prop_map(|(from, to)| Event::CatchUp { from, to }),
+        2 => instance.prop_map(Event::Restart),
     ]
 }
 
@@ -373,7 +378,7 @@
     rows: Vec<ChangedRow>,
 }
 
-fn message(listing: &Listing) -> Option<Message> {
+fn delta_message(listing: &Listing) -> Option<Message> {
     let part = listing.part()?;
     Some(Message {
         from: part.from,
@@ -384,17 +389,17 @@
 }
 
 /// Returns the message with all changes that an instance has missed.
-fn missed(from: &Listing, by: &Listing) -> Option<Message> {
-    let rows = from.since(by.position())?;
-    (by.position() < from.position()).then(|| Message {
-        from: by.position(),
+fn catch_up_message(from: &Listing, to: &Listing) -> Option<Message> {
+    let rows = from.since(to.position())?;
+    (to.position() < from.position()).then(|| Message {
+        from: to.position(),
         position: from.position(),
-        span: from.span_since(by.position()),
+        span: from.span_since(to.position()),
         rows,
     })
 }
 
-fn read(store: &Store, listing: &mut Listing) {
+fn read_store(store: &Store, listing: &mut Listing) {
     let changes = store.changes_after(listing.position());
     match changes.filter(|_| !listing.position().is_none()) {
         Some(rows) => listing.take(store.position, Span::Changes, rows),
@@ -403,8 +408,8 @@
 }
 
 /// Runs events, and checks after each that every list equals the store's at its position.
-fn play(events: Vec<Event>) -> Result<(), TestCaseError> {
-    let mut store = Store::begin();
+fn run_events(events: Vec<Event>) -> Result<(), TestCaseError> {
+    let mut store = Store::new();
     let mut listings = vec![Listing::default(); INSTANCE_COUNT];
     let mut messages: Vec<Message> = Vec::new();
     for event in events {
@@ -413,25 +418,29 @@
                 store.change(&format!("w{worker}"), Some(vec![content]));
             }
             Event::End(worker) => store.change(&format!("w{worker}"), None),
-            Event::Forget => store.forgotten_before = store.position,
+            Event::DiscardHistory => store.history_from = store.position,
             Event::Restore(lost_count) => store.restore(lost_count),
             Event::Read(at) => {
-                read(&store, &mut listings[at]);
-                messages.extend(message(&listings[at]));
+                read_store(&store, &mut listings[at]);
+                messages.extend(delta_message(&listings[at]));
             }
-            Event::Arrive { message, at, again } => {
+            Event::Arrive {
+                message,
+                at,
+                is_kept,
+            } => {
                 if message < messages.len() {
-                    let told = &messages[message];
-                    let verdict = listings[at].judge(told.from, told.position, told.span);
+                    let delta = &messages[message];
+                    let verdict = listings[at].judge(delta.from, delta.position, delta.span);
                     if verdict == Verdict::Applies {
-                        listings[at].take(told.position, told.span, told.rows.clone());
+                        listings[at].take(delta.position, delta.span, delta.rows.clone());
                     }
-                    if !again {
+                    if !is_kept {
                         messages.remove(message);
                     }
                 }
             }
-            Event::Fetch { from, by } => {
+            Event::Fetch { from, to } => {
                 let position = listings[from].position();
                 let rows = listings[from].rows();
                 let rows = rows.map(|(key, position, value)| ChangedRow {
@@ -440,16 +449,16 @@
                     value: Some(value.to_vec()),
                 });
                 let rows = rows.collect();
-                if position > listings[by].position() {
+                if position > listings[to].position() {
                     let history = listings[from].history().clone();
-                    listings[by].take_whole(position, rows);
-                    listings[by].adopt_history(position, history);
+                    listings[to].take_whole(position, rows);
+                    listings[to].adopt_history(position, history);
                 }
             }
-            Event::CatchUp { from, by } => {
-                messages.extend(missed(&listings[from], &listings[by]));
+            Event::CatchUp { from, to } => {
+                messages.extend(catch_up_message(&listings[from], &listings[to]));
             }
-            Event::Start(at) => listings[at] = Listing::default(),
+            Event::Restart(at) => listings[at] = Listing::default(),
         }
         for listing in &listings {
             check(&store, listing)?;
@@ -492,7 +501,7 @@
     fn a_list_equals_the_stores_at_its_version(
         events in proptest::collection::vec(event(false), 1..120)
     ) {
-        play(events)?;
+        run_events(events)?;
     }
 
     /// Guards against rows of an earlier era that remain or are missing when the store has lost
@@ -501,6 +510,6 @@
     fn a_list_equals_the_stores_though_it_comes_back_from_copies(
         events in proptest::collection::vec(event(true), 1..120)
     ) {
-        play(events)?;
+        run_events(events)?;
     }
 }
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -41,12 +41,12 @@
     /// Instances that no message reaches or leaves.
     cut: HashSet<usize>,
     now_ms: u64,
-    lost_share: f64,
+    loss_rate: f64,
     rng: StdRng,
 }
 
 impl Fleet {
-    fn start(count: usize, lost_share: f64, seed: u64) -> Self {
+    fn start(count: usize, loss_rate: f64, seed: u64) -> Self {
         let seeds = [address(0), address(1), address(2)];
         Self {
             members: (0..count)
@@ -55,7 +55,7 @@
             is_up: vec![true; count],
             cut: HashSet::new(),
             now_ms: 0,
-            lost_share,
+            loss_rate,
             rng: StdRng::seed_from_u64(seed),
         }
     }
@@ -67,13 +67,14 @@
             if !self.is_up[sender] || self.cut.contains(&sender) {
                 continue;
             }
-            let of = &self.members[sender];
-            let mut told: Vec<Ipv4Addr> =
-                of.alive(self.now_ms).sample(&mut self.rng, FAN_OUT_COUNT);
-            told.extend(of.silent(self.now_ms).sample(&mut self.rng, 1));
-            let news = of.sample(self.now_ms, &mut self.rng);
-            for recipient in told {
-                self.tell(sender, recipient, &news);
+            let instance = &self.members[sender];
+            let mut recipients: Vec<Ipv4Addr> = instance
+                .alive(self.now_ms)
+                .sample(&mut self.rng, FAN_OUT_COUNT);
+            recipients.extend(instance.silent(self.now_ms).sample(&mut self.rng, 1));
+            let news = instance.sample(self.now_ms, &mut self.rng);
+            for recipient in recipients {
+                self.send_gossip(sender, recipient, &news);
             }
         }
         for member in &mut self.members {
@@ -81,33 +82,33 @@
         }
     }
 
-    fn tell(&mut self, sender: usize, recipient: Ipv4Addr, news: &[MemberUpdate]) {
+    fn send_gossip(&mut self, sender: usize, recipient: Ipv4Addr, news: &[MemberUpdate]) {
         let recipient = (u32::from(recipient) - u32::from(address(0))) as usize;
-        let is_lost = self.rng.random_bool(self.lost_share);
+        let is_lost = self.rng.random_bool(self.loss_rate);
         if is_lost || !self.is_up[recipient] || self.cut.contains(&recipient) {
             return;
         }
         let delay_ms = self.rng.random_range(0..50);
-        let of = &mut self.members[recipient];
-        of.heard_from(self.now_ms, address(sender), domain(sender), false);
-        of.merge(self.now_ms + delay_ms, news);
+        let instance = &mut self.members[recipient];
+        instance.heard_from(self.now_ms, address(sender), domain(sender), false);
+        instance.merge(self.now_ms + delay_ms, news);
     }
 
     /// Returns the number of rounds until 99 % of the other live instances agree on whether a
     /// member is alive.
-    fn until(&mut self, number: usize, is_alive: bool, round_max_count: usize) -> usize {
+    fn rounds_until(&mut self, number: usize, is_alive: bool, round_max_count: usize) -> usize {
         for round in 0..round_max_count {
             let observers = (0..self.members.len())
                 .filter(|observer| *observer != number && self.is_up[*observer])
                 .filter(|observer| !self.cut.contains(observer));
-            let all: Vec<bool> = observers
+            let agreements: Vec<bool> = observers
                 .map(|observer| {
                     let mut alive = self.members[observer].alive(self.now_ms);
                     alive.any(|known| known == address(number)) == is_alive
                 })
                 .collect();
-            let right_count = all.iter().filter(|is_right| **is_right).count();
-            if right_count as f64 >= 0.99 * all.len() as f64 {
+            let agreeing_count = agreements.iter().filter(|agrees| **agrees).count();
+            if agreeing_count as f64 >= 0.99 * agreements.len() as f64 {
                 return round;
             }
             self.round();
@@ -125,13 +126,13 @@
     let known = fleet
         .members
         .iter()
-        .map(|of| of.alive(fleet.now_ms).count());
+        .map(|instance| instance.alive(fleet.now_ms).count());
     let least = known.min().unwrap_or_default();
     assert!(least >= 296, "{least} of 299 known");
     // One instance dies: the others detect it within the liveness time-out.
     fleet.is_up[77] = false;
     let within_ms = fleet.members[0].liveness_timeout_ms();
-    let round_count = fleet.until(77, false, 80);
+    let round_count = fleet.rounds_until(77, false, 80);
     assert!(
         round_count as u64 * ROUND_MS <= within_ms + 2_000,
         "{round_count}"
@@ -139,7 +140,7 @@
     // It restarts and knows only its seeds.
     fleet.is_up[77] = true;
     fleet.members[77] = Membership::new(address(77), domain(77), &[address(0), address(1)]);
-    let round_count = fleet.until(77, true, 40);
+    let round_count = fleet.rounds_until(77, true, 40);
     assert!(round_count <= 20, "{round_count} rounds");
     // A tenth of the fleet is cut off for some seconds and rejoins.
     fleet.cut = (100..130).collect();
@@ -147,7 +148,7 @@
         fleet.round();
     }
     fleet.cut.clear();
-    let round_count = fleet.until(115, true, 100);
+    let round_count = fleet.rounds_until(115, true, 100);
     assert!(round_count <= 60, "{round_count} rounds");
 }
 
@@ -161,7 +162,7 @@
     for key in 0..240_u64 {
         let owner = fleet.members[0].owner(fleet.now_ms, key);
         let agree = fleet.members.iter();
-        let agree = agree.filter(|of| of.owner(fleet.now_ms, key) == owner);
+        let agree = agree.filter(|instance| instance.owner(fleet.now_ms, key) == owner);
         assert!(agree.count() >= 58, "{key}");
         key_counts[(u32::from(owner) - u32::from(address(0))) as usize] += 1;
     }
@@ -169,7 +170,7 @@
     let ranks: HashSet<u64> = fleet
         .members
         .iter()
-        .map(|of| of.rank(fleet.now_ms, 5))
+        .map(|instance| instance.rank(fleet.now_ms, 5))
         .collect();
     assert!(ranks.len() >= 58, "{}", ranks.len());
 }
@@ -196,7 +197,8 @@
             assert_eq!(number_of(owner) % DOMAINS.len(), place, "{key}");
             key_counts[number_of(owner)] += 1;
             let agree = fleet.members.iter();
-            let agree = agree.filter(|of| of.owner_near(fleet.now_ms, key, &proximity) == owner);
+            let agree = agree
+                .filter(|instance| instance.owner_near(fleet.now_ms, key, &proximity) == owner);
             assert!(agree.count() >= 56, "{key}");
         }
         assert!(key_counts.iter().max() <= Some(&24), "{key_counts:?}");
@@ -244,8 +246,8 @@
     members.heard_from(11_000, address(1), domain(2), false);
     members.merge(11_100, &[news(domain(1), 1_600)]);
     assert_eq!(members.domain_of(address(1)), Some(domain(2)));
-    let told = members.sample(11_200, &mut rand::rng());
-    assert_eq!(told[0].domain, domain(2));
+    let sampled = members.sample(11_200, &mut rand::rng());
+    assert_eq!(sampled[0].domain, domain(2));
 }
 
 #[test]
@@ -272,12 +274,12 @@
 proptest! {
     #[test]
     fn news_never_make_a_member_younger_than_it_is(
-        told in prop::collection::vec((1_usize..20, 0_u32..20_000), 1..200)
+        updates in prop::collection::vec((1_usize..20, 0_u32..20_000), 1..200)
     ) {
         let mut members = Membership::new(address(0), domain(0), &[]);
         let now_ms = 100_000;
         let mut youngest = [u64::MAX; 20];
-        for (number, age_ms) in told {
+        for (number, age_ms) in updates {
             youngest[number] = youngest[number].min(u64::from(age_ms));
             let news = MemberUpdate {
                 address: address(number),
--- a/crates/cranereach-fleet/tests/named_limits/reading.rs
+++ b/crates/cranereach-fleet/tests/named_limits/reading.rs
@@ -6,13 +6,13 @@
 use cranereach_fleet::named_limit::NamedRate;
 use cranereach_fleet::named_limit::read;
 
-fn of(values: &[&str]) -> NamedRate {
+fn parse(values: &[&str]) -> NamedRate {
     read(values.iter().map(|value| value.as_bytes()))
 }
 
 #[test]
 fn each_kind_of_value_has_a_meaning() {
-    assert_eq!(of(&[]), NamedRate::Nothing);
+    assert_eq!(parse(&[]), NamedRate::Nothing);
     for (text, rate) in [
         ("1.2", 1.2),
         (" 1.2 ", 1.2),
@@ -22,7 +22,7 @@
         ("1e300", 1e300),
         ("0.000001", 0.000_001),
     ] {
-        assert_eq!(of(&[text]), NamedRate::Limit(rate), "{text}");
+        assert_eq!(parse(&[text]), NamedRate::Limit(rate), "{text}");
     }
     let long = "1".repeat(64);
     for text in [
@@ -40,15 +40,15 @@
         "1e999",
         long.as_str(),
     ] {
-        assert_eq!(of(&[text]), NamedRate::Unreadable, "{text}");
+        assert_eq!(parse(&[text]), NamedRate::Unreadable, "{text}");
     }
     assert_eq!(read([&[0xff, 0x31][..]].into_iter()), NamedRate::Unreadable);
     // Several values: the lowest valid one counts.
-    assert_eq!(of(&["3", "2"]), NamedRate::Limit(2.0));
-    assert_eq!(of(&["2", "3"]), NamedRate::Limit(2.0));
-    assert_eq!(of(&["nan", "3"]), NamedRate::Limit(3.0));
-    assert_eq!(of(&["3", "nan"]), NamedRate::Limit(3.0));
-    assert_eq!(of(&["nan", "x"]), NamedRate::Unreadable);
+    assert_eq!(parse(&["3", "2"]), NamedRate::Limit(2.0));
+    assert_eq!(parse(&["2", "3"]), NamedRate::Limit(2.0));
+    assert_eq!(parse(&["nan", "3"]), NamedRate::Limit(3.0));
+    assert_eq!(parse(&["3", "nan"]), NamedRate::Limit(3.0));
+    assert_eq!(parse(&["nan", "x"]), NamedRate::Unreadable);
 }
 
 #[test]
@@ -64,10 +64,10 @@
 #[test]
 fn a_rate_beyond_all_measure_is_no_limit() {
     let mut limit = NamedLimit::default();
-    assert!(!limit.observe(of(&["1e300"]), true, 1_000, 1_100));
+    assert!(!limit.observe(parse(&["1e300"]), true, 1_000, 1_100));
     assert_eq!(limit.rate_per_s(1_200), None);
     limit.observe(NamedRate::Limit(2.0), true, 1_200, 1_300);
-    assert!(limit.observe(of(&["1e300"]), true, 1_400, 1_500));
+    assert!(limit.observe(parse(&["1e300"]), true, 1_400, 1_500));
     assert_eq!(limit.rate_per_s(1_600), None);
 }
 
--- a/crates/cranereach-fleet/tests/named_limits/words.rs
+++ b/crates/cranereach-fleet/tests/named_limits/words.rs
@@ -11,7 +11,7 @@
 const START: u64 = 5;
 
 /// Returns a limit named in an answer at `at_ms`, to a request sent 50 ms before.
-fn named(rate: f64, at_ms: u64) -> NamedLimit {
+fn limit_received(rate: f64, at_ms: u64) -> NamedLimit {
     let mut limit = NamedLimit::default();
     limit.observe(NamedRate::Limit(rate), true, at_ms - 50, at_ms);
     limit
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_tighter_word_counts_at_once_a_looser_one_only_if_it_was_asked_for_later() {
-    let mut limit = named(10.0, 1_000);
+    let mut limit = limit_received(10.0, 1_000);
     assert!(limit.observe(NamedRate::Limit(2.0), true, 900, 1_010));
     // This answer may have been made before the other one.
     assert!(!limit.observe(NamedRate::Limit(10.0), true, 1_005, 1_020));
@@ -31,7 +31,7 @@
 #[test]
 fn what_ends_a_limit() {
     // A successful answer without a limit, to a request sent after the limit was received.
-    let mut limit = named(2.0, 1_000);
+    let mut limit = limit_received(2.0, 1_000);
     assert!(
         !limit.observe(NamedRate::Nothing, false, 1_500, 1_600),
         "a failure"
@@ -43,12 +43,12 @@
     assert!(limit.observe(NamedRate::Nothing, true, 1_500, 1_600));
     assert_eq!(limit.rate_per_s(1_600), None);
     // No report within the expiry time.
-    let limit = named(2.0, 1_000);
+    let limit = limit_received(2.0, 1_000);
     assert_eq!(limit.rate_per_s(999 + LIMIT_EXPIRES_AFTER_MS), Some(2.0));
     assert_eq!(limit.rate_per_s(1_000 + LIMIT_EXPIRES_AFTER_MS), None);
     // A peer's report that the limit has ended.
-    let mut limit = named(2.0, 1_000);
-    let mut other = named(2.0, 1_000);
+    let mut limit = limit_received(2.0, 1_000);
+    let mut other = limit_received(2.0, 1_000);
     other.observe(NamedRate::Nothing, true, 1_500, 1_600);
     assert!(limit.merge(1_610, &other.report(1_605, || START).unwrap()));
     assert_eq!(limit.rate_per_s(1_610), None);
@@ -60,21 +60,21 @@
     limit.observe(NamedRate::Nothing, true, 900, 1_000);
     assert_eq!(limit.report(1_000, || START), None);
     assert_eq!(
-        named(2.0, 1_000).report(1_000 + LIMIT_EXPIRES_AFTER_MS, || START),
+        limit_received(2.0, 1_000).report(1_000 + LIMIT_EXPIRES_AFTER_MS, || START),
         None
     );
 }
 
 #[test]
 fn an_old_word_does_not_bring_back_what_has_ended() {
-    let old = named(2.0, 1_000);
-    let told = old.report(1_000, || START).unwrap();
-    let mut limit = named(2.0, 1_000);
+    let old = limit_received(2.0, 1_000);
+    let old_report = old.report(1_000, || START).unwrap();
+    let mut limit = limit_received(2.0, 1_000);
     limit.observe(NamedRate::Nothing, true, 1_500, 1_600);
     let late = LimitReport {
         asked_age_ms: 1_050,
         heard_age_ms: 1_000,
-        ..told
+        ..old_report
     };
     assert!(!limit.merge(2_000, &late));
     assert_eq!(limit.rate_per_s(2_000), None);
@@ -82,15 +82,15 @@
 
 #[test]
 fn words_that_go_round_do_not_keep_a_limit_alive() {
-    let mut first = named(2.0, 1_000);
+    let mut first = limit_received(2.0, 1_000);
     let mut second = NamedLimit::default();
     let mut now_ms = 1_000;
     while now_ms < 1_000 + 2 * LIMIT_EXPIRES_AFTER_MS {
-        if let Some(word) = first.report(now_ms, || START) {
-            second.merge(now_ms + 10, &word);
+        if let Some(limit_report) = first.report(now_ms, || START) {
+            second.merge(now_ms + 10, &limit_report);
         }
-        if let Some(word) = second.report(now_ms + 10, || START) {
-            first.merge(now_ms + 20, &word);
+        if let Some(limit_report) = second.report(now_ms + 10, || START) {
+            first.merge(now_ms + 20, &limit_report);
         }
         now_ms += 20;
     }
@@ -100,15 +100,15 @@
 
 #[test]
 fn senseless_words_of_others_change_nothing() {
-    let mut limit = named(2.0, 1_000);
+    let mut limit = limit_received(2.0, 1_000);
     for rate in [-1.0, f64::NAN, f64::INFINITY] {
-        let word = LimitReport {
+        let limit_report = LimitReport {
             start: START,
             rate_per_s: Some(rate),
             asked_age_ms: 0,
             heard_age_ms: 0,
         };
-        assert!(!limit.merge(5_000, &word), "{rate}");
+        assert!(!limit.merge(5_000, &limit_report), "{rate}");
         assert_eq!(limit.rate_per_s(5_000), Some(2.0));
     }
 }
@@ -119,37 +119,43 @@
     /// answer changes that.
     #[test]
     fn the_last_figure_holds_whatever_overtakes_it(
-        figures in prop::collection::vec((1_u64..400, prop::option::of(0_u8..5)), 1..12),
+        rates in prop::collection::vec((1_u64..400, prop::option::of(0_u8..5)), 1..12),
         delays_ms in prop::collection::vec((0_u64..200, 0_u64..200), 1..60),
     ) {
         // Limits of the worker, each with the time from which it applies.
         let mut changes = vec![(0_u64, Some(1.0))];
         let mut at_ms = 1_000;
-        for (for_ms, figure) in figures {
-            changes.push((at_ms, figure.map(f64::from)));
+        for (for_ms, rate) in rates {
+            changes.push((at_ms, rate.map(f64::from)));
             at_ms += for_ms;
         }
-        let (last_ms, last) = *changes.last().unwrap();
-        let names = |at_ms: u64| changes.iter().rfind(|(from_ms, _)| *from_ms <= at_ms).unwrap().1;
+        let (last_ms, last_rate) = *changes.last().unwrap();
+        let rate_at = |at_ms: u64| {
+            changes.iter().rfind(|(from_ms, _)| *from_ms <= at_ms).unwrap().1
+        };
         let mut answers: Vec<(u64, u64, Option<f64>)> = Vec::new();
-        for (index, (way_ms, back_ms)) in (0_u64..).zip(&delays_ms) {
+        for (index, (request_delay_ms, answer_delay_ms)) in (0_u64..).zip(&delays_ms) {
             let asked_ms = 500 + index * 45;
-            answers.push((asked_ms + way_ms + back_ms, asked_ms, names(asked_ms + way_ms)));
+            answers.push((
+                asked_ms + request_delay_ms + answer_delay_ms,
+                asked_ms,
+                rate_at(asked_ms + request_delay_ms),
+            ));
         }
         answers.sort_by_key(|(heard_ms, ..)| *heard_ms);
         let mut limit = NamedLimit::default();
         let mut is_settled = false;
         let mut tightest_since_ms = 0;
-        for (heard_ms, asked_ms, figure) in answers {
-            let said = figure.map_or(NamedRate::Nothing, NamedRate::Limit);
-            limit.observe(said, true, asked_ms, heard_ms);
+        for (heard_ms, asked_ms, rate) in answers {
+            let named_rate = rate.map_or(NamedRate::Nothing, NamedRate::Limit);
+            limit.observe(named_rate, true, asked_ms, heard_ms);
             // All answers made before the last change have arrived 200 ms after it.
             is_settled |= asked_ms >= last_ms + 200 && asked_ms >= tightest_since_ms;
             if asked_ms < last_ms {
                 tightest_since_ms = heard_ms;
             }
             if is_settled {
-                prop_assert_eq!(limit.rate_per_s(heard_ms), last);
+                prop_assert_eq!(limit.rate_per_s(heard_ms), last_rate);
             }
         }
     }
--- a/crates/cranereach-fleet/tests/orders.rs
+++ b/crates/cranereach-fleet/tests/orders.rs
@@ -35,8 +35,8 @@
 struct Worker {
     sequence: u64,
     replicas: Vec<ModelReplica>,
-    under_way: Option<(u64, Order)>,
-    late: Vec<(u64, OpenOrder)>,
+    in_progress: Option<(u64, Order)>,
+    late_orders: Vec<(u64, OpenOrder)>,
     /// Earlier states with their times in milliseconds; reports show one of them.
     history: Vec<(u64, WorkerState)>,
 }
@@ -55,7 +55,7 @@
     fn state(&self) -> WorkerState {
         WorkerState {
             sequence: self.sequence,
-            is_busy: self.under_way.is_some(),
+            is_busy: self.in_progress.is_some(),
             replicas: self.replicas.clone(),
         }
     }
@@ -63,11 +63,11 @@
     /// Checks memory and adapter slots, counting a model that is being loaded.
     fn check(&self, seed: u64) {
         let sizes = sizes();
-        let coming = match self.under_way {
+        let loading_mb = match self.in_progress {
             Some((_, Order::Load(model))) => sizes[usize::from(model)].weights_mb,
             _ => 0.0,
         };
-        let held: f64 = self
+        let held_mb: f64 = self
             .replicas
             .iter()
             .map(|replica| {
@@ -76,8 +76,8 @@
             })
             .sum();
         assert!(
-            held + coming <= WEIGHTS_MB,
-            "seed {seed}: {held} + {coming} MB"
+            held_mb + loading_mb <= WEIGHTS_MB,
+            "seed {seed}: {held_mb} + {loading_mb} MB"
         );
         let adapters: usize = self
             .replicas
@@ -90,18 +90,18 @@
         );
     }
 
-    fn take(&mut self, now_ms: u64, open: OpenOrder) -> OrderEnd {
+    fn receive(&mut self, now_ms: u64, open: OpenOrder) -> OrderEnd {
         if open.expected_sequence != self.sequence {
             return OrderEnd::Conflict;
         }
         let is_model = matches!(open.order, Order::Load(_) | Order::Unload(_));
-        if is_model && self.under_way.is_some() {
+        if is_model && self.in_progress.is_some() {
             return OrderEnd::Conflict;
         }
         self.sequence += 1;
         match open.order {
-            Order::Load(_) => self.under_way = Some((now_ms + LOAD_MS, open.order)),
-            Order::Unload(_) => self.under_way = Some((now_ms + 200, open.order)),
+            Order::Load(_) => self.in_progress = Some((now_ms + LOAD_MS, open.order)),
+            Order::Unload(_) => self.in_progress = Some((now_ms + 200, open.order)),
             Order::LoadAdapter((model, adapter)) => {
                 let replica = self
                     .replicas
@@ -124,9 +124,9 @@
         OrderEnd::Taken
     }
 
-    fn pass(&mut self, now_ms: u64) {
-        if let Some((_, order)) = self.under_way.filter(|(at_ms, _)| *at_ms <= now_ms) {
-            self.under_way = None;
+    fn advance(&mut self, now_ms: u64) {
+        if let Some((_, order)) = self.in_progress.filter(|(at_ms, _)| *at_ms <= now_ms) {
+            self.in_progress = None;
             match order {
                 Order::Load(model) => self.replicas.push(ModelReplica {
                     model,
@@ -137,11 +137,11 @@
             }
         }
         let due: Vec<(u64, OpenOrder)> = self
-            .late
+            .late_orders
             .extract_if(.., |(at_ms, _)| *at_ms <= now_ms)
             .collect();
         for (_, open) in due {
-            self.take(now_ms, open);
+            self.receive(now_ms, open);
         }
         self.history.push((now_ms, self.state()));
     }
@@ -163,21 +163,21 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "one world, told from top to bottom")]
-fn run(seed: u64) -> usize {
+fn run_simulation(seed: u64) -> usize {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ids: Vec<Arc<str>> = (0..WORKER_COUNT)
         .map(|n| Arc::from(format!("w{n}")))
         .collect();
     let mut workers: Vec<Worker> = (0..WORKER_COUNT).map(|_| Worker::default()).collect();
     let mut ledger = Ledger::default();
-    let mut on_way: Vec<(u64, usize, Answer)> = Vec::new();
+    let mut in_transit: Vec<(u64, usize, Answer)> = Vec::new();
     let mut demand: HashMap<ModelKey, f64> = HashMap::new();
     let models = sizes();
     let mut taken_count = 0;
     for step in 0..STEP_COUNT {
         let now_ms = step * 20;
         for worker in &mut workers {
-            worker.pass(now_ms);
+            worker.advance(now_ms);
             worker.check(seed);
         }
         if step % 100 == 0 {
@@ -193,7 +193,7 @@
         if rng.random_bool(0.002) {
             // Another holder takes over and knows only rows and reports.
             ledger.clear();
-            on_way.clear();
+            in_transit.clear();
         }
         for (number, worker) in workers.iter().enumerate() {
             // Rows are even older than reports.
@@ -212,7 +212,7 @@
                 },
             );
         }
-        let arrived: Vec<(u64, usize, Answer)> = on_way
+        let arrived: Vec<(u64, usize, Answer)> = in_transit
             .extract_if(.., |(at_ms, ..)| *at_ms <= now_ms)
             .collect();
         for (_, number, answer) in arrived {
@@ -226,7 +226,7 @@
             let number = ids.iter().position(|known| *known == id).unwrap();
             let report = workers[number].report(now_ms, 100);
             let report = report.filter(|_| rng.random_bool(0.9));
-            on_way.push((
+            in_transit.push((
                 now_ms + rng.random_range(0..300),
                 number,
                 Answer::Report(report),
@@ -261,20 +261,20 @@
             let end = match rng.random_range(0..10) {
                 0 => OrderEnd::Unanswered,
                 1 => {
-                    workers[number].take(now_ms, open);
+                    workers[number].receive(now_ms, open);
                     OrderEnd::Unanswered
                 }
                 2 => {
                     let at_ms = now_ms + rng.random_range(2_000..12_000);
-                    workers[number].late.push((at_ms, open));
+                    workers[number].late_orders.push((at_ms, open));
                     OrderEnd::Unanswered
                 }
                 3 => OrderEnd::NotSent,
-                _ => workers[number].take(now_ms, open),
+                _ => workers[number].receive(now_ms, open),
             };
             taken_count += usize::from(end == OrderEnd::Taken);
             let at_ms = now_ms + rng.random_range(0..200);
-            on_way.push((at_ms, number, Answer::Order(end, sent)));
+            in_transit.push((at_ms, number, Answer::Order(end, sent)));
         }
     }
     taken_count
@@ -282,10 +282,10 @@
 
 #[test]
 fn no_worker_is_ordered_beyond_its_memory_or_slots() {
-    let taken: usize = (0..SEED_COUNT).map(run).sum();
+    let taken: usize = (0..SEED_COUNT).map(run_simulation).sum();
     assert!(
         taken > 20 * SEED_COUNT as usize,
-        "the worlds order: {taken}"
+        "too few orders were taken: {taken}"
     );
 }
 
@@ -340,7 +340,7 @@
     assert_eq!(
         ledger.reports_due(2_000),
         [id],
-        "the first one had been taken"
+        "the worker took the first send, so a report is due"
     );
 }
 
@@ -373,18 +373,18 @@
         ..WorkerState::default()
     };
     ledger.reported(0, &id, Some(state));
-    let told = |ledger: &mut Ledger, now_ms| -> Vec<u16> {
+    let announced = |ledger: &mut Ledger, now_ms| -> Vec<u16> {
         let adapters = ledger.adapters(now_ms);
         adapters
             .into_iter()
             .map(|(_, (_, adapter))| adapter)
             .collect()
     };
-    assert_eq!(told(&mut ledger, 0), [1]);
+    assert_eq!(announced(&mut ledger, 0), [1]);
     ledger.begin(&id, Order::LoadAdapter((2, 5))).unwrap();
     // Guards against requests that reach the worker before the adapter and are refused.
-    assert_eq!(told(&mut ledger, 10), [1], "the order is on its way");
+    assert_eq!(announced(&mut ledger, 10), [1], "the order is in transit");
     ledger.ended(20, &id, OrderEnd::Taken, 1, 1_000);
-    assert_eq!(told(&mut ledger, 21), [1], "the worker is loading it");
-    assert_eq!(told(&mut ledger, 200), [1, 5]);
+    assert_eq!(announced(&mut ledger, 21), [1], "the worker is loading it");
+    assert_eq!(announced(&mut ledger, 200), [1, 5]);
 }
--- a/crates/cranereach-fleet/tests/outage_pace.rs
+++ b/crates/cranereach-fleet/tests/outage_pace.rs
@@ -6,24 +6,25 @@
 
 use cranereach_fleet::outage_pace::should_probe;
 
-const LOOK_EVERY_MS: u64 = 100;
+/// Time between two checks of an instance, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 100;
 
 /// Share of the instances that the store refuses.
-const TURNED_AWAY_SHARE: f64 = 0.35;
+const REFUSED_SHARE: f64 = 0.35;
 
 /// Returns the time until one of the other instances reaches the store, in milliseconds, and the
 /// number of their probes.
-fn until_reached(instance_count: usize, seed: u64) -> (u64, usize) {
+fn time_until_reached(instance_count: usize, seed: u64) -> (u64, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut try_count = 0;
+    let mut probe_count = 0;
     let mut at_ms = 0;
     loop {
-        at_ms += LOOK_EVERY_MS;
+        at_ms += CHECK_INTERVAL_MS;
         for _instance in 0..instance_count {
-            if should_probe(instance_count, LOOK_EVERY_MS, rng.random()) {
-                try_count += 1;
-                if rng.random::<f64>() >= TURNED_AWAY_SHARE {
-                    return (at_ms, try_count);
+            if should_probe(instance_count, CHECK_INTERVAL_MS, rng.random()) {
+                probe_count += 1;
+                if rng.random::<f64>() >= REFUSED_SHARE {
+                    return (at_ms, probe_count);
                 }
             }
         }
@@ -36,7 +37,7 @@
     // of 78 instances, and for 41 s in one of 984.
     for instance_count in [20, 78, 984, 3_300] {
         let mut times_ms: Vec<u64> = (0..200)
-            .map(|seed| until_reached(instance_count, seed).0)
+            .map(|seed| time_until_reached(instance_count, seed).0)
             .collect();
         times_ms.sort_unstable();
         assert!(times_ms[100] <= 200, "{instance_count}: {}", times_ms[100]);
@@ -48,11 +49,12 @@
 fn the_others_together_make_a_bounded_number_of_calls() {
     let mut rng = StdRng::seed_from_u64(1);
     for instance_count in [5, 78, 984, 3_300] {
-        let looks = 200;
-        let draws = instance_count * looks;
-        let tries =
-            (0..draws).filter(|_| should_probe(instance_count, LOOK_EVERY_MS, rng.random()));
-        let per_s = tries.count() as f64 * 1_000.0 / (looks as u64 * LOOK_EVERY_MS) as f64;
+        let check_count = 200;
+        let draws = instance_count * check_count;
+        let probes =
+            (0..draws).filter(|_| should_probe(instance_count, CHECK_INTERVAL_MS, rng.random()));
+        let per_s =
+            probes.count() as f64 * 1_000.0 / (check_count as u64 * CHECK_INTERVAL_MS) as f64;
         assert!(per_s <= 14.0, "{instance_count}: {per_s}");
     }
 }
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -10,7 +10,7 @@
 /// Key of the worker.
 const WORKER: u64 = 7;
 
-fn opening(unread_ms: f32) -> SentRequest {
+fn sent_request(unread_ms: f32) -> SentRequest {
     SentRequest {
         rank: 1,
         unread_ms,
@@ -31,9 +31,9 @@
 #[test]
 fn requests_of_all_instances_count_from_send_to_end() {
     let mut owned = OwnedWorkers::default();
-    owned.request_started(0, WORKER, (1, 1), opening(80.0), &[]);
+    owned.request_started(0, WORKER, (1, 1), sent_request(80.0), &[]);
     // The same number from another instance is another request.
-    owned.request_started(1, WORKER, (2, 1), opening(40.0), &[]);
+    owned.request_started(1, WORKER, (2, 1), sent_request(40.0), &[]);
     let load = owned.status(2, WORKER, &[], 0.0).load;
     assert_eq!((load.open_count, load.waiting_count), (2, [0, 2, 0]));
     assert!((load.unread_ms[1] - 120.0).abs() < 0.01);
@@ -52,7 +52,7 @@
 #[test]
 fn lost_words_age_out() {
     let mut owned = OwnedWorkers::default();
-    owned.request_started(0, WORKER, (1, 1), opening(100.0), &[]);
+    owned.request_started(0, WORKER, (1, 1), sent_request(100.0), &[]);
     assert_eq!(
         owned.status(1_399, WORKER, &[], 0.0).load.waiting_count[1],
         1
@@ -69,7 +69,7 @@
 fn parts_that_any_instance_sent_count_as_kept() {
     let mut owned = OwnedWorkers::default();
     let sent = [part(1), part(2)];
-    owned.request_started(0, WORKER, (1, 1), opening(80.0), &sent);
+    owned.request_started(0, WORKER, (1, 1), sent_request(80.0), &sent);
     let kept = |owned: &mut OwnedWorkers, chains: &[u64]| {
         owned.status(1, WORKER, chains, 0.0).kept_part_count
     };
@@ -87,10 +87,10 @@
 fn a_slow_worker_is_known_by_a_few_answers_and_tried_again() {
     let mut owned = OwnedWorkers::default();
     let answer = |owned: &mut OwnedWorkers, at_ms: u64, peer: u32, took_ms: f64| {
-        owned.request_started(at_ms, WORKER, (peer, at_ms), opening(100.0), &[]);
-        let read_ms = at_ms + took_ms as u64;
-        owned.prefilled(read_ms, WORKER, (peer, at_ms), took_ms);
-        owned.request_ended(read_ms, WORKER, (peer, at_ms), Outcome::Whole);
+        owned.request_started(at_ms, WORKER, (peer, at_ms), sent_request(100.0), &[]);
+        let prefilled_ms = at_ms + took_ms as u64;
+        owned.prefilled(prefilled_ms, WORKER, (peer, at_ms), took_ms);
+        owned.request_ended(prefilled_ms, WORKER, (peer, at_ms), Outcome::Whole);
     };
     for round in 0..5 {
         answer(&mut owned, round * 200, round as u32, 100.0);
@@ -110,21 +110,24 @@
 #[test]
 fn requests_given_up_while_a_worker_stalls_speak_against_it() {
     let mut owned = OwnedWorkers::default();
-    let give_up = |owned: &mut OwnedWorkers, after_ms: u64| {
+    let cancel = |owned: &mut OwnedWorkers, after_ms: u64| {
         for peer in 0..3 {
-            owned.request_started(0, WORKER, (peer, after_ms), opening(80.0), &[]);
+            owned.request_started(0, WORKER, (peer, after_ms), sent_request(80.0), &[]);
         }
         for peer in 0..3 {
             owned.request_ended(after_ms, WORKER, (peer, after_ms), Outcome::Neutral);
         }
         owned.status(after_ms, WORKER, &[], 0.0).is_aside
     };
-    assert!(!give_up(&mut owned, 900), "callers leave as they like");
-    assert!(give_up(&mut owned, 4_900));
+    assert!(
+        !cancel(&mut owned, 900),
+        "callers may cancel for their own reasons"
+    );
+    assert!(cancel(&mut owned, 4_900));
     // A request cancelled after its prefill says nothing about the worker.
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
-        owned.request_started(0, WORKER, (peer, 1), opening(80.0), &[]);
+        owned.request_started(0, WORKER, (peer, 1), sent_request(80.0), &[]);
         owned.prefilled(80, WORKER, (peer, 1), 80.0);
         owned.request_ended(9_000, WORKER, (peer, 1), Outcome::Neutral);
     }
@@ -137,7 +140,7 @@
     let mut ticket = 0;
     let mut call = |owned: &mut OwnedWorkers, now_ms: u64, outcome: Outcome| {
         ticket += 1;
-        owned.request_started(now_ms, WORKER, (1, ticket), opening(0.0), &[]);
+        owned.request_started(now_ms, WORKER, (1, ticket), sent_request(0.0), &[]);
         owned.request_ended(now_ms + 10, WORKER, (1, ticket), outcome);
     };
     // Each ejection lasts longer: there are four in this loop, the last for 4.8 s.
@@ -151,17 +154,17 @@
     for _call in 0..3 {
         call(&mut owned, now_ms, Outcome::Failed);
     }
-    let may_go = |owned: &mut OwnedWorkers, now_ms: u64| {
+    let may_probe = |owned: &mut OwnedWorkers, now_ms: u64| {
         !owned
             .status_for_repeatable(now_ms, WORKER, &[], 0.0)
             .is_aside
     };
     // Meanwhile, calls that may not be repeated go elsewhere; others probe it one at a time.
-    assert!(!may_go(&mut owned, now_ms + 100));
-    assert!(may_go(&mut owned, now_ms + 300));
-    assert!(!may_go(&mut owned, now_ms + 301));
+    assert!(!may_probe(&mut owned, now_ms + 100));
+    assert!(may_probe(&mut owned, now_ms + 300));
+    assert!(!may_probe(&mut owned, now_ms + 301));
     call(&mut owned, now_ms + 300, Outcome::Failed);
-    assert!(may_go(&mut owned, now_ms + 600));
+    assert!(may_probe(&mut owned, now_ms + 600));
     for number in 0..3 {
         let at_ms = now_ms + 600 + number * 200;
         assert!(owned.status(at_ms, WORKER, &[], 0.0).is_aside, "{number}");
@@ -175,7 +178,7 @@
     SentRequest {
         gap_aim_ms: 500,
         event_tokens: 3,
-        ..opening(unread_ms)
+        ..sent_request(unread_ms)
     }
 }
 
@@ -249,7 +252,7 @@
 fn failures_at_several_instances_put_a_worker_aside() {
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
-        owned.request_started(0, WORKER, (peer, 1), opening(80.0), &[]);
+        owned.request_started(0, WORKER, (peer, 1), sent_request(80.0), &[]);
         assert!(!owned.status(1, WORKER, &[], 0.0).is_aside);
         owned.request_ended(1, WORKER, (peer, 1), Outcome::Failed);
     }
@@ -261,15 +264,24 @@
 proptest! {
     #[test]
     fn whatever_comes_in_whatever_order_stays_bounded(
-        words in prop::collection::vec((0_u8..4, 0_u64..3, 0_u32..3, 0_u64..6, -1e9_f32..1e9), 0..400)
+        events in prop::collection::vec(
+            (0_u8..4, 0_u64..3, 0_u32..3, 0_u64..6, -1e9_f32..1e9),
+            0..400,
+        )
     ) {
         let mut owned = OwnedWorkers::default();
         let mut now_ms = 0;
-        for (kind, worker, peer, number, value) in words {
+        for (kind, worker, peer, number, value) in events {
             now_ms += number;
             let ticket = (peer, number);
             match kind {
-                0 => owned.request_started(now_ms, worker, ticket, opening(value), &[part(number)]),
+                0 => owned.request_started(
+                    now_ms,
+                    worker,
+                    ticket,
+                    sent_request(value),
+                    &[part(number)],
+                ),
                 1 => owned.prefilled(now_ms, worker, ticket, f64::from(value)),
                 2 => owned.request_ended(now_ms, worker, ticket, Outcome::Failed),
                 _ => owned.request_ended(now_ms, worker, ticket, Outcome::Whole),
@@ -286,11 +298,11 @@
 #[test]
 fn an_owner_says_whether_a_request_runs_there_that_runs_alone() {
     let mut owned = OwnedWorkers::default();
-    owned.request_started(1_000, WORKER, (1, 1), opening(10.0), &[]);
+    owned.request_started(1_000, WORKER, (1, 1), sent_request(10.0), &[]);
     assert!(!owned.status(1_010, WORKER, &[], 0.0).has_suspect);
     let alone = SentRequest {
         runs_alone: true,
-        ..opening(10.0)
+        ..sent_request(10.0)
     };
     owned.request_started(1_020, WORKER, (2, 2), alone, &[]);
     assert!(owned.status(1_030, WORKER, &[], 0.0).has_suspect);
