--- a/crates/cranereach-fleet/tests/own_words/judge.rs
+++ b/crates/cranereach-fleet/tests/own_words/judge.rs
@@ -1,18 +1,19 @@
-//! Judges a world by what its workers saw and said.
+//! Checks a simulated world against the guarantees, by what its workers received and announced.
 
 use std::collections::HashMap;
 
-/// Time after an instance has passed an answer on that says its worker leaves, in
-/// milliseconds, from which callers' requests through it must not reach that worker.
+/// Time after an instance has forwarded an answer that announces a departure, in milliseconds, from
+/// which callers' requests through this instance must not reach the departing worker.
 const DRAIN_MS: u64 = 2_000;
 
-/// Time after an answer that asks for rest, in milliseconds, from which requests count.
+/// Time after an answer that requests a rest, in milliseconds, from which requests during the rest
+/// count; earlier ones may have been in transit.
 const ON_THE_WAY_MS: u64 = 500;
 
-/// Requests that are tolerated in a rest.
+/// Number of requests that are tolerated during a rest.
 const TOLERATED_COUNT: usize = 2;
 
-/// A request at a worker.
+/// A request that arrived at a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub instance: usize,
@@ -25,24 +26,24 @@
     pub at_ms: u64,
 }
 
-/// What a start of a worker told an instance.
+/// What one incarnation of a worker announced to an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
     pub instance: usize,
     pub worker: usize,
     pub start: u64,
     pub at_ms: u64,
-    /// Rest, in milliseconds.
+    /// Length of the rest, in milliseconds; zero for a departure.
     pub for_ms: u64,
 }
 
-/// What happened in a world.
+/// Record of a simulated world.
 #[derive(Debug, Default)]
 pub struct Record {
     pub arrivals: Vec<Arrival>,
-    /// Answers that said that their worker leaves, as instances passed them on.
+    /// Answers that announced their worker's departure, as instances forwarded them.
     pub told: Vec<Told>,
-    /// Answers that asked for rest, as workers made them.
+    /// Answers that requested a rest, as workers made them.
     pub rests: Vec<Told>,
     stops: Vec<(usize, u64, u64)>,
     cuts: Vec<(usize, u64, u64)>,
@@ -57,14 +58,15 @@
         self.cuts.push((instance, from_ms, to_ms));
     }
 
-    /// Whether something befell an instance in a span.
+    /// Returns whether a disturbance of an instance overlaps a time span.
     fn is_struck(of: &[(usize, u64, u64)], instance: usize, from_ms: u64, to_ms: u64) -> bool {
         let mut of = of.iter().filter(|(number, ..)| *number == instance);
         of.any(|(_, struck_ms, until_ms)| *struck_ms <= to_ms && from_ms <= *until_ms)
     }
 
-    /// Returns a request that reached a worker after its instance had passed on that it
-    /// leaves: by the rule, and, as instances themselves promise, one that was sent at all.
+    /// Returns a request that reached a worker although its instance had forwarded the departure:
+    /// one that its caller sent after the drain time, or, which instances rule out too, one that
+    /// the instance sent after forwarding the departure.
     pub fn after_leaving(&self) -> Option<String> {
         let mut first: HashMap<(usize, usize, u64), u64> = HashMap::new();
         for told in &self.told {
@@ -83,8 +85,9 @@
         late.map(|late| format!("{late:?}"))
     }
 
-    /// Returns a request that reached a worker so long after an instance had passed on that
-    /// it leaves that all must know who were in touch from the first word on.
+    /// Returns a request that reached a worker more than `within_ms` after some instance had
+    /// forwarded its departure, through an instance that has been in contact since the first
+    /// announcement and so must know of it.
     pub fn untold(&self, within_ms: u64) -> Option<String> {
         let mut first: HashMap<(usize, u64), u64> = HashMap::new();
         let mut first_to_tell: HashMap<(usize, u64), u64> = HashMap::new();
@@ -107,13 +110,13 @@
         late.map(|late| format!("{late:?}"))
     }
 
-    /// Whether an instance was stopped or cut off in a span.
+    /// Returns whether an instance was stopped or cut off during a time span.
     fn is_out_of_touch(&self, instance: usize, from_ms: u64, to_ms: u64) -> bool {
         Self::is_struck(&self.stops, instance, from_ms, to_ms)
             || Self::is_struck(&self.cuts, instance, from_ms, to_ms)
     }
 
-    /// Returns a rest in which a worker got more from an instance than is tolerated.
+    /// Returns a rest during which a worker got more requests from an instance than tolerated.
     pub fn in_rest(&self) -> Option<String> {
         let mut by_pair: HashMap<(usize, usize, u64), Vec<u64>> = HashMap::new();
         for of in &self.arrivals {
--- a/crates/cranereach-fleet/tests/own_words/main.rs
+++ b/crates/cranereach-fleet/tests/own_words/main.rs
@@ -1,6 +1,6 @@
-//! What workers say of themselves, kept by many instances whatever befalls them: rows that
-//! come late, new starts, restarts, freezes, cuts, a store that is down, lost datagrams,
-//! answers that overtake one another.
+//! Departures and rests that workers announce, observed by many simulated instances despite late
+//! rows, new incarnations, restarts, freezes, disconnections, store outages, lost datagrams and
+//! reordered answers.
 
 mod judge;
 #[path = "../workers/mod.rs"]
@@ -14,20 +14,20 @@
 use self::world::Mutant;
 use self::world::World;
 
-/// Workers of a world.
+/// Number of workers in a world.
 const WORKER_COUNT: usize = 5;
 
-/// Time between two things that befall a world, in milliseconds.
+/// Time between two disturbances of a world, in milliseconds.
 const EVERY_MS: u64 = 300;
 
-/// Things that befall a world.
+/// Number of disturbances of a world.
 const EVENT_COUNT: usize = 60;
 
-/// Time in which all in touch hear that a worker leaves, in milliseconds: rounds of digests
-/// that reach four of a hundred others each.
+/// Time within which all instances in contact learn of a departure, in milliseconds: rounds of
+/// digests, in each of which an instance reaches four of up to a hundred others.
 const ALL_TOLD_WITHIN_MS: u64 = 3_000;
 
-/// Lets something befall a world.
+/// Causes a random disturbance of a world.
 fn strike(world: &mut World, instance_count: usize, rng: &mut StdRng) {
     let instance = rng.random_range(0..instance_count);
     let worker = rng.random_range(0..WORKER_COUNT);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Plays a world with all that befalls it.
+/// Simulates a world with its disturbances.
 fn play(instance_count: usize, per_s: f64, seed: u64, mutant: Mutant) -> World {
     let mut world = World::start(instance_count, WORKER_COUNT, mutant, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
@@ -57,7 +57,7 @@
     world
 }
 
-/// Returns how a world broke its promises, if it did.
+/// Returns how a world broke a guarantee, if it did.
 fn broken(world: &World) -> Option<String> {
     let record = &world.record;
     let after_leaving = record.after_leaving().map(|of| format!("leaving: {of}"));
@@ -98,7 +98,7 @@
     }
 }
 
-/// A service whose workers all want rest three seconds of each four.
+/// Simulates workers that all request rests for three of every four seconds.
 #[test]
 fn workers_that_rest_most_of_the_time_are_used_when_they_do_not() {
     let mut world = World::start(6, WORKER_COUNT, Mutant::None, 7);
@@ -110,7 +110,7 @@
         (0..WORKER_COUNT).for_each(|worker| world.shed(worker, false));
         world.demand(300.0, 1_000);
     }
-    // Rests end by chance, up to 5 s later: each instance's of another worker.
+    // Rests last for a random time of up to 5 s, different for each instance and worker.
     let arrived = world.record.arrivals.iter();
     let arrived = arrived.filter(|of| of.at_ms > from_ms).count();
     let rests = world.record.rests.len();
--- a/crates/cranereach-fleet/tests/own_words/world.rs
+++ b/crates/cranereach-fleet/tests/own_words/world.rs
@@ -1,4 +1,4 @@
-//! Simulated instances with the real roster, and workers that leave and ask for rest.
+//! Simulated instances that use the real roster, and workers that leave and request rests.
 
 mod befalls;
 mod messages;
@@ -26,42 +26,42 @@
 /// Time between two rounds of digests, in milliseconds.
 const ROUND_MS: u64 = 250;
 
-/// Rounds in which an instance tells what it has learnt.
+/// Number of rounds in which an instance sends a departure that it has learnt of.
 const TOLD_ROUNDS: u64 = 16;
 
-/// Instances that one digest goes to.
+/// Number of instances that one digest is sent to.
 const TOLD_INSTANCE_COUNT: usize = 4;
 
-/// Time between two looks at the store, in milliseconds.
+/// Time between two reads of the store, in milliseconds.
 const LOOK_MS: u64 = 100;
 
-/// Longest way of a message, in milliseconds.
+/// Maximum transit time of a message, in milliseconds.
 const WAY_MAX_MS: u64 = 20;
 
-/// Longest run of a request, in milliseconds.
+/// Maximum run time of a request, in milliseconds.
 const RUN_MAX_MS: u64 = 900;
 
-/// Longest wait between a choice and its send, in milliseconds.
+/// Maximum delay between the choice of a worker and the send, in milliseconds.
 const HELD_MAX_MS: u64 = 400;
 
 /// Share of datagrams that are lost.
 const LOST_SHARE: f64 = 0.05;
 
-/// What an instance does wrong, to see that the checks find it.
+/// A fault that is planted in all instances to test that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
-    /// A row takes the word that a worker leaves with it.
+    /// A newer row discards the departure that the worker announced.
     WordInTheRow,
-    /// What speaks against a send is asked before the wait.
+    /// Whether the worker may be used is checked before the delay instead of after it.
     AskedBeforeTheWait,
-    /// A later answer sets the end of a rest, also an earlier one.
+    /// A later answer sets the end of a rest, even to an earlier time.
     RestCutShort,
-    /// Who hears that a worker leaves tells nobody.
+    /// An instance that learns of a departure from a worker doesn't notify its peers.
     PeersNotTold,
 }
 
-/// One worker.
+/// A simulated worker.
 struct Worker {
     start: u64,
     leaves: bool,
@@ -70,7 +70,7 @@
     row_version: u64,
 }
 
-/// One instance.
+/// A simulated instance.
 struct Instance {
     roster: Roster,
     list_version: u64,
@@ -80,17 +80,17 @@
     cut_until_ms: u64,
 }
 
-/// What happens at a time.
+/// Something that happens at a given time.
 enum Event {
-    /// A call that was chosen is to be sent.
+    /// A call whose worker was chosen is to be sent.
     Send(Call),
-    /// It reaches its worker.
+    /// A call reaches its worker.
     Arrive(Call),
-    /// The head of its answer reaches the instance.
+    /// The head of a call's answer reaches the instance that sent the call.
     Answer(Call, Words),
-    /// Another instance's word.
+    /// A digest reaches an instance.
     Digest(usize, Vec<DepartureNews>),
-    /// A row that was written earlier comes late.
+    /// A row that was written earlier reaches an instance late.
     Row(usize, u64, WorkerRecord),
 }
 
@@ -101,13 +101,13 @@
     /// When its caller sent it, in milliseconds.
     asked_ms: u64,
     worker: usize,
-    /// The start of the worker that was meant.
+    /// Incarnation of the worker that the call is addressed to.
     meant: u64,
     rank: usize,
     sent_ms: u64,
 }
 
-/// What an answer says of its worker.
+/// The head of an answer, as far as it concerns the worker.
 #[derive(Clone, Copy)]
 struct Words {
     start: u64,
@@ -116,7 +116,7 @@
     rest_ms: Option<u64>,
 }
 
-/// Instances, workers, the store, and what is on its way.
+/// The simulated instances, workers, store and pending events.
 pub struct World {
     instances: Vec<Instance>,
     workers: Vec<Worker>,
@@ -185,7 +185,7 @@
         self.now_ms < self.instances[number].cut_until_ms
     }
 
-    /// Lets callers ask for so many requests a second for a while.
+    /// Lets callers send `per_s` requests per second, for `for_ms`.
     pub fn demand(&mut self, per_s: f64, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         let mut owed = 0.0;
@@ -210,7 +210,7 @@
         }
     }
 
-    /// All who reach the store read its rows.
+    /// Lets all instances that reach the store read its rows.
     fn look(&mut self) {
         if self.now_ms < self.store_down_until_ms {
             return;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// All tell some others what they have learnt.
+    /// Lets all instances send the departures that they have learnt of to some others.
     fn round(&mut self) {
         for number in 0..self.instances.len() {
             let now_ms = self.now_ms;
@@ -263,7 +263,7 @@
         }
     }
 
-    /// A caller asks one instance.
+    /// Sends a caller's request to a random instance.
     fn ask(&mut self) {
         let number = self.rng.random_range(0..self.instances.len());
         if !self.runs(number) || self.is_cut(number) {
@@ -320,7 +320,7 @@
     }
 }
 
-/// The row of a start of a worker.
+/// Returns the row of one incarnation of a worker.
 fn row(worker: usize, start: u64, is_leaving: bool) -> WorkerRecord {
     WorkerRecord {
         started_unix_ms: start,
--- a/crates/cranereach-fleet/tests/own_words/world/befalls.rs
+++ b/crates/cranereach-fleet/tests/own_words/world/befalls.rs
@@ -1,4 +1,4 @@
-//! What befalls instances, workers and the store.
+//! Disturbances of instances, workers and the store.
 
 use super::Event;
 use super::World;
@@ -10,7 +10,7 @@
         self.store_down_until_ms = self.now_ms + for_ms;
     }
 
-    /// A worker leaves: its answers say so at once, its row where the store is there.
+    /// Lets a worker leave: its answers announce it at once, its row only if the store is up.
     pub fn leave(&mut self, worker: usize) {
         self.workers[worker].leaves = true;
         if self.now_ms >= self.store_down_until_ms {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// A worker starts again under its identity.
+    /// Restarts a worker under the same identity.
     pub fn start_again(&mut self, worker: usize) {
         self.workers[worker].start += 1;
         self.workers[worker].leaves = false;
@@ -30,7 +30,7 @@
         self.workers[worker].sheds = sheds;
     }
 
-    /// Somebody writes a row of a worker that doesn't say that it leaves, and all read it.
+    /// Lets all instances read a newer row of a worker that doesn't announce its departure.
     pub fn write_as_ready(&mut self, worker: usize) {
         self.version += 1;
         let start = self.workers[worker].start;
--- a/crates/cranereach-fleet/tests/own_words/world/messages.rs
+++ b/crates/cranereach-fleet/tests/own_words/world/messages.rs
@@ -1,4 +1,4 @@
-//! What happens at a time: calls on their way, answers, digests, rows that come late.
+//! Handles the events of a simulated world: calls, answers, digests and late rows.
 
 use rand::RngExt;
 
@@ -58,7 +58,7 @@
         let (start, leaves, sheds) = (worker.start, worker.leaves, worker.sheds);
         let is_turned_away = sheds || start != call.meant;
         let is_asked_for = start == call.meant;
-        // Another start than the one that was meant answers that it isn't the one.
+        // An incarnation that the call isn't addressed to answers that it was misdirected.
         if is_asked_for {
             self.record.arrivals.push(Arrival {
                 instance: call.instance,
@@ -97,7 +97,7 @@
 
     fn answer(&mut self, call: Call, words: Words) {
         let number = call.instance;
-        // Answers of another start are misdirected, and a new process knows no old calls.
+        // Answers of another incarnation are ignored, and a restarted instance knows no old calls.
         let is_lost = self.instances[number].down_until_ms > call.sent_ms;
         if is_lost || words.start != call.meant {
             return;
