--- a/crates/cranereach-fleet/tests/own_words/world.rs
+++ b/crates/cranereach-fleet/tests/own_words/world.rs
@@ -1,6 +1,6 @@
 //! Simulated instances that use the real roster, and workers that leave and request rests.
 
-mod befalls;
+mod disturbances;
 mod messages;
 
 use std::collections::BTreeMap;
@@ -27,45 +27,47 @@
 const ROUND_MS: u64 = 250;
 
 /// Number of rounds in which an instance sends a departure that it has learnt of.
-const TOLD_ROUNDS: u64 = 16;
+const RESEND_ROUNDS: u64 = 16;
 
 /// Number of instances that one digest is sent to.
-const TOLD_INSTANCE_COUNT: usize = 4;
+const FAN_OUT_COUNT: usize = 4;
 
 /// Time between two reads of the store, in milliseconds.
-const LOOK_MS: u64 = 100;
+const READ_MS: u64 = 100;
 
 /// Maximum transit time of a message, in milliseconds.
-const WAY_MAX_MS: u64 = 20;
+const TRANSIT_MAX_MS: u64 = 20;
 
 /// Maximum run time of a request, in milliseconds.
 const RUN_MAX_MS: u64 = 900;
 
 /// Maximum delay between the choice of a worker and the send, in milliseconds.
-const HELD_MAX_MS: u64 = 400;
+const DELAY_MAX_MS: u64 = 400;
 
 /// Share of datagrams that are lost.
-const LOST_SHARE: f64 = 0.05;
+const LOSS_RATE: f64 = 0.05;
 
 /// A fault that is planted in all instances to test that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
     /// A newer row discards the departure that the worker announced.
-    WordInTheRow,
+    RowOverridesDeparture,
     /// Whether the worker may be used is checked before the delay instead of after it.
-    AskedBeforeTheWait,
+    CheckBeforeDelay,
     /// A later answer sets the end of a rest, even to an earlier time.
-    RestCutShort,
+    RestShortened,
     /// An instance that learns of a departure from a worker doesn't notify its peers.
-    PeersNotTold,
+    PeersNotNotified,
 }
 
 /// A simulated worker.
 struct Worker {
+    /// Current incarnation.
     start: u64,
-    leaves: bool,
-    sheds: bool,
+    is_leaving: bool,
+    /// Whether it refuses requests and asks for rests.
+    is_shedding: bool,
     row: WorkerRecord,
     row_version: u64,
 }
@@ -87,7 +89,7 @@
     /// A call reaches its worker.
     Arrive(Call),
     /// The head of a call's answer reaches the instance that sent the call.
-    Answer(Call, Words),
+    Answer(Call, AnswerHead),
     /// A digest reaches an instance.
     Digest(usize, Vec<DepartureNews>),
     /// A row that was written earlier reaches an instance late.
@@ -99,20 +101,20 @@
 struct Call {
     instance: usize,
     /// When its caller sent it, in milliseconds.
-    asked_ms: u64,
+    requested_ms: u64,
     worker: usize,
     /// Incarnation of the worker that the call is addressed to.
-    meant: u64,
+    addressed_start: u64,
     rank: usize,
     sent_ms: u64,
 }
 
 /// The head of an answer, as far as it concerns the worker.
 #[derive(Clone, Copy)]
-struct Words {
+struct AnswerHead {
     start: u64,
-    leaves: bool,
-    is_taken: bool,
+    is_leaving: bool,
+    is_accepted: bool,
     rest_ms: Option<u64>,
 }
 
@@ -157,31 +159,31 @@
             let row = row(number, 1, false);
             world.workers.push(Worker {
                 start: 1,
-                leaves: false,
-                sheds: false,
+                is_leaving: false,
+                is_shedding: false,
                 row,
                 row_version: 1,
             });
         }
-        world.instances = (0..instance_count).map(|_| fresh()).collect();
+        world.instances = (0..instance_count).map(|_| new_instance()).collect();
         world
     }
 
-    fn at(&mut self, in_ms: u64, event: Event) {
+    fn schedule(&mut self, in_ms: u64, event: Event) {
         let due = self.events.entry(self.now_ms + in_ms);
         due.or_default().push(event);
     }
 
-    fn way_ms(&mut self) -> u64 {
-        self.rng.random_range(1..=WAY_MAX_MS)
+    fn transit_ms(&mut self) -> u64 {
+        self.rng.random_range(1..=TRANSIT_MAX_MS)
     }
 
-    fn runs(&self, number: usize) -> bool {
-        let of = &self.instances[number];
-        self.now_ms >= of.down_until_ms.max(of.frozen_until_ms)
+    fn is_running(&self, number: usize) -> bool {
+        let instance = &self.instances[number];
+        self.now_ms >= instance.down_until_ms.max(instance.frozen_until_ms)
     }
 
-    fn is_cut(&self, number: usize) -> bool {
+    fn is_cut_off(&self, number: usize) -> bool {
         self.now_ms < self.instances[number].cut_until_ms
     }
 
@@ -191,8 +193,8 @@
         let mut owed = 0.0;
         while self.now_ms < until_ms {
             self.now_ms += STEP_MS;
-            if self.now_ms.is_multiple_of(LOOK_MS) {
-                self.look();
+            if self.now_ms.is_multiple_of(READ_MS) {
+                self.read_store();
             }
             if self.now_ms.is_multiple_of(ROUND_MS) {
                 self.round();
@@ -200,23 +202,23 @@
             let later = self.events.split_off(&(self.now_ms + 1));
             let due = std::mem::replace(&mut self.events, later);
             for event in due.into_values().flatten() {
-                self.happen(event);
+                self.handle(event);
             }
             owed += per_s * STEP_MS as f64 / 1_000.0;
             while owed >= 1.0 {
                 owed -= 1.0;
-                self.ask();
+                self.send_request();
             }
         }
     }
 
     /// Lets all instances that reach the store read its rows.
-    fn look(&mut self) {
+    fn read_store(&mut self) {
         if self.now_ms < self.store_down_until_ms {
             return;
         }
         for number in 0..self.instances.len() {
-            if !self.runs(number) || self.is_cut(number) {
+            if !self.is_running(number) || self.is_cut_off(number) {
                 continue;
             }
             for worker in 0..self.workers.len() {
@@ -235,7 +237,7 @@
         let says_leaving = row.is_leaving;
         let roster = &mut self.instances[number].roster;
         roster.put(StorePosition::new(0, version), row);
-        if self.mutant == Mutant::WordInTheRow
+        if self.mutant == Mutant::RowOverridesDeparture
             && !says_leaving
             && let Some(worker) = roster.get_mut(&id)
         {
@@ -248,33 +250,33 @@
         for number in 0..self.instances.len() {
             let now_ms = self.now_ms;
             let news = &mut self.instances[number].news;
-            news.retain(|(at_ms, _)| now_ms < at_ms + TOLD_ROUNDS * ROUND_MS);
-            let told: Vec<DepartureNews> = news.iter().map(|(_, news)| *news).collect();
-            if told.is_empty() || !self.runs(number) || self.is_cut(number) {
+            news.retain(|(at_ms, _)| now_ms < at_ms + RESEND_ROUNDS * ROUND_MS);
+            let departures: Vec<DepartureNews> = news.iter().map(|(_, news)| *news).collect();
+            if departures.is_empty() || !self.is_running(number) || self.is_cut_off(number) {
                 continue;
             }
-            for _ in 0..TOLD_INSTANCE_COUNT {
+            for _ in 0..FAN_OUT_COUNT {
                 let other = self.rng.random_range(0..self.instances.len());
-                let in_ms = self.way_ms();
-                if !self.rng.random_bool(LOST_SHARE) {
-                    self.at(in_ms, Event::Digest(other, told.clone()));
+                let in_ms = self.transit_ms();
+                if !self.rng.random_bool(LOSS_RATE) {
+                    self.schedule(in_ms, Event::Digest(other, departures.clone()));
                 }
             }
         }
     }
 
     /// Sends a caller's request to a random instance.
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let number = self.rng.random_range(0..self.instances.len());
-        if !self.runs(number) || self.is_cut(number) {
+        if !self.is_running(number) || self.is_cut_off(number) {
             return;
         }
         let rank = self.rng.random_range(0..3);
         self.choose(Call {
             instance: number,
-            asked_ms: self.now_ms,
+            requested_ms: self.now_ms,
             worker: 0,
-            meant: 0,
+            addressed_start: 0,
             rank,
             sent_ms: 0,
         });
@@ -291,15 +293,15 @@
             worker: choice.id[1..].parse().unwrap(),
             ..call
         };
-        if self.mutant == Mutant::AskedBeforeTheWait && self.is_barred(&call) {
+        if self.mutant == Mutant::CheckBeforeDelay && self.is_barred(&call) {
             return;
         }
-        let held_ms = if self.rng.random_bool(0.3) {
-            self.rng.random_range(0..HELD_MAX_MS)
+        let delay_ms = if self.rng.random_bool(0.3) {
+            self.rng.random_range(0..DELAY_MAX_MS)
         } else {
             0
         };
-        self.at(held_ms, Event::Send(call));
+        self.schedule(delay_ms, Event::Send(call));
     }
 
     fn is_barred(&self, call: &Call) -> bool {
@@ -309,7 +311,7 @@
     }
 }
 
-fn fresh() -> Instance {
+fn new_instance() -> Instance {
     Instance {
         roster: Roster::default(),
         list_version: 0,
--- a/crates/cranereach-fleet/tests/own_words/world/messages.rs
+++ b/crates/cranereach-fleet/tests/own_words/world/messages.rs
@@ -2,27 +2,27 @@
 
 use rand::RngExt;
 
+use super::AnswerHead;
 use super::Call;
 use super::Event;
 use super::Mutant;
 use super::RUN_MAX_MS;
-use super::Words;
 use super::World;
 use super::id;
+use crate::judge::Announcement;
 use crate::judge::Arrival;
-use crate::judge::Told;
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_fleet::rest::Rest;
 
 impl World {
-    pub(super) fn happen(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Send(call) => self.send(call),
             Event::Arrive(call) => self.arrive(call),
-            Event::Answer(call, words) => self.answer(call, words),
-            Event::Digest(number, news) => self.take(number, &news),
+            Event::Answer(call, head) => self.answer(call, head),
+            Event::Digest(number, news) => self.receive(number, &news),
             Event::Row(number, version, row) => {
-                if self.runs(number) {
+                if self.is_running(number) {
                     self.put(number, version, row);
                 }
             }
@@ -30,10 +30,10 @@
     }
 
     fn send(&mut self, call: Call) {
-        if !self.runs(call.instance) || self.is_cut(call.instance) {
+        if !self.is_running(call.instance) || self.is_cut_off(call.instance) {
             return;
         }
-        if self.mutant != Mutant::AskedBeforeTheWait && self.is_barred(&call) {
+        if self.mutant != Mutant::CheckBeforeDelay && self.is_barred(&call) {
             // Another worker is chosen.
             self.choose(call);
             return;
@@ -45,34 +45,35 @@
         };
         worker.rest.sent(now_ms);
         let call = Call {
-            meant: worker.record.started_unix_ms,
+            addressed_start: worker.record.started_unix_ms,
             sent_ms: now_ms,
             ..call
         };
-        let in_ms = self.way_ms();
-        self.at(in_ms, Event::Arrive(call));
+        let in_ms = self.transit_ms();
+        self.schedule(in_ms, Event::Arrive(call));
     }
 
     fn arrive(&mut self, call: Call) {
         let worker = &self.workers[call.worker];
-        let (start, leaves, sheds) = (worker.start, worker.leaves, worker.sheds);
-        let is_turned_away = sheds || start != call.meant;
-        let is_asked_for = start == call.meant;
+        let (start, is_leaving, is_shedding) =
+            (worker.start, worker.is_leaving, worker.is_shedding);
+        let is_refused = is_shedding || start != call.addressed_start;
+        let is_addressed = start == call.addressed_start;
         // An incarnation that the call isn't addressed to answers that it was misdirected.
-        if is_asked_for {
+        if is_addressed {
             self.record.arrivals.push(Arrival {
                 instance: call.instance,
                 worker: call.worker,
                 start,
-                asked_ms: call.asked_ms,
+                requested_ms: call.requested_ms,
                 sent_ms: call.sent_ms,
                 at_ms: self.now_ms,
             });
         }
         let for_ms = self.rng.random_range(300..5_000);
-        let rest_ms = (sheds && is_asked_for).then_some(for_ms);
+        let rest_ms = (is_shedding && is_addressed).then_some(for_ms);
         if let Some(for_ms) = rest_ms {
-            self.record.rests.push(Told {
+            self.record.rests.push(Announcement {
                 instance: call.instance,
                 worker: call.worker,
                 start,
@@ -80,61 +81,61 @@
                 for_ms,
             });
         }
-        let words = Words {
+        let head = AnswerHead {
             start,
-            leaves,
-            is_taken: !is_turned_away,
+            is_leaving,
+            is_accepted: !is_refused,
             rest_ms,
         };
-        let run_ms = if is_turned_away {
+        let run_ms = if is_refused {
             1
         } else {
             self.rng.random_range(1..RUN_MAX_MS)
         };
-        let in_ms = run_ms + self.way_ms();
-        self.at(in_ms, Event::Answer(call, words));
+        let in_ms = run_ms + self.transit_ms();
+        self.schedule(in_ms, Event::Answer(call, head));
     }
 
-    fn answer(&mut self, call: Call, words: Words) {
+    fn answer(&mut self, call: Call, head: AnswerHead) {
         let number = call.instance;
         // Answers of another incarnation are ignored, and a restarted instance knows no old calls.
         let is_lost = self.instances[number].down_until_ms > call.sent_ms;
-        if is_lost || words.start != call.meant {
+        if is_lost || head.start != call.addressed_start {
             return;
         }
         let wait_ms = self.instances[number].frozen_until_ms.max(self.now_ms) - self.now_ms;
         if wait_ms > 0 {
-            self.at(wait_ms, Event::Answer(call, words));
+            self.schedule(wait_ms, Event::Answer(call, head));
             return;
         }
-        if self.is_cut(number) {
+        if self.is_cut_off(number) {
             return;
         }
         let now_ms = self.now_ms;
         let mutant = self.mutant;
         let roster = &mut self.instances[number].roster;
         if let Some(worker) = roster.get_mut(&id(call.worker))
-            && worker.record.started_unix_ms == call.meant
+            && worker.record.started_unix_ms == call.addressed_start
         {
-            if let Some(rest_ms) = words.rest_ms {
-                if mutant == Mutant::RestCutShort {
+            if let Some(rest_ms) = head.rest_ms {
+                if mutant == Mutant::RestShortened {
                     worker.rest = Rest::default();
                 }
                 worker.rest.requested(now_ms, rest_ms);
-            } else if words.is_taken {
+            } else if head.is_accepted {
                 worker.rest.accepted(call.sent_ms);
             }
         }
-        if words.leaves {
-            self.record.told.push(Told {
+        if head.is_leaving {
+            self.record.departures.push(Announcement {
                 instance: number,
                 worker: call.worker,
-                start: words.start,
+                start: head.start,
                 at_ms: now_ms,
                 for_ms: 0,
             });
-            if roster.note_leaving_announced(now_ms, &id(call.worker), call.meant)
-                && mutant != Mutant::PeersNotTold
+            if roster.note_leaving_announced(now_ms, &id(call.worker), call.addressed_start)
+                && mutant != Mutant::PeersNotNotified
             {
                 let news = roster.departure_news(&id(call.worker));
                 let learnt = news.into_iter().map(|news| (now_ms, news));
@@ -143,15 +144,15 @@
         }
     }
 
-    fn take(&mut self, number: usize, told: &[DepartureNews]) {
-        if !self.runs(number) || self.is_cut(number) {
+    fn receive(&mut self, number: usize, departures: &[DepartureNews]) {
+        if !self.is_running(number) || self.is_cut_off(number) {
             return;
         }
         let now_ms = self.now_ms;
-        let of = &mut self.instances[number];
-        for news in told {
-            if of.roster.note_leaving_reported(now_ms, news) {
-                of.news.push((now_ms, *news));
+        let instance = &mut self.instances[number];
+        for news in departures {
+            if instance.roster.note_leaving_reported(now_ms, news) {
+                instance.news.push((now_ms, *news));
             }
         }
     }
