--- a/crates/cranereach-fleet/tests/named_limits/main.rs
+++ b/crates/cranereach-fleet/tests/named_limits/main.rs
@@ -1,5 +1,5 @@
 //! Limits that workers name for their requests per second: how the values are parsed, and which of
 //! several reports holds.
 
-mod reading;
-mod words;
+mod parsing;
+mod reports;
--- a/crates/cranereach-fleet/tests/orders.rs
+++ b/crates/cranereach-fleet/tests/orders.rs
@@ -162,7 +162,10 @@
     Order(OrderEnd, u32),
 }
 
-#[expect(clippy::too_many_lines, reason = "one world, told from top to bottom")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one simulation, written as a sequence of steps"
+)]
 fn run_simulation(seed: u64) -> usize {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ids: Vec<Arc<str>> = (0..WORKER_COUNT)
