--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -212,8 +212,8 @@
     let mut owned = OwnedWorkers::default();
     answer(&mut owned, 0, 40, 4);
     // All prompts arrive at once. Three are prefilled in one step of 313 ms, so that an event of
-    // three tokens takes 339 ms of the 400 planned for it. The next prompts wait for the event
-    // after it.
+    // three tokens takes 339 ms of the 400 planned for it. The next prompts are held back until
+    // the event after it.
     let sent_at_ms: Vec<u64> = (0..8)
         .map(|number| send(&mut owned, 5_000, number))
         .collect();
