--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -1,4 +1,5 @@
-//! What a choice goes by besides load: owners' words, and the domain that a row names.
+//! Criteria for choosing a worker besides load: the statuses that owners report, and the failure
+//! domain in a worker's row.
 
 mod workers;
 
@@ -24,7 +25,7 @@
 use cranereach_fleet::routing_request::RoutingRequest;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -48,11 +49,15 @@
     let mut moved = record("w", &[("m", &[])]);
     moved.failure_domain = Arc::from("other");
     roster.put(at(2), moved);
-    let asked = EvacuationList::default().changed(worker_key("other"), at(3), false);
-    roster.evacuations.take(1_000, asked, None, 5_000);
+    let evacuation_list = EvacuationList::default().changed(worker_key("other"), at(3), false);
+    roster.evacuations.take(1_000, evacuation_list, None, 5_000);
     let barred = |purpose| roster.barred(1_001, "w", purpose, 0);
     assert_eq!(barred(Purpose::Call), Some(Barred::Evacuated));
-    assert_eq!(barred(Purpose::Order), None, "orders empty the domain");
+    assert_eq!(
+        barred(Purpose::Order),
+        None,
+        "orders are still sent, to empty the domain"
+    );
     assert!(roster.is_evacuated("w"));
 }
 
@@ -62,12 +67,18 @@
     for id in ["a", "b"] {
         roster.put(at(1), record(id, &[("m", &[])]));
     }
-    let among = [Arc::from("a"), Arc::from("b")];
+    let candidates = [Arc::from("a"), Arc::from("b")];
     let routing_request = routing_request(Some(("m", None)));
     let chosen = |roster: &Roster, now_ms: u64| {
         let mut rng = SmallRng::seed_from_u64(1);
         let engine = engine(8);
-        let choice = roster.choose_among(now_ms, &among, &routing_request, Some(&engine), &mut rng);
+        let choice = roster.choose_among(
+            now_ms,
+            &candidates,
+            &routing_request,
+            Some(&engine),
+            &mut rng,
+        );
         choice.unwrap().id.to_string()
     };
     let busy = WorkerStatus {
@@ -86,13 +97,16 @@
     assert_eq!(chosen(&roster, 900), "a");
     roster.get_mut("b").unwrap().set_owner_status(1_000, busy);
     assert_eq!(chosen(&roster, 1_010), "b");
-    // Old words say nothing, and one that is to be left alone is not preferred.
+    // An outdated status is ignored, and an ejected worker is not preferred.
     assert_eq!(chosen(&roster, 2_000), "a");
-    let aside = WorkerStatus {
+    let ejected = WorkerStatus {
         is_aside: true,
         ..busy
     };
-    roster.get_mut("b").unwrap().set_owner_status(3_000, aside);
+    roster
+        .get_mut("b")
+        .unwrap()
+        .set_owner_status(3_000, ejected);
     assert_eq!(chosen(&roster, 3_010), "a");
 }
 
@@ -125,7 +139,7 @@
         choose(ALONE_FROM_COUNT, [true, true]),
         Err(NoWorker::NotAlone)
     );
-    // Others run beside such ones.
+    // Other requests may run beside them.
     assert_matches!(choose(0, [true, true]), Ok(_));
 }
 
@@ -141,7 +155,7 @@
         let status = WorkerStatus {
             slowdown_ratio: 1.0,
             load,
-            // The busy one has read most of the prompt before.
+            // The busy worker has the prompt in its prefix cache.
             kept_part_count: usize::from(id == "busy"),
             ..WorkerStatus::default()
         };
--- a/crates/cranereach-fleet/tests/holders.rs
+++ b/crates/cranereach-fleet/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Choices that look at the workers that list a model alone, against a look at all.
+//! Compares candidates from the index of workers by model with a scan of all workers.
 
 mod workers;
 
@@ -15,7 +15,7 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::Worker;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -23,8 +23,8 @@
 const MODELS: [&str; 4] = ["a", "b", "c", "d"];
 const WORKER_COUNT: usize = 8;
 
-/// What a look at all workers finds for a model.
-fn look_at_all(roster: &Roster, model: &str) -> Result<Vec<Arc<str>>, NoWorker> {
+/// Returns what a scan of all workers finds for a model.
+fn scan_all(roster: &Roster, model: &str) -> Result<Vec<Arc<str>>, NoWorker> {
     let (holders, others): (Vec<_>, Vec<_>) = roster.workers().partition(|worker| {
         let mut held = worker.record.models.iter();
         held.any(|held| held.name.as_ref() == model)
@@ -49,7 +49,7 @@
 #[test]
 fn whatever_rows_come_and_go_the_same_workers_are_found() {
     let mut rng = SmallRng::seed_from_u64(11);
-    let mut found = [0, 0, 0];
+    let mut outcome_counts = [0, 0, 0];
     for _world in 0..60 {
         let mut roster = Roster::default();
         for version in 1..60 {
@@ -62,7 +62,7 @@
                     held.map(|model| (*model, [].as_slice())).collect();
                 let mut record = record(&id, &held);
                 record.is_leaving = rng.random_bool(0.2);
-                // Some are back under their identity.
+                // Some restart under the same identity.
                 record.started_unix_ms = rng.random_range(0..2);
                 roster.put(at(version), record);
             }
@@ -74,8 +74,8 @@
                     ids.sort_unstable();
                     ids
                 });
-                let expected = look_at_all(&roster, model);
-                found[match expected {
+                let expected = scan_all(&roster, model);
+                outcome_counts[match expected {
                     Ok(_) => 0,
                     Err(NoWorker::NoModel) => 1,
                     Err(_) => 2,
@@ -84,5 +84,8 @@
             }
         }
     }
-    assert!(found.iter().all(|count| *count > 100), "{found:?}");
+    assert!(
+        outcome_counts.iter().all(|count| *count > 100),
+        "{outcome_counts:?}"
+    );
 }
