--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! "Not run" means not run, over all orders of events.
+//! Verdicts on attempts: a result code that says "not run" is given only if the call did not run,
+//! for any sequence of events.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -11,13 +12,14 @@
 use cranereach_core::declarations::Repeatable;
 use cranereach_core::retry_budget::RetryBudget;
 
-/// Deadline of all attempts here.
+/// Deadline of all attempts, in milliseconds.
 const DEADLINE_AT_MS: u64 = 1_000;
 
-/// One row: events, whether the call may be repeated, and the last verdict.
+/// One row: name, whether the call may be repeated, events with their times in milliseconds, and
+/// the last verdict.
 type Row = (&'static str, Repeatable, &'static [(u64, Event)], Verdict);
 
-/// The fault table.
+/// Table of faults and their verdicts.
 const ROWS: [Row; 12] = [
     (
         "no connection",
@@ -145,7 +147,7 @@
     assert!(retries <= 103, "{retries}");
 }
 
-/// Any event.
+/// Returns a strategy that generates any event.
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         Just(Event::NotConnected),
@@ -161,8 +163,8 @@
 }
 
 proptest! {
-    /// A code that says "not run" is never reached after bytes may have been
-    /// acted on, and an unsafe call is never sent again after that.
+    /// Once an upstream may have acted on a call, no result code says "not run", and an unsafe
+    /// call is not sent again.
     #[test]
     fn not_run_is_true_over_all_orders_of_events(
         is_unsafe in any::<bool>(),
@@ -172,7 +174,7 @@
         let repeat = if is_unsafe { Repeatable::Unsafe } else { Repeatable::Safe };
         let mut attempt = Attempt::new(repeat, DEADLINE_AT_MS);
         let mut budget = RetryBudget::default();
-        // What the upstreams may have acted on, kept apart from the kernel.
+        // Whether any upstream may have acted on the call, tracked independently of `Attempt`.
         let mut may_have_run = false;
         let mut in_flight = false;
         let mut ended = None;
@@ -184,8 +186,8 @@
             if verdict == Verdict::Continue {
                 continue;
             }
-            // Only the upstream's word that it did not run it clears an attempt,
-            // and only as long as nothing of an answer was passed on.
+            // Only a refusal by the upstream proves that an attempt did not run, and only if no
+            // part of the response has been passed on.
             let cleared = event == Event::RefusedByUpstream && verdict == Verdict::TryElsewhere;
             may_have_run |= in_flight && !cleared && event != Event::RefusedByUpstream;
             in_flight = false;
--- a/crates/cranereach-core/tests/control_faults.rs
+++ b/crates/cranereach-core/tests/control_faults.rs
@@ -1,4 +1,5 @@
-//! Memory is never overcommitted and targets stay reachable, under every fault.
+//! The memory of engines is never overcommitted under any fault, and requested targets become
+//! resident, also if the lease holder is paused or the table is unavailable.
 
 mod control_world;
 
@@ -10,13 +11,13 @@
 /// Seeds per row of the table.
 const SEEDS: u64 = 60;
 
-/// Steps per seed: 120 s of the world's time.
+/// Steps per seed: 120 s of simulated time.
 const STEPS: u64 = 1_200;
 
-/// One row: its name and what fails.
+/// One row: its name and the faults injected.
 type Row = (&'static str, Faults);
 
-/// The fault table; each row also has lagging and lost reports.
+/// Returns the table of faults; in every row, reports also lag and get lost.
 fn rows() -> Vec<Row> {
     let lossy = Faults {
         lose_report: 0.2,
@@ -89,7 +90,8 @@
     ]
 }
 
-/// Runs one row over all seeds; every step must keep within memory.
+/// Runs each row with all seeds and asserts after every step that no engine uses more memory than
+/// it has.
 fn keeps_within_memory(fenced: bool) {
     for (name, faults) in rows() {
         let mut loaded = 0;
@@ -140,7 +142,8 @@
     }
 }
 
-/// Steps until a target is resident; returns how long it took.
+/// Steps until a target is resident; returns the time taken, in milliseconds, or none if it took
+/// longer than `timeout_ms`.
 fn until_resident(world: &mut World, index: usize, within_ms: u64) -> Option<u64> {
     let started_ms = world.now_ms;
     while world.now_ms < started_ms + within_ms {
--- a/crates/cranereach-core/tests/control_world/carrying.rs
+++ b/crates/cranereach-core/tests/control_world/carrying.rs
@@ -1,4 +1,5 @@
-//! Between instances, table and engines: losing, delaying and doubling.
+//! Message transport between instances, the table and engines, which loses, delays and duplicates
+//! messages.
 
 use rand::RngExt;
 
@@ -12,7 +13,7 @@
 use cranereach_core::ledger::ORDER_LIFETIME_MS;
 
 impl World {
-    /// Carries out what an instance decided.
+    /// Executes the actions that an instance decided on.
     pub(super) fn carry_out(&mut self, index: usize, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Writes the lease row; the answer may be lost.
+    /// Writes the lease row; the answer may get lost.
     fn write_lease(&mut self, index: usize, expected_version: u64, row: &LeaseRow) {
         if !self.table_is_up() {
             return;
@@ -65,7 +66,7 @@
             .intents_read(self.now_ms + instance.offset_ms, &self.intents.1);
     }
 
-    /// Writes the intents row and sends what is then allowed.
+    /// Writes the intents row and sends the orders that the write allows.
     fn record_intents(&mut self, index: usize, row: IntentRow) {
         let is_up = self.table_is_up();
         let instance = &mut self.instances[index];
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Sends an order into a world that loses, delays and doubles.
+    /// Sends an order, which may get lost, delayed or duplicated.
     fn send(&mut self, index: usize, order: &Order) {
         let instance = &mut self.instances[index];
         let own_ms = self.now_ms + instance.offset_ms;
@@ -115,7 +116,7 @@
         self.end(index, order, end);
     }
 
-    /// Lets an order arrive late.
+    /// Schedules an order to arrive late.
     fn fly(&mut self, order: Order) {
         let latest_ms = if self.fenced {
             120_000
@@ -129,7 +130,7 @@
         });
     }
 
-    /// Tells an instance how its order ended.
+    /// Reports to an instance how its order ended.
     fn end(&mut self, index: usize, order: &Order, end: OrderEnd) {
         let own_ms = self.now_ms + self.instances[index].offset_ms;
         self.instances[index]
--- a/crates/cranereach-core/tests/control_world/engine.rs
+++ b/crates/cranereach-core/tests/control_world/engine.rs
@@ -1,4 +1,4 @@
-//! One engine of the world: takes orders as a real one does.
+//! Simulated engine that handles orders as a real one does.
 
 use std::collections::HashMap;
 
@@ -12,10 +12,10 @@
 use cranereach_core::names::TargetName;
 use cranereach_core::names::WorkerId;
 
-/// Time of a load.
+/// Duration of a load, in milliseconds.
 const LOAD_MS: u64 = 700;
 
-/// One engine.
+/// An engine whose occupants carry the time at which their load or unload completes.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) id: WorkerId,
@@ -26,7 +26,7 @@
 }
 
 impl Engine {
-    /// Starts empty.
+    /// Creates an engine without occupants.
     pub(super) fn new(id: WorkerId) -> Self {
         let report = MemoryReport {
             boot_id: 1,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Memory taken now.
+    /// Returns the memory in use, in bytes.
     pub(super) fn taken_bytes(&self) -> u64 {
         self.occupants
             .values()
@@ -50,7 +50,8 @@
             .sum()
     }
 
-    /// Takes an order as a real engine does.
+    /// Handles an order as a real engine does. If `fenced`, refuses orders for another boot and
+    /// orders whose fence is outdated.
     pub(super) fn take(&mut self, now_ms: u64, order: &Order, fenced: bool) -> OrderEnd {
         if fenced && (order.boot_id != self.boot_id || !self.gate.admit(order.fence)) {
             return OrderEnd::Refused(self.gate.highest());
@@ -77,7 +78,7 @@
         OrderEnd::Accepted
     }
 
-    /// Finishes loads and unloads that are due.
+    /// Completes the loads and unloads that are due.
     pub(super) fn settle(&mut self, now_ms: u64) {
         self.occupants.retain(|_, (occupant, due_ms)| {
             occupant.residence != Residence::Unloading || now_ms < *due_ms
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Makes the report that will be seen next.
+    /// Creates the report that instances receive next.
     pub(super) fn refresh(&mut self) {
         self.report = MemoryReport {
             boot_id: self.boot_id,
--- a/crates/cranereach-core/tests/control_world/mod.rs
+++ b/crates/cranereach-core/tests/control_world/mod.rs
@@ -1,8 +1,9 @@
-//! A cell with engines, a table and instances, all in one seeded loop.
+//! Deterministic simulation of a cell: engines, the shared table and instances, driven by one
+//! seeded loop.
 //!
-//! Orders are lost, late and doubled; reports lag; table answers are lost after
-//! the write took effect; instances pause between deciding and sending; engines
-//! restart empty. Real memory is checked at every step.
+//! Orders are lost, delayed and duplicated; reports lag; table answers are lost after the write
+//! took effect; instances pause between deciding and sending; engines restart empty. The tests
+//! check the memory actually used at every step.
 
 mod carrying;
 mod engine;
@@ -31,13 +32,13 @@
 use cranereach_core::residency::PlanTarget;
 use cranereach_core::residency::PlanWeights;
 
-/// Memory of one engine.
+/// Memory of one engine, in bytes.
 pub const CAPACITY_BYTES: u64 = 100;
 
-/// Time of one step.
+/// Simulated time per step, in milliseconds.
 const STEP_MS: u64 = 100;
 
-/// Which faults happen, each as a chance per event.
+/// Faults to inject, each as a probability per event or step.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub lose_order: f64,
@@ -50,7 +51,7 @@
     pub lose_report: f64,
 }
 
-/// Nothing fails.
+/// No faults.
 pub const CALM: Faults = Faults {
     lose_order: 0.0,
     delay_order: 0.0,
@@ -62,7 +63,7 @@
     lose_report: 0.0,
 };
 
-/// One instance, perhaps paused with actions that it hasn't carried out.
+/// One instance, possibly paused with actions that it has not yet executed.
 #[derive(Debug)]
 struct Instance {
     control: CellControl,
@@ -73,14 +74,14 @@
     intents_version: u64,
 }
 
-/// An order on its way.
+/// An order that arrives at its engine later.
 #[derive(Debug)]
 struct Flying {
     arrives_at_ms: u64,
     order: Order,
 }
 
-/// Everything.
+/// The simulated cell.
 pub struct World {
     pub now_ms: u64,
     pub faults: Faults,
@@ -97,7 +98,7 @@
 }
 
 impl World {
-    /// Makes a world of two engines and three instances.
+    /// Creates a world of two engines and three instances, whose clocks differ.
     pub fn new(seed: u64, fenced: bool, faults: Faults) -> Self {
         let ids: Vec<WorkerId> = (0..2)
             .map(|number| WorkerId::from(format!("w{number}")))
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Lets one step pass.
+    /// Advances the simulation by one step.
     pub fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.change_demand();
@@ -150,12 +151,12 @@
         for index in 0..self.instances.len() {
             self.run_instance(index);
         }
-        // The next reports show the present; this step's showed the past.
+        // Instances see this state of the engines in the next step, so reports lag by one step.
         self.engines.iter_mut().for_each(Engine::refresh);
         self.note_served();
     }
 
-    /// Returns the most memory that any engine has taken now.
+    /// Returns the memory used by the fullest engine, in bytes.
     pub fn most_taken_bytes(&self) -> u64 {
         self.engines
             .iter()
@@ -164,12 +165,12 @@
             .unwrap_or(0)
     }
 
-    /// Takes the table down until a time.
+    /// Makes the table unavailable until a point in time.
     pub fn table_down_until(&mut self, until_ms: u64) {
         self.table_down_until_ms = until_ms;
     }
 
-    /// Pauses whoever acts now.
+    /// Pauses each instance that currently acts as the lease holder.
     pub fn pause_holder(&mut self, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         let acting = self
@@ -179,7 +180,8 @@
         acting.for_each(|instance| instance.paused_until_ms = until_ms);
     }
 
-    /// Returns how many instances believe that they may order now.
+    /// Returns the number of instances whose lease currently allows them to send orders to engines
+    /// that do not check fences.
     pub fn acting_count(&self) -> usize {
         let may = |instance: &&Instance| {
             instance
@@ -191,7 +193,7 @@
         self.instances.iter().filter(may).count()
     }
 
-    /// Asks for one target and nothing else.
+    /// Sets the demand to a single target.
     pub fn want_only(&mut self, index: usize) {
         for (number, target) in self.targets.iter_mut().enumerate() {
             target.waiting_count = u32::from(number == index);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Whether some engine serves a target.
+    /// Returns whether a target is resident on any engine.
     pub fn is_resident(&self, index: usize) -> bool {
         let name = &self.targets[index].target;
         let serves = |engine: &Engine| {
@@ -212,7 +214,7 @@
         self.engines.iter().any(serves)
     }
 
-    /// Changes what is asked for, now and then.
+    /// Changes the demand at random, except in a world that loses no reports.
     fn change_demand(&mut self) {
         for target in &mut self.targets {
             target.oldest_wait_ms += if target.waiting_count > 0 { STEP_MS } else { 0 };
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Pauses instances, restarts engines, takes the table down.
+    /// Pauses instances, restarts engines and starts table outages at random.
     fn break_things(&mut self) {
         for instance in &mut self.instances {
             if self.random.random_bool(self.faults.pause) {
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Lets orders arrive that are due.
+    /// Delivers the delayed orders that are due.
     fn land_orders(&mut self) {
         let now_ms = self.now_ms;
         let (due, flying): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying)
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Lets one order arrive; returns its end.
+    /// Delivers an order to its engine and returns how it ended.
     fn land(&mut self, order: &Order) -> OrderEnd {
         let (now_ms, fenced) = (self.now_ms, self.fenced);
         let engine = self
@@ -272,7 +274,7 @@
         if self.now_ms < self.instances[index].paused_until_ms {
             return;
         }
-        // What was decided before a pause goes out after it.
+        // Actions decided before a pause are executed after it.
         let held = std::mem::take(&mut self.instances[index].held);
         self.carry_out(index, held);
         self.read_lease(index);
@@ -303,7 +305,7 @@
         self.carry_out(index, actions);
     }
 
-    /// Whether the row's holder runs.
+    /// Returns whether the holder named in the lease row is running, not paused.
     fn holder_is_awake(&self) -> bool {
         let name = |number: usize| InstanceId::from(format!("i{number}"));
         let holder =
@@ -311,7 +313,7 @@
         holder.is_some_and(|number| self.now_ms >= self.instances[number].paused_until_ms)
     }
 
-    /// Whether the table answers.
+    /// Returns whether the table is available.
     fn table_is_up(&self) -> bool {
         self.now_ms >= self.table_down_until_ms
     }
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Brings the engines' lagging reports to an instance that acts.
+    /// Delivers the engines' lagging reports to an instance; some get lost.
     fn deliver_reports(&mut self, index: usize) {
         for number in 0..self.engines.len() {
             if self.random.random_bool(self.faults.lose_report) {
@@ -346,7 +348,7 @@
         }
     }
 
-    /// Notes which targets are resident, for reachability.
+    /// Records the resident targets, so that tests can check that some were loaded.
     fn note_served(&mut self) {
         for engine in &self.engines {
             for (name, (occupant, _)) in &engine.occupants {
@@ -358,7 +360,7 @@
     }
 }
 
-/// Makes a target; most pairs of them fill an engine.
+/// Creates a target; most pairs of targets fill an engine.
 fn target(number: u64) -> PlanTarget {
     PlanTarget {
         target: TargetName::from(format!("m{number}")),
--- a/crates/cranereach-core/tests/dispatching.rs
+++ b/crates/cranereach-core/tests/dispatching.rs
@@ -1,4 +1,5 @@
-//! Admission, order and route: bounded, fair, and quick to say no.
+//! Admission control, queue order and routing: queues are bounded, accounts get fair shares, and
+//! requests that cannot be served in time are refused early.
 
 use cranereach_core::codes::ResultCode;
 use cranereach_core::declarations::Class;
@@ -13,10 +14,10 @@
 use cranereach_core::order::OrderPolicy;
 use cranereach_core::route;
 
-/// Slots of the one worker.
+/// Number of slots of the only worker.
 const SLOTS: u32 = 4;
 
-/// Makes a dispatcher with one worker that holds target `m`.
+/// Creates a dispatcher with one worker, on which target `m` is resident.
 fn dispatcher(policy: &'static OrderPolicy) -> Dispatcher {
     let options = DispatchOptions {
         order: policy,
@@ -38,7 +39,7 @@
     dispatcher
 }
 
-/// Makes the worker's report.
+/// Creates the worker's report.
 fn report(is_leaving: bool) -> WorkerReport {
     WorkerReport {
         worker: "w".into(),
@@ -52,7 +53,7 @@
     }
 }
 
-/// Makes a request of an account.
+/// Creates a waiting request of an account.
 fn waiting(number: u64, account: &str, share: f64) -> Waiting {
     Waiting {
         request: RequestId(number),
@@ -68,7 +69,7 @@
     }
 }
 
-/// Lets two accounts keep their queues full; returns what each was served.
+/// Simulates two accounts that keep their queues full; returns the cost served to each.
 fn serve_two(policy: &'static OrderPolicy, shares: [f64; 2], costs: [f64; 2]) -> [f64; 2] {
     let mut dispatcher = dispatcher(policy);
     let mut served = [0.0, 0.0];
@@ -137,7 +138,7 @@
     actions.clear();
     dispatcher.arrive(0, waiting(1_000, "calm", 1.0), &mut actions);
     assert!(actions.is_empty(), "{actions:?}");
-    // It joins at the flood's rank, so it is one of the next two to go.
+    // It is queued at the same rank as the flooding account, so it is one of the next two sent.
     for number in 0..2 {
         dispatcher.ended(1, RequestId(number), 100.0, true, &mut actions);
     }
@@ -161,7 +162,7 @@
         dispatcher.arrive(0, waiting(number, "a", 1.0), &mut actions);
     }
     actions.clear();
-    // Some 45 wait for 4 slots of 500 ms: this one would start after 5 s.
+    // About 45 requests wait for 4 slots of 500 ms: this one would start after 5 s.
     dispatcher.arrive(
         0,
         Waiting {
@@ -245,7 +246,7 @@
         ),
         "{actions:?}"
     );
-    // The caller was sent away, yet the target is wanted, and ever longer.
+    // The refused request still counts as demand for the target, with a growing wait.
     let demand = dispatcher.demand(4_000);
     assert_eq!(
         (demand[0].waiting_count, demand[0].oldest_wait_ms),
@@ -262,7 +263,7 @@
         dispatcher.arrive(0, waiting(number, "a", 1.0), &mut actions);
     }
     assert_eq!(actions.len(), 1, "{actions:?}");
-    // The peer falls silent: its word no longer counts.
+    // No more messages from the peer: its reported load no longer counts.
     dispatcher.tick(10_000, &mut actions);
     assert_eq!(actions.len(), 3, "{actions:?}");
 }
--- a/crates/cranereach-core/tests/versions.rs
+++ b/crates/cranereach-core/tests/versions.rs
@@ -1,4 +1,5 @@
-//! Configuration versions only grow, and an instance knows when it can't know.
+//! The configuration version of an instance never decreases, and an instance stops serving when it
+//! cannot confirm that its version is the newest.
 
 use proptest::prelude::*;
 
@@ -6,7 +7,7 @@
 use cranereach_core::config::ConfigState;
 use cranereach_core::config::Head;
 
-/// Makes a head.
+/// Creates the head of a version.
 fn head(version: u64) -> Head {
     Head {
         version,
@@ -14,10 +15,11 @@
     }
 }
 
-/// One row: table read how long ago, listed and heard peers, and whether to serve.
+/// One row: name, time since the table was last read in milliseconds, numbers of listed peers and
+/// of those heard from, and whether the instance may serve.
 type Row = (&'static str, Option<u64>, usize, usize, bool);
 
-/// The fault table, for an instance that holds a version.
+/// Table of faults, for an instance that holds a version.
 const ROWS: [Row; 8] = [
     ("table read lately, nobody heard", Some(0), 5, 0, true),
     (
--- a/crates/cranereach-gateway/tests/departure_words.rs
+++ b/crates/cranereach-gateway/tests/departure_words.rs
@@ -1,11 +1,11 @@
-//! What instances tell each other of workers that leave, in bytes.
+//! Size of the gossip digest entries that report leaving workers.
 
 use cranereach_fleet::departure::DepartureNews;
 use cranereach_gateway::messages::Digest;
 use cranereach_gateway::messages::Message;
 use cranereach_gateway::messages::encode;
 
-/// Largest word on one worker, in bytes.
+/// Maximum size of the digest entry for one leaving worker, in bytes.
 const WORD_MAX_BYTES: usize = 20;
 
 fn digest_bytes(count: usize) -> usize {
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -1,5 +1,6 @@
-//! Starts: of all instances at once, of many beside others, of one alone. How often the
-//! store is read for the list, how often it crosses failure domains, how long it takes.
+//! Simulates the start of all instances at once, of some next to running ones, and of a single
+//! one. Bounds how often the worker list is read from the store, how often it is fetched from
+//! another failure domain, and how long it takes until all instances have it.
 
 use std::net::Ipv4Addr;
 
@@ -24,23 +25,26 @@
 const SLOW_ROUND_EVERY: u64 = 4;
 const LOST_SHARE: f64 = 0.02;
 
-/// Time that a small machine takes to read the list at the store, and at a peer, in
-/// milliseconds.
+/// Time that a small machine takes to read the list from the store, in milliseconds.
 const STORE_READ_MS: u64 = 2_000;
+
+/// Time that a small machine takes to fetch the list from a peer, in milliseconds.
 const FETCH_MS: u64 = 800;
 
-/// Whole lists that one instance sends at one time, as in `list_bodies`.
+/// Maximum number of whole lists that one instance sends at the same time, as in the gateway.
 const WHOLE_AT_ONCE_COUNT: usize = 3;
 
-/// Time for which a peer that is busy isn't asked again, as in `list_source`.
+/// Time for which a peer that is busy or down is not asked again, in milliseconds, as in the
+/// gateway.
 const PASSED_OVER_FOR_MS: u64 = 400;
 
-/// Reads of the store, and lists that cross failure domains, that a start of all may take
-/// at any size: 3 to 8 and 21 to 40 were seen among 1,000 instances.
+/// Maximum number of store reads, and of lists fetched from another failure domain, when all
+/// instances of a fleet of any size start. Fleets of 1,000 instances needed 3 to 8 reads and 21 to
+/// 40 such fetches.
 const READ_MAX_COUNT: usize = 20;
 const CROSSED_MAX_COUNT: usize = 80;
 
-/// Purpose that instances are ranked for, as in `list_source`.
+/// Purpose by which instances are ranked, as in the gateway.
 const PURPOSE: &str = "list of workers";
 
 fn address(number: usize) -> Ipv4Addr {
@@ -55,7 +59,7 @@
     format!("z{}", number % DOMAIN_COUNT)
 }
 
-/// What an instance does about its list.
+/// Progress of an instance in getting the list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Looks,
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Tells that an instance has the list; in a large one the rows don't fit.
+    /// Announces that an instance has the list, without rows: those of a large list do not fit.
     fn tell_list(&mut self, sender: usize, origin: Origin) {
         let now_ms = self.now_ms;
         let recipients = self.instances[sender].peers.list_recipients(now_ms, origin);
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Says where an instance looks, as `list_source` does.
+    /// Selects the source of the list for an instance, as the gateway does.
     fn source(&mut self, number: usize) -> (FirstSource, Option<Ipv4Addr>, Option<Ipv4Addr>) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
@@ -284,7 +288,8 @@
         self.instances[number].state = State::Fetches { until_ms, from };
     }
 
-    /// Returns the time until all that aren't down have the list, in milliseconds.
+    /// Runs until all running instances have the list or `timeout_ms` has passed; returns the time
+    /// taken, in milliseconds.
     fn until_all_have_it(&mut self, within_ms: u64) -> u64 {
         let begun_ms = self.now_ms;
         while self.now_ms < begun_ms + within_ms {
@@ -308,7 +313,7 @@
         have.count()
     }
 
-    /// Starts some instances anew.
+    /// Restarts some instances and resets the counters.
     fn restart(&mut self, numbers: impl Iterator<Item = usize>) {
         let count = self.instances.len();
         for number in numbers {
@@ -347,10 +352,11 @@
 fn nobody_waits_for_seeds_that_are_down_or_read_nothing() {
     let mut fleet = Fleet::start(60, 7);
     fleet.are_seeds_down = true;
-    // They hear nobody, and read by themselves.
+    // With the seeds down, the instances hear from nobody and read the store themselves.
     let took_ms = fleet.until_all_have_it(40_000);
     assert!(took_ms <= 2_000 + STORE_READ_MS + 500, "{took_ms}");
-    // Where nobody gets anything, few ask at one time, and all have it soon once they do.
+    // While the store is down, few instances read at the same time; all have the list soon
+    // after it is back.
     let mut fleet = Fleet::start(300, 9);
     fleet.is_store_down = true;
     fleet.until_all_have_it(10_000);
--- a/crates/cranereach-gateway/tests/limit_words.rs
+++ b/crates/cranereach-gateway/tests/limit_words.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of workers that name a limit, in bytes.
+//! Size of the messages in which instances exchange the rate limits that workers announce.
 
 use cranereach_fleet::named_limit::LimitReport;
 use cranereach_gateway::messages::GrantAsk;
@@ -9,13 +9,13 @@
 use cranereach_gateway::messages::SendGrant;
 use cranereach_gateway::messages::encode;
 
-/// Largest word on a limit, in bytes.
+/// Maximum size that a limit report adds to a message, in bytes.
 const WORD_MAX_BYTES: usize = 32;
 
-/// Largest question for a grant, and largest answer, in bytes.
+/// Maximum size of a request for a send grant, and of the grant, in bytes.
 const GRANT_MAX_BYTES: usize = 64;
 
-/// A word as large as words get.
+/// A limit report of maximum encoded size.
 const WORD: LimitReport = LimitReport {
     start: u64::MAX,
     rate_per_s: Some(1.2),
--- a/crates/cranereach-gateway/tests/peers.rs
+++ b/crates/cranereach-gateway/tests/peers.rs
@@ -1,4 +1,5 @@
-//! What an instance takes from its peers' messages.
+//! State that an instance derives from the messages of its peers, and the recipients that it
+//! selects.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -25,7 +26,7 @@
 use cranereach_gateway::peers::Peers;
 use cranereach_gateway::recipients::Origin;
 
-/// A service's key.
+/// Key of a service.
 const SERVICE: u64 = 7;
 
 fn ip(last: u8) -> Ipv4Addr {
@@ -69,9 +70,9 @@
     peers.heard(1_000, ip(2), &told(1, 400));
     assert!(peers.knows_holder(1_000, SERVICE));
     assert_eq!(peers.held(1_100), [held(500)]);
-    // What it asks for goes to that holder, whom it never heard.
+    // Its demand is sent to that holder, although it has received no message from it.
     assert_eq!(peers.holders(1_100), [ip(9)]);
-    // Telling it again makes it no younger.
+    // Relaying the same news again does not make it more recent.
     peers.heard(1_800, ip(3), &told(1, 1_200));
     let end_ms = 600 + LEASE_NEWS_MAX_AGE_MS;
     assert!(peers.knows_holder(end_ms - 1, SERVICE));
@@ -92,7 +93,7 @@
         assert!(peers.knows_holder(1_100, SERVICE));
         peers.heard(1_200, ip(2), &given_up);
         assert!(!peers.knows_holder(1_200, SERVICE));
-        // What others heard before that counts no more.
+        // News that others received before the release no longer counts.
         peers.heard(1_300, ip(3), &told(1, 300));
         assert!(!peers.knows_holder(1_300, SERVICE));
         peers.heard(1_400, ip(3), &holder(2));
@@ -117,7 +118,8 @@
     assert_eq!(ranks, (0..9).collect::<Vec<u64>>());
 }
 
-/// Peers of an instance in a fleet of `count`, of which each third is of its domain.
+/// Returns the peers of an instance in a fleet of `count` instances, a third of which belong to
+/// its failure domain.
 fn fleet(count: u32) -> Peers {
     let table = ["z1", "z2"].map(|domain| (domain.to_owned(), "r1".to_owned()));
     let topology = Topology::new("z1", "r1", &BTreeMap::from(table)).unwrap();
@@ -149,7 +151,7 @@
             .iter()
             .filter(|peer| u32::from(**peer) % 3 != u32::from(ip(0)) % 3);
         assert_eq!(far.count(), 2);
-        // Whoever hears it within its domain tells nobody else.
+        // An instance that receives a change from its own domain relays it only within the domain.
         let passed_on = peers.list_recipients(10, Origin::OwnDomain);
         assert_eq!(passed_on.len(), 3);
         let is_near = |peer: &&Ipv4Addr| u32::from(**peer) % 3 == u32::from(ip(0)) % 3;
@@ -160,10 +162,10 @@
             assert_eq!(recipients.iter().filter(is_near).count(), 4);
             far_count += recipients.len() - 4;
         }
-        // To another domain one a second; without news no round goes there besides.
+        // One digest a second goes to another domain; without updates, no other round does.
         assert_eq!(far_count, 2);
         assert!(peers.member_updates(10).len() <= 48);
-        // A holder hears so many messages of demand a second, from however many.
+        // The rate of demand messages at a holder is bounded for any number of senders.
         let every_ms = peers.demand_every_ms(250);
         let heard_per_s = f64::from(count) * 1_000.0 / every_ms as f64;
         assert!(heard_per_s <= 256.0, "{heard_per_s}");
@@ -260,7 +262,7 @@
     assert!(!peers.is_store_lost(10_000), "one other may be cut off");
     peers.heard(10_100, address(4), &tells(2, &[(3, 500), (5, 0)]));
     assert!(peers.is_store_lost(10_100));
-    // Told again it is no younger: the first of them was so at 9,900.
+    // A relayed failure keeps its time: the first one happened at 9,900.
     assert!(!peers.is_store_lost(11_400));
     let many: Vec<(u32, u64)> = (100..200).map(|number| (number, 0)).collect();
     peers.heard(12_000, address(6), &tells(2, &many));
@@ -289,7 +291,7 @@
             "told twice"
         );
     }
-    // What each sender told, as far as it was taken, and the senders.
+    // The members accepted from each sender, and the senders themselves.
     assert!(peers.members().known_count() <= 3 * 48 + 4);
     assert!(!peers.knows_holder(5_000, SERVICE));
     for sender in 0..20_000 {
@@ -337,12 +339,12 @@
     };
     assert!(peers.heard(10, far, &told(2, "z2", 9)));
     assert_eq!(peers.configuration_source(10, 9, far), far);
-    // A near one that has an older version is no use.
+    // A peer of its own domain with an older version is not a source.
     assert!(peers.heard(10, near, &told(2, "z1", 8)));
     assert_eq!(peers.configuration_source(10, 9, far), far);
     assert!(peers.heard(20, near, &told(3, "z1", 9)));
     assert_eq!(peers.configuration_source(20, 9, far), near);
-    // Just one instance of the domain goes first, in an order that all work out alike.
+    // Exactly one instance of the domain is the first, in an order that all compute alike.
     let table = ["z1", "z2"].map(|domain| (domain.to_owned(), "r1".to_owned()));
     let topology = Topology::new("z1", "r1", &BTreeMap::from(table)).unwrap();
     let own = (1..=60).filter(|number| *number == 1 || number % 3 == 0);
--- a/crates/cranereach-gateway/tests/spreading.rs
+++ b/crates/cranereach-gateway/tests/spreading.rs
@@ -1,6 +1,6 @@
-//! How fast news reach a whole fleet by the choice of whom messages go to: versions of the
-//! configuration and the list, holders, members; in one and several regions, with lost
-//! datagrams, cuts and instances that die.
+//! Simulates gossip to measure how fast the selection of recipients spreads updates over a whole
+//! fleet: configuration versions, worker list changes, lease holders and members; in one and in
+//! several regions, with lost datagrams, network partitions and instances that crash.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -18,10 +18,11 @@
 /// Time between two rounds of digests, in milliseconds, as in the default settings.
 const ROUND_MS: u64 = 250;
 
-/// Rounds between two that go to other domains without news, as in `gossip`.
+/// Interval, in rounds, of the digests that go to other failure domains even without updates, as
+/// in the gateway.
 const SLOW_ROUND_EVERY: u64 = 4;
 
-/// Failure domains of each region.
+/// Number of failure domains in each region.
 const DOMAIN_COUNT: usize = 5;
 
 /// Share of datagrams that are lost.
@@ -35,14 +36,14 @@
     (u32::from(address) - u32::from(self::address(0))) as usize
 }
 
-/// A fleet in which all have heard of all.
+/// A fleet in which every instance has received a digest from every other one.
 struct Fleet {
     peers: Vec<Peers>,
     domains: Vec<u64>,
-    /// Instances that no message reaches or leaves, and that nobody knows to be cut off.
+    /// Instances that can neither send nor receive; the others do not know that.
     cut: HashSet<usize>,
     round: u64,
-    /// Messages that went to another failure domain, and to another region.
+    /// Numbers of messages sent to another failure domain, and to another region.
     crossed: (usize, usize),
     region_count: usize,
     rng: StdRng,
@@ -81,7 +82,7 @@
         fleet
     }
 
-    /// Returns the same fleet, with other chances.
+    /// Returns a copy of the fleet with another random seed.
     fn again(&self, seed: u64) -> Self {
         Self {
             peers: self.peers.clone(),
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Whether a message gets from one instance to another; counts what crosses.
+    /// Simulates the delivery of a message and returns whether it arrives. Counts it if it crosses
+    /// failure domains or regions.
     fn arrives(&mut self, sender: usize, recipient: usize) -> bool {
         if self.domains[sender] != self.domains[recipient] {
             self.crossed.0 += 1;
@@ -117,7 +119,7 @@
         !self.rng.random_bool(LOST_SHARE) && !is_cut
     }
 
-    /// Returns where news stand that came from one instance to another.
+    /// Returns the origin of an update as the recipient sees it.
     fn origin(&self, sender: usize, recipient: usize) -> Origin {
         if self.domains[sender] == self.domains[recipient] {
             Origin::OwnDomain
@@ -128,17 +130,18 @@
         }
     }
 
-    /// Lists whom an instance's digest goes to in this round.
+    /// Returns the recipients of an instance's digest in this round.
     fn recipients(&mut self, sender: usize) -> Vec<usize> {
         let now_ms = self.now_ms();
-        // Instances don't start at one moment.
+        // Instances start at different times, so their slow rounds are staggered.
         let is_slow_round = (self.round + sender as u64).is_multiple_of(SLOW_ROUND_EVERY);
         let recipients = self.peers[sender].recipients(now_ms, is_slow_round, &[]);
         recipients.into_iter().map(number).collect()
     }
 
-    /// Rounds until 99 % of the instances that aren't cut off know what one of them does
-    /// that digests carry; `dies` says whether that one falls silent after two rounds.
+    /// Returns the rounds until an update carried by digests has spread from instance 0 to 99 % of
+    /// the instances that are not isolated. If `source_crashes`, instance 0 sends nothing after
+    /// two rounds.
     fn rounds_to_spread(&mut self, dies: bool) -> u64 {
         let all_count = self.peers.len() - self.cut.len();
         let mut informed = HashSet::from([0]);
@@ -168,15 +171,16 @@
         self.round - begun
     }
 
-    /// Rounds until all instances that aren't cut off have a change of the list that one
-    /// of them has read, which then may die.
+    /// Returns the rounds until all instances that are not isolated have a list change that
+    /// instance 0 has read. If `source_crashes`, instance 0 announces the change once and then
+    /// does not answer instances that lack it.
     fn rounds_to_list(&mut self, dies: bool) -> u64 {
         let all_count = self.peers.len() - self.cut.len();
         let mut informed = HashSet::from([0]);
         let mut passing = vec![(0, Origin::Own)];
         let begun = self.round;
         for _round in 0..40 {
-            // Whoever has news passes them on at once.
+            // Each instance relays the change as soon as it receives it.
             while let Some((sender, origin)) = passing.pop() {
                 let now_ms = self.now_ms();
                 for recipient in self.peers[sender].list_recipients(now_ms, origin) {
@@ -190,7 +194,8 @@
                 break;
             }
             self.round += 1;
-            // Digests show who is behind, after a moment.
+            // Digests show which instances lack the change; from the second round on, the
+            // recipients of such a digest send it.
             for sender in 0..self.peers.len() {
                 for recipient in self.recipients(sender) {
                     let is_dead = dies && recipient == 0;
@@ -207,7 +212,7 @@
         self.round - begun
     }
 
-    /// Lets all tell each other who lives.
+    /// Runs one round in which all instances send digests with their member updates.
     fn tell_members(&mut self) {
         self.round += 1;
         let now_ms = self.now_ms();
@@ -224,7 +229,8 @@
         }
     }
 
-    /// The least share of the others that an instance takes for living.
+    /// Returns the minimum, over all instances, of the share of the others that it takes for alive.
+    /// Isolated instances do not count.
     fn least_known_share(&self) -> f64 {
         let others = self.peers.len() - self.cut.len() - 1;
         let known = (0..self.peers.len()).filter(|number| !self.cut.contains(number));
@@ -261,13 +267,13 @@
                 rounds <= round_max_count,
                 "{count}, {region_count}: {rounds}"
             );
-            // Whoever began dies after two rounds.
+            // The source of the update crashes after two rounds.
             let rounds = seeded(false).rounds_to_spread(true);
             assert!(
                 rounds <= round_max_count + 1,
                 "{count}, {region_count}, dies: {rounds}"
             );
-            // A fifth that is cut off, and not known to be, costs a round.
+            // An undetected partition of a fifth of the fleet costs one more round.
             let rounds = seeded(true).rounds_to_spread(false);
             assert!(
                 rounds <= round_max_count + 1,
@@ -284,7 +290,7 @@
         for news in 0..6 {
             let mut fleet = fresh.again(news);
             let rounds = fleet.rounds_to_list(news % 2 == 1);
-            // A first read is due at 0.4 of the bound, which is 2,000 ms at least.
+            // The first read is due after 0.4 of the bound, which is at least 2,000 ms.
             assert!(
                 rounds * ROUND_MS <= 1_000,
                 "{count}, {region_count}: {rounds}"
@@ -297,13 +303,14 @@
 fn what_crosses_grows_with_domains_and_not_with_instances() {
     for (count, region_count) in [(73, 2), (300, 2), (600, 2)] {
         let mut fleet = Fleet::start(count, region_count, 7);
-        // One change of the list: a gate a domain, and a gate of the other region, with
-        // repairs of what got lost.
+        // One list change: one relay for each domain, and one for the other region, plus the
+        // repair of lost messages.
         fleet.rounds_to_list(false);
         let (_, beyond) = fleet.crossed;
         let rounds = fleet.round as usize + 1;
         assert!(beyond <= 20 + rounds * count / 7, "{count}: {beyond}");
-        // At rest: one digest a second to another domain, one in two to another region.
+        // Without updates: one digest a second to another domain, every second one of them to
+        // another region.
         fleet.crossed = (0, 0);
         for _round in 0..16 {
             fleet.tell_members();
@@ -323,7 +330,7 @@
         }
         let share = fleet.least_known_share();
         assert!(share >= 0.95, "{count}, {region_count}: {share}");
-        // One region loses the others for a while, and comes back.
+        // One region is partitioned from the others for a while, then reconnects.
         let cut = (0..count).filter(|number| number % region_count == 0);
         fleet.cut = if region_count > 1 {
             cut.collect()
@@ -353,7 +360,7 @@
             counts[fleet.origin(0, number(recipient)) as usize] += 1;
         }
     }
-    // One near in each round; of the others a quarter beyond.
+    // One of the own domain in each round; about a quarter of the others from other regions.
     assert_eq!(counts.iter().sum::<i32>(), 800);
     assert_eq!(counts[0], 400);
     assert!((50..150).contains(&counts[2]), "{counts:?}");
--- a/crates/cranereach-gateway/tests/suspects.rs
+++ b/crates/cranereach-gateway/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of requests under which workers ended, in bytes.
+//! Size of the gossip about requests under which workers ended.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -10,10 +10,10 @@
 use cranereach_gateway::messages::Message;
 use cranereach_gateway::messages::encode;
 
-/// Largest part of a digest that tells of such requests, in bytes.
+/// Maximum size of the part of a digest that lists such requests, in bytes.
 const TOLD_MAX_BYTES: usize = 1_536;
 
-/// Largest datagram that tells of one end, in bytes.
+/// Maximum size of the datagram that reports a single end, in bytes.
 const END_MAX_BYTES: usize = 64;
 
 fn mark(number: u64) -> RequestMark {
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer says of the worker that made it.
+//! Parsing of the response headers that describe the worker that sent the response.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
@@ -12,7 +12,7 @@
 use cranereach_gateway::worker_words::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_gateway::worker_words::WorkerHeaders;
 
-/// Names of another platform.
+/// Header names of a made-up platform.
 const NAMES: HeaderNames = HeaderNames {
     request_id: "id",
     deadline_ms: "deadline",
