--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -28,13 +28,13 @@
         Verdict::TryElsewhere,
     ),
     (
-        "closed after the request left, unsafe",
+        "closed after the request was sent, unsafe",
         Repeatable::Unsafe,
         &[(0, Event::HandedToConnection), (1, Event::Broken)],
         Verdict::End(ResultCode::OutcomeUnknown),
     ),
     (
-        "closed after the request left, safe",
+        "closed after the request was sent, safe",
         Repeatable::Safe,
         &[(0, Event::HandedToConnection), (1, Event::Broken)],
         Verdict::TryElsewhere,
@@ -50,7 +50,7 @@
         Verdict::TryElsewhere,
     ),
     (
-        "broken midway",
+        "broken off in the middle of the response",
         Repeatable::Safe,
         &[
             (0, Event::HandedToConnection),
@@ -61,7 +61,7 @@
         Verdict::End(ResultCode::BrokenMidway),
     ),
     (
-        "garbled, unsafe",
+        "malformed response, unsafe",
         Repeatable::Unsafe,
         &[
             (0, Event::HandedToConnection),
@@ -71,13 +71,13 @@
         Verdict::End(ResultCode::GarbledAnswer),
     ),
     (
-        "late before it was sent",
+        "deadline passed before sending",
         Repeatable::Unsafe,
         &[(1_000, Event::DeadlinePassed)],
         Verdict::End(ResultCode::DeadlinePassed),
     ),
     (
-        "late after it was sent",
+        "deadline passed after sending",
         Repeatable::Safe,
         &[
             (0, Event::HandedToConnection),
@@ -86,13 +86,13 @@
         Verdict::End(ResultCode::DeadlinePassedRunning),
     ),
     (
-        "no connection, too late to repeat",
+        "no connection, deadline passed",
         Repeatable::Safe,
         &[(1_000, Event::NotConnected)],
         Verdict::End(ResultCode::DeadlinePassed),
     ),
     (
-        "may have run, then no connection and too late",
+        "may have run, then no connection and deadline passed",
         Repeatable::Safe,
         &[
             (0, Event::HandedToConnection),
@@ -112,7 +112,7 @@
         Verdict::End(ResultCode::Served),
     ),
     (
-        "doubled end",
+        "broken off after the complete response",
         Repeatable::Unsafe,
         &[
             (0, Event::HandedToConnection),
--- a/crates/cranereach-core/tests/control_faults.rs
+++ b/crates/cranereach-core/tests/control_faults.rs
@@ -33,14 +33,14 @@
             },
         ),
         (
-            "orders late",
+            "orders delayed",
             Faults {
                 delay_order: 0.3,
                 ..lossy
             },
         ),
         (
-            "orders doubled",
+            "orders duplicated",
             Faults {
                 double_order: 0.3,
                 ..lossy
@@ -61,21 +61,21 @@
             },
         ),
         (
-            "table answers lost after taking effect",
+            "table answers lost after the write took effect",
             Faults {
                 lose_table_answer: 0.5,
                 ..lossy
             },
         ),
         (
-            "table down for long",
+            "long table outages",
             Faults {
                 table_outage: 0.005,
                 ..lossy
             },
         ),
         (
-            "all together",
+            "all faults together",
             Faults {
                 lose_order: 0.2,
                 delay_order: 0.2,
@@ -110,7 +110,7 @@
         }
         assert!(
             loaded as u64 > SEEDS,
-            "{name}: hardly anything was ever loaded ({loaded})"
+            "{name}: hardly any target was loaded ({loaded})"
         );
     }
 }
--- a/crates/cranereach-core/tests/versions.rs
+++ b/crates/cranereach-core/tests/versions.rs
@@ -21,23 +21,23 @@
 
 /// Table of faults, for an instance that holds a version.
 const ROWS: [Row; 8] = [
-    ("table read lately, nobody heard", Some(0), 5, 0, true),
+    ("table read recently, no peer heard", Some(0), 5, 0, true),
     (
-        "table out, all heard",
+        "table down, all peers heard",
         Some(CONFIRMATION_TIMEOUT_MS),
         5,
         5,
         true,
     ),
     (
-        "table out, half heard",
+        "table down, half of the peers heard",
         Some(CONFIRMATION_TIMEOUT_MS),
         4,
         2,
         true,
     ),
     (
-        "table out, fewer than half heard",
+        "table down, fewer than half of the peers heard",
         Some(CONFIRMATION_TIMEOUT_MS),
         5,
         2,
@@ -51,14 +51,14 @@
         false,
     ),
     (
-        "table out, no other instance listed",
+        "table down, no other instance listed",
         Some(CONFIRMATION_TIMEOUT_MS),
         0,
         0,
         true,
     ),
     ("table never read, peers heard", None, 2, 1, true),
-    ("table never read, nobody heard", None, 2, 0, false),
+    ("table never read, no peer heard", None, 2, 0, false),
 ];
 
 #[test]
--- a/crates/cranereach-gateway/tests/departure_words.rs
+++ b/crates/cranereach-gateway/tests/departure_words.rs
@@ -23,6 +23,6 @@
 #[test]
 fn a_worker_that_leaves_costs_few_bytes_a_digest() {
     let word_bytes = digest_bytes(1) - digest_bytes(0);
-    println!("a word takes {word_bytes} bytes");
+    println!("an entry takes {word_bytes} bytes");
     assert!(word_bytes <= WORD_MAX_BYTES);
 }
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -329,7 +329,7 @@
         let mut fleet = Fleet::start(count, 3);
         let took_ms = fleet.until_all_have_it(40_000);
         let (reads, crossed) = (fleet.store_read_count, fleet.crossed_count);
-        println!("{count}: {took_ms} ms, {reads} reads, {crossed} crossed");
+        println!("{count}: {took_ms} ms, {reads} store reads, {crossed} cross-domain fetches");
         assert!(took_ms <= 12_000, "{count}: {took_ms}");
         assert!(reads <= READ_MAX_COUNT, "{count}: {reads}");
         assert!(crossed <= CROSSED_MAX_COUNT, "{count}: {crossed}");
@@ -342,7 +342,10 @@
     fleet.until_all_have_it(40_000);
     fleet.restart((0..300).filter(|number| number % 10 == 0));
     let took_ms = fleet.until_all_have_it(40_000);
-    println!("restart: {took_ms} ms, {} crossed", fleet.crossed_count);
+    println!(
+        "restart: {took_ms} ms, {} cross-domain fetches",
+        fleet.crossed_count
+    );
     assert!(took_ms <= 4_000, "{took_ms}");
     assert!(fleet.store_read_count <= 1, "{}", fleet.store_read_count);
     assert!(fleet.crossed_count <= 6, "{}", fleet.crossed_count);
@@ -364,6 +367,6 @@
     assert!(fleet.store_read_count <= 300, "{}", fleet.store_read_count);
     fleet.is_store_down = false;
     let took_ms = fleet.until_all_have_it(40_000);
-    println!("regained: {took_ms} ms");
+    println!("store available again: {took_ms} ms");
     assert!(took_ms <= 10_000, "{took_ms}");
 }
--- a/crates/cranereach-gateway/tests/limit_words.rs
+++ b/crates/cranereach-gateway/tests/limit_words.rs
@@ -40,7 +40,7 @@
 fn a_worker_that_names_none_costs_nothing_to_speak_of() {
     let unspoken = question_bytes(None);
     let spoken = question_bytes(Some(WORD));
-    println!("a word takes {} bytes", spoken - unspoken);
+    println!("a limit report takes {} bytes", spoken - unspoken);
     assert!(spoken - unspoken <= WORD_MAX_BYTES);
 }
 
@@ -61,7 +61,7 @@
     };
     let ask_bytes = encode(Message::MaySend(ask)).len();
     let grant_bytes = encode(Message::SendGranted(grant)).len();
-    println!("asked with {ask_bytes} bytes, answered with {grant_bytes}");
+    println!("a request takes {ask_bytes} bytes, a grant {grant_bytes}");
     assert!(ask_bytes <= GRANT_MAX_BYTES);
     assert!(grant_bytes <= GRANT_MAX_BYTES);
 }
--- a/crates/cranereach-gateway/tests/peers.rs
+++ b/crates/cranereach-gateway/tests/peers.rs
@@ -194,14 +194,14 @@
     assert_eq!(answers[&address(77)], placed[..2]);
     assert!(
         peers.take_satisfied_waits(10, SERVICE, &placed).is_empty(),
-        "told once"
+        "answered once"
     );
     let other = [(8, (4, 1))];
     assert!(
         peers
             .take_satisfied_waits(5_000, SERVICE, &other)
             .is_empty(),
-        "given up"
+        "the wait has expired"
     );
 }
 
@@ -238,7 +238,7 @@
     assert!((sum(&peers, 200) - 299.0).abs() < 0.01);
     assert!(
         !peers.apply_demand(100, address(9_000), &demand(2, 1.0)),
-        "a stranger"
+        "an unknown sender"
     );
     assert!(sum(&peers, 60_000).abs() < 0.01);
 }
@@ -257,9 +257,12 @@
         ..digest(count)
     };
     peers.store_failed(10_000);
-    assert!(!peers.is_store_lost(10_000), "its own word alone");
+    assert!(!peers.is_store_lost(10_000), "only its own failure");
     peers.heard(10_000, address(2), &tells(2, &[(3, 100)]));
-    assert!(!peers.is_store_lost(10_000), "one other may be cut off");
+    assert!(
+        !peers.is_store_lost(10_000),
+        "a single other instance may be cut off itself"
+    );
     peers.heard(10_100, address(4), &tells(2, &[(3, 500), (5, 0)]));
     assert!(peers.is_store_lost(10_100));
     // A relayed failure keeps its time: the first one happened at 9,900.
@@ -288,7 +291,7 @@
         assert!(peers.heard(5_000, address(2 + sender), &strange));
         assert!(
             !peers.heard(5_000, address(2 + sender), &strange),
-            "told twice"
+            "received twice"
         );
     }
     // The members accepted from each sender, and the senders themselves.
--- a/crates/cranereach-gateway/tests/spreading.rs
+++ b/crates/cranereach-gateway/tests/spreading.rs
@@ -271,13 +271,13 @@
             let rounds = seeded(false).rounds_to_spread(true);
             assert!(
                 rounds <= round_max_count + 1,
-                "{count}, {region_count}, dies: {rounds}"
+                "{count}, {region_count}, source crashes: {rounds}"
             );
             // An undetected partition of a fifth of the fleet costs one more round.
             let rounds = seeded(true).rounds_to_spread(false);
             assert!(
                 rounds <= round_max_count + 1,
-                "{count}, {region_count}, a fifth cut: {rounds}"
+                "{count}, {region_count}, a fifth isolated: {rounds}"
             );
         }
     }
@@ -341,13 +341,19 @@
             fleet.tell_members();
         }
         let share = fleet.least_known_share();
-        assert!(share >= 0.95, "{count}, {region_count}, cut: {share}");
+        assert!(
+            share >= 0.95,
+            "{count}, {region_count}, partitioned: {share}"
+        );
         fleet.cut.clear();
         for _round in 0..60 {
             fleet.tell_members();
         }
         let share = fleet.least_known_share();
-        assert!(share >= 0.95, "{count}, {region_count}, again: {share}");
+        assert!(
+            share >= 0.95,
+            "{count}, {region_count}, reconnected: {share}"
+        );
     }
 }
 
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -66,7 +66,7 @@
     assert_eq!(
         rest(503, &[asked]),
         rest::RestRequest::For(2_000),
-        "whatever ran"
+        "regardless of what ran"
     );
     for status in [200, 202, 409, 421, 429, 500] {
         assert_eq!(
@@ -116,7 +116,7 @@
     assert_eq!(
         rest_ms(&[("connection", "Foo, Close")]),
         None,
-        "beside other words"
+        "among other tokens"
     );
     assert_eq!(
         rest_ms(&[("connection", "foo"), ("connection", "close")]),
