--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -148,7 +148,7 @@
 }
 
 /// Returns a strategy that generates any event.
-fn event() -> impl Strategy<Value = Event> {
+fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
         Just(Event::NotConnected),
         Just(Event::HandedToConnection),
@@ -168,7 +168,7 @@
     #[test]
     fn not_run_is_true_over_all_orders_of_events(
         is_unsafe in any::<bool>(),
-        events in prop::collection::vec((0_u64..1_500, event()), 1..12),
+        events in prop::collection::vec((0_u64..1_500, any_event()), 1..12),
         refusal_follows in any::<bool>(),
     ) {
         let repeat = if is_unsafe { Repeatable::Unsafe } else { Repeatable::Safe };
@@ -188,8 +188,8 @@
             }
             // Only a refusal by the upstream proves that an attempt did not run, and only if no
             // part of the response has been passed on.
-            let cleared = event == Event::RefusedByUpstream && verdict == Verdict::TryElsewhere;
-            may_have_run |= in_flight && !cleared && event != Event::RefusedByUpstream;
+            let is_not_run = event == Event::RefusedByUpstream && verdict == Verdict::TryElsewhere;
+            may_have_run |= in_flight && !is_not_run && event != Event::RefusedByUpstream;
             in_flight = false;
             if verdict == Verdict::TryElsewhere && is_unsafe {
                 prop_assert!(!may_have_run, "an unsafe call is sent again");
--- a/crates/cranereach-core/tests/control_faults.rs
+++ b/crates/cranereach-core/tests/control_faults.rs
@@ -3,9 +3,9 @@
 
 mod control_world;
 
-use control_world::CALM;
 use control_world::CAPACITY_BYTES;
 use control_world::Faults;
+use control_world::NO_FAULTS;
 use control_world::World;
 
 /// Seeds per row of the table.
@@ -21,7 +21,7 @@
 fn rows() -> Vec<Row> {
     let lossy = Faults {
         lose_report: 0.2,
-        ..CALM
+        ..NO_FAULTS
     };
     vec![
         ("reports lag and get lost", lossy),
@@ -42,7 +42,7 @@
         (
             "orders duplicated",
             Faults {
-                double_order: 0.3,
+                duplicate_order: 0.3,
                 ..lossy
             },
         ),
@@ -79,7 +79,7 @@
             Faults {
                 lose_order: 0.2,
                 delay_order: 0.2,
-                double_order: 0.2,
+                duplicate_order: 0.2,
                 pause: 0.01,
                 restart_engine: 0.003,
                 lose_table_answer: 0.3,
@@ -92,37 +92,37 @@
 
 /// Runs each row with all seeds and asserts after every step that no engine uses more memory than
 /// it has.
-fn keeps_within_memory(fenced: bool) {
+fn assert_memory_within_capacity(fenced: bool) {
     for (name, faults) in rows() {
-        let mut loaded = 0;
+        let mut loaded_count = 0;
         for seed in 0..SEEDS {
             let mut world = World::new(seed, fenced, faults);
             for _step in 0..STEPS {
                 world.step();
-                let taken_bytes = world.most_taken_bytes();
+                let used_bytes = world.max_used_bytes();
                 assert!(
-                    taken_bytes <= CAPACITY_BYTES,
-                    "{name}, seed {seed}, {} ms: {taken_bytes} bytes",
+                    used_bytes <= CAPACITY_BYTES,
+                    "{name}, seed {seed}, {} ms: {used_bytes} bytes",
                     world.now_ms
                 );
             }
-            loaded += world.served.len();
+            loaded_count += world.last_resident_ms.len();
         }
         assert!(
-            loaded as u64 > SEEDS,
-            "{name}: hardly any target was loaded ({loaded})"
+            loaded_count as u64 > SEEDS,
+            "{name}: hardly any target was loaded ({loaded_count})"
         );
     }
 }
 
 #[test]
 fn engines_that_check_fences_are_never_overcommitted() {
-    keeps_within_memory(true);
+    assert_memory_within_capacity(true);
 }
 
 #[test]
 fn engines_that_do_not_check_fences_are_never_overcommitted() {
-    keeps_within_memory(false);
+    assert_memory_within_capacity(false);
 }
 
 #[test]
@@ -144,9 +144,9 @@
 
 /// Steps until a target is resident; returns the time taken, in milliseconds, or none if it took
 /// longer than `timeout_ms`.
-fn until_resident(world: &mut World, index: usize, within_ms: u64) -> Option<u64> {
+fn step_until_resident(world: &mut World, index: usize, timeout_ms: u64) -> Option<u64> {
     let started_ms = world.now_ms;
-    while world.now_ms < started_ms + within_ms {
+    while world.now_ms < started_ms + timeout_ms {
         world.step();
         if world.is_resident(index) {
             return Some(world.now_ms - started_ms);
@@ -158,12 +158,12 @@
 #[test]
 fn every_target_gets_its_turn_when_asked_for() {
     for fenced in [true, false] {
-        let mut world = World::new(7, fenced, CALM);
+        let mut world = World::new(7, fenced, NO_FAULTS);
         for round in 0..18 {
             let index = round % 6;
-            world.want_only(index);
+            world.request_only(index);
             assert!(
-                until_resident(&mut world, index, 30_000).is_some(),
+                step_until_resident(&mut world, index, 30_000).is_some(),
                 "fenced {fenced}, round {round}"
             );
         }
@@ -172,25 +172,25 @@
 
 #[test]
 fn a_successor_controls_fenced_engines_while_the_table_is_down() {
-    let mut world = World::new(3, true, CALM);
-    world.want_only(0);
-    assert!(until_resident(&mut world, 0, 30_000).is_some());
+    let mut world = World::new(3, true, NO_FAULTS);
+    world.request_only(0);
+    assert!(step_until_resident(&mut world, 0, 30_000).is_some());
     world.table_down_until(world.now_ms + 600_000);
     world.pause_holder(600_000);
-    world.want_only(5);
-    assert!(until_resident(&mut world, 5, 30_000).is_some());
+    world.request_only(5);
+    assert!(step_until_resident(&mut world, 5, 30_000).is_some());
 }
 
 #[test]
 fn a_successor_takes_over_from_a_paused_holder() {
     for fenced in [true, false] {
-        let mut world = World::new(4, fenced, CALM);
-        world.want_only(0);
-        assert!(until_resident(&mut world, 0, 30_000).is_some());
+        let mut world = World::new(4, fenced, NO_FAULTS);
+        world.request_only(0);
+        assert!(step_until_resident(&mut world, 0, 30_000).is_some());
         world.pause_holder(600_000);
-        world.want_only(5);
+        world.request_only(5);
         assert!(
-            until_resident(&mut world, 5, 60_000).is_some(),
+            step_until_resident(&mut world, 5, 60_000).is_some(),
             "fenced {fenced}"
         );
     }
--- a/crates/cranereach-core/tests/control_world/carrying.rs
+++ b/crates/cranereach-core/tests/control_world/carrying.rs
@@ -3,7 +3,7 @@
 
 use rand::RngExt;
 
-use super::Flying;
+use super::DelayedOrder;
 use super::World;
 use cranereach_core::control::ControlAction;
 use cranereach_core::control::IntentRow;
@@ -14,7 +14,7 @@
 
 impl World {
     /// Executes the actions that an instance decided on.
-    pub(super) fn carry_out(&mut self, index: usize, actions: Vec<ControlAction>) {
+    pub(super) fn execute(&mut self, index: usize, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
                 ControlAction::WriteLease(write) => {
@@ -37,11 +37,11 @@
         if applied {
             self.lease = (expected_version + 1, row.clone());
         }
-        if self.random.random_bool(self.faults.lose_table_answer) {
+        if self.rng.random_bool(self.faults.lose_table_answer) {
             return;
         }
         let instance = &mut self.instances[index];
-        let own_ms = self.now_ms + instance.offset_ms;
+        let own_ms = self.now_ms + instance.clock_offset_ms;
         if applied {
             instance
                 .control
@@ -63,7 +63,7 @@
         instance.intents_version = self.intents.0;
         instance
             .control
-            .intents_read(self.now_ms + instance.offset_ms, &self.intents.1);
+            .intents_read(self.now_ms + instance.clock_offset_ms, &self.intents.1);
     }
 
     /// Writes the intents row and sends the orders that the write allows.
@@ -75,11 +75,11 @@
             instance.intents_version += 1;
             self.intents = (instance.intents_version, row);
         }
-        let told = applied && !self.random.random_bool(self.faults.lose_table_answer);
+        let is_confirmed = applied && !self.rng.random_bool(self.faults.lose_table_answer);
         let orders = instance
             .control
-            .intents_recorded(self.now_ms + instance.offset_ms, told);
-        if !told {
+            .intents_recorded(self.now_ms + instance.clock_offset_ms, is_confirmed);
+        if !is_confirmed {
             instance.control.invalidate_intents();
         }
         for order in orders {
@@ -90,7 +90,7 @@
     /// Sends an order, which may get lost, delayed or duplicated.
     fn send(&mut self, index: usize, order: &Order) {
         let instance = &mut self.instances[index];
-        let own_ms = self.now_ms + instance.offset_ms;
+        let own_ms = self.now_ms + instance.clock_offset_ms;
         let expired = instance
             .control
             .lease()
@@ -102,37 +102,37 @@
                 .order_ended(own_ms, &order.worker, order.fence, OrderEnd::NeverSent);
             return;
         }
-        if self.random.random_bool(self.faults.double_order) {
-            self.fly(order.clone());
+        if self.rng.random_bool(self.faults.duplicate_order) {
+            self.delay(order.clone());
         }
-        if self.random.random_bool(self.faults.lose_order) {
-            return self.end(index, order, OrderEnd::Unknown);
+        if self.rng.random_bool(self.faults.lose_order) {
+            return self.report_end(index, order, OrderEnd::Unknown);
         }
-        if self.random.random_bool(self.faults.delay_order) {
-            self.fly(order.clone());
-            return self.end(index, order, OrderEnd::Unknown);
+        if self.rng.random_bool(self.faults.delay_order) {
+            self.delay(order.clone());
+            return self.report_end(index, order, OrderEnd::Unknown);
         }
-        let end = self.land(order);
-        self.end(index, order, end);
+        let end = self.deliver_order(order);
+        self.report_end(index, order, end);
     }
 
     /// Schedules an order to arrive late.
-    fn fly(&mut self, order: Order) {
+    fn delay(&mut self, order: Order) {
         let latest_ms = if self.fenced {
             120_000
         } else {
             ORDER_LIFETIME_MS / 2
         };
-        let arrives_at_ms = self.now_ms + self.random.random_range(100..latest_ms);
-        self.flying.push(Flying {
+        let arrives_at_ms = self.now_ms + self.rng.random_range(100..latest_ms);
+        self.delayed_orders.push(DelayedOrder {
             arrives_at_ms,
             order,
         });
     }
 
     /// Reports to an instance how its order ended.
-    fn end(&mut self, index: usize, order: &Order, end: OrderEnd) {
-        let own_ms = self.now_ms + self.instances[index].offset_ms;
+    fn report_end(&mut self, index: usize, order: &Order, end: OrderEnd) {
+        let own_ms = self.now_ms + self.instances[index].clock_offset_ms;
         self.instances[index]
             .control
             .order_ended(own_ms, &order.worker, order.fence, end);
--- a/crates/cranereach-core/tests/control_world/engine.rs
+++ b/crates/cranereach-core/tests/control_world/engine.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the memory in use, in bytes.
-    pub(super) fn taken_bytes(&self) -> u64 {
+    pub(super) fn used_bytes(&self) -> u64 {
         self.occupants
             .values()
             .map(|(occupant, _)| occupant.memory_bytes)
@@ -52,7 +52,7 @@
 
     /// Handles an order as a real engine does. If `fenced`, refuses orders for another boot and
     /// orders whose fence is outdated.
-    pub(super) fn take(&mut self, now_ms: u64, order: &Order, fenced: bool) -> OrderEnd {
+    pub(super) fn handle_order(&mut self, now_ms: u64, order: &Order, fenced: bool) -> OrderEnd {
         if fenced && (order.boot_id != self.boot_id || !self.gate.admit(order.fence)) {
             return OrderEnd::Refused(self.gate.highest());
         }
@@ -79,7 +79,7 @@
     }
 
     /// Completes the loads and unloads that are due.
-    pub(super) fn settle(&mut self, now_ms: u64) {
+    pub(super) fn complete_due(&mut self, now_ms: u64) {
         self.occupants.retain(|_, (occupant, due_ms)| {
             occupant.residence != Residence::Unloading || now_ms < *due_ms
         });
@@ -91,7 +91,7 @@
     }
 
     /// Creates the report that instances receive next.
-    pub(super) fn refresh(&mut self) {
+    pub(super) fn refresh_report(&mut self) {
         self.report = MemoryReport {
             boot_id: self.boot_id,
             report_number: self.report.report_number + 1,
--- a/crates/cranereach-core/tests/control_world/mod.rs
+++ b/crates/cranereach-core/tests/control_world/mod.rs
@@ -43,7 +43,7 @@
 pub struct Faults {
     pub lose_order: f64,
     pub delay_order: f64,
-    pub double_order: f64,
+    pub duplicate_order: f64,
     pub pause: f64,
     pub restart_engine: f64,
     pub lose_table_answer: f64,
@@ -52,10 +52,10 @@
 }
 
 /// No faults.
-pub const CALM: Faults = Faults {
+pub const NO_FAULTS: Faults = Faults {
     lose_order: 0.0,
     delay_order: 0.0,
-    double_order: 0.0,
+    duplicate_order: 0.0,
     pause: 0.0,
     restart_engine: 0.0,
     lose_table_answer: 0.0,
@@ -67,16 +67,16 @@
 #[derive(Debug)]
 struct Instance {
     control: CellControl,
-    offset_ms: u64,
+    clock_offset_ms: u64,
     paused_until_ms: u64,
-    held: Vec<ControlAction>,
+    pending_actions: Vec<ControlAction>,
     read_at_ms: u64,
     intents_version: u64,
 }
 
 /// An order that arrives at its engine later.
 #[derive(Debug)]
-struct Flying {
+struct DelayedOrder {
     arrives_at_ms: u64,
     order: Order,
 }
@@ -85,12 +85,12 @@
 pub struct World {
     pub now_ms: u64,
     pub faults: Faults,
-    pub random: SmallRng,
-    pub served: HashMap<TargetName, u64>,
+    pub rng: SmallRng,
+    pub last_resident_ms: HashMap<TargetName, u64>,
     fenced: bool,
     engines: Vec<Engine>,
     instances: Vec<Instance>,
-    flying: Vec<Flying>,
+    delayed_orders: Vec<DelayedOrder>,
     lease: (u64, LeaseRow),
     intents: (u64, IntentRow),
     table_down_until_ms: u64,
@@ -111,14 +111,14 @@
         };
         let instance = |number: u64| {
             let own = InstanceId::from(format!("i{number}"));
-            let offset_ms = number * 777_000;
-            let mut control = CellControl::new(own, fenced, options, offset_ms);
+            let clock_offset_ms = number * 777_000;
+            let mut control = CellControl::new(own, fenced, options, clock_offset_ms);
             control.list(&ids, CAPACITY_BYTES);
             Instance {
                 control,
-                offset_ms,
+                clock_offset_ms,
                 paused_until_ms: 0,
-                held: Vec::new(),
+                pending_actions: Vec::new(),
                 read_at_ms: 0,
                 intents_version: 0,
             }
@@ -126,12 +126,12 @@
         Self {
             now_ms: 0,
             faults,
-            random: SmallRng::seed_from_u64(seed),
-            served: HashMap::new(),
+            rng: SmallRng::seed_from_u64(seed),
+            last_resident_ms: HashMap::new(),
             fenced,
             engines: ids.iter().map(|id| Engine::new(id.clone())).collect(),
             instances: (0..3).map(instance).collect(),
-            flying: Vec::new(),
+            delayed_orders: Vec::new(),
             lease: (0, LeaseRow::default()),
             intents: (0, IntentRow::default()),
             table_down_until_ms: 0,
@@ -143,24 +143,24 @@
     pub fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.change_demand();
-        self.break_things();
-        self.land_orders();
+        self.inject_faults();
+        self.deliver_delayed_orders();
         for engine in &mut self.engines {
-            engine.settle(self.now_ms);
+            engine.complete_due(self.now_ms);
         }
         for index in 0..self.instances.len() {
             self.run_instance(index);
         }
         // Instances see this state of the engines in the next step, so reports lag by one step.
-        self.engines.iter_mut().for_each(Engine::refresh);
-        self.note_served();
+        self.engines.iter_mut().for_each(Engine::refresh_report);
+        self.record_resident();
     }
 
     /// Returns the memory used by the fullest engine, in bytes.
-    pub fn most_taken_bytes(&self) -> u64 {
+    pub fn max_used_bytes(&self) -> u64 {
         self.engines
             .iter()
-            .map(Engine::taken_bytes)
+            .map(Engine::used_bytes)
             .max()
             .unwrap_or(0)
     }
@@ -183,18 +183,18 @@
     /// Returns the number of instances whose lease currently allows them to send orders to engines
     /// that do not check fences.
     pub fn acting_count(&self) -> usize {
-        let may = |instance: &&Instance| {
+        let holds_lease = |instance: &&Instance| {
             instance
                 .control
                 .lease()
-                .may_order(self.now_ms + instance.offset_ms, false)
+                .may_order(self.now_ms + instance.clock_offset_ms, false)
                 .is_some()
         };
-        self.instances.iter().filter(may).count()
+        self.instances.iter().filter(holds_lease).count()
     }
 
     /// Sets the demand to a single target.
-    pub fn want_only(&mut self, index: usize) {
+    pub fn request_only(&mut self, index: usize) {
         for (number, target) in self.targets.iter_mut().enumerate() {
             target.waiting_count = u32::from(number == index);
             target.oldest_wait_ms = 1_000;
@@ -205,67 +205,67 @@
     /// Returns whether a target is resident on any engine.
     pub fn is_resident(&self, index: usize) -> bool {
         let name = &self.targets[index].target;
-        let serves = |engine: &Engine| {
+        let holds_resident = |engine: &Engine| {
             engine
                 .occupants
                 .get(name)
                 .is_some_and(|(occupant, _)| occupant.residence == Residence::Resident)
         };
-        self.engines.iter().any(serves)
+        self.engines.iter().any(holds_resident)
     }
 
     /// Changes the demand at random, except in a world that loses no reports.
     fn change_demand(&mut self) {
         for target in &mut self.targets {
             target.oldest_wait_ms += if target.waiting_count > 0 { STEP_MS } else { 0 };
-            if self.faults.lose_report > 0.0 && self.random.random_bool(0.02) {
-                target.waiting_count = self.random.random_range(0..3);
-                target.oldest_wait_ms = self.random.random_range(0..5_000);
-                target.concurrent_count = self.random.random_range(0.0..20.0);
+            if self.faults.lose_report > 0.0 && self.rng.random_bool(0.02) {
+                target.waiting_count = self.rng.random_range(0..3);
+                target.oldest_wait_ms = self.rng.random_range(0..5_000);
+                target.concurrent_count = self.rng.random_range(0.0..20.0);
                 target.used_at_ms = self.now_ms;
             }
         }
     }
 
     /// Pauses instances, restarts engines and starts table outages at random.
-    fn break_things(&mut self) {
+    fn inject_faults(&mut self) {
         for instance in &mut self.instances {
-            if self.random.random_bool(self.faults.pause) {
-                instance.paused_until_ms = self.now_ms + self.random.random_range(500..15_000);
+            if self.rng.random_bool(self.faults.pause) {
+                instance.paused_until_ms = self.now_ms + self.rng.random_range(500..15_000);
             }
         }
         for engine in &mut self.engines {
-            if self.random.random_bool(self.faults.restart_engine) {
+            if self.rng.random_bool(self.faults.restart_engine) {
                 *engine = Engine::new(engine.id.clone());
-                engine.boot_id = self.random.random();
+                engine.boot_id = self.rng.random();
             }
         }
-        if self.random.random_bool(self.faults.table_outage) {
-            self.table_down_until_ms = self.now_ms + self.random.random_range(1_000..40_000);
+        if self.rng.random_bool(self.faults.table_outage) {
+            self.table_down_until_ms = self.now_ms + self.rng.random_range(1_000..40_000);
         }
     }
 
     /// Delivers the delayed orders that are due.
-    fn land_orders(&mut self) {
+    fn deliver_delayed_orders(&mut self) {
         let now_ms = self.now_ms;
-        let (due, flying): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying)
+        let (due, delayed_orders): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed_orders)
             .into_iter()
-            .partition(|flying| flying.arrives_at_ms <= now_ms);
-        self.flying = flying;
-        for Flying { order, .. } in due {
-            self.land(&order);
+            .partition(|delayed| delayed.arrives_at_ms <= now_ms);
+        self.delayed_orders = delayed_orders;
+        for DelayedOrder { order, .. } in due {
+            self.deliver_order(&order);
         }
     }
 
     /// Delivers an order to its engine and returns how it ended.
-    fn land(&mut self, order: &Order) -> OrderEnd {
+    fn deliver_order(&mut self, order: &Order) -> OrderEnd {
         let (now_ms, fenced) = (self.now_ms, self.fenced);
         let engine = self
             .engines
             .iter_mut()
             .find(|engine| engine.id == order.worker);
         engine.map_or(OrderEnd::Unknown, |engine| {
-            engine.take(now_ms, order, fenced)
+            engine.handle_order(now_ms, order, fenced)
         })
     }
 
@@ -275,8 +275,8 @@
             return;
         }
         // Actions decided before a pause are executed after it.
-        let held = std::mem::take(&mut self.instances[index].held);
-        self.carry_out(index, held);
+        let pending_actions = std::mem::take(&mut self.instances[index].pending_actions);
+        self.execute(index, pending_actions);
         self.read_lease(index);
         self.deliver_reports(index);
         let view = LeaseView {
@@ -285,28 +285,28 @@
                 .iter()
                 .position(|other| self.now_ms >= other.paused_until_ms)
                 == Some(index),
-            holder_heard: self.holder_is_awake(),
+            holder_heard: self.holder_is_running(),
             checks_fences: self.fenced,
             leaving: false,
-            nonce: self.random.random(),
+            nonce: self.rng.random(),
         };
         let mut actions = Vec::new();
         let instance = &mut self.instances[index];
-        let own_ms = self.now_ms + instance.offset_ms;
+        let own_ms = self.now_ms + instance.clock_offset_ms;
         instance
             .control
             .tick(own_ms, &view, &self.targets, &mut actions);
-        if self.random.random_bool(self.faults.pause) {
+        if self.rng.random_bool(self.faults.pause) {
             self.instances[index].paused_until_ms =
-                self.now_ms + self.random.random_range(100..ORDER_LIFETIME_MS / 2);
-            self.instances[index].held = actions;
+                self.now_ms + self.rng.random_range(100..ORDER_LIFETIME_MS / 2);
+            self.instances[index].pending_actions = actions;
             return;
         }
-        self.carry_out(index, actions);
+        self.execute(index, actions);
     }
 
     /// Returns whether the holder named in the lease row is running, not paused.
-    fn holder_is_awake(&self) -> bool {
+    fn holder_is_running(&self) -> bool {
         let name = |number: usize| InstanceId::from(format!("i{number}"));
         let holder =
             (0..self.instances.len()).find(|&number| self.lease.1.holder == Some(name(number)));
@@ -325,23 +325,24 @@
         if is_up && self.now_ms >= instance.read_at_ms + 2_000 {
             instance.read_at_ms = self.now_ms;
             let (version, row) = &self.lease;
-            instance
-                .control
-                .lease_mut()
-                .read(self.now_ms + instance.offset_ms, *version, row);
+            instance.control.lease_mut().read(
+                self.now_ms + instance.clock_offset_ms,
+                *version,
+                row,
+            );
         }
     }
 
     /// Delivers the engines' lagging reports to an instance; some get lost.
     fn deliver_reports(&mut self, index: usize) {
         for number in 0..self.engines.len() {
-            if self.random.random_bool(self.faults.lose_report) {
+            if self.rng.random_bool(self.faults.lose_report) {
                 continue;
             }
             let report = self.engines[number].report.clone();
             let worker = self.engines[number].id.clone();
             let instance = &mut self.instances[index];
-            let own_ms = self.now_ms + instance.offset_ms;
+            let own_ms = self.now_ms + instance.clock_offset_ms;
             instance
                 .control
                 .reported(own_ms, &worker, &report, 4, &mut Vec::new());
@@ -349,11 +350,11 @@
     }
 
     /// Records the resident targets, so that tests can check that some were loaded.
-    fn note_served(&mut self) {
+    fn record_resident(&mut self) {
         for engine in &self.engines {
             for (name, (occupant, _)) in &engine.occupants {
                 if occupant.residence == Residence::Resident {
-                    self.served.insert(name.clone(), self.now_ms);
+                    self.last_resident_ms.insert(name.clone(), self.now_ms);
                 }
             }
         }
--- a/crates/cranereach-core/tests/dispatching.rs
+++ b/crates/cranereach-core/tests/dispatching.rs
@@ -15,7 +15,7 @@
 use cranereach_core::route;
 
 /// Number of slots of the only worker.
-const SLOTS: u32 = 4;
+const SLOT_COUNT: u32 = 4;
 
 /// Creates a dispatcher with one worker, on which target `m` is resident.
 fn dispatcher(policy: &'static OrderPolicy) -> Dispatcher {
@@ -32,7 +32,7 @@
         domain: "d0".into(),
         is_leaving: false,
         serves: None,
-        slot_count: SLOTS,
+        slot_count: SLOT_COUNT,
     };
     dispatcher.workers_mut().list(vec![listed]);
     dispatcher.reported(0, &report(false), &mut Vec::new());
@@ -46,7 +46,7 @@
         boot_id: 1,
         report_number: 1,
         outstanding_count: 0,
-        slot_count: SLOTS,
+        slot_count: SLOT_COUNT,
         is_leaving,
         free_bytes: 0,
         resident: vec!["m".into()],
@@ -54,7 +54,7 @@
 }
 
 /// Creates a waiting request of an account.
-fn waiting(number: u64, account: &str, share: f64) -> Waiting {
+fn waiting_request(number: u64, account: &str, share: f64) -> Waiting {
     Waiting {
         request: RequestId(number),
         account: account.into(),
@@ -70,28 +70,32 @@
 }
 
 /// Simulates two accounts that keep their queues full; returns the cost served to each.
-fn serve_two(policy: &'static OrderPolicy, shares: [f64; 2], costs: [f64; 2]) -> [f64; 2] {
+fn serve_competing_accounts(
+    policy: &'static OrderPolicy,
+    shares: [f64; 2],
+    costs: [f64; 2],
+) -> [f64; 2] {
     let mut dispatcher = dispatcher(policy);
     let mut served = [0.0, 0.0];
     let mut running: Vec<(u64, usize)> = Vec::new();
-    let mut owners = std::collections::HashMap::new();
+    let mut account_indexes = std::collections::HashMap::new();
     let mut number = 0;
     let mut actions = Vec::new();
     for now_ms in 0..3_000 {
         for (account, name) in ["a", "b"].into_iter().enumerate() {
             while dispatcher.queues().account_count(&name.into()) < 20 {
                 number += 1;
-                owners.insert(number, account);
+                account_indexes.insert(number, account);
                 let request = Waiting {
                     cost_tokens: costs[account],
-                    ..waiting(number, name, shares[account])
+                    ..waiting_request(number, name, shares[account])
                 };
                 dispatcher.arrive(now_ms, request, &mut actions);
             }
         }
         for action in actions.drain(..) {
             if let Action::Send { request, .. } = action {
-                running.push((request.0, owners[&request.0]));
+                running.push((request.0, account_indexes[&request.0]));
             }
         }
         if !running.is_empty() {
@@ -111,17 +115,17 @@
 
 #[test]
 fn virtual_time_divides_served_cost_by_share_whatever_a_request_costs() {
-    let served = serve_two(&order::VIRTUAL_TIME, [1.0, 1.0], [100.0, 400.0]);
+    let served = serve_competing_accounts(&order::VIRTUAL_TIME, [1.0, 1.0], [100.0, 400.0]);
     let ratio = served[1] / served[0];
     assert!((0.95..1.05).contains(&ratio), "{served:?}");
-    let served = serve_two(&order::VIRTUAL_TIME, [3.0, 1.0], [100.0, 100.0]);
+    let served = serve_competing_accounts(&order::VIRTUAL_TIME, [3.0, 1.0], [100.0, 100.0]);
     let ratio = served[0] / served[1];
     assert!((2.85..3.15).contains(&ratio), "{served:?}");
 }
 
 #[test]
 fn stride_divides_requests_and_so_favours_costly_ones() {
-    let served = serve_two(&order::STRIDE, [1.0, 1.0], [100.0, 400.0]);
+    let served = serve_competing_accounts(&order::STRIDE, [1.0, 1.0], [100.0, 400.0]);
     let ratio = served[1] / served[0];
     assert!((3.8..4.2).contains(&ratio), "{served:?}");
 }
@@ -131,18 +135,18 @@
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     for number in 0..200 {
-        dispatcher.arrive(0, waiting(number, "flood", 1.0), &mut actions);
+        dispatcher.arrive(0, waiting_request(number, "flood", 1.0), &mut actions);
     }
     let refused = actions.iter().filter(|action| matches!(action, Action::Refuse { code: ResultCode::QueueFull, retry_after_ms, .. } if *retry_after_ms > 0));
-    assert_eq!(refused.count(), 200 - 100 - SLOTS as usize - 1);
+    assert_eq!(refused.count(), 200 - 100 - SLOT_COUNT as usize - 1);
     actions.clear();
-    dispatcher.arrive(0, waiting(1_000, "calm", 1.0), &mut actions);
+    dispatcher.arrive(0, waiting_request(1_000, "calm", 1.0), &mut actions);
     assert!(actions.is_empty(), "{actions:?}");
     // It is queued at the same rank as the flooding account, so it is one of the next two sent.
     for number in 0..2 {
         dispatcher.ended(1, RequestId(number), 100.0, true, &mut actions);
     }
-    let is_calm = |action: &Action| {
+    let is_calm_sent = |action: &Action| {
         matches!(
             action,
             Action::Send {
@@ -151,7 +155,7 @@
             }
         )
     };
-    assert!(actions.iter().any(is_calm), "{actions:?}");
+    assert!(actions.iter().any(is_calm_sent), "{actions:?}");
 }
 
 #[test]
@@ -159,7 +163,7 @@
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     for number in 0..50 {
-        dispatcher.arrive(0, waiting(number, "a", 1.0), &mut actions);
+        dispatcher.arrive(0, waiting_request(number, "a", 1.0), &mut actions);
     }
     actions.clear();
     // About 45 requests wait for 4 slots of 500 ms: this one would start after 5 s.
@@ -167,7 +171,7 @@
         0,
         Waiting {
             start_by_ms: 1_000,
-            ..waiting(99, "a", 1.0)
+            ..waiting_request(99, "a", 1.0)
         },
         &mut actions,
     );
@@ -189,13 +193,13 @@
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     for number in 0..5 {
-        dispatcher.arrive(0, waiting(number, "a", 1.0), &mut actions);
+        dispatcher.arrive(0, waiting_request(number, "a", 1.0), &mut actions);
     }
     dispatcher.arrive(
         0,
         Waiting {
             start_by_ms: 500,
-            ..waiting(9, "a", 1.0)
+            ..waiting_request(9, "a", 1.0)
         },
         &mut actions,
     );
@@ -232,7 +236,7 @@
         0,
         Waiting {
             start_by_ms: 1_000,
-            ..waiting(1, "a", 1.0)
+            ..waiting_request(1, "a", 1.0)
         },
         &mut actions,
     );
@@ -258,9 +262,9 @@
 fn peers_sends_count_against_a_workers_slots() {
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
-    dispatcher.note_peer(0, &"peer".into(), &"w".into(), SLOTS);
+    dispatcher.note_peer(0, &"peer".into(), &"w".into(), SLOT_COUNT);
     for number in 0..3 {
-        dispatcher.arrive(0, waiting(number, "a", 1.0), &mut actions);
+        dispatcher.arrive(0, waiting_request(number, "a", 1.0), &mut actions);
     }
     assert_eq!(actions.len(), 1, "{actions:?}");
     // No more messages from the peer: its reported load no longer counts.
--- a/crates/cranereach-core/tests/versions.rs
+++ b/crates/cranereach-core/tests/versions.rs
@@ -44,7 +44,7 @@
         false,
     ),
     (
-        "cut off from everybody",
+        "isolated from the table and all peers",
         Some(CONFIRMATION_TIMEOUT_MS),
         5,
         0,
@@ -63,14 +63,18 @@
 
 #[test]
 fn an_instance_serves_only_while_it_can_know() {
-    for (name, read_ago_ms, listed, heard, serves) in ROWS {
+    for (name, read_ago_ms, listed_count, heard_count, expected) in ROWS {
         let mut state = ConfigState::new(0);
         state.adopt(&head(1));
         if read_ago_ms.is_some() {
             state.observe_table_head(0, &head(1));
         }
         let now_ms = read_ago_ms.unwrap_or(CONFIRMATION_TIMEOUT_MS);
-        assert_eq!(state.may_serve(now_ms, listed, heard), serves, "{name}");
+        assert_eq!(
+            state.may_serve(now_ms, listed_count, heard_count),
+            expected,
+            "{name}"
+        );
     }
 }
 
@@ -97,7 +101,7 @@
     #[test]
     fn the_version_held_never_falls(events in prop::collection::vec((0_u8..3, 0_u64..20), 0..60)) {
         let mut state = ConfigState::new(0);
-        let mut held = 0;
+        let mut held_version = 0;
         for (kind, version) in events {
             match kind {
                 0 => state.observe_table_head(0, &head(version)),
@@ -106,9 +110,9 @@
                     state.adopt(&head(version));
                 }
             }
-            prop_assert!(state.held().version >= held);
-            held = state.held().version;
-            prop_assert!(state.missing().is_none_or(|missing| missing.version > held));
+            prop_assert!(state.held().version >= held_version);
+            held_version = state.held().version;
+            prop_assert!(state.missing().is_none_or(|missing| missing.version > held_version));
         }
     }
 }
--- a/crates/cranereach-gateway/tests/departure_words.rs
+++ b/crates/cranereach-gateway/tests/departure_words.rs
@@ -6,15 +6,15 @@
 use cranereach_gateway::messages::encode;
 
 /// Maximum size of the digest entry for one leaving worker, in bytes.
-const WORD_MAX_BYTES: usize = 20;
+const ENTRY_MAX_BYTES: usize = 20;
 
 fn digest_bytes(count: usize) -> usize {
-    let news = DepartureNews {
+    let update = DepartureNews {
         worker: u64::MAX,
         start: u64::MAX,
     };
     let digest = Digest {
-        departures: vec![news; count],
+        departures: vec![update; count],
         ..Digest::default()
     };
     encode(Message::Digest(Box::new(digest))).len()
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_worker_that_leaves_costs_few_bytes_a_digest() {
-    let word_bytes = digest_bytes(1) - digest_bytes(0);
-    println!("an entry takes {word_bytes} bytes");
-    assert!(word_bytes <= WORD_MAX_BYTES);
+    let entry_bytes = digest_bytes(1) - digest_bytes(0);
+    println!("an entry takes {entry_bytes} bytes");
+    assert!(entry_bytes <= ENTRY_MAX_BYTES);
 }
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -18,12 +18,23 @@
 use cranereach_gateway::peers::Peers;
 use cranereach_gateway::recipients::Origin;
 
+/// Number of failure domains.
 const DOMAIN_COUNT: usize = 5;
+
+/// Number of instances that the settings of all instances name as seeds.
 const SEED_COUNT: usize = 3;
+
+/// Simulated time per step, in milliseconds.
 const STEP_MS: u64 = 50;
+
+/// Time between two rounds of digests, in milliseconds, as in the default settings.
 const ROUND_MS: u64 = 250;
+
+/// Interval, in rounds, of the digests that also go to other failure domains, as in the gateway.
 const SLOW_ROUND_EVERY: u64 = 4;
-const LOST_SHARE: f64 = 0.02;
+
+/// Share of datagrams that are lost.
+const LOSS_RATE: f64 = 0.02;
 
 /// Time that a small machine takes to read the list from the store, in milliseconds.
 const STORE_READ_MS: u64 = 2_000;
@@ -32,17 +43,17 @@
 const FETCH_MS: u64 = 800;
 
 /// Maximum number of whole lists that one instance sends at the same time, as in the gateway.
-const WHOLE_AT_ONCE_COUNT: usize = 3;
+const CONCURRENT_WHOLE_LISTS_MAX_COUNT: usize = 3;
 
 /// Time for which a peer that is busy or down is not asked again, in milliseconds, as in the
 /// gateway.
-const PASSED_OVER_FOR_MS: u64 = 400;
+const SKIP_PEER_FOR_MS: u64 = 400;
 
 /// Maximum number of store reads, and of lists fetched from another failure domain, when all
 /// instances of a fleet of any size start. Fleets of 1,000 instances needed 3 to 8 reads and 21 to
 /// 40 such fetches.
-const READ_MAX_COUNT: usize = 20;
-const CROSSED_MAX_COUNT: usize = 80;
+const STORE_READ_MAX_COUNT: usize = 20;
+const CROSS_DOMAIN_MAX_COUNT: usize = 80;
 
 /// Purpose by which instances are ranked, as in the gateway.
 const PURPOSE: &str = "list of workers";
@@ -62,29 +73,31 @@
 /// Progress of an instance in getting the list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
-    Looks,
-    Reads { until_ms: u64 },
-    Fetches { until_ms: u64, from: usize },
-    Has,
+    Searching,
+    ReadingStore { until_ms: u64 },
+    Fetching { until_ms: u64, from: usize },
+    HasList,
 }
 
+/// A simulated instance.
 struct Instance {
     peers: Peers,
     started_at_ms: u64,
     boot: u64,
     digest_count: u64,
     state: State,
-    known_to_exist_at_ms: Option<u64>,
-    passed_over: Vec<(Ipv4Addr, u64)>,
+    holder_known_at_ms: Option<u64>,
+    skipped_peers: Vec<(Ipv4Addr, u64)>,
 }
 
+/// A simulated fleet in which datagrams get lost.
 struct Fleet {
     now_ms: u64,
     instances: Vec<Instance>,
     is_store_down: bool,
     are_seeds_down: bool,
     store_read_count: usize,
-    crossed_count: usize,
+    cross_domain_count: usize,
     rng: StdRng,
 }
 
@@ -95,9 +108,9 @@
         started_at_ms: now_ms,
         boot,
         digest_count: 0,
-        state: State::Looks,
-        known_to_exist_at_ms: None,
-        passed_over: Vec::new(),
+        state: State::Searching,
+        holder_known_at_ms: None,
+        skipped_peers: Vec::new(),
     }
 }
 
@@ -111,7 +124,7 @@
             is_store_down: false,
             are_seeds_down: false,
             store_read_count: 0,
-            crossed_count: 0,
+            cross_domain_count: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
@@ -135,14 +148,16 @@
             boot: instance.boot,
             count: instance.digest_count,
             domain: instance.peers.own_domain(),
-            list_position: StorePosition::new(0, u64::from(instance.state == State::Has)),
+            list_position: StorePosition::new(0, u64::from(instance.state == State::HasList)),
             members,
             ..Digest::default()
         }
     }
 
-    fn tell(&mut self, sender: usize, recipient: usize, digest: &Digest) {
-        if self.is_down(recipient) || self.rng.random_bool(LOST_SHARE) {
+    /// Sends a digest, which may get lost. A recipient that has not heard of the sender may answer
+    /// with a digest of its own if the sender lacks the list.
+    fn send_digest(&mut self, sender: usize, recipient: usize, digest: &Digest) {
+        if self.is_down(recipient) || self.rng.random_bool(LOSS_RATE) {
             return;
         }
         let now_ms = self.now_ms;
@@ -152,14 +167,16 @@
             && digest.list_position.is_none()
             && peers.may_reply_to_joining(now_ms, address(sender))
         {
-            let greeting = self.digest(recipient, Some(sender));
-            if !self.rng.random_bool(LOST_SHARE) {
+            let reply = self.digest(recipient, Some(sender));
+            if !self.rng.random_bool(LOSS_RATE) {
                 let joining_instance = &mut self.instances[sender].peers;
-                joining_instance.heard(now_ms, address(recipient), &greeting);
+                joining_instance.heard(now_ms, address(recipient), &reply);
             }
         }
     }
 
+    /// Sends the digests of all instances whose round is due; an instance sends its first one when
+    /// it starts.
     fn send_digests(&mut self) {
         let steps = ROUND_MS / STEP_MS;
         for sender in 0..self.instances.len() {
@@ -174,7 +191,7 @@
             let now_ms = self.now_ms;
             let peers = &mut self.instances[sender].peers;
             for recipient in peers.recipients(now_ms, is_slow_round, &[]) {
-                self.tell(sender, number(recipient), &digest);
+                self.send_digest(sender, number(recipient), &digest);
             }
         }
     }
@@ -188,76 +205,88 @@
     }
 
     /// Announces that an instance has the list, without rows: those of a large list do not fit.
-    fn tell_list(&mut self, sender: usize, origin: Origin) {
+    fn announce_list(&mut self, sender: usize, origin: Origin) {
         let now_ms = self.now_ms;
         let recipients = self.instances[sender].peers.list_recipients(now_ms, origin);
         for recipient in recipients.into_iter().map(number) {
-            if !self.is_down(recipient) && !self.rng.random_bool(LOST_SHARE) {
+            if !self.is_down(recipient) && !self.rng.random_bool(LOSS_RATE) {
                 let peers = &mut self.instances[recipient].peers;
                 peers.note_list_advertised(address(sender), StorePosition::new(0, 1));
             }
         }
     }
 
-    fn look(&mut self, number: usize) {
+    /// Completes a read or fetch of an instance that is due; starts one if it has none.
+    fn advance(&mut self, number: usize) {
         match self.instances[number].state {
-            State::Has => return,
-            State::Reads { until_ms } | State::Fetches { until_ms, .. } => {
+            State::HasList => return,
+            State::ReadingStore { until_ms } | State::Fetching { until_ms, .. } => {
                 if self.now_ms >= until_ms {
                     let has_failed = self.is_store_down
-                        && matches!(self.instances[number].state, State::Reads { .. });
+                        && matches!(self.instances[number].state, State::ReadingStore { .. });
                     let from = match self.instances[number].state {
-                        State::Fetches { from, .. } => Self::origin(from, number),
+                        State::Fetching { from, .. } => Self::origin(from, number),
                         _ => Origin::Own,
                     };
-                    let state = if has_failed { State::Looks } else { State::Has };
+                    let state = if has_failed {
+                        State::Searching
+                    } else {
+                        State::HasList
+                    };
                     self.instances[number].state = state;
                     if !has_failed {
-                        self.tell_list(number, from);
+                        self.announce_list(number, from);
                     }
                 }
                 return;
             }
-            State::Looks => {}
+            State::Searching => {}
         }
-        let (source, near, far) = self.source(number);
+        let (source, near, far) = self.select_source(number);
         match source {
             FirstSource::Wait => {}
             FirstSource::Store => {
                 self.store_read_count += 1;
                 let until_ms = self.now_ms + STORE_READ_MS;
-                self.instances[number].state = State::Reads { until_ms };
+                self.instances[number].state = State::ReadingStore { until_ms };
             }
-            FirstSource::Near => self.fetch(number, near),
+            FirstSource::Near => self.start_fetch(number, near),
             FirstSource::Far => {
-                self.fetch(number, far);
+                self.start_fetch(number, far);
             }
         }
     }
 
     /// Selects the source of the list for an instance, as the gateway does.
-    fn source(&mut self, number: usize) -> (FirstSource, Option<Ipv4Addr>, Option<Ipv4Addr>) {
+    fn select_source(
+        &mut self,
+        number: usize,
+    ) -> (FirstSource, Option<Ipv4Addr>, Option<Ipv4Addr>) {
         let now_ms = self.now_ms;
         let instance = &mut self.instances[number];
         let holders = instance
             .peers
             .list_holders(now_ms, StorePosition::default());
         instance
-            .passed_over
+            .skipped_peers
             .retain(|(_, until_ms)| now_ms < *until_ms);
-        let passed_over = &instance.passed_over;
+        let skipped_peers = &instance.skipped_peers;
         let rng = &mut self.rng;
-        let mut one_of = |peers: &[Ipv4Addr]| {
-            let asked = peers.iter().copied();
-            let asked = asked.filter(|peer| passed_over.iter().all(|(of, _)| of != peer));
-            asked.choose(rng)
+        let mut choose_peer = |peers: &[Ipv4Addr]| {
+            let candidates = peers.iter().copied();
+            let candidates = candidates.filter(|peer| {
+                skipped_peers
+                    .iter()
+                    .all(|(skipped_peer, _)| skipped_peer != peer)
+            });
+            candidates.choose(rng)
         };
-        let (near, far) = (one_of(&holders.near), one_of(&holders.far));
+        let (near, far) = (choose_peer(&holders.near), choose_peer(&holders.far));
         let is_known = !holders.near.is_empty() || !holders.far.is_empty();
         let holder = if near.is_some() {
             Holder::Near
         } else if is_known {
-            let since_ms = *instance.known_to_exist_at_ms.get_or_insert(now_ms);
+            let since_ms = *instance.holder_known_at_ms.get_or_insert(now_ms);
             Holder::Elsewhere {
                 known_for_ms: now_ms - since_ms,
             }
@@ -272,45 +301,53 @@
         (joining_instance.source(), near, far)
     }
 
-    fn fetch(&mut self, number: usize, peer: Option<Ipv4Addr>) {
+    /// Starts to fetch the list from a peer, or marks the peer to be skipped if it is down or
+    /// already sends the maximum number of lists.
+    fn start_fetch(&mut self, number: usize, peer: Option<Ipv4Addr>) {
         let Some(peer) = peer else { return };
         let from = self::number(peer);
-        let is_fetching_there = |instance: &Instance| matches!(instance.state, State::Fetches { from: of, .. } if of == from);
-        let fetching = self.instances.iter().filter(|of| is_fetching_there(of));
+        let is_fetching_there = |instance: &Instance| matches!(instance.state, State::Fetching { from: current, .. } if current == from);
+        let fetches = self
+            .instances
+            .iter()
+            .filter(|other| is_fetching_there(other));
         let now_ms = self.now_ms;
-        if fetching.count() >= WHOLE_AT_ONCE_COUNT || self.is_down(from) {
-            let until_ms = now_ms + PASSED_OVER_FOR_MS;
-            self.instances[number].passed_over.push((peer, until_ms));
+        if fetches.count() >= CONCURRENT_WHOLE_LISTS_MAX_COUNT || self.is_down(from) {
+            let until_ms = now_ms + SKIP_PEER_FOR_MS;
+            self.instances[number].skipped_peers.push((peer, until_ms));
             return;
         }
-        self.crossed_count += usize::from(domain(number) != domain(from));
+        self.cross_domain_count += usize::from(domain(number) != domain(from));
         let until_ms = now_ms + FETCH_MS;
-        self.instances[number].state = State::Fetches { until_ms, from };
+        self.instances[number].state = State::Fetching { until_ms, from };
     }
 
     /// Runs until all running instances have the list or `timeout_ms` has passed; returns the time
     /// taken, in milliseconds.
-    fn until_all_have_it(&mut self, within_ms: u64) -> u64 {
-        let begun_ms = self.now_ms;
-        while self.now_ms < begun_ms + within_ms {
+    fn run_until_all_have_list(&mut self, timeout_ms: u64) -> u64 {
+        let started_ms = self.now_ms;
+        while self.now_ms < started_ms + timeout_ms {
             self.send_digests();
             for number in 0..self.instances.len() {
                 if !self.is_down(number) {
-                    self.look(number);
+                    self.advance(number);
                 }
             }
-            let mut up = (0..self.instances.len()).filter(|number| !self.is_down(*number));
-            if up.all(|number| self.instances[number].state == State::Has) {
+            let mut running = (0..self.instances.len()).filter(|number| !self.is_down(*number));
+            if running.all(|number| self.instances[number].state == State::HasList) {
                 break;
             }
             self.now_ms += STEP_MS;
         }
-        self.now_ms - begun_ms
+        self.now_ms - started_ms
     }
 
     fn has_list_count(&self) -> usize {
-        let have = self.instances.iter().filter(|of| of.state == State::Has);
-        have.count()
+        let holders = self
+            .instances
+            .iter()
+            .filter(|instance| instance.state == State::HasList);
+        holders.count()
     }
 
     /// Restarts some instances and resets the counters.
@@ -319,7 +356,7 @@
         for number in numbers {
             self.instances[number] = start(number, count, self.now_ms, 2);
         }
-        (self.store_read_count, self.crossed_count) = (0, 0);
+        (self.store_read_count, self.cross_domain_count) = (0, 0);
     }
 }
 
@@ -327,28 +364,32 @@
 fn a_start_of_all_reads_the_store_a_few_times_whatever_the_size() {
     for count in [1, 6, 78, 300, 1_000] {
         let mut fleet = Fleet::start(count, 3);
-        let took_ms = fleet.until_all_have_it(40_000);
-        let (reads, crossed) = (fleet.store_read_count, fleet.crossed_count);
+        let took_ms = fleet.run_until_all_have_list(40_000);
+        let (reads, crossed) = (fleet.store_read_count, fleet.cross_domain_count);
         println!("{count}: {took_ms} ms, {reads} store reads, {crossed} cross-domain fetches");
         assert!(took_ms <= 12_000, "{count}: {took_ms}");
-        assert!(reads <= READ_MAX_COUNT, "{count}: {reads}");
-        assert!(crossed <= CROSSED_MAX_COUNT, "{count}: {crossed}");
+        assert!(reads <= STORE_READ_MAX_COUNT, "{count}: {reads}");
+        assert!(crossed <= CROSS_DOMAIN_MAX_COUNT, "{count}: {crossed}");
     }
 }
 
 #[test]
 fn those_who_start_beside_others_take_the_list_from_neighbours() {
     let mut fleet = Fleet::start(300, 5);
-    fleet.until_all_have_it(40_000);
+    fleet.run_until_all_have_list(40_000);
     fleet.restart((0..300).filter(|number| number % 10 == 0));
-    let took_ms = fleet.until_all_have_it(40_000);
+    let took_ms = fleet.run_until_all_have_list(40_000);
     println!(
         "restart: {took_ms} ms, {} cross-domain fetches",
-        fleet.crossed_count
+        fleet.cross_domain_count
     );
     assert!(took_ms <= 4_000, "{took_ms}");
     assert!(fleet.store_read_count <= 1, "{}", fleet.store_read_count);
-    assert!(fleet.crossed_count <= 6, "{}", fleet.crossed_count);
+    assert!(
+        fleet.cross_domain_count <= 6,
+        "{}",
+        fleet.cross_domain_count
+    );
 }
 
 #[test]
@@ -356,17 +397,17 @@
     let mut fleet = Fleet::start(60, 7);
     fleet.are_seeds_down = true;
     // With the seeds down, the instances hear from nobody and read the store themselves.
-    let took_ms = fleet.until_all_have_it(40_000);
+    let took_ms = fleet.run_until_all_have_list(40_000);
     assert!(took_ms <= 2_000 + STORE_READ_MS + 500, "{took_ms}");
     // While the store is down, few instances read at the same time; all have the list soon
     // after it is back.
     let mut fleet = Fleet::start(300, 9);
     fleet.is_store_down = true;
-    fleet.until_all_have_it(10_000);
+    fleet.run_until_all_have_list(10_000);
     assert_eq!(fleet.has_list_count(), 0);
     assert!(fleet.store_read_count <= 300, "{}", fleet.store_read_count);
     fleet.is_store_down = false;
-    let took_ms = fleet.until_all_have_it(40_000);
+    let took_ms = fleet.run_until_all_have_list(40_000);
     println!("store available again: {took_ms} ms");
     assert!(took_ms <= 10_000, "{took_ms}");
 }
--- a/crates/cranereach-gateway/tests/limit_words.rs
+++ b/crates/cranereach-gateway/tests/limit_words.rs
@@ -10,20 +10,20 @@
 use cranereach_gateway::messages::encode;
 
 /// Maximum size that a limit report adds to a message, in bytes.
-const WORD_MAX_BYTES: usize = 32;
+const REPORT_MAX_BYTES: usize = 32;
 
 /// Maximum size of a request for a send grant, and of the grant, in bytes.
 const GRANT_MAX_BYTES: usize = 64;
 
 /// A limit report of maximum encoded size.
-const WORD: LimitReport = LimitReport {
+const LARGEST_REPORT: LimitReport = LimitReport {
     start: u64::MAX,
     rate_per_s: Some(1.2),
     asked_age_ms: u32::MAX,
     heard_age_ms: u32::MAX,
 };
 
-fn question_bytes(limit: Option<LimitReport>) -> usize {
+fn owner_message_bytes(limit: Option<LimitReport>) -> usize {
     let ask = OwnerAsk {
         limit,
         ..OwnerAsk::default()
@@ -38,10 +38,10 @@
 
 #[test]
 fn a_worker_that_names_none_costs_nothing_to_speak_of() {
-    let unspoken = question_bytes(None);
-    let spoken = question_bytes(Some(WORD));
-    println!("a limit report takes {} bytes", spoken - unspoken);
-    assert!(spoken - unspoken <= WORD_MAX_BYTES);
+    let bytes_without = owner_message_bytes(None);
+    let bytes_with = owner_message_bytes(Some(LARGEST_REPORT));
+    println!("a limit report takes {} bytes", bytes_with - bytes_without);
+    assert!(bytes_with - bytes_without <= REPORT_MAX_BYTES);
 }
 
 #[test]
@@ -51,13 +51,13 @@
         worker: u64::MAX,
         rank: 2,
         is_cold: true,
-        limit: Some(WORD),
+        limit: Some(LARGEST_REPORT),
     };
     let grant = SendGrant {
         ticket: u64::MAX,
         worker: u64::MAX,
         wait_ms: Some(u32::MAX),
-        limit: Some(WORD),
+        limit: Some(LARGEST_REPORT),
     };
     let ask_bytes = encode(Message::MaySend(ask)).len();
     let grant_bytes = encode(Message::SendGranted(grant)).len();
--- a/crates/cranereach-gateway/tests/peers.rs
+++ b/crates/cranereach-gateway/tests/peers.rs
@@ -41,14 +41,14 @@
     }
 }
 
-fn holder(count: u64) -> Digest {
+fn holder_digest(count: u64) -> Digest {
     Digest {
         holds: vec![SERVICE],
         ..digest(count)
     }
 }
 
-fn held(age_ms: u64) -> HeldLease {
+fn held_lease(age_ms: u64) -> HeldLease {
     HeldLease {
         service: SERVICE,
         holder: ip(9),
@@ -56,9 +56,9 @@
     }
 }
 
-fn told(count: u64, age_ms: u64) -> Digest {
+fn lease_digest(count: u64, age_ms: u64) -> Digest {
     Digest {
-        held: vec![held(age_ms)],
+        held: vec![held_lease(age_ms)],
         ..digest(count)
     }
 }
@@ -67,13 +67,13 @@
 fn a_holder_that_only_others_hear_counts_until_its_word_is_old() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
     assert!(!peers.knows_holder(0, SERVICE));
-    peers.heard(1_000, ip(2), &told(1, 400));
+    peers.heard(1_000, ip(2), &lease_digest(1, 400));
     assert!(peers.knows_holder(1_000, SERVICE));
-    assert_eq!(peers.held(1_100), [held(500)]);
+    assert_eq!(peers.held(1_100), [held_lease(500)]);
     // Its demand is sent to that holder, although it has received no message from it.
     assert_eq!(peers.holders(1_100), [ip(9)]);
     // Relaying the same news again does not make it more recent.
-    peers.heard(1_800, ip(3), &told(1, 1_200));
+    peers.heard(1_800, ip(3), &lease_digest(1, 1_200));
     let end_ms = 600 + LEASE_NEWS_MAX_AGE_MS;
     assert!(peers.knows_holder(end_ms - 1, SERVICE));
     assert!(!peers.knows_holder(end_ms, SERVICE));
@@ -81,22 +81,22 @@
 
 #[test]
 fn a_holder_that_gives_up_is_believed_at_once() {
-    for given_up in [
+    for release in [
         digest(2),
         Digest {
             is_leaving: true,
-            ..holder(2)
+            ..holder_digest(2)
         },
     ] {
         let mut peers = Peers::new(ip(1), "z1", &[]);
-        peers.heard(1_000, ip(2), &holder(1));
+        peers.heard(1_000, ip(2), &holder_digest(1));
         assert!(peers.knows_holder(1_100, SERVICE));
-        peers.heard(1_200, ip(2), &given_up);
+        peers.heard(1_200, ip(2), &release);
         assert!(!peers.knows_holder(1_200, SERVICE));
         // News that others received before the release no longer counts.
-        peers.heard(1_300, ip(3), &told(1, 300));
+        peers.heard(1_300, ip(3), &lease_digest(1, 300));
         assert!(!peers.knows_holder(1_300, SERVICE));
-        peers.heard(1_400, ip(3), &holder(2));
+        peers.heard(1_400, ip(3), &holder_digest(2));
         assert!(peers.knows_holder(1_400, SERVICE), "a successor");
     }
 }
@@ -120,7 +120,7 @@
 
 /// Returns the peers of an instance in a fleet of `count` instances, a third of which belong to
 /// its failure domain.
-fn fleet(count: u32) -> Peers {
+fn peers_of_fleet(count: u32) -> Peers {
     let table = ["z1", "z2"].map(|domain| (domain.to_owned(), "r1".to_owned()));
     let topology = Topology::new("z1", "r1", &BTreeMap::from(table)).unwrap();
     let mut peers = Peers::new(ip(1), "z1", &[]).within(&topology);
@@ -141,29 +141,29 @@
 #[test]
 fn what_one_instance_sends_does_not_grow_with_the_fleet() {
     for count in [20, 300, 3_300] {
-        let mut peers = fleet(count);
+        let mut peers = peers_of_fleet(count);
         assert_eq!(peers.members().known_count(), count as usize);
-        let mut told = peers.list_recipients(10, Origin::Own);
-        told.sort_unstable();
-        told.dedup();
-        assert_eq!(told.len(), 5);
-        let far = told
+        let mut change_recipients = peers.list_recipients(10, Origin::Own);
+        change_recipients.sort_unstable();
+        change_recipients.dedup();
+        assert_eq!(change_recipients.len(), 5);
+        let other_domain = change_recipients
             .iter()
             .filter(|peer| u32::from(**peer) % 3 != u32::from(ip(0)) % 3);
-        assert_eq!(far.count(), 2);
+        assert_eq!(other_domain.count(), 2);
         // An instance that receives a change from its own domain relays it only within the domain.
-        let passed_on = peers.list_recipients(10, Origin::OwnDomain);
-        assert_eq!(passed_on.len(), 3);
-        let is_near = |peer: &&Ipv4Addr| u32::from(**peer) % 3 == u32::from(ip(0)) % 3;
-        let mut far_count = 0;
+        let relay_recipients = peers.list_recipients(10, Origin::OwnDomain);
+        assert_eq!(relay_recipients.len(), 3);
+        let is_own_domain = |peer: &&Ipv4Addr| u32::from(**peer) % 3 == u32::from(ip(0)) % 3;
+        let mut other_domain_count = 0;
         for round in 1..=8 {
             let recipients = peers.recipients(10, round % 4 == 0, &[]);
             assert!(recipients.len() <= FAN_OUT_COUNT);
-            assert_eq!(recipients.iter().filter(is_near).count(), 4);
-            far_count += recipients.len() - 4;
+            assert_eq!(recipients.iter().filter(is_own_domain).count(), 4);
+            other_domain_count += recipients.len() - 4;
         }
         // One digest a second goes to another domain; without updates, no other round does.
-        assert_eq!(far_count, 2);
+        assert_eq!(other_domain_count, 2);
         assert!(peers.member_updates(10).len() <= 48);
         // The rate of demand messages at a holder is bounded for any number of senders.
         let every_ms = peers.demand_every_ms(250);
@@ -174,24 +174,24 @@
 
 #[test]
 fn a_holder_tells_the_candidates_in_each_round_and_whoever_waits_once() {
-    let mut peers = fleet(300);
+    let mut peers = peers_of_fleet(300);
     let candidates = peers.members().first(10, SERVICE, 3);
     let recipients = peers.recipients(10, false, &[SERVICE]);
     assert!(candidates.iter().all(|peer| recipients.contains(peer)));
     assert!(recipients.len() <= FAN_OUT_COUNT + 3);
-    let waits = |count: u64| DemandMessage {
+    let waiting_demand = |count: u64| DemandMessage {
         waits_for: vec![(SERVICE, (3, 1)), (SERVICE, (4, 1))],
-        ..demand(count, 5.0)
+        ..demand_message(count, 5.0)
     };
-    assert!(peers.apply_demand(0, address(77), &waits(1)));
+    assert!(peers.apply_demand(0, address(77), &waiting_demand(1)));
     let placed = [(8, (3, 1)), (9, (3, 1)), (9, (5, 1))];
     assert!(
         peers
             .take_satisfied_waits(10, SERVICE + 1, &placed)
             .is_empty()
     );
-    let answers = peers.take_satisfied_waits(10, SERVICE, &placed);
-    assert_eq!(answers[&address(77)], placed[..2]);
+    let satisfied = peers.take_satisfied_waits(10, SERVICE, &placed);
+    assert_eq!(satisfied[&address(77)], placed[..2]);
     assert!(
         peers.take_satisfied_waits(10, SERVICE, &placed).is_empty(),
         "answered once"
@@ -205,7 +205,7 @@
     );
 }
 
-fn demand(count: u64, work_ms_per_s: f32) -> DemandMessage {
+fn demand_message(count: u64, work_ms_per_s: f32) -> DemandMessage {
     DemandMessage {
         boot: 1,
         count,
@@ -221,11 +221,11 @@
 
 #[test]
 fn the_demand_of_every_instance_counts_until_it_falls_silent() {
-    let mut peers = fleet(300);
+    let mut peers = peers_of_fleet(300);
     for peer in 2..=300 {
-        assert!(peers.apply_demand(100, address(peer), &demand(2, 1.0)));
+        assert!(peers.apply_demand(100, address(peer), &demand_message(2, 1.0)));
         assert!(
-            !peers.apply_demand(100, address(peer), &demand(1, 9.0)),
+            !peers.apply_demand(100, address(peer), &demand_message(1, 9.0)),
             "old"
         );
     }
@@ -237,7 +237,7 @@
     };
     assert!((sum(&peers, 200) - 299.0).abs() < 0.01);
     assert!(
-        !peers.apply_demand(100, address(9_000), &demand(2, 1.0)),
+        !peers.apply_demand(100, address(9_000), &demand_message(2, 1.0)),
         "an unknown sender"
     );
     assert!(sum(&peers, 60_000).abs() < 0.01);
@@ -245,8 +245,8 @@
 
 #[test]
 fn a_store_is_lost_when_several_others_say_so_lately() {
-    let mut peers = fleet(20);
-    let tells = |count: u64, failed: &[(u32, u64)]| Digest {
+    let mut peers = peers_of_fleet(20);
+    let failures_digest = |count: u64, failed: &[(u32, u64)]| Digest {
         store_failed: failed
             .iter()
             .map(|(number, age_ms)| StoreFailure {
@@ -258,17 +258,17 @@
     };
     peers.store_failed(10_000);
     assert!(!peers.is_store_lost(10_000), "only its own failure");
-    peers.heard(10_000, address(2), &tells(2, &[(3, 100)]));
+    peers.heard(10_000, address(2), &failures_digest(2, &[(3, 100)]));
     assert!(
         !peers.is_store_lost(10_000),
         "a single other instance may be cut off itself"
     );
-    peers.heard(10_100, address(4), &tells(2, &[(3, 500), (5, 0)]));
+    peers.heard(10_100, address(4), &failures_digest(2, &[(3, 500), (5, 0)]));
     assert!(peers.is_store_lost(10_100));
     // A relayed failure keeps its time: the first one happened at 9,900.
     assert!(!peers.is_store_lost(11_400));
     let many: Vec<(u32, u64)> = (100..200).map(|number| (number, 0)).collect();
-    peers.heard(12_000, address(6), &tells(2, &many));
+    peers.heard(12_000, address(6), &failures_digest(2, &many));
     assert!(peers.store_failures(12_000).len() <= 6);
 }
 
@@ -276,21 +276,21 @@
 fn strange_digests_are_bounded_in_what_they_leave() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
     for sender in 0..3 {
-        let introduced = (0..10_000).map(|number| MemberUpdate {
+        let introduced_members = (0..10_000).map(|number| MemberUpdate {
             address: address(100_000 + sender * 10_000 + number),
             domain: DomainTag::default(),
             age_ms: if number % 2 == 0 { 0 } else { u32::MAX },
             is_leaving: false,
         });
-        let strange = Digest {
-            members: introduced.collect(),
-            held: vec![held(u64::MAX); 1_000],
+        let oversized = Digest {
+            members: introduced_members.collect(),
+            held: vec![held_lease(u64::MAX); 1_000],
             list_age_ms: u64::MAX,
             ..digest(u64::MAX - 1)
         };
-        assert!(peers.heard(5_000, address(2 + sender), &strange));
+        assert!(peers.heard(5_000, address(2 + sender), &oversized));
         assert!(
-            !peers.heard(5_000, address(2 + sender), &strange),
+            !peers.heard(5_000, address(2 + sender), &oversized),
             "received twice"
         );
     }
@@ -323,29 +323,29 @@
         unpack_rows(&packed[..packed.len() / 2], UNPACKED_MAX_BYTES),
         None
     );
-    let endless = changed("w", Some(vec![0; 2_000_000]));
+    let oversized = changed("w", Some(vec![0; 2_000_000]));
     assert_matches!(
-        unpack_rows(&pack_rows(&[&endless]), UNPACKED_MAX_BYTES),
+        unpack_rows(&pack_rows(&[&oversized]), UNPACKED_MAX_BYTES),
         None
     );
 }
 
 #[test]
 fn one_of_a_failure_domain_fetches_from_elsewhere_and_the_others_from_it() {
-    let mut peers = fleet(60);
+    let mut peers = peers_of_fleet(60);
     let far = address(4);
     let near = address(6);
-    let told = |count: u64, domain: &str, version: u64| Digest {
+    let version_digest = |count: u64, domain: &str, version: u64| Digest {
         domain: worker_key(domain),
         configuration_version: version,
         ..digest(count)
     };
-    assert!(peers.heard(10, far, &told(2, "z2", 9)));
+    assert!(peers.heard(10, far, &version_digest(2, "z2", 9)));
     assert_eq!(peers.configuration_source(10, 9, far), far);
     // A peer of its own domain with an older version is not a source.
-    assert!(peers.heard(10, near, &told(2, "z1", 8)));
+    assert!(peers.heard(10, near, &version_digest(2, "z1", 8)));
     assert_eq!(peers.configuration_source(10, 9, far), far);
-    assert!(peers.heard(20, near, &told(3, "z1", 9)));
+    assert!(peers.heard(20, near, &version_digest(3, "z1", 9)));
     assert_eq!(peers.configuration_source(20, 9, far), near);
     // Exactly one instance of the domain is the first, in an order that all compute alike.
     let table = ["z1", "z2"].map(|domain| (domain.to_owned(), "r1".to_owned()));
@@ -356,7 +356,7 @@
         for peer in 1..=60 {
             let is_near = peer == 1 || peer % 3 == 0;
             let domain = if is_near { "z1" } else { "z2" };
-            peers.heard(0, address(peer), &told(1, domain, 1));
+            peers.heard(0, address(peer), &version_digest(1, domain, 1));
         }
         peers.is_first_in_domain(10, "bodies")
     });
--- a/crates/cranereach-gateway/tests/spreading.rs
+++ b/crates/cranereach-gateway/tests/spreading.rs
@@ -26,7 +26,7 @@
 const DOMAIN_COUNT: usize = 5;
 
 /// Share of datagrams that are lost.
-const LOST_SHARE: f64 = 0.05;
+const LOSS_RATE: f64 = 0.05;
 
 fn address(number: usize) -> Ipv4Addr {
     Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 1)) + number as u32)
@@ -41,33 +41,35 @@
     peers: Vec<Peers>,
     domains: Vec<u64>,
     /// Instances that can neither send nor receive; the others do not know that.
-    cut: HashSet<usize>,
+    isolated: HashSet<usize>,
     round: u64,
     /// Numbers of messages sent to another failure domain, and to another region.
-    crossed: (usize, usize),
+    crossing_counts: (usize, usize),
     region_count: usize,
     rng: StdRng,
 }
 
 impl Fleet {
     fn start(count: usize, region_count: usize, seed: u64) -> Self {
-        let name = |place: usize| format!("z{}", place % (DOMAIN_COUNT * region_count));
-        let region = |place: usize| format!("r{}", place % region_count);
-        let places = 0..DOMAIN_COUNT * region_count;
-        let table: BTreeMap<String, String> =
-            places.map(|place| (name(place), region(place))).collect();
+        let domain_name = |index: usize| format!("z{}", index % (DOMAIN_COUNT * region_count));
+        let region_name = |index: usize| format!("r{}", index % region_count);
+        let indexes = 0..DOMAIN_COUNT * region_count;
+        let table: BTreeMap<String, String> = indexes
+            .map(|index| (domain_name(index), region_name(index)))
+            .collect();
         let peers: Vec<Peers> = (0..count)
             .map(|number| {
-                let topology = Topology::new(&name(number), &region(number), &table).unwrap();
-                Peers::new(address(number), &name(number), &[]).within(&topology)
+                let topology =
+                    Topology::new(&domain_name(number), &region_name(number), &table).unwrap();
+                Peers::new(address(number), &domain_name(number), &[]).within(&topology)
             })
             .collect();
         let mut fleet = Self {
             domains: peers.iter().map(Peers::own_domain).collect(),
             peers,
-            cut: HashSet::new(),
+            isolated: HashSet::new(),
             round: 0,
-            crossed: (0, 0),
+            crossing_counts: (0, 0),
             region_count,
             rng: StdRng::seed_from_u64(seed),
         };
@@ -83,11 +85,11 @@
     }
 
     /// Returns a copy of the fleet with another random seed.
-    fn again(&self, seed: u64) -> Self {
+    fn with_seed(&self, seed: u64) -> Self {
         Self {
             peers: self.peers.clone(),
             domains: self.domains.clone(),
-            cut: self.cut.clone(),
+            isolated: self.isolated.clone(),
             rng: StdRng::seed_from_u64(seed),
             ..*self
         }
@@ -108,15 +110,15 @@
 
     /// Simulates the delivery of a message and returns whether it arrives. Counts it if it crosses
     /// failure domains or regions.
-    fn arrives(&mut self, sender: usize, recipient: usize) -> bool {
+    fn delivers(&mut self, sender: usize, recipient: usize) -> bool {
         if self.domains[sender] != self.domains[recipient] {
-            self.crossed.0 += 1;
+            self.crossing_counts.0 += 1;
         }
         if sender % self.region_count != recipient % self.region_count {
-            self.crossed.1 += 1;
+            self.crossing_counts.1 += 1;
         }
-        let is_cut = self.cut.contains(&sender) || self.cut.contains(&recipient);
-        !self.rng.random_bool(LOST_SHARE) && !is_cut
+        let is_isolated = self.isolated.contains(&sender) || self.isolated.contains(&recipient);
+        !self.rng.random_bool(LOSS_RATE) && !is_isolated
     }
 
     /// Returns the origin of an update as the recipient sees it.
@@ -142,14 +144,14 @@
     /// Returns the rounds until an update carried by digests has spread from instance 0 to 99 % of
     /// the instances that are not isolated. If `source_crashes`, instance 0 sends nothing after
     /// two rounds.
-    fn rounds_to_spread(&mut self, dies: bool) -> u64 {
-        let all_count = self.peers.len() - self.cut.len();
+    fn rounds_until_spread(&mut self, source_crashes: bool) -> u64 {
+        let reachable_count = self.peers.len() - self.isolated.len();
         let mut informed = HashSet::from([0]);
         let now_ms = self.now_ms();
         self.peers[0].note_news(now_ms, Origin::Own);
-        let begun = self.round;
+        let start_round = self.round;
         for _round in 0..40 {
-            if informed.len() * 100 >= all_count * 99 {
+            if informed.len() * 100 >= reachable_count * 99 {
                 break;
             }
             self.round += 1;
@@ -157,40 +159,40 @@
             let mut senders: Vec<usize> = informed.iter().copied().collect();
             senders.sort_unstable();
             for sender in senders {
-                if dies && sender == 0 && self.round > begun + 2 {
+                if source_crashes && sender == 0 && self.round > start_round + 2 {
                     continue;
                 }
                 for recipient in self.recipients(sender) {
-                    if self.arrives(sender, recipient) && informed.insert(recipient) {
+                    if self.delivers(sender, recipient) && informed.insert(recipient) {
                         let origin = self.origin(sender, recipient);
                         self.peers[recipient].note_news(now_ms, origin);
                     }
                 }
             }
         }
-        self.round - begun
+        self.round - start_round
     }
 
     /// Returns the rounds until all instances that are not isolated have a list change that
     /// instance 0 has read. If `source_crashes`, instance 0 announces the change once and then
     /// does not answer instances that lack it.
-    fn rounds_to_list(&mut self, dies: bool) -> u64 {
-        let all_count = self.peers.len() - self.cut.len();
+    fn rounds_until_list_spread(&mut self, source_crashes: bool) -> u64 {
+        let reachable_count = self.peers.len() - self.isolated.len();
         let mut informed = HashSet::from([0]);
-        let mut passing = vec![(0, Origin::Own)];
-        let begun = self.round;
+        let mut relaying = vec![(0, Origin::Own)];
+        let start_round = self.round;
         for _round in 0..40 {
             // Each instance relays the change as soon as it receives it.
-            while let Some((sender, origin)) = passing.pop() {
+            while let Some((sender, origin)) = relaying.pop() {
                 let now_ms = self.now_ms();
                 for recipient in self.peers[sender].list_recipients(now_ms, origin) {
                     let recipient = number(recipient);
-                    if self.arrives(sender, recipient) && informed.insert(recipient) {
-                        passing.push((recipient, self.origin(sender, recipient)));
+                    if self.delivers(sender, recipient) && informed.insert(recipient) {
+                        relaying.push((recipient, self.origin(sender, recipient)));
                     }
                 }
             }
-            if informed.len() == all_count {
+            if informed.len() == reachable_count {
                 break;
             }
             self.round += 1;
@@ -198,22 +200,22 @@
             // recipients of such a digest send it.
             for sender in 0..self.peers.len() {
                 for recipient in self.recipients(sender) {
-                    let is_dead = dies && recipient == 0;
+                    let is_crashed = source_crashes && recipient == 0;
                     let is_behind = !informed.contains(&sender) && informed.contains(&recipient);
-                    let is_told = is_behind && !is_dead && self.round > begun + 1;
-                    let arrives = self.arrives(sender, recipient);
-                    if is_told && arrives && self.arrives(recipient, sender) {
+                    let is_updated = is_behind && !is_crashed && self.round > start_round + 1;
+                    let arrives = self.delivers(sender, recipient);
+                    if is_updated && arrives && self.delivers(recipient, sender) {
                         informed.insert(sender);
-                        passing.push((sender, self.origin(recipient, sender)));
+                        relaying.push((sender, self.origin(recipient, sender)));
                     }
                 }
             }
         }
-        self.round - begun
+        self.round - start_round
     }
 
     /// Runs one round in which all instances send digests with their member updates.
-    fn tell_members(&mut self) {
+    fn exchange_members(&mut self) {
         self.round += 1;
         let now_ms = self.now_ms();
         for sender in 0..self.peers.len() {
@@ -222,7 +224,7 @@
                 ..self.digest(sender, self.round + 1)
             };
             for recipient in self.recipients(sender) {
-                if self.arrives(sender, recipient) {
+                if self.delivers(sender, recipient) {
                     self.peers[recipient].heard(now_ms, address(sender), &digest);
                 }
             }
@@ -231,13 +233,13 @@
 
     /// Returns the minimum, over all instances, of the share of the others that it takes for alive.
     /// Isolated instances do not count.
-    fn least_known_share(&self) -> f64 {
-        let others = self.peers.len() - self.cut.len() - 1;
-        let known = (0..self.peers.len()).filter(|number| !self.cut.contains(number));
+    fn min_known_share(&self) -> f64 {
+        let others = self.peers.len() - self.isolated.len() - 1;
+        let known = (0..self.peers.len()).filter(|number| !self.isolated.contains(number));
         let known = known.map(|number| {
             let alive = self.peers[number].members().alive(self.now_ms());
             alive
-                .filter(|address| !self.cut.contains(&self::number(*address)))
+                .filter(|address| !self.isolated.contains(&self::number(*address)))
                 .count()
         });
         known.min().unwrap_or_default() as f64 / others as f64
@@ -256,25 +258,25 @@
         (1_000, 4, 9),
     ] {
         let fresh = Fleet::start(count, region_count, 3);
-        for news in 0..5 {
-            let seeded = |is_cut: bool| {
-                let mut fleet = fresh.again(news);
-                fleet.cut = (1..=count / 5).filter(|_| is_cut).collect();
+        for seed in 0..5 {
+            let seeded_fleet = |is_partitioned: bool| {
+                let mut fleet = fresh.with_seed(seed);
+                fleet.isolated = (1..=count / 5).filter(|_| is_partitioned).collect();
                 fleet
             };
-            let rounds = seeded(false).rounds_to_spread(false);
+            let rounds = seeded_fleet(false).rounds_until_spread(false);
             assert!(
                 rounds <= round_max_count,
                 "{count}, {region_count}: {rounds}"
             );
             // The source of the update crashes after two rounds.
-            let rounds = seeded(false).rounds_to_spread(true);
+            let rounds = seeded_fleet(false).rounds_until_spread(true);
             assert!(
                 rounds <= round_max_count + 1,
                 "{count}, {region_count}, source crashes: {rounds}"
             );
             // An undetected partition of a fifth of the fleet costs one more round.
-            let rounds = seeded(true).rounds_to_spread(false);
+            let rounds = seeded_fleet(true).rounds_until_spread(false);
             assert!(
                 rounds <= round_max_count + 1,
                 "{count}, {region_count}, a fifth isolated: {rounds}"
@@ -287,9 +289,9 @@
 fn a_change_of_the_list_reaches_all_within_a_second_also_from_a_reader_that_dies() {
     for (count, region_count) in [(3, 1), (73, 1), (73, 2), (300, 2), (1_000, 4)] {
         let fresh = Fleet::start(count, region_count, 5);
-        for news in 0..6 {
-            let mut fleet = fresh.again(news);
-            let rounds = fleet.rounds_to_list(news % 2 == 1);
+        for seed in 0..6 {
+            let mut fleet = fresh.with_seed(seed);
+            let rounds = fleet.rounds_until_list_spread(seed % 2 == 1);
             // The first read is due after 0.4 of the bound, which is at least 2,000 ms.
             assert!(
                 rounds * ROUND_MS <= 1_000,
@@ -305,19 +307,25 @@
         let mut fleet = Fleet::start(count, region_count, 7);
         // One list change: one relay for each domain, and one for the other region, plus the
         // repair of lost messages.
-        fleet.rounds_to_list(false);
-        let (_, beyond) = fleet.crossed;
+        fleet.rounds_until_list_spread(false);
+        let (_, cross_region) = fleet.crossing_counts;
         let rounds = fleet.round as usize + 1;
-        assert!(beyond <= 20 + rounds * count / 7, "{count}: {beyond}");
+        assert!(
+            cross_region <= 20 + rounds * count / 7,
+            "{count}: {cross_region}"
+        );
         // Without updates: one digest a second to another domain, every second one of them to
         // another region.
-        fleet.crossed = (0, 0);
+        fleet.crossing_counts = (0, 0);
         for _round in 0..16 {
-            fleet.tell_members();
+            fleet.exchange_members();
         }
-        let (crossed, beyond) = fleet.crossed;
-        assert!(crossed <= 4 * count * 3 / 2, "{count}: {crossed}");
-        assert!(beyond <= 4 * count / 2 + count, "{count}: {beyond}");
+        let (cross_domain, cross_region) = fleet.crossing_counts;
+        assert!(cross_domain <= 4 * count * 3 / 2, "{count}: {cross_domain}");
+        assert!(
+            cross_region <= 4 * count / 2 + count,
+            "{count}: {cross_region}"
+        );
     }
 }
 
@@ -326,30 +334,30 @@
     for (count, region_count) in [(73, 1), (73, 2), (300, 4)] {
         let mut fleet = Fleet::start(count, region_count, 11);
         for _round in 0..60 {
-            fleet.tell_members();
+            fleet.exchange_members();
         }
-        let share = fleet.least_known_share();
+        let share = fleet.min_known_share();
         assert!(share >= 0.95, "{count}, {region_count}: {share}");
         // One region is partitioned from the others for a while, then reconnects.
-        let cut = (0..count).filter(|number| number % region_count == 0);
-        fleet.cut = if region_count > 1 {
-            cut.collect()
+        let first_region = (0..count).filter(|number| number % region_count == 0);
+        fleet.isolated = if region_count > 1 {
+            first_region.collect()
         } else {
             HashSet::new()
         };
         for _round in 0..40 {
-            fleet.tell_members();
+            fleet.exchange_members();
         }
-        let share = fleet.least_known_share();
+        let share = fleet.min_known_share();
         assert!(
             share >= 0.95,
             "{count}, {region_count}, partitioned: {share}"
         );
-        fleet.cut.clear();
+        fleet.isolated.clear();
         for _round in 0..60 {
-            fleet.tell_members();
+            fleet.exchange_members();
         }
-        let share = fleet.least_known_share();
+        let share = fleet.min_known_share();
         assert!(
             share >= 0.95,
             "{count}, {region_count}, reconnected: {share}"
--- a/crates/cranereach-gateway/tests/suspects.rs
+++ b/crates/cranereach-gateway/tests/suspects.rs
@@ -11,10 +11,10 @@
 use cranereach_gateway::messages::encode;
 
 /// Maximum size of the part of a digest that lists such requests, in bytes.
-const TOLD_MAX_BYTES: usize = 1_536;
+const SUSPECTS_MAX_BYTES: usize = 1_536;
 
 /// Maximum size of the datagram that reports a single end, in bytes.
-const END_MAX_BYTES: usize = 64;
+const END_UPDATE_MAX_BYTES: usize = 64;
 
 fn mark(number: u64) -> RequestMark {
     RequestMark {
@@ -41,15 +41,18 @@
         };
         sizes_bytes.push(encode(Message::Digest(Box::new(digest))).len());
     }
-    let told_bytes = sizes_bytes.iter().map(|bytes| bytes - sizes_bytes[0]).max();
-    assert!(told_bytes.unwrap() <= TOLD_MAX_BYTES, "{sizes_bytes:?}");
+    let suspects_bytes = sizes_bytes.iter().map(|bytes| bytes - sizes_bytes[0]).max();
+    assert!(
+        suspects_bytes.unwrap() <= SUSPECTS_MAX_BYTES,
+        "{sizes_bytes:?}"
+    );
 }
 
 #[test]
 fn an_end_is_told_in_a_small_datagram() {
     let mut quarantine = Quarantine::default();
     quarantine.ended(1_000, mark(1), u64::MAX, true);
-    let news = quarantine.update_for(601_000, mark(1)).unwrap();
-    let byte_count = encode(Message::Suspect(Box::new(news))).len();
-    assert!(byte_count <= END_MAX_BYTES, "{byte_count}");
+    let update = quarantine.update_for(601_000, mark(1)).unwrap();
+    let byte_count = encode(Message::Suspect(Box::new(update))).len();
+    assert!(byte_count <= END_UPDATE_MAX_BYTES, "{byte_count}");
 }
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -35,52 +35,52 @@
 };
 
 fn read(status: u16, headers: &[(&'static str, &'static str)]) -> WorkerHeaders {
-    let mut map = HeaderMap::new();
+    let mut header_map = HeaderMap::new();
     for (name, value) in headers {
         let name = HeaderName::from_static(name);
-        map.append(name, HeaderValue::from_static(value));
+        header_map.append(name, HeaderValue::from_static(value));
     }
     let status = StatusCode::from_u16(status).unwrap();
-    WorkerHeaders::read(&NAMES, "w", (status, &map))
+    WorkerHeaders::read(&NAMES, "w", (status, &header_map))
 }
 
 #[test]
 fn an_answer_that_says_nothing_says_nothing() {
-    let words = read(200, &[("id", "r")]);
-    assert!(!words.is_of_another && !words.is_not_run && !words.is_load_unreadable);
-    assert_eq!(words.load, None);
-    assert_eq!(words.limit, named_limit::NamedRate::Nothing);
-    assert_eq!(words.leaving, departure::Said::Nothing);
-    assert_eq!(words.rest, rest::RestRequest::Nothing);
-    assert_eq!(words.connection_keep_alive_ms, Some(DEFAULT_KEEP_ALIVE_MS));
+    let parsed = read(200, &[("id", "r")]);
+    assert!(!parsed.is_of_another && !parsed.is_not_run && !parsed.is_load_unreadable);
+    assert_eq!(parsed.load, None);
+    assert_eq!(parsed.limit, named_limit::NamedRate::Nothing);
+    assert_eq!(parsed.leaving, departure::Said::Nothing);
+    assert_eq!(parsed.rest, rest::RestRequest::Nothing);
+    assert_eq!(parsed.connection_keep_alive_ms, Some(DEFAULT_KEEP_ALIVE_MS));
 }
 
 #[test]
 fn only_what_turns_something_away_asks_for_rest() {
-    let rest = |status, headers: &[_]| read(status, headers).rest;
-    let asked = ("retry-after", "2");
+    let requested_rest = |status, headers: &[_]| read(status, headers).rest;
+    let retry_after = ("retry-after", "2");
     assert_eq!(
-        rest(503, &[asked, ("not-run", "1")]),
+        requested_rest(503, &[retry_after, ("not-run", "1")]),
         rest::RestRequest::For(2_000)
     );
     assert_eq!(
-        rest(503, &[asked]),
+        requested_rest(503, &[retry_after]),
         rest::RestRequest::For(2_000),
         "regardless of what ran"
     );
     for status in [200, 202, 409, 421, 429, 500] {
         assert_eq!(
-            rest(status, &[asked]),
+            requested_rest(status, &[retry_after]),
             rest::RestRequest::Nothing,
             "{status}"
         );
     }
     assert_eq!(
-        rest(503, &[("retry-after", "1"), asked]),
+        requested_rest(503, &[("retry-after", "1"), retry_after]),
         rest::RestRequest::For(2_000)
     );
     assert_eq!(
-        rest(503, &[("retry-after", "soon")]),
+        requested_rest(503, &[("retry-after", "soon")]),
         rest::RestRequest::Unreadable
     );
 }
@@ -98,9 +98,9 @@
     let load = read(200, &[("load", "3, 1,8")]).load.unwrap();
     assert_eq!((load.running_count, load.waiting_count), (3, 1));
     for unreadable in ["", "many", "3", "3,-1,8", "3,1e3"] {
-        let words = read(200, &[("load", unreadable)]);
+        let parsed = read(200, &[("load", unreadable)]);
         assert!(
-            words.load.is_none() && words.is_load_unreadable,
+            parsed.load.is_none() && parsed.is_load_unreadable,
             "{unreadable}"
         );
     }
@@ -108,21 +108,27 @@
 
 #[test]
 fn a_connection_rests_as_long_as_the_worker_says_less_a_margin() {
-    let rest_ms = |headers: &[_]| read(200, headers).connection_keep_alive_ms;
-    assert_eq!(rest_ms(&[("keep-alive", "timeout=5")]), Some(4_850));
-    assert_eq!(rest_ms(&[("keep-alive", "max=9, timeout=1")]), Some(850));
-    assert_eq!(rest_ms(&[("keep-alive", "timeout=0")]), None);
-    assert_eq!(rest_ms(&[("connection", "close")]), None);
+    let keep_alive_ms = |headers: &[_]| read(200, headers).connection_keep_alive_ms;
+    assert_eq!(keep_alive_ms(&[("keep-alive", "timeout=5")]), Some(4_850));
     assert_eq!(
-        rest_ms(&[("connection", "Foo, Close")]),
+        keep_alive_ms(&[("keep-alive", "max=9, timeout=1")]),
+        Some(850)
+    );
+    assert_eq!(keep_alive_ms(&[("keep-alive", "timeout=0")]), None);
+    assert_eq!(keep_alive_ms(&[("connection", "close")]), None);
+    assert_eq!(
+        keep_alive_ms(&[("connection", "Foo, Close")]),
         None,
         "among other tokens"
     );
     assert_eq!(
-        rest_ms(&[("connection", "foo"), ("connection", "close")]),
+        keep_alive_ms(&[("connection", "foo"), ("connection", "close")]),
         None
     );
-    let far = format!("timeout={}", u64::MAX);
-    let far: &'static str = far.leak();
-    assert!(rest_ms(&[("keep-alive", far)]).is_some(), "no overflow");
+    let huge_timeout = format!("timeout={}", u64::MAX);
+    let huge_timeout: &'static str = huge_timeout.leak();
+    assert!(
+        keep_alive_ms(&[("keep-alive", huge_timeout)]).is_some(),
+        "no overflow"
+    );
 }
