--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Sends a digest, which may get lost. A recipient that has not heard of the sender may answer
-    /// with a digest of its own if the sender lacks the list.
+    /// Sends a digest, which may get lost. The recipient may answer with a digest of its own if the
+    /// sender lacks the list.
     fn send_digest(&mut self, sender: usize, recipient: usize, digest: &Digest) {
         if self.is_down(recipient) || self.rng.random_bool(LOSS_RATE) {
             return;
@@ -365,11 +365,11 @@
     for count in [1, 6, 78, 300, 1_000] {
         let mut fleet = Fleet::start(count, 3);
         let took_ms = fleet.run_until_all_have_list(40_000);
-        let (reads, crossed) = (fleet.store_read_count, fleet.cross_domain_count);
-        println!("{count}: {took_ms} ms, {reads} store reads, {crossed} cross-domain fetches");
+        let (reads, fetches) = (fleet.store_read_count, fleet.cross_domain_count);
+        println!("{count}: {took_ms} ms, {reads} store reads, {fetches} cross-domain fetches");
         assert!(took_ms <= 12_000, "{count}: {took_ms}");
         assert!(reads <= STORE_READ_MAX_COUNT, "{count}: {reads}");
-        assert!(crossed <= CROSS_DOMAIN_MAX_COUNT, "{count}: {crossed}");
+        assert!(fetches <= CROSS_DOMAIN_MAX_COUNT, "{count}: {fetches}");
     }
 }
 
