--- a/crates/cranereach-core/tests/versions.rs
+++ b/crates/cranereach-core/tests/versions.rs
@@ -1,4 +1,5 @@
-//! Configuration versions only grow, and an instance knows when it can't know.
+//! The configuration version of an instance never decreases, and an instance stops serving when it
+//! cannot confirm that its version is the newest.
 
 use proptest::prelude::*;
 
@@ -6,7 +7,7 @@
 use cranereach_core::config::ConfigState;
 use cranereach_core::config::Head;
 
-/// Makes a head.
+/// Creates the head of a version.
 fn head(version: u64) -> Head {
     Head {
         version,
@@ -14,61 +15,66 @@
     }
 }
 
-/// One row: table read how long ago, listed and heard peers, and whether to serve.
+/// One row: name, time since the table was last read in milliseconds, numbers of listed peers and
+/// of those heard from, and whether the instance may serve.
 type Row = (&'static str, Option<u64>, usize, usize, bool);
 
-/// The fault table, for an instance that holds a version.
+/// Table of faults, for an instance that holds a version.
 const ROWS: [Row; 8] = [
-    ("table read lately, nobody heard", Some(0), 5, 0, true),
+    ("table read recently, no peer heard", Some(0), 5, 0, true),
     (
-        "table out, all heard",
+        "table down, all peers heard",
         Some(CONFIRMATION_TIMEOUT_MS),
         5,
         5,
         true,
     ),
     (
-        "table out, half heard",
+        "table down, half of the peers heard",
         Some(CONFIRMATION_TIMEOUT_MS),
         4,
         2,
         true,
     ),
     (
-        "table out, fewer than half heard",
+        "table down, fewer than half of the peers heard",
         Some(CONFIRMATION_TIMEOUT_MS),
         5,
         2,
         false,
     ),
     (
-        "cut off from everybody",
+        "isolated from the table and all peers",
         Some(CONFIRMATION_TIMEOUT_MS),
         5,
         0,
         false,
     ),
     (
-        "table out, no other instance listed",
+        "table down, no other instance listed",
         Some(CONFIRMATION_TIMEOUT_MS),
         0,
         0,
         true,
     ),
     ("table never read, peers heard", None, 2, 1, true),
-    ("table never read, nobody heard", None, 2, 0, false),
+    ("table never read, no peer heard", None, 2, 0, false),
 ];
 
 #[test]
 fn an_instance_serves_only_while_it_can_know() {
-    for (name, read_ago_ms, listed, heard, serves) in ROWS {
+    for (name, read_ago_ms, listed_count, heard_count, expected) in ROWS {
         let mut state = ConfigState::new(0);
         state.adopt(&head(1));
         if read_ago_ms.is_some() {
             state.observe_table_head(0, &head(1));
         }
         let now_ms = read_ago_ms.unwrap_or(CONFIRMATION_TIMEOUT_MS);
-        assert_eq!(state.may_serve(now_ms, listed, heard), serves, "{name}");
+        assert_eq!(
+            state.may_serve(now_ms, listed_count, heard_count),
+            expected,
+            "{name}"
+        );
     }
 }
 
@@ -95,7 +101,7 @@
     #[test]
     fn the_version_held_never_falls(events in prop::collection::vec((0_u8..3, 0_u64..20), 0..60)) {
         let mut state = ConfigState::new(0);
-        let mut held = 0;
+        let mut held_version = 0;
         for (kind, version) in events {
             match kind {
                 0 => state.observe_table_head(0, &head(version)),
@@ -104,9 +110,9 @@
                     state.adopt(&head(version));
                 }
             }
-            prop_assert!(state.held().version >= held);
-            held = state.held().version;
-            prop_assert!(state.missing().is_none_or(|missing| missing.version > held));
+            prop_assert!(state.held().version >= held_version);
+            held_version = state.held().version;
+            prop_assert!(state.missing().is_none_or(|missing| missing.version > held_version));
         }
     }
 }
