--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_budget_bounds_what_retries_add() {
+fn the_retry_budget_bounds_retries() {
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _call in 0..1_000 {
@@ -166,7 +166,7 @@
     /// Once an upstream may have acted on a call, no result code says "not run", and an unsafe
     /// call is not sent again.
     #[test]
-    fn not_run_is_true_over_all_orders_of_events(
+    fn not_run_is_reported_only_if_true_for_any_event_sequence(
         is_unsafe in any::<bool>(),
         events in prop::collection::vec((0_u64..1_500, any_event()), 1..12),
         refusal_follows in any::<bool>(),
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_refusal_at_the_queue_is_true_to_earlier_attempts() {
+fn a_queue_refusal_accounts_for_earlier_attempts() {
     let mut attempt = Attempt::new(Repeatable::Safe, DEADLINE_AT_MS);
     let mut budget = RetryBudget::default();
     attempt.on(0, Event::HandedToConnection, &mut budget);
--- a/crates/cranereach-core/tests/control_faults.rs
+++ b/crates/cranereach-core/tests/control_faults.rs
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn every_target_gets_its_turn_when_asked_for() {
+fn every_requested_target_becomes_resident() {
     for fenced in [true, false] {
         let mut world = World::new(7, fenced, NO_FAULTS);
         for round in 0..18 {
--- a/crates/cranereach-core/tests/dispatching.rs
+++ b/crates/cranereach-core/tests/dispatching.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn virtual_time_divides_served_cost_by_share_whatever_a_request_costs() {
+fn virtual_time_shares_served_cost_regardless_of_request_cost() {
     let served = serve_competing_accounts(&order::VIRTUAL_TIME, [1.0, 1.0], [100.0, 400.0]);
     let ratio = served[1] / served[0];
     assert!((0.95..1.05).contains(&ratio), "{served:?}");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn stride_divides_requests_and_so_favours_costly_ones() {
+fn stride_shares_request_counts_and_so_favours_costly_requests() {
     let served = serve_competing_accounts(&order::STRIDE, [1.0, 1.0], [100.0, 400.0]);
     let ratio = served[1] / served[0];
     assert!((3.8..4.2).contains(&ratio), "{served:?}");
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn what_cannot_start_in_time_is_refused_at_once_with_the_time_to_come_back() {
+fn requests_that_cannot_start_in_time_are_refused_with_retry_after() {
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     for number in 0..50 {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn an_overdue_request_is_given_up_on_at_its_time_and_not_before() {
+fn a_queued_request_is_refused_exactly_at_its_start_deadline() {
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     for number in 0..5 {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_worker_that_reports_leaving_gets_nothing_and_its_callers_count_as_waiting() {
+fn a_leaving_worker_gets_no_requests_and_refused_callers_count_as_demand() {
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     dispatcher.reported(
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn peers_sends_count_against_a_workers_slots() {
+fn requests_sent_by_peers_occupy_worker_slots() {
     let mut dispatcher = dispatcher(&order::VIRTUAL_TIME);
     let mut actions = Vec::new();
     dispatcher.record_peer_load(0, &"peer".into(), &"w".into(), SLOT_COUNT);
--- a/crates/cranereach-core/tests/versions.rs
+++ b/crates/cranereach-core/tests/versions.rs
@@ -62,7 +62,7 @@
 ];
 
 #[test]
-fn an_instance_serves_only_while_it_can_know() {
+fn an_instance_serves_only_while_its_version_is_confirmed() {
     for (name, read_ago_ms, listed_count, heard_count, expected) in ROWS {
         let mut state = ConfigState::new(0);
         state.adopt(&head(1));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_instance_that_knows_of_a_newer_version_goes_if_it_cannot_get_it() {
+fn an_instance_stops_serving_if_it_cannot_get_a_newer_version() {
     let mut state = ConfigState::new(0);
     state.adopt(&head(1));
     state.observe_head(&head(2));
@@ -99,7 +99,7 @@
 
 proptest! {
     #[test]
-    fn the_version_held_never_falls(events in prop::collection::vec((0_u8..3, 0_u64..20), 0..60)) {
+    fn the_held_version_never_decreases(events in prop::collection::vec((0_u8..3, 0_u64..20), 0..60)) {
         let mut state = ConfigState::new(0);
         let mut held_version = 0;
         for (kind, version) in events {
--- a/crates/cranereach-fleet/tests/accounts.rs
+++ b/crates/cranereach-fleet/tests/accounts.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn faults_name_the_account() {
+fn errors_name_the_account() {
     let limited = |rate_per_s: f64, burst: f64| Account {
         limit: Some(Limit {
             rate_per_s,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_a_request_counts_depends_on_the_unit() {
+fn the_cost_of_a_request_depends_on_the_limit_unit() {
     let plain = account("crews", &["a"]);
     assert_eq!((plain.cost(None), plain.cost(Some(5_000))), (1.0, 1.0));
     let by_tokens = Account {
--- a/crates/cranereach-fleet/tests/admission.rs
+++ b/crates/cranereach-fleet/tests/admission.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn in_overload_urgent_calls_find_room() {
+fn urgent_requests_meet_their_target_under_overload() {
     assert_eq!(missed_urgent_count(ORDINARY), 0);
     // If all requests were admitted alike, most urgent ones would be late.
     let without_priority = Admission {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn who_has_time_waits_and_is_sent_while_still_in_time() {
+fn a_request_with_a_long_target_waits_and_is_sent_in_time() {
     let with_long_target = Admission {
         latency_target_ms: 6_000.0,
         ..ORDINARY
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_answer_that_is_passed_on_whole_is_admitted_by_its_end() {
+fn a_non_streamed_answer_is_admitted_by_its_completion_time() {
     let whole = Admission {
         latency_target_ms: 300.0,
         urgent_latency_target_ms: None,
--- a/crates/cranereach-fleet/tests/asked.rs
+++ b/crates/cranereach-fleet/tests/asked.rs
@@ -10,7 +10,7 @@
 use cranereach_fleet::store_position::StorePosition;
 
 #[test]
-fn in_a_large_fleet_only_workers_that_the_plan_wants_are_asked() {
+fn a_large_fleet_asks_a_bounded_number_of_workers_and_those_in_the_plan() {
     let mut ledger = Ledger::default();
     let ids: Vec<Arc<str>> = (0..10_000)
         .map(|number| Arc::from(format!("w-{number:05}")))
--- a/crates/cranereach-fleet/tests/candidates.rs
+++ b/crates/cranereach-fleet/tests/candidates.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn near_workers_are_asked_about_and_others_only_where_they_are_likely_to_win() {
+fn near_workers_are_queried_and_others_only_if_likely_to_be_chosen() {
     let topology = topology();
     let request = request(&topology, Some(("m", None)));
     let engine = Some(&engine());
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn where_no_near_worker_holds_the_model_the_nearest_that_do_are_asked() {
+fn without_a_near_replica_the_nearest_replicas_are_queried() {
     let topology = topology();
     let request = request(&topology, Some(("m", None)));
     let engine = Some(&engine());
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn calls_of_services_without_an_engine_go_by_load_alone() {
+fn requests_to_services_without_an_engine_are_routed_by_load_alone() {
     let topology = topology();
     let request = request(&topology, None);
     let roster = roster(&[("z1", "z"), ("y1", "y"), ("x1", "x")]);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_worker_overseas_is_weighed_by_the_way_there_and_one_next_door_is_not() {
+fn network_delay_counts_against_workers_in_other_regions() {
     let topology = topology();
     let request = RoutingRequest {
         extra_start_delays_ms: [0.0, 4.0, 60.0],
--- a/crates/cranereach-fleet/tests/choice.rs
+++ b/crates/cranereach-fleet/tests/choice.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_worker_whose_row_names_another_domain_follows_that_one() {
+fn a_worker_belongs_to_the_domain_in_its_newest_row() {
     let mut roster = Roster::default();
     roster.put(at(1), record("w", &[("m", &[])]));
     let mut moved = record("w", &[("m", &[])]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_worker_whose_owner_says_how_it_stands_goes_before_one_that_looks_idle() {
+fn a_worker_with_a_fresh_owner_status_is_preferred_to_one_that_looks_idle() {
     let mut roster = Roster::default();
     for id in ["a", "b"] {
         roster.put(at(1), record(id, &[("m", &[])]));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_request_under_which_workers_ended_runs_apart_from_others_like_it() {
+fn requests_under_which_workers_ended_never_share_a_worker() {
     let mut roster = Roster::default();
     for id in ["a", "b"] {
         roster.put(at(1), record(id, &[]));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_request_under_which_a_worker_ended_goes_where_the_fewest_run() {
+fn a_request_under_which_a_worker_ended_goes_to_the_least_busy_worker() {
     let mut roster = Roster::default();
     for (id, open_count) in [("busy", 6), ("idle", 0)] {
         roster.put(at(1), record(id, &[("m", &[])]));
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn it_holds_for_its_start_whatever_rows_come() {
+fn an_announced_departure_holds_for_its_incarnation_whatever_rows_follow() {
     let mut roster = Roster::default();
     roster.put(at(5), incarnation("w", 100));
     assert!(roster.note_leaving_announced(1_000, "w", 100));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_word_of_another_start_than_the_listed_one_counts_for_that_one() {
+fn a_departure_of_an_unlisted_incarnation_applies_only_to_that_one() {
     let mut roster = Roster::default();
     roster.put(at(5), incarnation("w", 100));
     assert!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_peers_word_counts_for_the_start_that_it_names() {
+fn a_peers_report_applies_to_the_incarnation_it_names() {
     let mut roster = Roster::default();
     roster.put(at(5), incarnation("w", 100));
     let news = |id: &str, started_unix_ms| DepartureNews {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_one_that_leaves_or_is_gone() {
+fn nothing_is_sent_to_a_worker_that_is_leaving_or_gone() {
     let mut roster = Roster::default();
     roster.put(at(5), incarnation("w", 100));
     for purpose in [Purpose::Call, Purpose::Order, Purpose::Report] {
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn what_is_remembered_of_unlisted_workers_is_bounded() {
+fn the_number_of_unlisted_departures_is_bounded() {
     let mut roster = Roster::default();
     for number in 0..10_000_u64 {
         roster.note_leaving_announced(number, &format!("w{number}"), 1);
@@ -167,7 +167,7 @@
 /// Guards against an eviction that drops every announcement: when more departures than are kept
 /// were announced within one millisecond, all of them were forgotten, even the newest.
 #[test]
-fn words_that_come_at_once_are_not_all_forgotten_for_the_last() {
+fn departures_announced_at_once_are_not_all_evicted() {
     let mut roster = Roster::default();
     for number in 0..2_100_u64 {
         roster.note_leaving_announced(5, &format!("w{number}"), 1);
--- a/crates/cranereach-fleet/tests/eras.rs
+++ b/crates/cranereach-fleet/tests/eras.rs
@@ -65,7 +65,7 @@
 /// Guards against a row of the copy that cancels a departure. A later incarnation isn't affected by
 /// that departure.
 #[test]
-fn a_start_that_leaves_by_its_row_leaves_though_a_copys_row_says_otherwise() {
+fn a_departure_in_a_row_survives_a_restore() {
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
     roster.put(before(75), row(100, true));
@@ -87,7 +87,7 @@
 /// Guards against a row of the copy that brings back an incarnation that is gone and has shown no
 /// sign of life since.
 #[test]
-fn a_start_that_is_gone_stays_gone_until_it_gives_a_sign_of_life() {
+fn an_incarnation_that_is_gone_stays_gone_until_it_shows_a_sign_of_life() {
     let mut roster = roster_of_gone_worker();
     roster.put(after(40), row(100, false));
     assert_eq!(barred(&roster), Some(Barred::Leaving));
@@ -145,7 +145,7 @@
 
 /// Guards against the exclusion of a new incarnation because an earlier one is gone.
 #[test]
-fn another_start_of_a_worker_that_is_gone_serves_at_once() {
+fn a_new_incarnation_of_a_gone_worker_serves_at_once() {
     let mut roster = roster_of_gone_worker();
     roster.put(after(40), row(200, false));
     assert_eq!(barred(&roster), None);
@@ -153,7 +153,7 @@
 
 /// Guards against forgetting a worker's own announcement once rows of the copy are trusted again.
 #[test]
-fn its_own_word_holds_on_beyond_what_is_held_against_a_copy() {
+fn a_workers_own_announcement_outlasts_the_distrust_of_restored_rows() {
     for is_listed_before in [true, false] {
         let mut roster = roster_of_gone_worker();
         if is_listed_before {
@@ -173,7 +173,7 @@
 /// Guards against dropping a worker that is missing from the copy before it can write its row
 /// again.
 #[test]
-fn a_worker_that_the_copy_lacks_is_back_with_its_next_row() {
+fn a_worker_missing_from_the_copy_is_back_with_its_next_row() {
     let mut roster = Roster::default();
     roster.put(before(75), row(100, false));
     roster.enter_era(RESTORED_MS, 2);
@@ -188,7 +188,7 @@
 
 /// Guards against a row of the copy that brings back the incarnation before the serving one.
 #[test]
-fn a_start_that_another_has_followed_is_over_for_good() {
+fn a_superseded_incarnation_stays_excluded() {
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
     roster.put(before(75), row(200, false));
@@ -212,7 +212,7 @@
 /// Guards against trusting an incarnation that announced its departure and is gone, only because
 /// the copy lists it for a while.
 #[test]
-fn a_start_that_left_and_is_gone_is_over_for_good() {
+fn an_incarnation_that_left_and_is_gone_stays_excluded() {
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
     roster.put(before(70), row(100, true));
@@ -235,7 +235,7 @@
 /// Guards against a copy that brings back a worker whose end became known after the new era was
 /// announced and before its list was read.
 #[test]
-fn a_worker_that_lapses_before_the_list_of_an_era_comes_is_held_back_as_well() {
+fn a_worker_that_lapses_before_the_list_of_a_new_era_is_excluded_too() {
     let mut roster = Roster::default();
     roster.put(before(40), row(100, false));
     roster.lapse(before(75), "w", RESTORED_MS);
--- a/crates/cranereach-fleet/tests/evacuations.rs
+++ b/crates/cranereach-fleet/tests/evacuations.rs
@@ -323,7 +323,7 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn whoever_is_proven_to_know_the_newest_stops_within_the_bound(
+    fn an_instance_with_a_proof_stops_within_the_bound(
         seed in any::<u64>(),
         delay_max_ms in 2_u64..6_000,
         loss_rate in 0.0..0.5,
@@ -342,7 +342,7 @@
     }
 
     #[test]
-    fn nobody_in_touch_sends_beyond_the_bound(
+    fn no_instance_in_contact_sends_after_the_bound(
         seed in any::<u64>(),
         loss_rate in 0.0..0.04,
         events in prop::collection::vec((0_u64..2_500, 0_usize..9, event()), 1..30),
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn nobody_in_touch_sends_late_at_any_size_also_with_both_watchers_lost() {
+fn no_instance_in_contact_sends_late_at_any_size_even_with_both_watchers_lost() {
     for (count, seed) in [(3, 1), (73, 2), (300, 3)] {
         let mut world = World::start(count, 8, 0.03, seed);
         for step in 0..1_500 {
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn a_demand_written_again_keeps_its_time() {
+fn an_evacuation_that_is_written_again_keeps_its_time() {
     let mut known = Evacuations::default();
     let requested = known.list().clone().changed(7, at(40), false);
     known.take(1_000, requested.clone(), Some(1_000), BOUND_MS);
--- a/crates/cranereach-fleet/tests/fingerprint.rs
+++ b/crates/cranereach-fleet/tests/fingerprint.rs
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn whatever_differs_makes_another_fingerprint() {
+fn any_difference_changes_the_fingerprint() {
     let key = FingerprintKey::new("");
     let variants = [
         CONTENT,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn without_the_secret_no_content_can_be_told_from_its_fingerprint() {
+fn a_fingerprint_cannot_be_reproduced_without_the_secret() {
     let secret = FingerprintKey::new("secret");
     let guessed = FingerprintKey::new("");
     assert_ne!(CONTENT.fingerprint(&secret), CONTENT.fingerprint(&guessed));
--- a/crates/cranereach-fleet/tests/freshness.rs
+++ b/crates/cranereach-fleet/tests/freshness.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn news_from_a_peer_puts_the_own_read_off() {
+fn news_from_a_peer_postpones_the_own_read() {
     let mut list = Freshness::new(BOUND_MS);
     list.confirm(1_000);
     let before = list.read_due_at_ms(0);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn rows_that_end_after_an_outage_may_only_have_lapsed() {
+fn rows_missing_after_an_outage_may_only_have_lapsed() {
     let mut list = Freshness::new(BOUND_MS);
     assert_eq!(list.lapse_until_ms(0, 0), None, "the first read");
     list.confirm(0);
--- a/crates/cranereach-fleet/tests/held.rs
+++ b/crates/cranereach-fleet/tests/held.rs
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn a_prompt_that_is_held_back_teaches_no_pace() {
+fn a_delayed_prompt_is_not_used_to_measure_prefill_cost() {
     assert!(choice(1_000, 0.0).is_first);
     assert!(!choice(1_000, 80.0).is_first);
 }
 
 #[test]
-fn the_time_since_the_owner_s_word_is_no_part_of_the_hold() {
+fn the_delay_counts_from_the_owners_status() {
     assert_eq!(choice(1_000, 80.0).send_in_ms, 80);
     assert_eq!(choice(1_015, 80.0).send_in_ms, 65);
     assert_eq!(choice(1_015, 10.0).send_in_ms, 0);
--- a/crates/cranereach-fleet/tests/holders.rs
+++ b/crates/cranereach-fleet/tests/holders.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn whatever_rows_come_and_go_the_same_workers_are_found() {
+fn the_model_index_finds_the_same_workers_as_a_full_scan() {
     let mut rng = SmallRng::seed_from_u64(11);
     let mut outcome_counts = [0, 0, 0];
     for _world in 0..60 {
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn two_machines_never_order_within_the_pause() {
+fn two_machines_never_issue_orders_within_the_pause() {
     let handover_count: u32 = (0..SEED_COUNT)
         .map(|seed| run_simulation(seed, false))
         .sum();
@@ -270,7 +270,7 @@
 
 /// Guards against two holders at once when a restored store has lost the row of one.
 #[test]
-fn two_machines_never_order_within_the_pause_though_the_store_loses_the_row() {
+fn two_machines_never_issue_orders_within_the_pause_even_if_the_store_loses_the_row() {
     let handover_count: u32 = (0..SEED_COUNT).map(|seed| run_simulation(seed, true)).sum();
     assert!(
         handover_count > SEED_COUNT as u32,
@@ -280,7 +280,7 @@
 
 /// Guards against orders that stop for a whole term and pause after each restore.
 #[test]
-fn a_holder_whose_row_was_lost_goes_on_within_its_term() {
+fn a_holder_whose_row_was_lost_continues_within_its_term() {
     let mut lease_state = LeaseState::new("a", PAUSE_MS);
     lease_state.written(0, StorePosition::new(1, 80));
     let token = lease_state.token(400);
@@ -308,7 +308,7 @@
 /// Guards against a candidate that takes a row of the copy, or a missing row, for the state that
 /// the last holder left.
 #[test]
-fn what_a_copy_says_of_holders_saves_no_wait() {
+fn a_restored_row_does_not_shorten_the_wait() {
     let copied_row = |holder: &str, is_released: bool| LeaseRow {
         holder: holder.to_owned(),
         is_released,
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_term_counts_from_before_the_write() {
+fn a_term_starts_before_the_write() {
     let mut lease_state = LeaseState::new("a", PAUSE_MS);
     lease_state.read(0, at(0), None);
     assert_eq!(lease_state.step(1, false), Step::Write { expected: at(0) });
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_restarted_holder_goes_on_at_once_and_others_wait() {
+fn a_restarted_holder_continues_at_once_and_others_wait() {
     let held_by_a = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn the_holders_word_that_its_term_is_over_saves_the_term() {
+fn the_holders_announcement_of_its_ended_term_shortens_the_wait() {
     let mut lease_state = LeaseState::new("b", PAUSE_MS);
     let held = LeaseRow {
         holder: "a".to_owned(),
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn who_hears_the_holder_leaves_the_row_alone() {
+fn a_machine_that_hears_the_holder_does_not_touch_the_row() {
     let mut lease_state = LeaseState::new("b", PAUSE_MS);
     assert_eq!(lease_state.step(0, true), Step::Wait);
     assert_eq!(lease_state.step(0, false), Step::Read);
--- a/crates/cranereach-fleet/tests/limits/main.rs
+++ b/crates/cranereach-fleet/tests/limits/main.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_lies_within_the_limit_is_not_refused() {
+fn use_within_the_limit_is_not_refused() {
     for (count, rate_per_s) in [(3, 60_000.0), (90, 60_000.0), (300, 311_000.0)] {
         let mut fleet = Fleet::start(count, limit(rate_per_s), 2);
         fleet.demand(0.3 * rate_per_s, 4_000);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn owners_that_die_and_come_back_add_less_than_what_is_tolerated() {
+fn owners_that_die_and_return_cause_no_more_than_the_tolerated_excess() {
     for seed in 0..16 {
         for (share, for_ms) in [(0.2, 3_500), (0.6, 2_000), (1.0, 1_000)] {
             let mut fleet = Fleet::start(90, limit(200_000.0), seed);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn owners_that_answer_late_add_less_than_what_is_tolerated() {
+fn owners_that_answer_late_cause_no_more_than_the_tolerated_excess() {
     for seed in 0..6 {
         for (share, for_ms) in [(0.3, 100), (0.1, 1_000), (1.0, 60)] {
             let mut fleet = Fleet::start(90, limit(500_000.0), seed);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn units_given_back_by_refused_requests_are_not_saved_up() {
+fn units_given_back_by_refused_requests_do_not_accumulate() {
     for (count, rate_per_s) in [(3, 4_200.0), (73, 500_000.0), (300, 311_000.0)] {
         for given_back_share in [0.3, 0.8] {
             let mut fleet = Fleet::start(count, limit(rate_per_s), 7);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn accounts_within_their_limit_get_through_the_death_of_owners() {
+fn accounts_within_their_limit_survive_the_loss_of_owners() {
     for seed in 0..4 {
         let mut fleet = Fleet::start(90, limit(60_000.0), seed);
         fleet.demand(30_000.0, 6_000);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn accounts_within_their_limit_get_through_a_restart_of_everything() {
+fn accounts_within_their_limit_survive_a_restart_of_the_fleet() {
     for rate_per_s in [25_000.0, 110_000.0] {
         let (mut run, mut refused) = (0, 0);
         for seed in 0..10 {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn messages_of_an_account_follow_its_requests_and_not_the_fleet() {
+fn messages_of_an_account_scale_with_its_requests_and_not_with_the_fleet() {
     for count in [90, 300, 1_000] {
         let mut fleet = Fleet::start(count, limit(311_000.0), 3);
         fleet.demand(150_000.0, 5_000);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_changed_limit_binds_at_once_and_what_was_held_is_forgotten() {
+fn a_changed_limit_applies_at_once_and_held_units_are_discarded() {
     let mut fleet = Fleet::start(30, limit(311_000.0), 5);
     fleet.demand(250_000.0, 5_000);
     fleet.limit = limit(20_000.0);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn units_that_one_request_set_aside_pay_for_no_other() {
+fn units_reserved_for_one_request_pay_for_no_other() {
     let limit = limit(100_000.0);
     let mut usages = AccountUsages::default();
     let ask = |decision: Decision| match decision {
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_request_beyond_the_whole_limit_is_hopeless_and_one_beyond_the_burst_is_not() {
+fn a_request_beyond_the_window_is_refused_and_one_beyond_the_burst_may_wait() {
     let limit = limit(1_000.0);
     let mut usages = AccountUsages::default();
     let above_limit = usages.decide(0, ACCOUNT, limit, &TOLERANCE, 9_001.0);
--- a/crates/cranereach-fleet/tests/listing.rs
+++ b/crates/cranereach-fleet/tests/listing.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_whole_list_of_a_new_instance_hides_no_end_from_its_peers() {
+fn the_first_read_of_a_new_instance_hides_no_ended_row_from_its_peers() {
     let mut old = Listing::default();
     old.take_whole(at(5), vec![changed("stays", 1), changed("ends", 2)]);
     let mut new = Listing::default();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_whole_list_after_lost_history_fits_only_the_version_it_was_compared_with() {
+fn a_difference_of_whole_lists_applies_only_at_its_first_version() {
     let start = vec![changed("a", 1)];
     let (mut reader, mut same, mut ahead) = <(Listing, Listing, Listing)>::default();
     for listing in [&mut reader, &mut same, &mut ahead] {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn ends_of_rows_that_were_never_known_are_told_as_well() {
+fn ends_of_unknown_rows_are_sent_as_well() {
     let mut reader = Listing::default();
     reader.take_whole(at(5), Vec::new());
     let mut ahead = reader.clone();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_list_that_is_behind_changes_nothing_newer() {
+fn an_older_list_changes_no_newer_row() {
     let mut listing = Listing::default();
     listing.take_whole(at(5), vec![changed("old", 3), changed("new", 6)]);
     assert_eq!(listing.take_whole(at(4), Vec::new()), []);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_part_is_judged_by_the_versions_it_joins() {
+fn a_delta_is_judged_by_its_first_and_last_versions() {
     let mut list = Listing::default();
     assert_eq!(list.judge(at(0), at(0), Span::Changes), Verdict::Old);
     assert_eq!(list.judge(at(0), at(9), Span::Changes), Verdict::Applies);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_part_holds_the_last_reads_but_stays_small() {
+fn a_delta_holds_the_last_reads_but_stays_small() {
     let mut list = Listing::default();
     assert_matches!(list.part(), None);
     list.take(at(1), Span::Changes, vec![changed("a", 1)]);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn whoever_is_far_behind_is_told_all_it_has_missed_or_nothing() {
+fn an_instance_far_behind_gets_all_missed_changes_or_none() {
     let mut list = Listing::default();
     list.take_whole(at(5), vec![changed("stays", 1), changed("ends", 2)]);
     let behind = list.clone();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn whoever_takes_the_whole_list_can_tell_as_much_as_its_giver() {
+fn an_instance_that_fetches_a_list_adopts_its_history() {
     let mut source = Listing::default();
     source.take_whole(at(5), vec![changed("a", 1), changed("b", 2)]);
     source.take(at(9), Span::Changes, vec![ended("b", 7)]);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn ends_of_rows_take_no_more_room_than_the_list() {
+fn the_history_of_ended_rows_is_bounded() {
     let mut list = Listing::default();
     list.take_whole(at(1), Vec::new());
     for version in 2..5_000 {
@@ -498,7 +498,7 @@
     /// Whatever messages are lost, duplicated or late, and whatever history is discarded: the rows
     /// of an instance are those of the store at the instance's position.
     #[test]
-    fn a_list_equals_the_stores_at_its_version(
+    fn a_list_equals_that_of_the_store_at_its_version(
         events in proptest::collection::vec(event(false), 1..120)
     ) {
         run_events(events)?;
@@ -507,7 +507,7 @@
     /// Guards against rows of an earlier era that remain or are missing when the store has lost
     /// changes and assigns their versions again.
     #[test]
-    fn a_list_equals_the_stores_though_it_comes_back_from_copies(
+    fn a_list_equals_that_of_the_store_despite_restores(
         events in proptest::collection::vec(event(true), 1..120)
     ) {
         run_events(events)?;
--- a/crates/cranereach-fleet/tests/membership.rs
+++ b/crates/cranereach-fleet/tests/membership.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_fleet_of_three_hundred_comes_to_know_itself_and_who_is_gone() {
+fn three_hundred_instances_discover_each_other_and_detect_failures() {
     let mut fleet = Fleet::start(300, 0.05, 1);
     for _round in 0..40 {
         fleet.round();
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn owners_stand_where_their_workers_do_and_else_in_the_region() {
+fn owners_are_in_the_domain_of_their_workers_or_else_in_its_region() {
     let mut fleet = Fleet::start(60, 0.05, 4);
     for _round in 0..40 {
         fleet.round();
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn the_newest_sign_of_life_says_where_a_member_stands() {
+fn the_newest_heartbeat_determines_the_domain_of_a_member() {
     let mut members = Membership::new(address(0), domain(0), &[address(1)]);
     assert_eq!(members.domain_of(address(1)), None, "not heard yet");
     let news = |domain: DomainTag, age_ms: u32| MemberUpdate {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_answer_is_passed_over_for_a_while() {
+fn an_owner_that_does_not_answer_is_skipped_for_a_while() {
     let mut members = Membership::new(address(0), domain(0), &[]);
     for number in 1..10 {
         members.heard_from(1_000, address(number), domain(number), false);
@@ -273,7 +273,7 @@
 
 proptest! {
     #[test]
-    fn news_never_make_a_member_younger_than_it_is(
+    fn gossip_never_makes_a_heartbeat_look_more_recent(
         updates in prop::collection::vec((1_usize..20, 0_u32..20_000), 1..200)
     ) {
         let mut members = Membership::new(address(0), domain(0), &[]);
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn more_members_than_a_message_may_tell_of_are_not_taken() {
+fn members_beyond_the_message_limit_are_dropped() {
     let mut members = Membership::new(address(0), domain(0), &[]);
     let news = |count: usize| -> Vec<MemberUpdate> {
         (1..=count)
--- a/crates/cranereach-fleet/tests/named_limits/parsing.rs
+++ b/crates/cranereach-fleet/tests/named_limits/parsing.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn each_kind_of_value_has_a_meaning() {
+fn each_kind_of_value_is_parsed() {
     assert_eq!(parse(&[]), NamedRate::Nothing);
     for (text, rate) in [
         ("1.2", 1.2),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_neither_begins_nor_ends_a_limit() {
+fn an_invalid_value_neither_starts_nor_ends_a_limit() {
     let mut limit = NamedLimit::default();
     assert!(!limit.observe(NamedRate::Unreadable, true, 1_000, 1_100));
     assert_eq!(limit.rate_per_s(1_200), None);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_rate_beyond_all_measure_is_no_limit() {
+fn an_excessive_rate_is_no_limit() {
     let mut limit = NamedLimit::default();
     assert!(!limit.observe(parse(&["1e300"]), true, 1_000, 1_100));
     assert_eq!(limit.rate_per_s(1_200), None);
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_as_something(
+    fn any_bytes_are_parsed(
         values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..4),
     ) {
         match read(values.iter().map(Vec::as_slice)) {
--- a/crates/cranereach-fleet/tests/named_limits/reports.rs
+++ b/crates/cranereach-fleet/tests/named_limits/reports.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_tighter_word_counts_at_once_a_looser_one_only_if_it_was_asked_for_later() {
+fn a_lower_limit_applies_at_once_and_a_higher_one_only_from_a_later_request() {
     let mut limit = limit_received(10.0, 1_000);
     assert!(limit.observe(NamedRate::Limit(2.0), true, 900, 1_010));
     // This answer may have been made before the other one.
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_worker_that_never_named_one_is_not_spoken_of() {
+fn a_worker_that_never_named_a_limit_is_not_reported() {
     let mut limit = NamedLimit::default();
     limit.observe(NamedRate::Nothing, true, 900, 1_000);
     assert_eq!(limit.report(1_000, || START), None);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_old_word_does_not_bring_back_what_has_ended() {
+fn an_old_report_does_not_revive_an_ended_limit() {
     let old = limit_received(2.0, 1_000);
     let old_report = old.report(1_000, || START).unwrap();
     let mut limit = limit_received(2.0, 1_000);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn words_that_go_round_do_not_keep_a_limit_alive() {
+fn circulating_reports_do_not_keep_a_limit_alive() {
     let mut first = limit_received(2.0, 1_000);
     let mut second = NamedLimit::default();
     let mut now_ms = 1_000;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn senseless_words_of_others_change_nothing() {
+fn invalid_reports_from_peers_change_nothing() {
     let mut limit = limit_received(2.0, 1_000);
     for rate in [-1.0, f64::NAN, f64::INFINITY] {
         let limit_report = LimitReport {
@@ -118,7 +118,7 @@
     /// to a request sent after the worker's last change has arrived, its limit holds, and no older
     /// answer changes that.
     #[test]
-    fn the_last_figure_holds_whatever_overtakes_it(
+    fn the_latest_limit_holds_in_whatever_order_answers_arrive(
         rates in prop::collection::vec((1_u64..400, prop::option::of(0_u8..5)), 1..12),
         delays_ms in prop::collection::vec((0_u64..200, 0_u64..200), 1..60),
     ) {
--- a/crates/cranereach-fleet/tests/orders.rs
+++ b/crates/cranereach-fleet/tests/orders.rs
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_sent_again_as_it_was() {
+fn an_unanswered_order_is_resent_unchanged() {
     let (id, mut ledger) = ledger_of_one();
     ledger.reports_due(0);
     ledger.reported(0, &id, Some(WorkerState::default()));
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn an_adapter_is_told_once_its_load_was_taken_and_had_time() {
+fn an_adapter_is_announced_once_its_load_was_taken_and_had_time() {
     let id: Arc<str> = Arc::from("w");
     let mut ledger = Ledger::default();
     ledger.row(
--- a/crates/cranereach-fleet/tests/outage_pace.rs
+++ b/crates/cranereach-fleet/tests/outage_pace.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn one_of_the_others_reaches_a_store_that_turns_the_first_away_at_any_size() {
+fn another_instance_soon_reaches_a_store_that_refuses_the_lowest_ranks() {
     // With a minimum pause of half the mean, all other instances would stay away for 3 s in a fleet
     // of 78 instances, and for 41 s in one of 984.
     for instance_count in [20, 78, 984, 3_300] {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_others_together_make_a_bounded_number_of_calls() {
+fn all_other_instances_together_make_a_bounded_number_of_calls() {
     let mut rng = StdRng::seed_from_u64(1);
     for instance_count in [5, 78, 984, 3_300] {
         let check_count = 200;
--- a/crates/cranereach-fleet/tests/own_words/main.rs
+++ b/crates/cranereach-fleet/tests/own_words/main.rs
@@ -75,7 +75,7 @@
     #![proptest_config(ProptestConfig::with_cases(60))]
 
     #[test]
-    fn no_word_is_forgotten_whatever_befalls(
+    fn no_announcement_is_lost_under_disturbances(
         seed in any::<u64>(),
         instance_count in prop_oneof![Just(1_usize), Just(3), Just(12), Just(100)],
         per_s in prop_oneof![Just(30.0), Just(150.0), Just(600.0)],
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn each_fault_is_found() {
+fn each_planted_fault_is_found() {
     for mutant in [
         Mutant::RowOverridesDeparture,
         Mutant::CheckBeforeDelay,
--- a/crates/cranereach-fleet/tests/owned.rs
+++ b/crates/cranereach-fleet/tests/owned.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn lost_words_age_out() {
+fn requests_whose_end_was_lost_expire() {
     let mut owned = OwnedWorkers::default();
     owned.request_started(0, WORKER, (1, 1), sent_request(100.0), &[]);
     assert_eq!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn parts_that_any_instance_sent_count_as_kept() {
+fn prompt_parts_sent_by_any_instance_count_as_cached() {
     let mut owned = OwnedWorkers::default();
     let sent = [part(1), part(2)];
     owned.request_started(0, WORKER, (1, 1), sent_request(80.0), &sent);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_slow_worker_is_known_by_a_few_answers_and_tried_again() {
+fn a_slow_worker_is_detected_after_a_few_answers_and_retried() {
     let mut owned = OwnedWorkers::default();
     let answer = |owned: &mut OwnedWorkers, at_ms: u64, peer: u32, took_ms: f64| {
         owned.request_started(at_ms, WORKER, (peer, at_ms), sent_request(100.0), &[]);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn requests_given_up_while_a_worker_stalls_speak_against_it() {
+fn requests_cancelled_while_a_worker_stalls_count_against_it() {
     let mut owned = OwnedWorkers::default();
     let cancel = |owned: &mut OwnedWorkers, after_ms: u64| {
         for peer in 0..3 {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn calls_that_may_be_repeated_probe_a_worker_put_aside_and_bring_it_back() {
+fn repeatable_calls_probe_an_ejected_worker_and_restore_it() {
     let mut owned = OwnedWorkers::default();
     let mut ticket = 0;
     let mut call = |owned: &mut OwnedWorkers, now_ms: u64, outcome: Outcome| {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_worker_whose_answers_pause_gets_prompts_where_they_make_no_long_pause() {
+fn prompts_to_a_worker_with_long_pauses_are_spaced_out() {
     let mut owned = OwnedWorkers::default();
     answer(&mut owned, 0, 40, 4);
     // All prompts arrive at once. Three are prefilled in one step of 313 ms, so that an event of
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn an_owner_says_how_long_streams_pause_by_a_prompt() {
+fn an_owner_predicts_how_long_a_prompt_pauses_streams() {
     let mut owned = OwnedWorkers::default();
     send(&mut owned, 5_000, 1);
     // The pause is predicted even if no prompt is delayed yet.
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_worker_whose_answers_do_not_pause_needs_no_rest() {
+fn prompts_to_a_worker_without_long_pauses_are_not_delayed() {
     let mut owned = OwnedWorkers::default();
     answer(&mut owned, 0, 100, 1);
     let all_at_once = (0..10).all(|number| send(&mut owned, 1_000, number) == 1_000);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn failures_at_several_instances_put_a_worker_aside() {
+fn failures_at_several_instances_eject_a_worker() {
     let mut owned = OwnedWorkers::default();
     for peer in 0..3 {
         owned.request_started(0, WORKER, (peer, 1), sent_request(80.0), &[]);
@@ -263,7 +263,7 @@
 
 proptest! {
     #[test]
-    fn whatever_comes_in_whatever_order_stays_bounded(
+    fn the_state_stays_bounded_whatever_arrives(
         events in prop::collection::vec(
             (0_u8..4, 0_u64..3, 0_u32..3, 0_u64..6, -1e9_f32..1e9),
             0..400,
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn an_owner_says_whether_a_request_runs_there_that_runs_alone() {
+fn an_owner_reports_whether_a_request_that_runs_alone_is_running() {
     let mut owned = OwnedWorkers::default();
     owned.request_started(1_000, WORKER, (1, 1), sent_request(10.0), &[]);
     assert!(!owned.status(1_010, WORKER, &[], 0.0).has_suspect);
--- a/crates/cranereach-fleet/tests/paces.rs
+++ b/crates/cranereach-fleet/tests/paces.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn reading_is_told_apart_from_what_every_request_takes() {
+fn time_per_token_is_separated_from_the_fixed_time() {
     for (fixed_ms, token_ms) in [(20.0, 0.025), (5.0, 0.052), (60.0, 0.01)] {
         let cost = learned_cost(fixed_ms, token_ms);
         assert!((cost.fixed_ms - fixed_ms).abs() < 2.0, "{cost:?}");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_few_slow_answers_change_little() {
+fn a_few_slow_answers_change_the_cost_little() {
     let mut costs = PrefillCosts::default();
     for sample in 0..200_u32 {
         let tokens = [300, 1_800][sample as usize % 2];
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn whatever_is_learned_the_pace_stays_a_time() {
+fn cost_stays_positive_and_finite_for_any_samples() {
     let mut costs = PrefillCosts::default();
     for (tokens, took_ms) in [
         (4_000, 0.0),
--- a/crates/cranereach-fleet/tests/pauses.rs
+++ b/crates/cranereach-fleet/tests/pauses.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_pause_is_the_time_of_as_many_steps_as_an_event_has_tokens() {
+fn a_pause_lasts_as_many_steps_as_an_event_has_tokens() {
     let table = [
         (vec![], 30.0),
         (vec![prompt(0.0, 100.0)], 130.0),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_known_to_have_been_read_holds_nothing_up() {
+fn completed_prefills_cause_no_pause() {
     let mut arrivals = [prompt(0.0, 150.0), prompt(0.0, 500.0)];
     assert_eq!(longest_ms(&STEP_TIMING, &arrivals, 0.0), 630.0);
     arrivals[1].read_at_ms = Some(100.0);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_long_by_itself_meets_no_other() {
+fn a_prompt_beyond_the_pause_limit_overlaps_no_other() {
     let arrivals = [prompt(0.0, 100.0)];
     let found = find_send_time(&STEP_TIMING, &arrivals, 0.0, 400.0, 300.0);
     assert!(found.at_ms >= 110.0, "{found:?}");
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn a_pause_lies_between_that_of_nothing_and_of_everything_at_once(
+    fn a_pause_lies_between_that_of_no_prompt_and_of_all_at_once(
         times in prop::collection::vec((0.0_f64..2_000.0, 1.0_f64..600.0), 1..40),
         chunk_ms in 20.0_f64..500.0,
     ) {
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn prompts_in_their_places_make_no_pause_too_long(
+    fn scheduled_prompts_keep_pauses_within_the_limit(
         prompts in prop::collection::vec((0.0_f64..60.0, 1.0_f64..120.0), 1..16),
     ) {
         let mut arrivals: Vec<Arrival> = Vec::new();
--- a/crates/cranereach-fleet/tests/placing.rs
+++ b/crates/cranereach-fleet/tests/placing.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_model_that_nobody_holds_is_loaded_where_there_is_room() {
+fn a_model_without_replica_is_loaded_where_there_is_room() {
     let workers = [worker(&[replica(0), replica(1)]), worker(&[replica(0)])];
     let planned = next_order(&workers, &[((3, 0), 100.0)], true).unwrap();
     assert_eq!((planned.worker, planned.order), (1, Order::Load(3)));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_copy_goes_before_the_weight_store() {
+fn a_local_copy_is_preferred_to_the_weight_store() {
     let mut with_copy = worker(&[replica(0)]);
     with_copy.copies = vec![3];
     let workers = [worker(&[]), with_copy];
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_busy_model_spreads_and_a_cold_one_makes_way() {
+fn an_idle_model_is_unloaded_for_a_busy_one() {
     let workers = [
         worker(&[replica(7), replica(1)]),
         worker(&[replica(2), replica(3)]),
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_replica_goes_where_time_is_left() {
+fn a_replica_goes_to_the_less_busy_worker() {
     // Two workers have room, but one of them is busier with its model.
     let workers = [
         worker(&[replica(6)]),
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn adapters_go_where_a_look_at_every_worker_would_send_them() {
+fn adapter_loads_match_the_reference_implementation() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut ordered = 0;
     for _case in 0..300 {
--- a/crates/cranereach-fleet/tests/proof.rs
+++ b/crates/cranereach-fleet/tests/proof.rs
@@ -338,7 +338,7 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn nobody_serves_a_withdrawn_key_beyond_the_bound(
+    fn no_instance_accepts_a_revoked_key_beyond_the_bound(
         seed in any::<u64>(),
         delay_max_ms in 2_u64..6_000,
         loss_ratio in 0.0..0.5,
@@ -351,7 +351,7 @@
     /// Guards against a restored store that proves that nothing newer exists, while it lacks the
     /// version that revoked a key.
     #[test]
-    fn nobody_serves_a_key_whose_withdrawal_the_store_has_lost(
+    fn no_instance_accepts_a_key_whose_revocation_the_store_lost(
         seed in any::<u64>(),
         delay_max_ms in 2_u64..600,
         loss_ratio in 0.0..0.5,
@@ -365,7 +365,7 @@
 /// Guards against instances that all start while the store is restored and accept a revoked key
 /// because the backup lacks its revocation.
 #[test]
-fn instances_that_start_on_a_copy_open_no_key_whose_withdrawal_it_lacks() {
+fn instances_started_on_a_backup_accept_no_key_whose_revocation_it_lacks() {
     for seed in 0..40 {
         let mut world = World::start(9, 2, HEALTHY_NETWORK, seed);
         world.write_version();
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn calm_instances_always_serve_also_after_a_takeover_of_the_watchers() {
+fn undisturbed_instances_always_serve_also_after_a_watcher_fails() {
     for (count, seed) in [(3, 1), (90, 2), (300, 3)] {
         let mut world = World::start(count, 2, HEALTHY_NETWORK, seed);
         world.write_version();
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn an_answer_counts_only_for_the_start_that_asked_and_for_what_is_in_force() {
+fn an_answer_counts_only_for_the_querying_start_and_the_versions_in_force() {
     let mut proof = Proof::new(1, CHANGE_MS);
     proof.record_version(7);
     proof.evacuations_known(StorePosition::new(0, 3));
--- a/crates/cranereach-fleet/tests/quarantine/joining.rs
+++ b/crates/cranereach-fleet/tests/quarantine/joining.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn ends_that_three_instances_saw_add_up() {
+fn ends_observed_by_three_instances_add_up() {
     let mut counting = Quarantine::default();
     for worker in 1..=2 {
         counting.apply_update(9_000, &update_from(&after_ends([worker]), 9_000));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn one_end_that_many_saw_and_told_counts_once() {
+fn one_end_reported_many_times_counts_once() {
     let mut instance = after_ends([7]);
     let update = update_from(&instance, 1_000);
     // Also if the update comes from an instance that was suspended in between.
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_comes_again_after_many_were_lost_at_once_is_quarantined() {
+fn a_repeated_end_after_many_simultaneous_ends_quarantines() {
     let mut instance = Quarantine::default();
     for worker in 0..20 {
         instance.ended(1_000, mark(1), worker, false);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn instances_that_saw_other_ends_of_many_at_once_come_to_rest() {
+fn instances_that_observed_different_simultaneous_ends_converge() {
     let mut instances = [0_u64, 4].map(|first| {
         let mut instance = Quarantine::default();
         for worker in first..first + 4 {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_whole_answer_ends_the_suspicion_wherever_it_is_told() {
+fn a_complete_response_clears_the_suspicion_everywhere() {
     let mut instance = after_ends([1, 2, 3]);
     let mut other = Quarantine::default();
     other.apply_update(5_000, &update_from(&instance, 5_000));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn what_speaks_least_goes_first_when_too_many_are_known() {
+fn entries_with_the_least_evidence_are_evicted_first() {
     let mut instance = after_ends([1, 2, 3]);
     for number in 0..3 * SUSPECT_MAX_COUNT as u64 {
         instance.ended(10_000 + number as i64, mark(number + 2), number, false);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_suspicion_is_forgotten_and_a_quarantine_lasts_while_it_is_asked_for() {
+fn a_suspicion_expires_and_a_quarantine_lasts_while_requested() {
     let minutes = |count: i64| count * 60_000;
     let mut instance = after_ends([1, 2]);
     instance.forget(minutes(9));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_is_kept_loses_only_what_was_cleared() {
+fn storage_drops_only_cleared_requests() {
     let quarantined = after_ends([1, 2, 3]);
     let stored = [update_from(&quarantined, 5_000)];
     let stored_count =
@@ -200,7 +200,7 @@
 
 proptest! {
     #[test]
-    fn the_order_in_which_it_is_told_makes_no_difference(
+    fn the_order_of_updates_makes_no_difference(
         updates in any_updates(),
         order in Just((0..8).collect::<Vec<usize>>()).prop_shuffle(),
     ) {
--- a/crates/cranereach-fleet/tests/quarantine/worlds.rs
+++ b/crates/cranereach-fleet/tests/quarantine/worlds.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn requests_that_end_workers_end_three_each_and_take_nobody_with_them() {
+fn fatal_requests_end_three_workers_each_and_no_other_is_refused() {
     for (instance_count, worker_count) in [(6, 15), (12, 100), (30, 300)] {
         for replica_count in [1, 3] {
             let outcome = simulate_seeds(Scenario {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn where_workers_are_lost_all_the_time_hardly_anybody_is_refused() {
+fn with_constant_worker_loss_few_harmless_requests_are_refused() {
     // A worker ends every second, half of them in racks of five: of 15 workers, a quarter is
     // always down.
     for (worker_count, refused_max_per_mille) in [(15, 0.5), (100, 0.02)] {
--- a/crates/cranereach-fleet/tests/reading_plan.rs
+++ b/crates/cranereach-fleet/tests/reading_plan.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn prompts_that_come_at_once_are_spread() {
+fn prompts_that_arrive_together_are_spread() {
     let mut schedule = schedule();
     let send_times_ms: Vec<f64> = (0..4)
         .map(|number| schedule_prompt(&mut schedule, 1_000, number, 200.0))
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_prompt_that_was_read_faster_than_predicted_makes_room() {
+fn a_faster_prefill_than_predicted_lets_the_next_prompt_go_earlier() {
     let mut schedule = schedule();
     schedule_prompt(&mut schedule, 1_000, 1, 300.0);
     let send_at_ms = schedule.find_send_time(1_090, 200.0).at_ms;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_given_up_before_it_is_sent_makes_room() {
+fn a_cancelled_prompt_lets_the_next_prompt_go_earlier() {
     let mut schedule = schedule();
     schedule.sent(1_000, (1, 1), 1_000.0, 250.0);
     schedule.sent(1_000, (1, 2), 1_300.0, 250.0);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_places_say_how_long_streams_pause() {
+fn the_schedule_predicts_the_pause() {
     let mut schedule = schedule();
     assert_eq!(schedule.find_send_time(1_000, 100.0).pause_ms, 139.0);
     schedule_prompt(&mut schedule, 1_000, 1, 100.0);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn streams_that_may_pause_for_any_time_hold_nothing_back() {
+fn without_a_pause_limit_prompts_are_sent_at_once() {
     let mut schedule = PrefillSchedule::default();
     for number in 0..10 {
         assert_eq!(
--- a/crates/cranereach-fleet/tests/repeats.rs
+++ b/crates/cranereach-fleet/tests/repeats.rs
@@ -12,7 +12,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn all_instances_stay_within_the_bound_in_every_window(
+    fn retries_of_all_instances_stay_within_the_budget_in_every_window(
         events in proptest::collection::vec((0_usize..4, 0_u64..400, 0_u8..3), 1..600)
     ) {
         let mut windows = vec![RetryWindow::new(RATIO, ALLOWANCE, WINDOW_MS); 4];
--- a/crates/cranereach-fleet/tests/restores/gone.rs
+++ b/crates/cranereach-fleet/tests/restores/gone.rs
@@ -14,7 +14,7 @@
 
 /// Guards against trusting a restored row whose worker is gone.
 #[test]
-fn who_is_known_to_be_gone_gets_nothing_however_long_a_copy_lists_it() {
+fn a_worker_known_to_be_gone_gets_nothing_however_long_a_backup_lists_it() {
     let mut runner = TestRunner::deterministic();
     for seed in 0..WORLD_COUNT {
         let events = events().new_tree(&mut runner).unwrap().current();
--- a/crates/cranereach-fleet/tests/restores/main.rs
+++ b/crates/cranereach-fleet/tests/restores/main.rs
@@ -60,7 +60,7 @@
 
     /// Guards against lists, and knowledge of workers, that revert together with the store.
     #[test]
-    fn nothing_is_sent_to_who_left_and_lists_are_complete_again(
+    fn no_request_goes_to_departed_workers_and_lists_recover(
         seed in any::<u64>(),
         instance_count in 3_usize..24,
         events in events(),
@@ -72,7 +72,7 @@
 
 /// Guards against faults that only show with many instances.
 #[test]
-fn a_hundred_instances_follow_a_store_that_comes_back_twice() {
+fn a_hundred_instances_follow_a_store_that_is_restored_twice() {
     let events = vec![
         (500, Event::Leave(3)),
         (900, Event::Restore(4_000)),
@@ -88,7 +88,7 @@
 
 /// Shows that the checks find each deliberate fault.
 #[test]
-fn worlds_without_a_part_of_the_design_are_found_out() {
+fn each_store_restore_mutant_is_found() {
     for mutant in [
         Mutant::NoEras,
         Mutant::RestoreClearsLeaving,
--- a/crates/cranereach-fleet/tests/rests.rs
+++ b/crates/cranereach-fleet/tests/rests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_latest_end_holds() {
+fn the_latest_end_of_a_rest_applies() {
     let mut rest = Rest::default();
     assert!(rest.requested(1_000, 3_000));
     assert!(!rest.requested(2_000, 500), "a shorter one doesn't shorten");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_answer_to_an_older_request_ends_nothing() {
+fn an_answer_to_a_request_before_the_end_ends_no_rest() {
     let mut rest = Rest::default();
     rest.requested(1_000, 3_000);
     assert!(!rest.accepted(900));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn at_its_end_one_request_goes_first_the_most_urgent_before_others() {
+fn after_a_rest_a_single_urgent_request_is_tried_first() {
     let mut rest = Rest::default();
     rest.requested(1_000, 3_000);
     assert!(rest.may_send(4_000, 0));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn others_are_chosen_and_where_there_are_none_the_first_end_is_told() {
+fn resting_workers_are_avoided_and_the_first_end_is_reported() {
     let mut roster = Roster::default();
     for id in ["a", "b"] {
         roster.put(position_at(5), record(id, &[("m", &[])]));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_new_start_rests_for_nobody() {
+fn a_restarted_worker_is_not_resting() {
     let mut roster = Roster::default();
     roster.put(position_at(5), record("a", &[]));
     roster.get_mut("a").unwrap().rest.requested(1_000, 60_000);
--- a/crates/cranereach-fleet/tests/roster.rs
+++ b/crates/cranereach-fleet/tests/roster.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_newest_row_wins_whoever_brings_it() {
+fn the_newest_row_wins_in_any_order_of_arrival() {
     let mut roster = Roster::default();
     assert!(roster.put(position_at(5), record("a", &[])));
     let mut leaving = record("a", &[]);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn ends_of_workers_do_not_pile_up() {
+fn tombstones_are_bounded() {
     let mut roster = Roster::default();
     for version in 1..10_000_u64 {
         roster.remove(position_at(version), &format!("w{version}"));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_worker_that_a_peer_saw_leave_gets_nothing() {
+fn a_worker_that_a_peer_reports_leaving_gets_nothing() {
     let mut roster = Roster::default();
     roster.put(position_at(5), record("a", &[]));
     assert!(
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn load_here_and_at_peers_sends_requests_elsewhere() {
+fn local_and_reported_load_steer_requests_to_other_workers() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &[])]));
     roster.put(position_at(2), record("b", &[("m", &[])]));
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_failing_worker_is_left_alone_and_tried_again() {
+fn a_failing_worker_is_ejected_and_tried_again() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[]));
     roster.put(position_at(2), record("b", &[]));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_worker_that_can_not_be_reached_is_tried_now_and_then() {
+fn an_unreachable_worker_is_probed_periodically() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &[])]));
     let request = routing_request(Some(("m", None)));
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn what_several_peers_say_of_a_worker_counts_and_is_not_passed_on() {
+fn reports_of_several_peers_eject_a_worker_and_are_not_forwarded() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[]));
     let is_ejected = |roster: &Roster, now_ms| roster.get("a").unwrap().health.is_ejected(now_ms);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_parts_were_read() {
+fn a_prompt_goes_where_its_prefix_is_cached() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &[])]));
     roster.put(position_at(2), record("b", &[("m", &[])]));
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_full_worker_is_left_for_one_with_a_free_slot() {
+fn a_worker_with_a_free_slot_is_preferred_to_a_full_one() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &[])]));
     roster.put(position_at(2), record("b", &[("m", &[])]));
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn a_long_prompt_goes_where_it_holds_up_nobody() {
+fn a_long_prompt_goes_where_it_delays_the_fewest_streams() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &[])]));
     roster.put(position_at(2), record("b", &[("m", &[])]));
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn an_adapter_that_was_missing_is_asked_for_again_soon() {
+fn a_missing_adapter_is_tried_again_soon() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &["a1"])]));
     let with_adapter = routing_request(Some(("m", Some("a1"))));
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn an_urgent_request_waits_for_urgent_ones_alone() {
+fn an_urgent_request_waits_only_for_equally_urgent_ones() {
     let mut roster = Roster::default();
     roster.put(position_at(1), record("a", &[("m", &[])]));
     let mut request = routing_request(Some(("m", None)));
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn a_worker_that_starts_again_under_its_identity_is_another() {
+fn a_restarted_worker_keeps_no_state() {
     let mut roster = Roster::default();
     let started = |started_unix_ms: u64, held: &[(&str, &[&str])]| WorkerRecord {
         started_unix_ms,
--- a/crates/cranereach-fleet/tests/sends/cold.rs
+++ b/crates/cranereach-fleet/tests/sends/cold.rs
@@ -22,7 +22,7 @@
     #![proptest_config(ProptestConfig::with_cases(40))]
 
     #[test]
-    fn the_sum_to_a_cold_worker_stays_within_what_is_tolerated(
+    fn requests_to_a_cold_worker_stay_within_the_tolerance(
         seed in any::<u64>(),
         count in prop_oneof![Just(3_usize), Just(12), Just(73)],
         delay_max_ms in 1_u64..60,
@@ -109,7 +109,7 @@
 /// Guards against instances that resume after a suspension and still take themselves for settled
 /// owners. Three owners, two of which had been suspended, granted 19 requests within one second.
 #[test]
-fn owners_that_stood_still_are_new_as_they_wake_up() {
+fn suspended_owners_count_as_new_when_they_resume() {
     let mut world = World::start(12, 28, 0.23, 7);
     world.demand(200.0, 4_000);
     for (event, pause_ms) in [
@@ -131,7 +131,7 @@
 /// only some of the others at first. Several took themselves for the owner, and granted 21 requests
 /// within one second.
 #[test]
-fn those_who_have_just_started_grant_nothing_until_they_hear_the_others() {
+fn new_instances_grant_nothing_until_they_hear_the_others() {
     let mut world = World::start(73, 7, 0.0, 2_424_007_614_795_423_581);
     world.demand(200.0, 4_000);
     world.apply_event(Event::KillShare(0.956_461_985_834_992_4));
--- a/crates/cranereach-fleet/tests/sends/grants.rs
+++ b/crates/cranereach-fleet/tests/sends/grants.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_settled_owner_grants_what_is_named() {
+fn a_settled_owner_grants_the_named_rate() {
     for rate_per_s in [0.3, 1.0, 1.2, 10.0, 50.0] {
         let count = granted_count(rate_per_s, 60_000, Ownership::Settled) as f64;
         let share = count / (rate_per_s * 60.0);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn whatever_is_named_something_goes_there() {
+fn a_minimum_rate_is_granted_for_any_limit() {
     for rate_per_s in [0.0, 1e-9, 0.01] {
         let count = granted_count(rate_per_s, 60_000, Ownership::Settled);
         assert!((6..=8).contains(&count), "{rate_per_s}: {count}");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_minority_grants_its_share_and_not_at_once() {
+fn a_minority_grants_its_share_after_a_delay() {
     let minority = |for_ms: u64| Ownership::Minority {
         share: 0.25,
         for_ms,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn of_two_rules_the_stricter_holds() {
+fn the_stricter_of_two_rules_applies() {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_cold(8.7, 1.5, 5.0), SendRule::of_limit(0.3)];
     let times = (0..3_000).step_by(10).map(|offset_ms| 1_000 + offset_ms);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn those_who_are_refused_come_back_one_after_the_other() {
+fn refused_requests_get_increasing_retry_delays() {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_limit(1.0)];
     let mut ask = |now_ms| owner.ask(now_ms, WORKER, &rules, 0, Ownership::Settled);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn only_a_change_before_it_makes_an_owner_new() {
+fn only_a_change_of_higher_ranks_makes_an_owner_new() {
     let (_, order) = ranked_addresses(9);
     let own = order[1];
     let others: Vec<Ipv4Addr> = order
--- a/crates/cranereach-fleet/tests/sends/limited.rs
+++ b/crates/cranereach-fleet/tests/sends/limited.rs
@@ -75,7 +75,7 @@
     #![proptest_config(ProptestConfig::with_cases(40))]
 
     #[test]
-    fn the_sum_stays_within_what_is_tolerated_whatever_happens(
+    fn requests_stay_within_the_tolerance_under_failures(
         seed in any::<u64>(),
         count in prop_oneof![Just(3_usize), Just(9), Just(40)],
         rate_per_s in prop_oneof![Just(0.3), Just(1.0), Just(1.2), Just(10.0), Just(60.0)],
@@ -95,7 +95,7 @@
     }
 
     #[test]
-    fn it_stays_so_while_the_figure_moves(
+    fn requests_stay_within_the_tolerance_while_the_limit_changes(
         seed in any::<u64>(),
         rates in prop::collection::vec(
             prop_oneof![Just(0.3), Just(1.0), Just(1.2), Just(4.0), Just(10.0)], 6,
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn it_is_used_and_not_overrun_at_any_size_and_rate() {
+fn a_limited_worker_is_used_and_not_overrun_at_any_size_and_rate() {
     let all = [0.3, 1.0, 1.2, 10.0, 200.0];
     for (count, seed, rates) in [
         (3, 1, &all[..]),
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn the_more_urgent_get_more_of_it() {
+fn urgent_requests_get_a_larger_share_of_the_limit() {
     for (count, rate_per_s) in [(3, 1.2), (9, 1.2), (9, 10.0), (100, 10.0)] {
         let world = World::with(one_rate(rate_per_s), count, (3, 0.02), 8);
         let world = simulate(world, rate_per_s * 9.0, 60_000);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_steady_loss_of_members_does_not_starve_it() {
+fn a_steady_loss_of_instances_does_not_starve_a_limited_worker() {
     let mut world = World::with(one_rate(1.2), 100, (3, 0.02), 5);
     world.demand(0.0, NAMED_AT_MS - world.now_ms());
     for _loss in 0..20 {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_limit_that_ends_gives_all_back() {
+fn requests_are_unlimited_after_a_limit_ends() {
     let ends_at_ms = NAMED_AT_MS + 6_000;
     let names = move |at_ms: u64| (NAMED_AT_MS..ends_at_ms).contains(&at_ms).then_some(1.2);
     let world = World::with(Regime::NamesLimit(Box::new(names)), 9, (3, 0.0), 6);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_found() {
+fn each_send_grant_mutant_is_found() {
     for mutant in [
         Mutant::PerInstanceGrants,
         Mutant::ForgetsGrants,
--- a/crates/cranereach-fleet/tests/service_time.rs
+++ b/crates/cranereach-fleet/tests/service_time.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn few_answers_say_nothing_and_services_are_told_apart() {
+fn few_answers_give_no_estimate_and_services_are_separate() {
     let mut times = ServiceTimes::default();
     let (quick, slow) = (Arc::from("quick"), Arc::from("slow"));
     for number in 0..3 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_time_in_the_queue_is_taken_off_and_a_change_is_followed() {
+fn queue_time_is_excluded_and_changes_are_followed() {
     let mut times = ServiceTimes::default();
     let service = Arc::from("registry");
     for _answer in 0..200 {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_route_of_quick_calls_says_nothing_of_the_slow_ones_of_its_service() {
+fn quick_calls_of_a_route_do_not_change_the_estimate_of_slow_routes() {
     let mut times = ServiceTimes::default();
     let service = Arc::from("registry");
     let (lookup, fetch) = (Arc::from("look-up"), Arc::from("fetch"));
--- a/crates/cranereach-fleet/tests/shortage.rs
+++ b/crates/cranereach-fleet/tests/shortage.rs
@@ -6,7 +6,7 @@
 const LIMIT: u64 = 1;
 
 #[test]
-fn in_an_overload_that_lasts_few_callers_come_back_in_vain() {
+fn in_a_lasting_overload_few_callers_return_too_early() {
     // For ten seconds, ten callers a second are refused; each comes back once.
     let mut shortages = Shortages::default();
     let ends_at_ms = 10_000;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_short_lack_sends_nobody_away_for_long() {
+fn a_short_shortage_gives_short_retry_delays() {
     let mut shortages = Shortages::default();
     assert_eq!(shortages.retry_delay_ms(5_000, LIMIT, 60, 0.5), 60);
     assert_eq!(shortages.retry_delay_ms(5_050, LIMIT, 60, 0.5), 60);
--- a/crates/cranereach-fleet/tests/starts_again.rs
+++ b/crates/cranereach-fleet/tests/starts_again.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn its_counts_start_anew_and_it_gets_orders_again() {
+fn a_restart_resets_the_sequence_and_allows_new_orders() {
     let id: Arc<str> = Arc::from("w");
     let mut ledger = Ledger::default();
     let report = |sequence: u64| {
--- a/crates/cranereach-fleet/tests/stays.rs
+++ b/crates/cranereach-fleet/tests/stays.rs
@@ -3,7 +3,7 @@
 use cranereach_fleet::slot_times::SlotTimes;
 
 #[test]
-fn a_model_is_learned_by_its_answers_and_others_lean_on_all() {
+fn known_models_use_their_own_answers_and_others_the_overall_average() {
     let mut slot_times = SlotTimes::default();
     let first_ms = slot_times.expected_ms("slow", 100);
     assert!(first_ms > 0.0);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn guesses_that_are_far_off_are_right_together() {
+fn wrong_length_estimates_average_out() {
     let mut slot_times = SlotTimes::default();
     // Every answer takes 1,000 ms; callers announce 25 or 400 tokens for it.
     for _pair in 0..200 {
--- a/crates/cranereach-fleet/tests/topology.rs
+++ b/crates/cranereach-fleet/tests/topology.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_domain_that_is_not_listed_is_far_and_the_own_one_need_not_be() {
+fn an_unlisted_domain_is_remote_and_the_own_domain_need_not_be_listed() {
     let topology = Topology::new("a", "north", &listed(&[("b", "north"), ("c", "south")])).unwrap();
     assert_eq!(topology.distance("a"), Distance::OwnDomain);
     assert_eq!(topology.distance("b"), Distance::OwnRegion);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_table_that_contradicts_itself_is_refused() {
+fn a_contradictory_domain_table_is_rejected() {
     let elsewhere = Topology::new("a", "north", &listed(&[("a", "south")]));
     assert_matches!(elsewhere, Err(TopologyError::OtherRegion { listed, .. }) if listed == "south");
     let nameless = Topology::new("a", "north", &listed(&[("b", "")]));
--- a/crates/cranereach-fleet/tests/ways.rs
+++ b/crates/cranereach-fleet/tests/ways.rs
@@ -4,7 +4,7 @@
 use cranereach_fleet::ways::RoundTrips;
 
 #[test]
-fn an_answer_from_another_region_is_waited_for_before_and_after_its_way_is_known() {
+fn timeouts_cover_other_regions_before_and_after_samples() {
     let mut round_trips = RoundTrips::default();
     assert!(round_trips.wait_ms(Distance::OtherRegion) >= 60);
     for answer in 0..100 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_way_that_grows_longer_than_the_wait_is_found_again() {
+fn a_round_trip_that_grows_beyond_the_timeout_is_learned_again() {
     let mut round_trips = RoundTrips::default();
     for _answer in 0..50 {
         round_trips.reply_received(Distance::OtherRegion, 16.0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn instances_that_are_slow_or_gone_hold_up_no_call_within_a_region() {
+fn slow_or_lost_instances_do_not_raise_timeouts_within_a_region() {
     let mut round_trips = RoundTrips::default();
     for question in 0..400 {
         for distance in [Distance::OwnDomain, Distance::OwnRegion] {
--- a/crates/cranereach-gateway/tests/departure_words.rs
+++ b/crates/cranereach-gateway/tests/departure_words.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_worker_that_leaves_costs_few_bytes_a_digest() {
+fn a_leaving_worker_adds_few_bytes_to_a_digest() {
     let entry_bytes = digest_bytes(1) - digest_bytes(0);
     println!("an entry takes {entry_bytes} bytes");
     assert!(entry_bytes <= ENTRY_MAX_BYTES);
--- a/crates/cranereach-gateway/tests/first_reads.rs
+++ b/crates/cranereach-gateway/tests/first_reads.rs
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_start_of_all_reads_the_store_a_few_times_whatever_the_size() {
+fn a_simultaneous_start_reads_the_store_a_few_times_at_any_fleet_size() {
     for count in [1, 6, 78, 300, 1_000] {
         let mut fleet = Fleet::start(count, 3);
         let took_ms = fleet.run_until_all_have_list(40_000);
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn those_who_start_beside_others_take_the_list_from_neighbours() {
+fn restarted_instances_fetch_the_list_from_peers_of_their_domain() {
     let mut fleet = Fleet::start(300, 5);
     fleet.run_until_all_have_list(40_000);
     fleet.restart((0..300).filter(|number| number % 10 == 0));
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn nobody_waits_for_seeds_that_are_down_or_read_nothing() {
+fn instances_get_the_list_without_seeds_and_after_a_store_outage() {
     let mut fleet = Fleet::start(60, 7);
     fleet.are_seeds_down = true;
     // With the seeds down, the instances hear from nobody and read the store themselves.
--- a/crates/cranereach-gateway/tests/limit_words.rs
+++ b/crates/cranereach-gateway/tests/limit_words.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_worker_that_names_none_costs_nothing_to_speak_of() {
+fn a_limit_report_adds_few_bytes() {
     let bytes_without = owner_message_bytes(None);
     let bytes_with = owner_message_bytes(Some(LARGEST_REPORT));
     println!("a limit report takes {} bytes", bytes_with - bytes_without);
--- a/crates/cranereach-gateway/tests/peers.rs
+++ b/crates/cranereach-gateway/tests/peers.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_holder_that_only_others_hear_counts_until_its_word_is_old() {
+fn a_lease_holder_known_only_through_relays_expires() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
     assert!(!peers.knows_holder(0, SERVICE));
     peers.apply_digest(1_000, ip(2), &lease_digest(1, 400));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_holder_that_gives_up_is_believed_at_once() {
+fn a_released_lease_takes_effect_at_once() {
     for release in [
         digest(2),
         Digest {
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_holder_tells_the_candidates_in_each_round_and_whoever_waits_once() {
+fn a_lease_holder_sends_to_candidates_every_round_and_answers_waits_once() {
     let mut peers = peers_of_fleet(300);
     let candidates = peers.members().first(10, SERVICE, 3);
     let recipients = peers.recipients(10, false, &[SERVICE]);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn the_demand_of_every_instance_counts_until_it_falls_silent() {
+fn the_demand_of_every_instance_counts_until_it_expires() {
     let mut peers = peers_of_fleet(300);
     for peer in 2..=300 {
         assert!(peers.apply_demand(100, address(peer), &demand_message(2, 1.0)));
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_store_is_lost_when_several_others_say_so_lately() {
+fn the_store_counts_as_lost_after_recent_failures_at_several_instances() {
     let mut peers = peers_of_fleet(20);
     let failures_digest = |count: u64, failed: &[(u32, u64)]| Digest {
         store_failed: failed
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn strange_digests_are_bounded_in_what_they_leave() {
+fn oversized_digests_leave_bounded_state() {
     let mut peers = Peers::new(ip(1), "z1", &[]);
     for sender in 0..3 {
         let introduced_members = (0..10_000).map(|number| MemberUpdate {
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn rows_survive_packing_and_nonsense_is_refused() {
+fn packed_rows_round_trip_and_malformed_input_is_rejected() {
     let changed = |key: &str, value: Option<Vec<u8>>| ChangedRow {
         key: key.to_owned(),
         position: StorePosition::new(0, 7),
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn one_of_a_failure_domain_fetches_from_elsewhere_and_the_others_from_it() {
+fn one_instance_per_domain_fetches_from_another_domain_and_the_rest_from_it() {
     let mut peers = peers_of_fleet(60);
     let far = address(4);
     let near = address(6);
--- a/crates/cranereach-gateway/tests/spreading.rs
+++ b/crates/cranereach-gateway/tests/spreading.rs
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn news_reach_nearly_all_within_a_second_or_two_at_any_size() {
+fn updates_reach_nearly_all_instances_within_ten_rounds_at_any_fleet_size() {
     for (count, region_count, round_max_count) in [
         (3, 1, 4),
         (60, 1, 8),
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_change_of_the_list_reaches_all_within_a_second_also_from_a_reader_that_dies() {
+fn a_list_change_reaches_all_within_a_second_even_if_its_reader_crashes() {
     for (count, region_count) in [(3, 1), (73, 1), (73, 2), (300, 2), (1_000, 4)] {
         let fresh = Fleet::start(count, region_count, 5);
         for seed in 0..6 {
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn what_crosses_grows_with_domains_and_not_with_instances() {
+fn traffic_between_domains_and_regions_is_bounded() {
     for (count, region_count) in [(73, 2), (300, 2), (600, 2)] {
         let mut fleet = Fleet::start(count, region_count, 7);
         // One list change: one relay for each domain, and one for the other region, plus the
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn all_know_all_members_though_few_digests_cross_and_again_after_a_cut_of_regions() {
+fn members_are_known_everywhere_also_after_a_region_partition() {
     for (count, region_count) in [(73, 1), (73, 2), (300, 4)] {
         let mut fleet = Fleet::start(count, region_count, 11);
         for _round in 0..60 {
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn proofs_are_asked_for_in_all_regions() {
+fn proofs_are_requested_in_all_regions() {
     let fleet = Fleet::start(60, 2, 13);
     let mut counts = [0; 3];
     for _round in 0..400 {
--- a/crates/cranereach-gateway/tests/suspects.rs
+++ b/crates/cranereach-gateway/tests/suspects.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_digest_tells_a_bounded_part_however_many_are_known() {
+fn a_digest_lists_a_bounded_number_of_suspect_requests() {
     let mut sizes_bytes = Vec::new();
     for known_count in [0, 3, 100, 10_000] {
         let mut quarantine = Quarantine::default();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_end_is_told_in_a_small_datagram() {
+fn a_worker_end_is_reported_in_a_small_datagram() {
     let mut quarantine = Quarantine::default();
     quarantine.ended(1_000, mark(1), u64::MAX, true);
     let update = quarantine.update_for(601_000, mark(1)).unwrap();
--- a/crates/cranereach-gateway/tests/worker_words.rs
+++ b/crates/cranereach-gateway/tests/worker_words.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_answer_that_says_nothing_says_nothing() {
+fn a_response_without_worker_headers_reports_nothing() {
     let parsed = read(200, &[("id", "r")]);
     assert!(!parsed.is_from_other_worker && !parsed.is_not_run && !parsed.is_load_unreadable);
     assert_eq!(parsed.load, None);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn only_what_turns_something_away_asks_for_rest() {
+fn only_a_503_response_requests_a_rest() {
     let requested_rest = |status, headers: &[_]| read(status, headers).rest;
     let retry_after = ("retry-after", "2");
     assert_eq!(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn another_workers_answer_is_known_by_its_status_or_its_name() {
+fn a_response_of_another_worker_is_detected_by_status_or_header() {
     assert!(read(421, &[]).is_from_other_worker);
     assert!(read(421, &[]).is_not_run);
     assert!(read(200, &[("by", "other")]).is_from_other_worker);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_load_is_whole_or_none() {
+fn a_load_header_is_parsed_completely_or_rejected() {
     let load = read(200, &[("load", "3, 1,8")]).load.unwrap();
     assert_eq!((load.running_count, load.waiting_count), (3, 1));
     for unreadable in ["", "many", "3", "3,-1,8", "3,1e3"] {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_connection_rests_as_long_as_the_worker_says_less_a_margin() {
+fn the_keep_alive_time_is_the_announced_timeout_less_a_margin() {
     let keep_alive_ms = |headers: &[_]| read(200, headers).connection_keep_alive_ms;
     assert_eq!(keep_alive_ms(&[("keep-alive", "timeout=5")]), Some(4_850));
     assert_eq!(
--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_was_due_while_the_machine_was_suspended_is_due_at_once() {
+fn deadlines_that_pass_during_suspension_are_due_at_once() {
     let clock = Clock::of(simulated_boottime_ms);
     let due_ms = clock.now_ms() + 30_000;
     let before = clock.instant(due_ms);
--- a/crates/cranereach-http/tests/connecting.rs
+++ b/crates/cranereach-http/tests/connecting.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_nobody_takes_ends_long_before_the_call() {
+async fn connecting_to_a_full_listener_fails_long_before_the_call_times_out() {
     let (_listener, _pending, address) = full_listener();
     let client = JsonClient::new(&address.to_string());
     let result = client.get("/", CALL_TIMEOUT_MS).await;
--- a/crates/cranereach-http/tests/events.rs
+++ b/crates/cranereach-http/tests/events.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn whole_events_alone_are_passed_on_wherever_a_stream_is_cut() {
+fn only_complete_events_are_passed_on_wherever_a_stream_is_cut() {
     let stream = stream(4);
     for piece_bytes in 1..stream.len() {
         for cut_at in 0..=stream.len() {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn lines_may_end_with_a_carriage_return_too() {
+fn lines_may_end_with_carriage_return_and_line_feed() {
     let mut events = EventBuffer::default();
     let bytes = events.take(b"id:7\r\ndata: a\r\n\r\nid:8\r\n");
     assert_eq!(bytes.as_ref(), b"id:7\r\ndata: a\r\n\r\n");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn nobody_goes_on_after_an_event_without_an_id() {
+fn a_stream_is_not_resumed_after_an_event_without_an_id() {
     let mut events = EventBuffer::default();
     let _passed = events.take(b"id: 1\ndata: a\n\ndata: b\n\n");
     assert_eq!(events.reached(), &ResumePoint::Unknown);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_event_too_large_to_be_kept_back_is_passed_on_as_it_comes() {
+fn an_event_too_large_to_buffer_is_passed_on_as_it_arrives() {
     let mut events = EventBuffer::default();
     let _passed = events.take(b"id: 1\ndata: a\n\nid: 2\ndata: ");
     let large = vec![b'x'; 80 * 1024];
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn events_that_go_back_are_noticed() {
+fn non_increasing_event_ids_are_detected() {
     for (second, has_non_increasing_id) in [("5", true), ("4", true), ("6", false), ("10", false)] {
         let mut events = EventBuffer::default();
         let _passed = events.take(b"id: 5\ndata: a\n\n");
--- a/crates/cranereach-soak/tests/soak/bounded.rs
+++ b/crates/cranereach-soak/tests/soak/bounded.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn work_for_a_worker_that_left_is_found() {
+fn requests_to_a_worker_that_left_are_found() {
     let late_ms = bounded::DRAIN_MS + 1;
     finds(bounded::leaving, |records| depart(records, late_ms));
     passes(bounded::leaving, |records| depart(records, late_ms - 1));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_key_that_opens_too_late_is_found_whatever_befell_the_gateway() {
+fn a_revoked_key_accepted_too_late_is_found_despite_gateway_faults() {
     let revoke = |records: &mut Records, before_ms: u64| {
         records.arrivals.truncate(1);
         records.events.push(Event::Revoked {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_old_or_unknown_way_of_a_route_is_found() {
+fn an_outdated_or_unknown_route_target_is_found() {
     let add_moves = |records: &mut Records, services: &[(&str, u64)]| {
         for (service, before_ms) in services {
             records.events.push(Event::Moved {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn work_for_an_evacuated_domain_is_found() {
+fn requests_to_an_evacuated_domain_are_found() {
     let evacuate = |records: &mut Records, from_ms: u64, to_ms: u64| {
         records.events.push(Event::Evacuated {
             domain: 0,
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn too_much_in_one_second_for_a_cold_worker_is_found() {
+fn too_many_requests_per_second_to_a_cold_worker_are_found() {
     let crowd = |records: &mut Records, step_ms: u64, cold_at_ms: u64| {
         records.events.push(Event::Cold {
             worker_id: "w-0".to_owned(),
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn too_much_for_a_worker_that_names_a_limit_is_found() {
+fn too_many_requests_to_a_rate_limited_worker_are_found() {
     let crowd = |records: &mut Records, step_ms: u64, rate_per_s: f64| {
         records.events.push(Event::Limited {
             worker_id: "w-0".to_owned(),
--- a/crates/cranereach-soak/tests/soak/ending.rs
+++ b/crates/cranereach-soak/tests/soak/ending.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn sends_later_than_all_can_know_are_found() {
+fn late_sends_of_a_crash_request_are_found() {
     finds(crash_requests::check, |records| {
         plant(records, LATE_MAX_COUNT + 1, SETTLE_MS + 1);
     });
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_gateway_out_of_touch_is_excused() {
+fn a_disconnected_gateway_is_excused() {
     let add_disturbance = |records: &mut Records, ended_ms: u64| {
         plant(records, LATE_MAX_COUNT + 1, 2 * SETTLE_MS);
         records.troubles.push(Disturbance {
--- a/crates/cranereach-soak/tests/soak/failing.rs
+++ b/crates/cranereach-soak/tests/soak/failing.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_that_dies_at_once_is_said_to() {
+async fn a_gateway_that_exits_at_once_is_reported() {
     let plan = plan("dies", "false");
     let error = run::run(&plan, pending()).await.unwrap_err();
     assert_matches!(
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn a_program_that_is_not_there_is_said_to_be() {
+async fn a_missing_gateway_binary_is_reported() {
     let plan = plan("missing", "/nonexistent/cranereach");
     let error = run::run(&plan, pending()).await.unwrap_err();
     assert_matches!(error, RunError::Gateway(GatewayError::Start { .. }));
--- a/crates/cranereach-soak/tests/soak/own_words.rs
+++ b/crates/cranereach-soak/tests/soak/own_words.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn work_from_a_gateway_that_had_passed_the_word_on_is_found() {
+fn late_requests_from_a_gateway_that_passed_on_a_notice_are_found() {
     finds(notices::leaving, |records| depart(records, DRAIN_MS + 1));
     passes(notices::leaving, |records| depart(records, DRAIN_MS));
     // Disturbances of the store or of the gateway's link to it are no excuse.
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn too_much_in_a_rest_is_found() {
+fn too_many_requests_during_a_rest_are_found() {
     finds(notices::resting, |records| add_rest(records, 3_000, 3, 700));
     passes(notices::resting, |records| add_rest(records, 3_000, 2, 700));
     passes(notices::resting, |records| add_rest(records, 1_000, 3, 700));
--- a/crates/cranereach-soak/tests/soak/requests.rs
+++ b/crates/cranereach-soak/tests/soak/requests.rs
@@ -22,7 +22,7 @@
 const STREAM: usize = 3;
 
 #[test]
-fn an_answer_that_is_not_ones_own_is_found() {
+fn an_answer_to_another_request_is_found() {
     finds(answers::check, |records| {
         answer(records, ONCE).body = content::plain_body("id-1");
     });
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_stream_that_loses_or_doubles_a_piece_is_found() {
+fn a_stream_that_loses_or_repeats_an_event_is_found() {
     let event = |number| content::event(number, "id-3");
     finds(stream_order::check, |records| {
         let answer = answer(records, STREAM);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_run_behind_not_run_is_found() {
+fn a_run_answered_as_not_run_is_found() {
     for status in [408, 421, 429, 503] {
         finds(runs::not_run, |records| {
             answer(records, ONCE).status = status;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_found() {
+fn a_run_without_a_request_is_found() {
     finds(runs::only_asked, |records| {
         records.arrivals[ONCE].id = "id-9".to_owned();
     });
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_end_and_a_hoard_of_ones_own_are_found() {
+fn an_unexpected_exit_and_excessive_resource_use_are_found() {
     finds(gateway_health::ends, |records| {
         records.events.push(Event::EndedByItself {
             gateway: 1,
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn denials_are_found_unless_the_key_was_taken_away() {
+fn refusals_are_found_unless_the_key_was_revoked() {
     let deny = |records: &mut Records| {
         for number in 0..6 {
             let id = format!("more-{number}");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn service_that_does_not_come_back_is_found() {
+fn missing_recovery_is_found() {
     finds(recovery::check, |records| {
         for record in &mut records.asked[1..] {
             record.end = End::Closed;
--- a/crates/cranereach-soak/tests/soak/schedule.rs
+++ b/crates/cranereach-soak/tests/soak/schedule.rs
@@ -9,7 +9,7 @@
 use cranereach_soak::schedule::Step;
 
 #[test]
-fn the_same_seed_makes_the_same_schedule_and_another_another() {
+fn equal_seeds_give_equal_schedules_and_others_differ() {
     for seed in 0..50 {
         let steps = schedule::from_seed(seed, 30_000, Size::LARGE);
         assert_eq!(steps, schedule::from_seed(seed, 30_000, Size::LARGE));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn faults_come_in_order_overlap_and_leave_calm_at_the_end() {
+fn faults_are_ordered_overlap_and_leave_a_fault_free_end() {
     for seed in 0..50 {
         let steps = schedule::from_seed(seed, 60_000, Size::SMALL);
         assert!(steps.is_sorted_by_key(|step| step.at_ms));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn every_kind_of_fault_comes() {
+fn every_kind_of_fault_occurs() {
     let mut faults = HashSet::new();
     for seed in 0..100 {
         let steps = schedule::from_seed(seed, 60_000, Size::SMALL);
@@ -52,7 +52,7 @@
 ];
 
 #[test]
-fn a_seed_stays_the_run_that_it_was() {
+fn a_seed_keeps_its_schedule() {
     let steps = schedule::from_seed(1, 30_000, Size::SMALL);
     let lines: Vec<String> = steps.iter().map(ToString::to_string).collect();
     assert_eq!(lines[..PINNED.len()], PINNED);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn restores_are_added_and_leave_the_other_faults_and_the_calm_at_the_end() {
+fn restores_change_neither_other_faults_nor_the_fault_free_end() {
     let mut together_count = 0;
     for seed in 0..50 {
         let others = schedule::from_seed(seed, 60_000, Size::SMALL);
--- a/tests/testsuite/at_most_once.rs
+++ b/tests/testsuite/at_most_once.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_told_not_run_did_not_run() {
+async fn a_call_refused_as_not_run_did_not_run() {
     let deployment = fixture::start(Shape::default()).await;
     fixture::assert_served(&deployment, 0, &ledger_call("warm")).await;
     deployment.services.iter().for_each(|service| {
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_with_the_same_key_through_another_instance_joins_the_first() {
+async fn a_repeat_with_the_same_key_through_another_instance_gets_the_first_answer() {
     let mut deployment = fixture::start(Shape {
         entry_count: 2,
         ..Shape::default()
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_sender_is_told_so_and_holds_up_nobody() {
+async fn a_slow_sender_gets_an_error_and_blocks_no_other_call() {
     let mut deployment = fixture::start(Shape {
         entry_count: 0,
         ..Shape::default()
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn an_unreachable_platform_is_an_exit_code_of_its_own() {
+fn an_unreachable_platform_has_its_own_exit_code() {
     let folder = harness::scratch_folder("unreachable");
     let settings = harness::write_settings(&folder, "entry-1", "127.0.0.1:1");
     let declared = folder.join("declared");
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_instance_that_saw_the_commit_is_enough_when_the_stores_go_down() {
+async fn one_instance_with_the_new_version_is_enough_when_the_stores_go_down() {
     let deployment = fixture::start(Shape {
         entry_count: 3,
         ..Shape::default()
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_commit_whose_answer_is_lost_is_reported_rightly_and_once() {
+async fn a_commit_whose_answer_is_lost_is_reported_and_applied_once() {
     let deployment = fixture::start(Shape::default()).await;
     set_faults(
         &deployment,
@@ -184,7 +184,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_racing_on_the_same_file_lose_cleanly_on_others_both_win() {
+async fn concurrent_applies_conflict_on_the_same_file_and_merge_on_different_files() {
     let deployment = fixture::start(Shape::default()).await;
     let mine = folder_with_rotated_key();
     let mut theirs = fixture::declarations(true);
@@ -222,7 +222,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_table_takes_nobody_out_and_an_instance_cut_off_goes() {
+async fn an_isolated_instance_becomes_unready_and_a_table_outage_leaves_the_others_ready() {
     let mut deployment = fixture::start(Shape {
         entry_count: 2,
         ..Shape::default()
--- a/tests/testsuite/docs.rs
+++ b/tests/testsuite/docs.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn every_page_of_the_book_is_there_and_listed() {
+fn every_page_linked_from_the_summary_exists() {
     let summary = page("docs/SUMMARY.md");
     let links = summary
         .split("](")
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -27,7 +27,7 @@
 "#;
 
 #[test]
-fn a_story_is_told_in_order() {
+fn the_log_lines_of_a_request_are_listed_in_order() {
     let output = explain("story.log", LOG, &["--request", "r1"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_story_names_what_workers_had_said_of_themselves() {
+fn explain_includes_what_workers_of_the_request_had_reported() {
     let log = r#"
 {"msg":"worker rests","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","worker":"w1","for_ms":3000,"purpose":"call"}
 {"msg":"worker rests","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-2","worker":"w2","for_ms":3000,"purpose":"call"}
@@ -69,7 +69,7 @@
 
 /// Guards against a store restored from a backup without a trace of when it happened.
 #[test]
-fn a_summary_tells_when_the_store_came_back_from_a_copy() {
+fn a_summary_shows_when_the_store_was_restored() {
     let log = r#"
 {"msg":"store restored","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-2","era":1,"leaving":0}
 {"msg":"store restored","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","era":1,"leaving":0}
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_missing_request_or_file_is_said() {
+fn a_missing_request_or_file_is_reported() {
     let output = explain("missing.log", LOG, &["--request", "r9"]);
     assert_eq!(output.status.code(), Some(1));
     let output = Command::new(env!("CARGO_BIN_EXE_cranereach"))
@@ -102,7 +102,7 @@
 "#;
 
 #[test]
-fn the_story_of_a_quarantined_request_names_the_ends_under_equal_ones() {
+fn explain_of_a_quarantined_request_lists_worker_ends_with_the_same_fingerprint() {
     let output = explain("equal.log", SAME_FINGERPRINT_LOG, &["--request", "r4"]);
     let text = String::from_utf8(output.stdout).unwrap();
     let lines: Vec<&str> = text.lines().collect();
--- a/tests/testsuite/gateway_settings.rs
+++ b/tests/testsuite/gateway_settings.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_gateway_without_usable_settings_says_why_and_ends() {
+fn a_gateway_without_usable_settings_reports_why_and_exits() {
     let output = Command::new(env!("CARGO_BIN_EXE_cranereach"))
         .arg("gateway")
         .env_remove("CRANEREACH_CONFIG")
--- a/tests/testsuite/memory.rs
+++ b/tests/testsuite/memory.rs
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_successor_swaps_models_after_the_holder_is_killed() {
+async fn another_instance_swaps_models_after_the_lease_holder_is_killed() {
     let mut deployment = fixture::start(Shape {
         entry_count: 3,
         ..Shape::default()
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn limits_shows_each_worker_that_names_one() {
+fn limits_shows_each_rate_limited_worker() {
     let instance = start_fake_instance(&[(
         "/limits",
         r#"[{"worker":"w-1","service":"plain","rate_per_s":1.5,"for_ms":4200,"granted_count":7,"refused_count":2}]"#,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn workers_shows_who_leaves_and_who_rests() {
+fn workers_shows_leaving_and_resting_workers() {
     let instance = start_fake_instance(&[(
         "/workers",
         r#"[{"worker":"w-1","service":"plain","leaving":{"by":"peer","for_ms":1200},"rest":null},
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_instance_that_does_not_answer_is_said_to() {
+fn an_unreachable_instance_is_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let closed_address = listener.local_addr().unwrap();
     drop(listener);
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_refuses_everything_causes_no_storm() {
+async fn a_worker_that_refuses_everything_causes_no_retry_storm() {
     let deployment = fixture::start(Shape::default()).await;
     let call = Call::chat("a", "m0", "hello", 1, true);
     fixture::assert_served(&deployment, 0, &call).await;
--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -15,7 +15,7 @@
 use cranereach_standin::load::Call;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sigterm_finishes_open_streams_and_a_second_one_is_harmless() {
+async fn sigterm_lets_open_streams_finish_and_a_second_one_has_no_effect() {
     let mut deployment = ProcessDeployment::start("planned-stop").await;
     let pool = Arc::new(Pool::new(&deployment.entry.address_of("callers")));
     let warm = Call::chat("crews-key", "harvest-a", "warm", 1, true);
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_instances_stopping_at_once_cut_nothing() {
+async fn two_instances_stopping_at_once_break_off_no_stream() {
     let mut deployment = fixture::start(Shape {
         entry_count: 3,
         ..Shape::default()
--- a/tests/testsuite/soak.rs
+++ b/tests/testsuite/soak.rs
@@ -36,12 +36,12 @@
 /// Guards against answers that are lost, duplicated or delivered to the wrong caller when the
 /// store is restored from backups.
 #[test]
-fn a_short_run_over_restores_keeps_what_does_not_depend_on_speed() {
+fn a_short_run_with_store_restores_keeps_the_untimed_promises() {
     run_soak(11, 30, "small", &["--restores"]);
 }
 
 #[test]
-fn a_short_run_keeps_what_does_not_depend_on_speed() {
+fn a_short_run_keeps_the_untimed_promises() {
     let folder = run_soak(7, 20, "small", &[]);
     let verdicts = fs::read(folder.join("verdicts.json")).unwrap();
     let verdicts: Vec<Value> = serde_json::from_slice(&verdicts).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn runs_that_failed_once_keep_what_does_not_depend_on_speed() {
+fn runs_that_once_failed_keep_the_untimed_promises() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/soak/regressions.jsonc");
     let regressions: Vec<Regression> = cranereach_wire::jsonc::read_file(&path).unwrap();
     for regression in regressions {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn bad_input_is_one_clear_line_with_a_code_of_its_own() {
+fn bad_input_gives_one_error_line_and_its_own_exit_code() {
     let non_empty = harness::scratch_folder("soak-full");
     fs::write(non_empty.join("kept"), "").unwrap();
     let non_empty = non_empty.display().to_string();
--- a/tests/testsuite/whole_answers.rs
+++ b/tests/testsuite/whole_answers.rs
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_never_passes_as_whole() {
+async fn a_broken_answer_is_never_reported_as_complete() {
     let deployment = fixture::start(Shape::default()).await;
     let warm = Call::chat("a", "m0", "warm", 1, true);
     fixture::assert_served(&deployment, 0, &warm).await;
