--- a/crates/cranereach-core/tests/attempts.rs
+++ b/crates/cranereach-core/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! "Not run" means not run, over all orders of events.
+//! Verdicts on attempts: a result code that says "not run" is given only if the call did not run,
+//! for any sequence of events.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -11,13 +12,14 @@
 use cranereach_core::declarations::Repeatable;
 use cranereach_core::retry_budget::RetryBudget;
 
-/// Deadline of all attempts here.
+/// Deadline of all attempts, in milliseconds.
 const DEADLINE_AT_MS: u64 = 1_000;
 
-/// One row: events, whether the call may be repeated, and the last verdict.
+/// One row: name, whether the call may be repeated, events with their times in milliseconds, and
+/// the last verdict.
 type Row = (&'static str, Repeatable, &'static [(u64, Event)], Verdict);
 
-/// The fault table.
+/// Table of faults and their verdicts.
 const ROWS: [Row; 12] = [
     (
         "no connection",
@@ -26,13 +28,13 @@
         Verdict::TryElsewhere,
     ),
     (
-        "closed after the request left, unsafe",
+        "closed after the request was sent, unsafe",
         Repeatable::Unsafe,
         &[(0, Event::HandedToConnection), (1, Event::Broken)],
         Verdict::End(ResultCode::OutcomeUnknown),
     ),
     (
-        "closed after the request left, safe",
+        "closed after the request was sent, safe",
         Repeatable::Safe,
         &[(0, Event::HandedToConnection), (1, Event::Broken)],
         Verdict::TryElsewhere,
@@ -48,7 +50,7 @@
         Verdict::TryElsewhere,
     ),
     (
-        "broken midway",
+        "broken off in the middle of the response",
         Repeatable::Safe,
         &[
             (0, Event::HandedToConnection),
@@ -59,7 +61,7 @@
         Verdict::End(ResultCode::BrokenMidway),
     ),
     (
-        "garbled, unsafe",
+        "malformed response, unsafe",
         Repeatable::Unsafe,
         &[
             (0, Event::HandedToConnection),
@@ -69,13 +71,13 @@
         Verdict::End(ResultCode::GarbledAnswer),
     ),
     (
-        "late before it was sent",
+        "deadline passed before sending",
         Repeatable::Unsafe,
         &[(1_000, Event::DeadlinePassed)],
         Verdict::End(ResultCode::DeadlinePassed),
     ),
     (
-        "late after it was sent",
+        "deadline passed after sending",
         Repeatable::Safe,
         &[
             (0, Event::HandedToConnection),
@@ -84,13 +86,13 @@
         Verdict::End(ResultCode::DeadlinePassedRunning),
     ),
     (
-        "no connection, too late to repeat",
+        "no connection, deadline passed",
         Repeatable::Safe,
         &[(1_000, Event::NotConnected)],
         Verdict::End(ResultCode::DeadlinePassed),
     ),
     (
-        "may have run, then no connection and too late",
+        "may have run, then no connection and deadline passed",
         Repeatable::Safe,
         &[
             (0, Event::HandedToConnection),
@@ -105,16 +107,16 @@
         &[
             (0, Event::HandedToConnection),
             (0, Event::Head),
-            (0, Event::Whole),
+            (0, Event::Completed),
         ],
         Verdict::End(ResultCode::Served),
     ),
     (
-        "doubled end",
+        "broken off after the complete response",
         Repeatable::Unsafe,
         &[
             (0, Event::HandedToConnection),
-            (0, Event::Whole),
+            (0, Event::Completed),
             (1, Event::Broken),
         ],
         Verdict::End(ResultCode::Served),
@@ -135,7 +137,7 @@
 }
 
 #[test]
-fn the_budget_bounds_what_retries_add() {
+fn the_retry_budget_bounds_retries() {
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _call in 0..1_000 {
@@ -145,15 +147,15 @@
     assert!(retries <= 103, "{retries}");
 }
 
-/// Any event.
-fn event() -> impl Strategy<Value = Event> {
+/// Returns a strategy that generates any event.
+fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
         Just(Event::NotConnected),
         Just(Event::HandedToConnection),
         Just(Event::RefusedByUpstream),
         Just(Event::Head),
         Just(Event::FirstBytes),
-        Just(Event::Whole),
+        Just(Event::Completed),
         Just(Event::Broken),
         Just(Event::Garbled),
         Just(Event::DeadlinePassed),
@@ -161,18 +163,18 @@
 }
 
 proptest! {
-    /// A code that says "not run" is never reached after bytes may have been
-    /// acted on, and an unsafe call is never sent again after that.
+    /// Once an upstream may have acted on a call, no result code says "not run", and an unsafe
+    /// call is not sent again.
     #[test]
-    fn not_run_is_true_over_all_orders_of_events(
+    fn not_run_is_reported_only_if_true_for_any_event_sequence(
         is_unsafe in any::<bool>(),
-        events in prop::collection::vec((0_u64..1_500, event()), 1..12),
+        events in prop::collection::vec((0_u64..1_500, any_event()), 1..12),
         refusal_follows in any::<bool>(),
     ) {
         let repeat = if is_unsafe { Repeatable::Unsafe } else { Repeatable::Safe };
         let mut attempt = Attempt::new(repeat, DEADLINE_AT_MS);
         let mut budget = RetryBudget::default();
-        // What the upstreams may have acted on, kept apart from the kernel.
+        // Whether any upstream may have acted on the call, tracked independently of `Attempt`.
         let mut may_have_run = false;
         let mut in_flight = false;
         let mut ended = None;
@@ -184,10 +186,10 @@
             if verdict == Verdict::Continue {
                 continue;
             }
-            // Only the upstream's word that it did not run it clears an attempt,
-            // and only as long as nothing of an answer was passed on.
-            let cleared = event == Event::RefusedByUpstream && verdict == Verdict::TryElsewhere;
-            may_have_run |= in_flight && !cleared && event != Event::RefusedByUpstream;
+            // Only a refusal by the upstream proves that an attempt did not run, and only if no
+            // part of the response has been passed on.
+            let is_not_run = event == Event::RefusedByUpstream && verdict == Verdict::TryElsewhere;
+            may_have_run |= in_flight && !is_not_run && event != Event::RefusedByUpstream;
             in_flight = false;
             if verdict == Verdict::TryElsewhere && is_unsafe {
                 prop_assert!(!may_have_run, "an unsafe call is sent again");
@@ -209,7 +211,7 @@
 }
 
 #[test]
-fn a_refusal_at_the_queue_is_true_to_earlier_attempts() {
+fn a_queue_refusal_accounts_for_earlier_attempts() {
     let mut attempt = Attempt::new(Repeatable::Safe, DEADLINE_AT_MS);
     let mut budget = RetryBudget::default();
     attempt.on(0, Event::HandedToConnection, &mut budget);
--- a/crates/cranereach-fleet/tests/accounts.rs
+++ b/crates/cranereach-fleet/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Accounts by their keys, and what makes no sense about them.
+//! Client accounts are found by their keys; invalid ones are rejected.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn faults_name_the_account() {
+fn errors_name_the_account() {
     let limited = |rate_per_s: f64, burst: f64| Account {
         limit: Some(Limit {
             rate_per_s,
@@ -64,7 +64,7 @@
             Err(AccountError::Limit(name)) if name == "ships"
         );
     }
-    // The same key twice in one account is a slip without consequence.
+    // A key that is listed twice in one account is harmless.
     assert_matches!(Accounts::new(vec![account("crews", &["a", "a"])]), Ok(_));
 }
 
@@ -80,15 +80,15 @@
     let found = accounts.by_secret("9999-19").unwrap();
     assert_eq!(found.name.as_ref(), "account-9999");
     assert_eq!(accounts.label(found), "other");
-    let begun = Instant::now();
+    let started = Instant::now();
     let wrong =
         (0..20_000).filter(|number| accounts.by_secret(&format!("wrong-{number}")).is_some());
     assert_eq!(wrong.count(), 0);
-    println!("20,000 wrong keys: {:?}", begun.elapsed());
+    println!("20,000 wrong keys: {:?}", started.elapsed());
 }
 
 #[test]
-fn what_a_request_counts_depends_on_the_unit() {
+fn the_cost_of_a_request_depends_on_the_limit_unit() {
     let plain = account("crews", &["a"]);
     assert_eq!((plain.cost(None), plain.cost(Some(5_000))), (1.0, 1.0));
     let by_tokens = Account {
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -1,4 +1,4 @@
-//! The word of a worker that it leaves, beside its rows.
+//! Departures that workers announce, and how they combine with the rows of the store.
 
 mod workers;
 
@@ -20,13 +20,13 @@
 use cranereach_fleet::store_position::StorePosition;
 use cranereach_fleet::worker::WorkerRecord;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
 
-/// The row of a start of a worker.
-fn start(id: &str, started_unix_ms: u64) -> WorkerRecord {
+/// Returns the row of one incarnation of a worker.
+fn incarnation(id: &str, started_unix_ms: u64) -> WorkerRecord {
     WorkerRecord {
         started_unix_ms,
         ..record(id, &[("m", &[])])
@@ -42,66 +42,72 @@
 
 #[test]
 fn each_value_has_a_meaning() {
-    let said = |values: &[&[u8]]| read(values.iter().copied());
-    assert_eq!(said(&[]), Said::Nothing);
-    assert_eq!(said(&[b"1"]), Said::Leaves);
-    assert_eq!(said(&[b" 1 "]), Said::Leaves);
-    assert_eq!(said(&[b"0"]), Said::Nothing, "it stays");
+    let parsed = |values: &[&[u8]]| read(values.iter().copied());
+    assert_eq!(parsed(&[]), Said::Nothing);
+    assert_eq!(parsed(&[b"1"]), Said::Leaves);
+    assert_eq!(parsed(&[b" 1 "]), Said::Leaves);
+    assert_eq!(parsed(&[b"0"]), Said::Nothing, "the worker stays");
     assert_eq!(
-        said(&[b"0", b"1"]),
+        parsed(&[b"0", b"1"]),
         Said::Leaves,
-        "one that says so is enough"
+        "one such value is enough"
     );
-    assert_eq!(said(&[b"1", b"true"]), Said::Leaves);
+    assert_eq!(parsed(&[b"1", b"true"]), Said::Leaves);
     let unreadable: [&[u8]; 6] = [b"", b"true", b"yes", b"-1", b"1.0", b"\xff"];
     for value in unreadable {
-        assert_eq!(said(&[value]), Said::Unreadable, "{value:?}");
+        assert_eq!(parsed(&[value]), Said::Unreadable, "{value:?}");
     }
-    assert_eq!(said(&[&[b'1'; 4_000]]), Said::Unreadable);
+    assert_eq!(parsed(&[&[b'1'; 4_000]]), Said::Unreadable);
 }
 
 #[test]
-fn it_holds_for_its_start_whatever_rows_come() {
+fn an_announced_departure_holds_for_its_incarnation_whatever_rows_follow() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     assert!(roster.note_leaving_announced(1_000, "w", 100));
     assert!(
         !roster.note_leaving_announced(1_100, "w", 100),
-        "it is known"
+        "already known"
     );
     let is_leaving = |roster: &Roster| roster.get("w").unwrap().is_leaving();
-    roster.put(at(6), start("w", 100));
+    roster.put(at(6), incarnation("w", 100));
     assert!(is_leaving(&roster), "a newer row");
-    assert!(!roster.lapse(at(7), "w", 9_000), "its end is no lapse");
+    assert!(
+        !roster.lapse(at(7), "w", 9_000),
+        "the end of its row is no lapse"
+    );
     roster.remove(at(7), "w");
-    roster.put(at(8), start("w", 100));
+    roster.put(at(8), incarnation("w", 100));
     assert!(is_leaving(&roster), "the row is back");
-    roster.put(at(9), start("w", 200));
-    assert!(!is_leaving(&roster), "it has started again");
-    roster.put(at(10), start("w", 100));
-    assert!(is_leaving(&roster), "the row of the start before is back");
-    roster.put(at(11), start("w", 200));
+    roster.put(at(9), incarnation("w", 200));
+    assert!(!is_leaving(&roster), "a new incarnation");
+    roster.put(at(10), incarnation("w", 100));
+    assert!(
+        is_leaving(&roster),
+        "the row of the previous incarnation is back"
+    );
+    roster.put(at(11), incarnation("w", 200));
     assert!(!is_leaving(&roster));
 }
 
 #[test]
-fn a_word_of_another_start_than_the_listed_one_counts_for_that_one() {
+fn a_departure_of_an_unlisted_incarnation_applies_only_to_that_one() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     assert!(
         roster.note_leaving_announced(1_000, "w", 200),
-        "its row isn't here yet"
+        "the row of this incarnation hasn't arrived yet"
     );
     assert!(!roster.get("w").unwrap().is_leaving());
-    roster.put(at(6), start("w", 200));
+    roster.put(at(6), incarnation("w", 200));
     assert!(roster.get("w").unwrap().is_leaving());
     assert_eq!(roster.unlisted_departure_count(), 0);
 }
 
 #[test]
-fn a_peers_word_counts_for_the_start_that_it_names() {
+fn a_peers_report_applies_to_the_incarnation_it_names() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     let news = |id: &str, started_unix_ms| DepartureNews {
         worker: worker_key(id),
         start: incarnation_key(id, started_unix_ms),
@@ -116,16 +122,16 @@
         (1_000, DepartureSource::Peer)
     );
     assert_eq!(roster.departure_news("w"), Some(news("w", 100)));
-    // A worker that isn't listed here yet.
+    // A worker that is not listed yet.
     assert!(roster.note_leaving_reported(1_000, &news("late", 1)));
-    roster.put(at(6), start("late", 1));
+    roster.put(at(6), incarnation("late", 1));
     assert!(roster.get("late").unwrap().is_leaving());
 }
 
 #[test]
-fn nothing_is_sent_to_one_that_leaves_or_is_gone() {
+fn nothing_is_sent_to_a_worker_that_is_leaving_or_gone() {
     let mut roster = Roster::default();
-    roster.put(at(5), start("w", 100));
+    roster.put(at(5), incarnation("w", 100));
     for purpose in [Purpose::Call, Purpose::Order, Purpose::Report] {
         assert_eq!(roster.barred(900, "w", purpose, 0), None);
         assert_eq!(roster.barred(900, "other", purpose, 0), Some(Barred::Gone));
@@ -141,12 +147,12 @@
     assert_eq!(
         choose(&roster, Some("m")),
         Err(NoWorker::NoModel),
-        "another one could load it"
+        "another worker could load the model"
     );
 }
 
 #[test]
-fn what_is_remembered_of_unlisted_workers_is_bounded() {
+fn the_number_of_unlisted_departures_is_bounded() {
     let mut roster = Roster::default();
     for number in 0..10_000_u64 {
         roster.note_leaving_announced(number, &format!("w{number}"), 1);
@@ -158,10 +164,10 @@
     );
 }
 
-/// Seen by reading: where the words of more starts than are remembered came within one
-/// millisecond, all of them were forgotten, the newest too.
+/// Guards against an eviction that drops every announcement: when more departures than are kept
+/// were announced within one millisecond, all of them were forgotten, even the newest.
 #[test]
-fn words_that_come_at_once_are_not_all_forgotten_for_the_last() {
+fn departures_announced_at_once_are_not_all_evicted() {
     let mut roster = Roster::default();
     for number in 0..2_100_u64 {
         roster.note_leaving_announced(5, &format!("w{number}"), 1);
--- a/crates/cranereach-fleet/tests/fingerprint.rs
+++ b/crates/cranereach-fleet/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Equal requests have equal fingerprints, others don't.
+//! Equal requests have equal fingerprints, and different ones don't.
 
 use std::collections::HashSet;
 
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn whatever_differs_makes_another_fingerprint() {
+fn any_difference_changes_the_fingerprint() {
     let key = FingerprintKey::new("");
     let variants = [
         CONTENT,
@@ -64,14 +64,17 @@
             ..CONTENT
         },
     ];
-    let fingerprints: HashSet<_> = variants.iter().map(|of| of.fingerprint(&key)).collect();
+    let fingerprints: HashSet<_> = variants
+        .iter()
+        .map(|content| content.fingerprint(&key))
+        .collect();
     assert_eq!(fingerprints.len(), variants.len());
 }
 
 #[test]
-fn without_the_secret_no_content_can_be_told_from_its_fingerprint() {
+fn a_fingerprint_cannot_be_reproduced_without_the_secret() {
     let secret = FingerprintKey::new("secret");
     let guessed = FingerprintKey::new("");
     assert_ne!(CONTENT.fingerprint(&secret), CONTENT.fingerprint(&guessed));
-    assert!(!format!("{secret:?}").contains(|of: char| of.is_ascii_digit()));
+    assert!(!format!("{secret:?}").contains(|character: char| character.is_ascii_digit()));
 }
--- a/crates/cranereach-fleet/tests/lease.rs
+++ b/crates/cranereach-fleet/tests/lease.rs
@@ -1,8 +1,8 @@
 //! The lease under lost, late and refused writes, freezes and restarts.
 //!
-//! A world of machines and one row runs in random order. What must hold: two
-//! machines never order within the pause, and tokens only grow; also where the store comes
-//! back from copies some seconds old.
+//! Simulates machines that contend for one row, with random events. Two machines never issue
+//! orders within the pause of each other, and fencing tokens only grow, even when the store is
+//! restored from copies that are some seconds old.
 
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
 use cranereach_fleet::lease_state::TERM_MS;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -28,23 +28,23 @@
 const SEED_COUNT: u64 = 400;
 const STEP_COUNT: u64 = 12_000;
 
-/// Age of the oldest copy that a store comes back from, in milliseconds.
+/// Age of the oldest copy that a store is restored from, in milliseconds.
 const COPY_MAX_MS: u64 = 8_000;
 
 /// Time between two copies, in milliseconds.
 const COPY_EVERY_MS: u64 = 200;
 
-/// A write that the store does later, if its condition still holds.
+/// A write that reaches the store late, and succeeds if its condition still holds.
 struct LateWrite {
     at_ms: u64,
     expected_version: u64,
     row: LeaseRow,
 }
 
-/// What the store holds.
+/// Content of the store.
 #[derive(Clone, Default)]
 struct Content {
-    /// Newest version that was given out.
+    /// Newest version that was assigned.
     counter: u64,
     /// Version of the row; zero if there is none.
     version: u64,
@@ -54,7 +54,7 @@
 struct World {
     era: u64,
     content: Content,
-    /// What it held, oldest first, and when, in milliseconds.
+    /// Copies of the content, oldest first, each with its time in milliseconds.
     copies: VecDeque<(u64, Content)>,
     late: Vec<LateWrite>,
 }
@@ -86,7 +86,7 @@
         self.copies.push_back((now_ms, self.content.clone()));
     }
 
-    /// Comes back from one of the copies.
+    /// Restores the store from one of the copies.
     fn restore(&mut self, rng: &mut SmallRng) {
         let copy = rng.random_range(0..self.copies.len());
         self.content = self.copies[copy].1.clone();
@@ -94,7 +94,7 @@
         self.era += 1;
     }
 
-    fn carry_out_late(&mut self, now_ms: u64) {
+    fn apply_late_writes(&mut self, now_ms: u64) {
         let due: Vec<LateWrite> = self
             .late
             .extract_if(.., |write| write.at_ms <= now_ms)
@@ -118,8 +118,9 @@
     }
 }
 
-/// Lets a machine write the row at a time: with success, in vain, or late.
-fn attempt(
+/// Writes the row for a machine. The write succeeds, conflicts, loses its request or its answer,
+/// or reaches the store late.
+fn attempt_write(
     world: &mut World,
     rng: &mut SmallRng,
     lease_state: &mut LeaseState,
@@ -156,9 +157,9 @@
     }
 }
 
-/// Runs one world, whose store comes back from copies or not, and returns how many times
-/// the orders changed hands.
-fn run(seed: u64, is_restored: bool) -> u32 {
+/// Runs one simulation, with or without restores of the store, and returns how many times the
+/// lease changed hands.
+fn run_simulation(seed: u64, is_restored: bool) -> u32 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World {
         era: 0,
@@ -170,13 +171,13 @@
         .map(|machine| LeaseState::new(&name(machine), PAUSE_MS))
         .collect();
     let mut frozen_until_ms = [0_u64; MACHINE_COUNT];
-    let mut hears = [false; MACHINE_COUNT];
-    let mut said_ended: Vec<(u64, EndedTerm)> = Vec::new();
+    let mut hears_holder = [false; MACHINE_COUNT];
+    let mut ended_terms: Vec<(u64, EndedTerm)> = Vec::new();
     let mut last_order: Option<(usize, u64, u64)> = None;
-    let mut hand_overs = 0;
+    let mut handover_count = 0;
     for step in 0..STEP_COUNT {
         let now_ms = step * 10;
-        world.carry_out_late(now_ms);
+        world.apply_late_writes(now_ms);
         world.keep_copy(now_ms);
         if is_restored && rng.random_range(0..1_200) == 0 {
             world.restore(&mut rng);
@@ -199,27 +200,27 @@
                 _ => {}
             }
             if is_restored && rng.random_range(0..100) == 0 {
-                // Some peer told of it, or another answer of the store.
+                // A peer or another answer of the store tells of the new era.
                 lease_state.enter_era(world.era);
             }
-            // Hearing is a hint only: it may be wrong either way, for a while.
+            // Whether the holder is heard is only a hint; it may be wrong either way for a while.
             if rng.random_range(0..400) == 0 {
-                hears[machine] = rng.random_bool(0.3);
+                hears_holder[machine] = rng.random_bool(0.3);
             }
             if let Some(ended) = lease_state.ended(now_ms) {
-                // Said once and heard by all, maybe long after; the age that is told
-                // may be that of the word when it was made.
+                // Announced once and heard by all, possibly much later; the reported age
+                // may be that at the time of the announcement.
                 let heard_at_ms = now_ms + rng.random_range(0..5_000);
                 let at_ms = rng.random_range(ended.at_ms..=heard_at_ms);
-                said_ended.push((heard_at_ms, EndedTerm { at_ms, ..ended }));
+                ended_terms.push((heard_at_ms, EndedTerm { at_ms, ..ended }));
             }
-            said_ended.retain(|(heard_at_ms, _)| now_ms < heard_at_ms + 3_000);
-            for (heard_at_ms, ended) in &said_ended {
+            ended_terms.retain(|(heard_at_ms, _)| now_ms < heard_at_ms + 3_000);
+            for (heard_at_ms, ended) in &ended_terms {
                 if now_ms >= *heard_at_ms {
                     lease_state.record_ended_term(*ended);
                 }
             }
-            match lease_state.step(now_ms, hears[machine]) {
+            match lease_state.step(now_ms, hears_holder[machine]) {
                 Step::Wait => {}
                 Step::Read => {
                     if rng.random_bool(0.9) {
@@ -228,7 +229,7 @@
                     }
                 }
                 Step::Write { expected } => {
-                    attempt(
+                    attempt_write(
                         &mut world,
                         &mut rng,
                         lease_state,
@@ -242,10 +243,10 @@
             };
             if let Some((other, at_ms, other_token)) = last_order {
                 let is_same = other == machine;
-                hand_overs += u32::from(!is_same);
+                handover_count += u32::from(!is_same);
                 assert!(
                     is_same || now_ms > at_ms + PAUSE_MS,
-                    "seed {seed}: turns within the pause at {now_ms}"
+                    "seed {seed}: two holders within the pause at {now_ms}"
                 );
                 let grows = token > other_token || (is_same && token == other_token);
                 assert!(grows, "seed {seed}: token {token} after {other_token}");
@@ -253,31 +254,33 @@
             last_order = Some((machine, now_ms, token));
         }
     }
-    hand_overs
+    handover_count
 }
 
 #[test]
-fn two_machines_never_order_within_the_pause() {
-    let hand_overs: u32 = (0..SEED_COUNT).map(|seed| run(seed, false)).sum();
+fn two_machines_never_issue_orders_within_the_pause() {
+    let handover_count: u32 = (0..SEED_COUNT)
+        .map(|seed| run_simulation(seed, false))
+        .sum();
     assert!(
-        hand_overs > SEED_COUNT as u32,
-        "the worlds hand over: {hand_overs}"
+        handover_count > SEED_COUNT as u32,
+        "too few handovers: {handover_count}"
     );
 }
 
-/// Guards against two holders at once where a restored store has lost the row of one.
+/// Guards against two holders at once when a restored store has lost the row of one.
 #[test]
-fn two_machines_never_order_within_the_pause_though_the_store_loses_the_row() {
-    let hand_overs: u32 = (0..SEED_COUNT).map(|seed| run(seed, true)).sum();
+fn two_machines_never_issue_orders_within_the_pause_even_if_the_store_loses_the_row() {
+    let handover_count: u32 = (0..SEED_COUNT).map(|seed| run_simulation(seed, true)).sum();
     assert!(
-        hand_overs > SEED_COUNT as u32,
-        "the worlds hand over: {hand_overs}"
+        handover_count > SEED_COUNT as u32,
+        "too few handovers: {handover_count}"
     );
 }
 
-/// Guards against orders that stop for a whole term and pause with each restore.
+/// Guards against orders that stop for a whole term and pause after each restore.
 #[test]
-fn a_holder_whose_row_was_lost_goes_on_within_its_term() {
+fn a_holder_whose_row_was_lost_continues_within_its_term() {
     let mut lease_state = LeaseState::new("a", PAUSE_MS);
     lease_state.written(0, StorePosition::new(1, 80));
     let token = lease_state.token(400);
@@ -293,7 +296,7 @@
     assert_eq!(lease_state.step(420, false), Step::Write { expected });
     lease_state.written(420, StorePosition::new(2, 58));
     assert_eq!(lease_state.token(900), token);
-    // One whose term has run out waits as all do.
+    // A holder whose term has ended waits like any other candidate.
     let mut late = LeaseState::new("a", PAUSE_MS);
     late.written(0, StorePosition::new(1, 80));
     late.enter_era(2);
@@ -302,10 +305,11 @@
     assert_eq!(late.step(TERM_MS + PAUSE_MS, false), Step::Wait);
 }
 
-/// Guards against a candidate that takes a copy's row, or none, for the last holder's.
+/// Guards against a candidate that takes a row of the copy, or a missing row, for the state that
+/// the last holder left.
 #[test]
-fn what_a_copy_says_of_holders_saves_no_wait() {
-    let of_copy = |holder: &str, is_released: bool| LeaseRow {
+fn a_restored_row_does_not_shorten_the_wait() {
+    let copied_row = |holder: &str, is_released: bool| LeaseRow {
         holder: holder.to_owned(),
         is_released,
         era: 1,
@@ -313,25 +317,25 @@
     };
     for row in [
         None,
-        Some(of_copy("a", false)),
-        Some(of_copy("b", true)),
-        Some(of_copy("b", false)),
+        Some(copied_row("a", false)),
+        Some(copied_row("b", true)),
+        Some(copied_row("b", false)),
     ] {
         let mut lease_state = LeaseState::new("a", PAUSE_MS);
         lease_state.enter_era(2);
         lease_state.read(0, StorePosition::new(2, 50), row.clone());
-        // A word of the era before, about a row that had the same version.
+        // An announcement from the previous era, about a row that had the same version.
         lease_state.record_ended_term(EndedTerm {
             position: StorePosition::new(1, 50),
             at_ms: 0,
         });
-        let whole_ms = TERM_MS + PAUSE_MS;
-        assert_eq!(lease_state.step(whole_ms, false), Step::Wait, "{row:?}");
+        let full_wait_ms = TERM_MS + PAUSE_MS;
+        assert_eq!(lease_state.step(full_wait_ms, false), Step::Wait, "{row:?}");
     }
 }
 
 #[test]
-fn a_term_counts_from_before_the_write() {
+fn a_term_starts_before_the_write() {
     let mut lease_state = LeaseState::new("a", PAUSE_MS);
     lease_state.read(0, at(0), None);
     assert_eq!(lease_state.step(1, false), Step::Write { expected: at(0) });
@@ -342,7 +346,7 @@
 }
 
 #[test]
-fn a_restarted_holder_goes_on_at_once_and_others_wait() {
+fn a_restarted_holder_continues_at_once_and_others_wait() {
     let held_by_a = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
@@ -359,17 +363,21 @@
             ..held_by_a.clone()
         };
         lease_state.read(0, at(5), Some(seen));
-        let waits = (0..20_000).find(|now_ms| lease_state.step(*now_ms, false) != Step::Wait);
+        let wait_end_ms = (0..20_000).find(|now_ms| lease_state.step(*now_ms, false) != Step::Wait);
         assert!(
-            waits.is_some_and(|ms| ms + 1 >= least_ms),
-            "{machine} {is_released}: {waits:?}"
+            wait_end_ms.is_some_and(|ms| ms + 1 >= least_ms),
+            "{machine} {is_released}: {wait_end_ms:?}"
+        );
+        assert_eq!(
+            wait_end_ms == Some(0),
+            machine == "a",
+            "{machine} {is_released}"
         );
-        assert_eq!(waits == Some(0), machine == "a", "{machine} {is_released}");
     }
 }
 
 #[test]
-fn the_holders_word_that_its_term_is_over_saves_the_term() {
+fn the_holders_announcement_of_its_ended_term_shortens_the_wait() {
     let mut lease_state = LeaseState::new("b", PAUSE_MS);
     let held = LeaseRow {
         holder: "a".to_owned(),
@@ -386,7 +394,7 @@
         Step::Wait,
         "another version"
     );
-    // The earliest word counts, also if it is heard last.
+    // The earliest announcement counts, even if it is heard last.
     lease_state.record_ended_term(ended(5, 900));
     lease_state.record_ended_term(ended(5, 20));
     lease_state.record_ended_term(ended(5, 400));
@@ -397,12 +405,12 @@
 }
 
 #[test]
-fn who_hears_the_holder_leaves_the_row_alone() {
+fn a_machine_that_hears_the_holder_does_not_touch_the_row() {
     let mut lease_state = LeaseState::new("b", PAUSE_MS);
     assert_eq!(lease_state.step(0, true), Step::Wait);
     assert_eq!(lease_state.step(0, false), Step::Read);
-    // Found in an incident: a row read long ago made every instance write in vain
-    // when the holder fell silent, and wait from there on.
+    // Guards against an incident in which every instance based its write on a row read long ago
+    // when the holder fell silent: the writes conflicted, and the wait began anew.
     let held = LeaseRow {
         holder: "a".to_owned(),
         ..LeaseRow::default()
--- a/crates/cranereach-fleet/tests/listing.rs
+++ b/crates/cranereach-fleet/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The rows of the list of workers: what is told of them, and to whom it fits.
+//! The list of workers: the deltas that instances send each other, and the lists they apply to.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use cranereach_fleet::listing::Verdict;
 use cranereach_fleet::store_position::StorePosition;
 
-/// Returns the position of a version of a store that has never come back from a copy.
+/// Returns the position of a version in a store that has never been restored.
 fn at(version: u64) -> StorePosition {
     StorePosition::new(0, version)
 }
@@ -32,8 +32,8 @@
     }
 }
 
-/// Gives a part to an instance, if it fits.
-fn tell(part: &ListPart<'_>, listing: &mut Listing) -> Verdict {
+/// Offers a delta to a list, which takes it if it applies.
+fn offer(part: &ListPart<'_>, listing: &mut Listing) -> Verdict {
     let verdict = listing.judge(part.from, part.position, part.span);
     if verdict == Verdict::Applies {
         let rows = part.rows.iter().copied().cloned().collect();
@@ -49,60 +49,60 @@
 }
 
 #[test]
-fn a_whole_list_of_a_new_instance_hides_no_end_from_its_peers() {
+fn the_first_read_of_a_new_instance_hides_no_ended_row_from_its_peers() {
     let mut old = Listing::default();
     old.take_whole(at(5), vec![changed("stays", 1), changed("ends", 2)]);
     let mut new = Listing::default();
-    // The row ended at version 7; the new instance never knew it.
+    // The row ended at version 7; the new instance never had it.
     new.take_whole(at(9), vec![changed("stays", 1)]);
-    assert_eq!(tell(&new.part().unwrap(), &mut old), Verdict::Gap);
-    assert_eq!(old.position(), at(5), "it still asks for what came after 5");
+    assert_eq!(offer(&new.part().unwrap(), &mut old), Verdict::Gap);
+    assert_eq!(old.position(), at(5), "it still needs the changes after 5");
     old.take(at(9), Span::Changes, vec![ended("ends", 7)]);
     assert_eq!(keys(&old), ["stays"]);
 }
 
 #[test]
-fn a_whole_list_after_lost_history_fits_only_the_version_it_was_compared_with() {
+fn a_difference_of_whole_lists_applies_only_at_its_first_version() {
     let start = vec![changed("a", 1)];
     let (mut reader, mut same, mut ahead) = <(Listing, Listing, Listing)>::default();
     for listing in [&mut reader, &mut same, &mut ahead] {
         listing.take_whole(at(5), start.clone());
     }
-    // A row that came at 6 and went at 7 is on neither of the reader's lists.
+    // A row added at 6 and removed at 7 is on neither of the reader's lists.
     ahead.take(at(6), Span::Changes, vec![changed("short", 6)]);
     reader.take_whole(at(8), Vec::new());
-    assert_eq!(tell(&reader.part().unwrap(), &mut ahead), Verdict::Gap);
-    assert_eq!(tell(&reader.part().unwrap(), &mut same), Verdict::Applies);
+    assert_eq!(offer(&reader.part().unwrap(), &mut ahead), Verdict::Gap);
+    assert_eq!(offer(&reader.part().unwrap(), &mut same), Verdict::Applies);
     assert!(keys(&same).is_empty());
-    // Changes read later are told without what was worked out from whole lists.
+    // Changes read later are sent without the difference that was computed from whole lists.
     reader.take(at(9), Span::Changes, vec![changed("b", 9)]);
     let part = reader.part().unwrap();
     assert_eq!((part.from, part.span), (at(8), Span::Changes));
-    // Whoever was told a difference passes it on as one.
+    // An instance that received a difference passes it on as one.
     assert_eq!(same.part().unwrap().span, Span::Difference);
 }
 
 #[test]
-fn ends_of_rows_that_were_never_known_are_told_as_well() {
+fn ends_of_unknown_rows_are_sent_as_well() {
     let mut reader = Listing::default();
     reader.take_whole(at(5), Vec::new());
     let mut ahead = reader.clone();
     ahead.take(at(6), Span::Changes, vec![changed("short", 6)]);
     reader.take(at(8), Span::Changes, vec![ended("short", 7)]);
-    assert_eq!(tell(&reader.part().unwrap(), &mut ahead), Verdict::Applies);
+    assert_eq!(offer(&reader.part().unwrap(), &mut ahead), Verdict::Applies);
     assert!(keys(&ahead).is_empty());
 }
 
 #[test]
-fn a_list_that_is_behind_changes_nothing_newer() {
+fn an_older_list_changes_no_newer_row() {
     let mut listing = Listing::default();
     listing.take_whole(at(5), vec![changed("old", 3), changed("new", 6)]);
     assert_eq!(listing.take_whole(at(4), Vec::new()), []);
-    let gone = listing.take_whole(at(5), Vec::new());
+    let ends = listing.take_whole(at(5), Vec::new());
     assert_eq!(
-        gone,
+        ends,
         [ended("old", 5)],
-        "a later page showed a later version"
+        "the row on a later page is newer than the list"
     );
     assert_eq!(keys(&listing), ["new"]);
     assert_eq!(
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_part_is_judged_by_the_versions_it_joins() {
+fn a_delta_is_judged_by_its_first_and_last_versions() {
     let mut list = Listing::default();
     assert_eq!(list.judge(at(0), at(0), Span::Changes), Verdict::Old);
     assert_eq!(list.judge(at(0), at(9), Span::Changes), Verdict::Applies);
@@ -144,15 +144,15 @@
 }
 
 #[test]
-fn a_part_holds_the_last_reads_but_stays_small() {
+fn a_delta_holds_the_last_reads_but_stays_small() {
     let mut list = Listing::default();
     assert_matches!(list.part(), None);
     list.take(at(1), Span::Changes, vec![changed("a", 1)]);
     list.take(at(2), Span::Changes, vec![changed("b", 2)]);
     let part = list.part().unwrap();
     assert_eq!((part.from, part.position), (at(0), at(2)));
-    let told: Vec<&str> = part.rows.iter().map(|row| row.key.as_str()).collect();
-    assert_eq!(told, ["a", "b"]);
+    let sent_keys: Vec<&str> = part.rows.iter().map(|row| row.key.as_str()).collect();
+    assert_eq!(sent_keys, ["a", "b"]);
     let many = |count: u64, version: u64| {
         let rows = (0..count).map(|row| changed(&format!("{version}-{row}"), version));
         rows.collect()
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn whoever_is_far_behind_is_told_all_it_has_missed_or_nothing() {
+fn an_instance_far_behind_gets_all_missed_changes_or_none() {
     let mut list = Listing::default();
     list.take_whole(at(5), vec![changed("stays", 1), changed("ends", 2)]);
     let behind = list.clone();
@@ -180,40 +180,44 @@
         Verdict::Gap
     );
     let rows = list.since(at(5)).unwrap();
-    assert_eq!(rows.len(), 35, "a part of a few reads would not do");
+    assert_eq!(rows.len(), 35, "more than a delta of the last reads holds");
     assert_eq!(rows.last(), Some(&ended("ends", 40)));
     assert_eq!(list.span_since(at(5)), Span::Changes);
     assert_eq!(
         list.since(at(4)),
         None,
-        "what ended before the first list isn't known"
+        "rows that ended before the first list are unknown"
     );
     list.take_whole(at(50), Vec::new());
     assert_eq!(list.span_since(at(5)), Span::Difference);
     assert_eq!(
         list.since(at(45)),
         None,
-        "a row may have come and gone unseen"
+        "a row may have been added and removed unseen"
     );
     assert!(list.since(at(40)).is_some());
 }
 
 #[test]
-fn whoever_takes_the_whole_list_can_tell_as_much_as_its_giver() {
-    let mut giver = Listing::default();
-    giver.take_whole(at(5), vec![changed("a", 1), changed("b", 2)]);
-    giver.take(at(9), Span::Changes, vec![ended("b", 7)]);
-    let mut taker = Listing::default();
-    taker.take_whole(at(9), vec![changed("a", 1)]);
-    assert_eq!(taker.since(at(6)), None, "it never knew what ended");
-    taker.adopt_history(at(8), giver.history().clone());
-    assert_eq!(taker.since(at(6)), None, "of another version");
-    taker.adopt_history(at(9), giver.history().clone());
-    assert_eq!(taker.since(at(6)), Some(vec![ended("b", 7)]));
+fn an_instance_that_fetches_a_list_adopts_its_history() {
+    let mut source = Listing::default();
+    source.take_whole(at(5), vec![changed("a", 1), changed("b", 2)]);
+    source.take(at(9), Span::Changes, vec![ended("b", 7)]);
+    let mut fetcher = Listing::default();
+    fetcher.take_whole(at(9), vec![changed("a", 1)]);
+    assert_eq!(
+        fetcher.since(at(6)),
+        None,
+        "it has no history of ended rows"
+    );
+    fetcher.adopt_history(at(8), source.history().clone());
+    assert_eq!(fetcher.since(at(6)), None, "history of another version");
+    fetcher.adopt_history(at(9), source.history().clone());
+    assert_eq!(fetcher.since(at(6)), Some(vec![ended("b", 7)]));
 }
 
 #[test]
-fn ends_of_rows_take_no_more_room_than_the_list() {
+fn the_history_of_ended_rows_is_bounded() {
     let mut list = Listing::default();
     list.take_whole(at(1), Vec::new());
     for version in 2..5_000 {
@@ -224,21 +228,21 @@
     assert_eq!(list.since(at(4_900)).map(|rows| rows.len()), Some(99));
 }
 
-/// Rows of the store: their positions and contents.
+/// Rows of the store by key, with their positions and contents.
 type Rows = BTreeMap<String, (StorePosition, Vec<u8>)>;
 
-/// The store: its rows, every change in order, and what it held at each position.
+/// The store: its rows, all changes in order, and its rows at each earlier position.
 #[derive(Clone, Debug, Default)]
 struct Store {
     position: StorePosition,
     rows: Rows,
     history: Vec<ChangedRow>,
-    forgotten_before: StorePosition,
+    history_from: StorePosition,
     past: BTreeMap<StorePosition, Rows>,
 }
 
 impl Store {
-    fn begin() -> Self {
+    fn new() -> Self {
         let mut store = Self::default();
         store.keep_copy();
         store
@@ -248,7 +252,7 @@
         self.past.insert(self.position, self.rows.clone());
     }
 
-    /// Writes a row, or drops it.
+    /// Writes or deletes a row.
     fn change(&mut self, key: &str, value: Option<Vec<u8>>) {
         self.position.version += 1;
         let row = ChangedRow {
@@ -271,39 +275,40 @@
         self.keep_copy();
     }
 
-    /// Comes back from a copy that lacks some of the last changes.
+    /// Restores the store from a copy that lacks the last `lost_count` changes.
     fn restore(&mut self, lost_count: u64) {
         let before = self.position;
         let era = before.era + 1;
-        let copied = before.version.saturating_sub(lost_count);
-        let of_copy = |position: StorePosition| StorePosition::new(era, position.version);
-        let rows = self.past[&StorePosition::new(before.era, copied)].clone();
+        let restored_version = before.version.saturating_sub(lost_count);
+        let in_new_era = |position: StorePosition| StorePosition::new(era, position.version);
+        let rows = self.past[&StorePosition::new(before.era, restored_version)].clone();
         let rows = rows.into_iter();
-        let rows = rows.map(|(key, (position, value))| (key, (of_copy(position), value)));
+        let rows = rows.map(|(key, (position, value))| (key, (in_new_era(position), value)));
         self.rows = rows.collect();
-        self.position = StorePosition::new(era, copied);
-        self.history.retain(|row| row.position.version <= copied);
+        self.position = StorePosition::new(era, restored_version);
+        self.history
+            .retain(|row| row.position.version <= restored_version);
         for row in &mut self.history {
-            row.position = of_copy(row.position);
+            row.position = in_new_era(row.position);
         }
-        self.forgotten_before.era = era;
+        self.history_from.era = era;
         let earlier = self.past.range(StorePosition::start_of(before.era)..);
         let earlier: Vec<(StorePosition, Rows)> = earlier
-            .filter(|(position, _)| position.version < copied)
-            .map(|(position, rows)| (of_copy(*position), rows.clone()))
+            .filter(|(position, _)| position.version < restored_version)
+            .map(|(position, rows)| (in_new_era(*position), rows.clone()))
             .collect();
         self.past.extend(earlier);
         self.keep_copy();
     }
 
-    /// Returns the newest change of each row that changed after a position; none
-    /// if the history before it is gone, or of an earlier era.
+    /// Returns the newest change of each row that changed after a position; none if that history
+    /// has been discarded or the position is of an earlier era.
     fn changes_after(&self, after: StorePosition) -> Option<Vec<ChangedRow>> {
         let mut newest: BTreeMap<&str, &ChangedRow> = BTreeMap::new();
         for row in self.history.iter().filter(|row| row.position > after) {
             newest.insert(&row.key, row);
         }
-        let is_known = after.era == self.position.era && after >= self.forgotten_before;
+        let is_known = after.era == self.position.era && after >= self.history_from;
         is_known.then(|| newest.into_values().cloned().collect())
     }
 
@@ -318,54 +323,54 @@
     }
 }
 
-/// What happens next in a random order of events.
+/// One event of a random sequence.
 #[derive(Clone, Debug)]
 enum Event {
     /// A worker's row is written, with one of a few contents.
     Put(u8, u8),
     /// A worker's row ends.
     End(u8),
-    /// The store forgets its history.
-    Forget,
-    /// The store comes back from a copy that lacks so many of the last changes.
+    /// The store discards its history.
+    DiscardHistory,
+    /// The store is restored from a copy that lacks this many of the last changes.
     Restore(u64),
-    /// An instance reads, and what it tells is on its way.
+    /// An instance reads the store and sends a delta.
     Read(usize),
-    /// A message arrives at an instance, and maybe again later.
+    /// A message arrives at an instance; if `is_kept`, it may arrive again later.
     Arrive {
         message: usize,
         at: usize,
-        again: bool,
+        is_kept: bool,
     },
-    /// An instance takes the whole list of another.
-    Fetch { from: usize, by: usize },
-    /// An instance asks another for all that has changed since its own position.
-    CatchUp { from: usize, by: usize },
-    /// An instance starts anew and knows nothing.
-    Start(usize),
+    /// An instance fetches the whole list of another.
+    Fetch { from: usize, to: usize },
+    /// An instance requests all changes since its own position from another.
+    CatchUp { from: usize, to: usize },
+    /// An instance restarts and knows nothing.
+    Restart(usize),
 }
 
 const INSTANCE_COUNT: usize = 4;
 
-/// Events of a store that comes back from copies, or never does.
+/// Generates events, with or without restores of the store.
 fn event(is_restored: bool) -> impl Strategy<Value = Event> {
     let instance = 0..INSTANCE_COUNT;
     prop_oneof![
         u32::from(is_restored) => (0_u64..6).prop_map(Event::Restore),
         4 => (0_u8..5, 0_u8..3).prop_map(|(worker, content)| Event::Put(worker, content)),
         3 => (0_u8..5).prop_map(Event::End),
-        1 => Just(Event::Forget),
+        1 => Just(Event::DiscardHistory),
         6 => instance.clone().prop_map(Event::Read),
         9 => (0_usize..6, instance.clone(), any::<bool>())
-            .prop_map(|(message, at, again)| Event::Arrive { message, at, again }),
-        2 => (instance.clone(), instance.clone()).prop_map(|(from, by)| Event::Fetch { from, by }),
+            .prop_map(|(message, at, is_kept)| Event::Arrive { message, at, is_kept }),
+        2 => (instance.clone(), instance.clone()).prop_map(|(from, to)| Event::Fetch { from, to }),
         4 => (instance.clone(), instance.clone())
-            .prop_map(|(from, by)| Event::CatchUp { from, by }),
-        2 => instance.prop_map(Event::Start),
+            .prop_map(|(from, to)| Event::CatchUp { from, to }),
+        2 => instance.prop_map(Event::Restart),
     ]
 }
 
-/// A part on its way.
+/// A delta in transit.
 struct Message {
     from: StorePosition,
     position: StorePosition,
@@ -373,7 +378,7 @@
     rows: Vec<ChangedRow>,
 }
 
-fn message(listing: &Listing) -> Option<Message> {
+fn delta_message(listing: &Listing) -> Option<Message> {
     let part = listing.part()?;
     Some(Message {
         from: part.from,
@@ -383,18 +388,18 @@
     })
 }
 
-/// Makes the message that tells an instance all it has missed.
-fn missed(from: &Listing, by: &Listing) -> Option<Message> {
-    let rows = from.since(by.position())?;
-    (by.position() < from.position()).then(|| Message {
-        from: by.position(),
+/// Returns the message with all changes that an instance has missed.
+fn catch_up_message(from: &Listing, to: &Listing) -> Option<Message> {
+    let rows = from.since(to.position())?;
+    (to.position() < from.position()).then(|| Message {
+        from: to.position(),
         position: from.position(),
-        span: from.span_since(by.position()),
+        span: from.span_since(to.position()),
         rows,
     })
 }
 
-fn read(store: &Store, listing: &mut Listing) {
+fn read_store(store: &Store, listing: &mut Listing) {
     let changes = store.changes_after(listing.position());
     match changes.filter(|_| !listing.position().is_none()) {
         Some(rows) => listing.take(store.position, Span::Changes, rows),
@@ -402,9 +407,9 @@
     };
 }
 
-/// Plays events; the rows of each instance must be those of the store at its position.
-fn play(events: Vec<Event>) -> Result<(), TestCaseError> {
-    let mut store = Store::begin();
+/// Runs events, and checks after each that every list equals the store's at its position.
+fn run_events(events: Vec<Event>) -> Result<(), TestCaseError> {
+    let mut store = Store::new();
     let mut listings = vec![Listing::default(); INSTANCE_COUNT];
     let mut messages: Vec<Message> = Vec::new();
     for event in events {
@@ -413,25 +418,29 @@
                 store.change(&format!("w{worker}"), Some(vec![content]));
             }
             Event::End(worker) => store.change(&format!("w{worker}"), None),
-            Event::Forget => store.forgotten_before = store.position,
+            Event::DiscardHistory => store.history_from = store.position,
             Event::Restore(lost_count) => store.restore(lost_count),
             Event::Read(at) => {
-                read(&store, &mut listings[at]);
-                messages.extend(message(&listings[at]));
+                read_store(&store, &mut listings[at]);
+                messages.extend(delta_message(&listings[at]));
             }
-            Event::Arrive { message, at, again } => {
+            Event::Arrive {
+                message,
+                at,
+                is_kept,
+            } => {
                 if message < messages.len() {
-                    let told = &messages[message];
-                    let verdict = listings[at].judge(told.from, told.position, told.span);
+                    let delta = &messages[message];
+                    let verdict = listings[at].judge(delta.from, delta.position, delta.span);
                     if verdict == Verdict::Applies {
-                        listings[at].take(told.position, told.span, told.rows.clone());
+                        listings[at].take(delta.position, delta.span, delta.rows.clone());
                     }
-                    if !again {
+                    if !is_kept {
                         messages.remove(message);
                     }
                 }
             }
-            Event::Fetch { from, by } => {
+            Event::Fetch { from, to } => {
                 let position = listings[from].position();
                 let rows = listings[from].rows();
                 let rows = rows.map(|(key, position, value)| ChangedRow {
@@ -440,16 +449,16 @@
                     value: Some(value.to_vec()),
                 });
                 let rows = rows.collect();
-                if position > listings[by].position() {
+                if position > listings[to].position() {
                     let history = listings[from].history().clone();
-                    listings[by].take_whole(position, rows);
-                    listings[by].adopt_history(position, history);
+                    listings[to].take_whole(position, rows);
+                    listings[to].adopt_history(position, history);
                 }
             }
-            Event::CatchUp { from, by } => {
-                messages.extend(missed(&listings[from], &listings[by]));
+            Event::CatchUp { from, to } => {
+                messages.extend(catch_up_message(&listings[from], &listings[to]));
             }
-            Event::Start(at) => listings[at] = Listing::default(),
+            Event::Restart(at) => listings[at] = Listing::default(),
         }
         for listing in &listings {
             check(&store, listing)?;
@@ -460,7 +469,7 @@
 
 /// Checks that the rows of an instance are those of the store at its position.
 ///
-/// Rows that stand as they did before a restore keep the position that they had then.
+/// Rows that a restore left unchanged keep the position that they had before.
 fn check(store: &Store, listing: &Listing) -> Result<(), TestCaseError> {
     let expected = &store.past[&listing.position()];
     let keys: Vec<&str> = keys(listing);
@@ -486,21 +495,21 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Whatever is lost, doubled, late or forgotten: the rows of an instance are
-    /// those of the store at the instance's position.
+    /// Whatever messages are lost, duplicated or late, and whatever history is discarded: the rows
+    /// of an instance are those of the store at the instance's position.
     #[test]
-    fn a_list_equals_the_stores_at_its_version(
+    fn a_list_equals_that_of_the_store_at_its_version(
         events in proptest::collection::vec(event(false), 1..120)
     ) {
-        play(events)?;
+        run_events(events)?;
     }
 
-    /// Guards against rows of an earlier era that stay, or are missing, where the store
-    /// has lost changes and gives their versions out again.
+    /// Guards against rows of an earlier era that remain or are missing when the store has lost
+    /// changes and assigns their versions again.
     #[test]
-    fn a_list_equals_the_stores_though_it_comes_back_from_copies(
+    fn a_list_equals_that_of_the_store_despite_restores(
         events in proptest::collection::vec(event(true), 1..120)
     ) {
-        play(events)?;
+        run_events(events)?;
     }
 }
--- a/crates/cranereach-fleet/tests/sends/grants.rs
+++ b/crates/cranereach-fleet/tests/sends/grants.rs
@@ -1,4 +1,4 @@
-//! What one owner grants, by the letter.
+//! Grants that a single owner gives.
 
 use std::net::Ipv4Addr;
 
@@ -11,17 +11,17 @@
 use cranereach_fleet::send_grants::SendRule;
 use cranereach_fleet::topology::DomainTag;
 
-/// Counts what is granted where one question comes each 10 ms.
+/// Counts the grants if one request for a grant comes every 10 ms.
 fn granted_count(rate_per_s: f64, for_ms: u64, ownership: Ownership) -> usize {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_limit(rate_per_s)];
-    let times = (0..for_ms).step_by(10).map(|of| 1_000 + of);
+    let times = (0..for_ms).step_by(10).map(|offset_ms| 1_000 + offset_ms);
     let answers = times.map(|now_ms| owner.ask(now_ms, WORKER, &rules, 0, ownership));
     answers.filter(|answer| *answer == SendAnswer::Send).count()
 }
 
 #[test]
-fn a_settled_owner_grants_what_is_named() {
+fn a_settled_owner_grants_the_named_rate() {
     for rate_per_s in [0.3, 1.0, 1.2, 10.0, 50.0] {
         let count = granted_count(rate_per_s, 60_000, Ownership::Settled) as f64;
         let share = count / (rate_per_s * 60.0);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn whatever_is_named_something_goes_there() {
+fn a_minimum_rate_is_granted_for_any_limit() {
     for rate_per_s in [0.0, 1e-9, 0.01] {
         let count = granted_count(rate_per_s, 60_000, Ownership::Settled);
         assert!((6..=8).contains(&count), "{rate_per_s}: {count}");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_minority_grants_its_share_and_not_at_once() {
+fn a_minority_grants_its_share_after_a_delay() {
     let minority = |for_ms: u64| Ownership::Minority {
         share: 0.25,
         for_ms,
@@ -57,17 +57,17 @@
 }
 
 #[test]
-fn of_two_rules_the_stricter_holds() {
+fn the_stricter_of_two_rules_applies() {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_cold(8.7, 1.5, 5.0), SendRule::of_limit(0.3)];
-    let times = (0..3_000).step_by(10).map(|of| 1_000 + of);
+    let times = (0..3_000).step_by(10).map(|offset_ms| 1_000 + offset_ms);
     let answers = times.map(|now_ms| owner.ask(now_ms, WORKER, &rules, 0, Ownership::Settled));
     let sent = answers.filter(|answer| *answer == SendAnswer::Send);
     assert_eq!(sent.count(), SendRule::of_limit(0.3).count());
 }
 
 #[test]
-fn those_who_are_refused_come_back_one_after_the_other() {
+fn refused_requests_get_increasing_retry_delays() {
     let mut owner = SendGrants::default();
     let rules = [SendRule::of_limit(1.0)];
     let mut ask = |now_ms| owner.ask(now_ms, WORKER, &rules, 0, Ownership::Settled);
@@ -82,8 +82,8 @@
     assert!(waits[99] > waits[0] + 4_000, "{waits:?}");
 }
 
-/// The order of instances for the worker, this one first.
-fn first_of(count: usize) -> (Ipv4Addr, Vec<Ipv4Addr>) {
+/// Returns the instance that ranks first for the worker, and all instances in rank order.
+fn ranked_addresses(count: usize) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let all: Vec<Ipv4Addr> = (0..count).map(address).collect();
     let probe = Membership::new(Ipv4Addr::new(10, 9, 9, 9), DomainTag::default(), &all);
     let mut seen = probe;
@@ -95,49 +95,55 @@
 }
 
 #[test]
-fn only_a_change_before_it_makes_an_owner_new() {
-    let (_, order) = first_of(9);
+fn only_a_change_of_higher_ranks_makes_an_owner_new() {
+    let (_, order) = ranked_addresses(9);
     let own = order[1];
-    let others: Vec<Ipv4Addr> = order.iter().copied().filter(|of| *of != own).collect();
+    let others: Vec<Ipv4Addr> = order
+        .iter()
+        .copied()
+        .filter(|other| *other != own)
+        .collect();
     let mut members = Membership::new(own, DomainTag::default(), &[]);
     let now_ms = 100_000;
     for other in &others {
         members.heard_from(now_ms, *other, DomainTag::default(), false);
     }
     members.refresh(now_ms);
-    let of = |members: &Membership, at_ms: u64| Ownership::of(members, at_ms, WORKER, 90_000);
-    let look_on = |members: &mut Membership, from_ms: u64, to_ms: u64| {
+    let ownership =
+        |members: &Membership, at_ms: u64| Ownership::of(members, at_ms, WORKER, 90_000);
+    let refresh_during = |members: &mut Membership, from_ms: u64, to_ms: u64| {
         for at_ms in (from_ms..=to_ms).step_by(250) {
             members.refresh(at_ms);
         }
     };
     assert_eq!(
-        of(&members, now_ms),
+        ownership(&members, now_ms),
         Ownership::Other,
-        "another one comes first"
+        "another instance ranks first"
     );
-    // The first one leaves: this one takes over, and is new for a while.
+    // The instance that ranks first leaves: this one takes over, and is new for a while.
     members.heard_from(now_ms + 10, others[0], DomainTag::default(), true);
-    assert_eq!(of(&members, now_ms + 20), Ownership::New);
+    assert_eq!(ownership(&members, now_ms + 20), Ownership::New);
     for other in &others[1..] {
         members.heard_from(now_ms + 2_600, *other, DomainTag::default(), false);
     }
-    look_on(&mut members, now_ms, now_ms + 2_600);
-    assert_eq!(of(&members, now_ms + 2_600), Ownership::Settled);
-    // One that comes after it leaves: nothing changes for the worker.
+    refresh_during(&mut members, now_ms, now_ms + 2_600);
+    assert_eq!(ownership(&members, now_ms + 2_600), Ownership::Settled);
+    // An instance that ranks after it leaves: nothing changes for the worker.
     members.heard_from(now_ms + 2_650, others[5], DomainTag::default(), true);
     members.refresh(now_ms + 2_660);
-    assert_eq!(of(&members, now_ms + 2_700), Ownership::Settled);
-    // It stands still, and hears at once what has waited: others may have taken over.
-    assert_eq!(of(&members, now_ms + 3_700), Ownership::New);
+    assert_eq!(ownership(&members, now_ms + 2_700), Ownership::Settled);
+    // It is suspended, and then receives all waiting heartbeats at once: others may have taken
+    // over.
+    assert_eq!(ownership(&members, now_ms + 3_700), Ownership::New);
     for other in &others[1..] {
         members.heard_from(now_ms + 6_000, *other, DomainTag::default(), false);
     }
     members.refresh(now_ms + 6_000);
-    assert_eq!(of(&members, now_ms + 6_100), Ownership::New);
-    look_on(&mut members, now_ms + 6_000, now_ms + 8_500);
+    assert_eq!(ownership(&members, now_ms + 6_100), Ownership::New);
+    refresh_during(&mut members, now_ms + 6_000, now_ms + 8_500);
     for other in &others[1..] {
         members.heard_from(now_ms + 8_500, *other, DomainTag::default(), false);
     }
-    assert_eq!(of(&members, now_ms + 8_600), Ownership::Settled);
+    assert_eq!(ownership(&members, now_ms + 8_600), Ownership::Settled);
 }
--- a/crates/cranereach-fleet/tests/ways.rs
+++ b/crates/cranereach-fleet/tests/ways.rs
@@ -1,10 +1,10 @@
-//! How long answers are waited for, by distance.
+//! Round-trip times and reply timeouts by distance.
 
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::ways::RoundTrips;
 
 #[test]
-fn an_answer_from_another_region_is_waited_for_before_and_after_its_way_is_known() {
+fn timeouts_cover_other_regions_before_and_after_samples() {
     let mut round_trips = RoundTrips::default();
     assert!(round_trips.wait_ms(Distance::OtherRegion) >= 60);
     for answer in 0..100 {
@@ -13,13 +13,13 @@
     }
     assert!((20..40).contains(&round_trips.wait_ms(Distance::OtherRegion)));
     assert!((round_trips.round_trip_ms(Distance::OtherRegion) - 17.5).abs() < 2.0);
-    // What is learned of one distance says nothing of another.
+    // Samples of one distance don't change the timeout of another.
     assert_eq!(round_trips.wait_ms(Distance::OwnDomain), 20);
     assert_eq!(round_trips.wait_ms(Distance::OwnRegion), 20);
 }
 
 #[test]
-fn a_way_that_grows_longer_than_the_wait_is_found_again() {
+fn a_round_trip_that_grows_beyond_the_timeout_is_learned_again() {
     let mut round_trips = RoundTrips::default();
     for _answer in 0..50 {
         round_trips.reply_received(Distance::OtherRegion, 16.0);
@@ -31,7 +31,7 @@
         question_count += 1;
         assert!(question_count < 100);
     }
-    // One owner that has died among others that answer changes nothing.
+    // One failed owner among others that answer doesn't change the timeout.
     let mut round_trips = RoundTrips::default();
     for question in 0..400 {
         if question % 3 == 0 {
@@ -41,7 +41,7 @@
         }
     }
     assert_eq!(round_trips.wait_ms(Distance::OwnRegion), 20);
-    // Nothing makes a request wait without end.
+    // However many replies are lost, the timeout stays bounded.
     for _question in 0..1_000 {
         round_trips.reply_missed(Distance::OtherRegion);
     }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn instances_that_are_slow_or_gone_hold_up_no_call_within_a_region() {
+fn slow_or_lost_instances_do_not_raise_timeouts_within_a_region() {
     let mut round_trips = RoundTrips::default();
     for question in 0..400 {
         for distance in [Distance::OwnDomain, Distance::OwnRegion] {
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -18,10 +18,10 @@
 use self::lease::Candidacy;
 use self::orders::Completion;
 use self::orders::OrderSender;
-use crate::news;
-use crate::node::Announced;
+use crate::node::AnnouncedChanges;
 use crate::node::Node;
 use crate::node::pause;
+use crate::peer_updates;
 use cranereach_core::token_bucket::TokenBucket;
 use cranereach_fleet::configuration::Engine;
 use cranereach_fleet::demand::ModelKey;
@@ -328,7 +328,7 @@
 
     /// Announces to peers, and applies to this instance's own roster, what the orders changed.
     fn announce(&mut self, node: &Node, engine: &Engine) {
-        let mut announced = Announced {
+        let mut announced = AnnouncedChanges {
             adapters: self.unlisted_adapters(node, engine),
             withheld: Vec::new(),
             loading: self.ledger.loading(node.now_ms()),
@@ -336,8 +336,8 @@
         let unloads = self.ledger.unloading();
         announced.withheld = unloads.map(|(id, model)| (worker_key(id), model)).collect();
         let now_ms = node.now_ms();
-        news::apply_orders(node, now_ms, &announced.adapters, &announced.withheld);
-        news::notify_placed(node, worker_key(&self.service), &announced.adapters);
+        peer_updates::apply_orders(node, now_ms, &announced.adapters, &announced.withheld);
+        peer_updates::notify_placed(node, worker_key(&self.service), &announced.adapters);
         let mut all_announced = node.announced();
         let previous = all_announced.insert(Arc::clone(&self.service), announced.clone());
         drop(all_announced);
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -20,7 +20,7 @@
 use crate::cold;
 use crate::quarantine;
 use crate::send_permit;
-use crate::worker_words::DEFAULT_KEEP_ALIVE_MS;
+use crate::worker_headers::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_fleet::purpose::Purpose;
 use cranereach_fleet::roster::Choice;
 use cranereach_http::body;
@@ -110,11 +110,11 @@
                 return Err(Failure::BrokenOff);
             }
         };
-        let words = check_head(node, self.call, &permit, &mut in_flight, &response)?;
+        let parsed_headers = check_head(node, self.call, &permit, &mut in_flight, &response)?;
         Ok(ResponseHead {
             response,
             connection,
-            keep_alive_ms: words.connection_keep_alive_ms,
+            keep_alive_ms: parsed_headers.connection_keep_alive_ms,
             in_flight,
         })
     }
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -24,20 +24,20 @@
 use self::connections::Pools;
 use crate::adapter;
 use crate::adapter::Adapter;
-use crate::expected::ExpectedModels;
-use crate::list_bodies;
+use crate::expected_models::ExpectedModels;
+use crate::list_transfer;
 use crate::messages::LimitGrant;
 use crate::messages::Quote;
 use crate::messages::SendGrant;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::quarantine::lasting::PersistenceState;
+use crate::quarantine::persistence::PersistenceState;
 use crate::questions::Questions;
 use crate::recent::RecentUpdates;
 use crate::recipients::Origin;
 use crate::settings::Settings;
 use crate::store::Store;
-use crate::unknown_words::UnknownHeaders;
+use crate::unknown_headers::UnknownHeaders;
 use crate::worker_ends::WorkerProbes;
 use cranereach_fleet::configuration::Configuration;
 use cranereach_fleet::demand::Demand;
@@ -66,7 +66,7 @@
 
 /// Changes that this instance's orders have made at workers, to be gossiped to peers.
 #[derive(Clone, Debug, Default)]
-pub struct Announced {
+pub struct AnnouncedChanges {
     /// Adapters that have been loaded: worker key, model and adapter.
     pub adapters: Vec<(u64, ModelKey)>,
     /// Models that are being unloaded: worker key, model.
@@ -95,11 +95,11 @@
     /// Probes of workers whose connections broke.
     pub tries: WorkerProbes,
     /// Headers in workers' answers that this build does not recognize.
-    pub unknown_words: UnknownHeaders,
+    pub unknown_headers: UnknownHeaders,
     /// Requests during which workers ended.
     pub quarantine: Mutex<Quarantine>,
     /// Whether the quarantined requests kept in the store have been read.
-    pub lasting: PersistenceState,
+    pub persistence: PersistenceState,
     /// Random ID of this process start.
     pub boot: u64,
     /// Wakes tasks that wait for a worker holding the model or adapter they need.
@@ -127,7 +127,7 @@
     /// Proof that the configuration in force was recently the newest.
     pub proof: Mutex<Proof>,
     /// State for sending whole worker lists to peers.
-    pub list_sending: list_bodies::ListSending,
+    pub list_sending: list_transfer::ListSending,
     /// Wakes the sender of worker list changes.
     pub list_update_wanted: Notify,
     /// Widest origin of the list changes still to be sent; `None` if none are pending.
@@ -149,7 +149,7 @@
     pub shortages: Mutex<Shortages>,
     demand: Mutex<HashMap<Arc<str>, Demand>>,
     peers: Mutex<Peers>,
-    announced: Mutex<HashMap<Arc<str>, Announced>>,
+    announced: Mutex<HashMap<Arc<str>, AnnouncedChanges>>,
     retries: Mutex<HashMap<Arc<str>, RetryWindow>>,
     pools: Mutex<Pools>,
     /// Requests at the workers that this instance owns.
@@ -216,7 +216,7 @@
         let peers = Peers::new(own_ip, &settings.instance.failure_domain, &seeds);
         let metrics = Metrics::new();
         Some(Self {
-            peers: Mutex::new(peers.within(&topology)),
+            peers: Mutex::new(peers.with_topology(&topology)),
             topology,
             adapter,
             store: Store::new(&settings.platform.store, adapter, &log, &metrics),
@@ -224,9 +224,9 @@
             metrics,
             fingerprint_key: FingerprintKey::new(&settings.peers.fingerprint_secret),
             tries: WorkerProbes::default(),
-            unknown_words: UnknownHeaders::default(),
+            unknown_headers: UnknownHeaders::default(),
             quarantine: Mutex::default(),
-            lasting: PersistenceState::default(),
+            persistence: PersistenceState::default(),
             boot,
             roster_changed: Notify::new(),
             digest_count: AtomicU64::new(0),
@@ -240,7 +240,7 @@
             listing: Mutex::default(),
             list: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
             proof: Mutex::new(Proof::new(boot, settings.bounds.configuration_ms)),
-            list_sending: list_bodies::ListSending::default(),
+            list_sending: list_transfer::ListSending::default(),
             list_update_wanted: Notify::new(),
             list_origin: Mutex::default(),
             recent_leaving: Mutex::default(),
@@ -336,7 +336,7 @@
     }
 
     /// Returns the changes made by this instance's orders, by service.
-    pub fn announced(&self) -> MutexGuard<'_, HashMap<Arc<str>, Announced>> {
+    pub fn announced(&self) -> MutexGuard<'_, HashMap<Arc<str>, AnnouncedChanges>> {
         lock(&self.announced)
     }
 
@@ -377,7 +377,7 @@
 
     /// Sends the worker list's changes to peers at once, after the list changed or was
     /// confirmed as the newest by `origin`.
-    pub fn tell_list(&self, origin: Origin) {
+    pub fn announce_list(&self, origin: Origin) {
         let mut widest = lock(&self.list_origin);
         *widest = Some(widest.map_or(origin, |before| before.max(origin)));
         self.list_update_wanted.notify_one();
--- a/crates/cranereach-gateway/src/worker_words.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::rests;
 use crate::send_permit::Permit;
-use crate::unknown_words;
+use crate::unknown_headers;
 use cranereach_fleet::departure;
 use cranereach_fleet::load::ReportedLoad;
 use cranereach_fleet::named_limit;
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerHeaders {
     /// Whether another worker than the intended one responded.
-    pub is_of_another: bool,
+    pub is_from_other_worker: bool,
     /// Whether the response states that the request was not run.
     pub is_not_run: bool,
     /// The worker's load, if stated and valid.
@@ -73,7 +73,7 @@
             _ => rest::RestRequest::Nothing,
         };
         Self {
-            is_of_another: is_misdirected || is_other_worker,
+            is_from_other_worker: is_misdirected || is_other_worker,
             is_not_run: is_misdirected || headers.contains_key(names.not_run),
             load: load.flatten(),
             is_load_unreadable: load == Some(None),
@@ -87,7 +87,7 @@
 
 /// Applies the head of a response to the state of the worker. `is_expected_response` states whether
 /// it answers the permitted request, rather than being a late response to an earlier one.
-pub fn hear(
+pub fn apply_head(
     node: &Node,
     permit: &Permit,
     head: (StatusCode, &HeaderMap),
@@ -95,10 +95,10 @@
 ) -> WorkerHeaders {
     let (status, _headers) = head;
     let worker_headers = WorkerHeaders::read(&node.adapter.headers, &permit.worker, head);
-    if worker_headers.is_of_another {
+    if worker_headers.is_from_other_worker {
         return worker_headers;
     }
-    unknown_words::record(node, &permit.worker, head);
+    unknown_headers::record(node, &permit.worker, head);
     record_unreadable(node, &permit.worker, &worker_headers);
     if worker_headers.leaving == departure::Said::Leaves {
         departures::record_announcement(node, permit);
@@ -162,7 +162,7 @@
     for (_, source, header) in unreadable.iter().filter(|(is_set, ..)| *is_set) {
         let counter = &node.metrics.bad_input_total;
         counter.with_label_values(&[source]).inc();
-        unknown_words::record_unreadable(node, worker, header);
+        unknown_headers::record_unreadable(node, worker, header);
     }
 }
 
--- a/crates/cranereach-gateway/tests/limit_words.rs
+++ b/crates/cranereach-gateway/tests/limit_words.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of workers that name a limit, in bytes.
+//! Size of the messages in which instances exchange the rate limits that workers announce.
 
 use cranereach_fleet::named_limit::LimitReport;
 use cranereach_gateway::messages::GrantAsk;
@@ -9,21 +9,21 @@
 use cranereach_gateway::messages::SendGrant;
 use cranereach_gateway::messages::encode;
 
-/// Largest word on a limit, in bytes.
-const WORD_MAX_BYTES: usize = 32;
+/// Maximum size that a limit report adds to a message, in bytes.
+const REPORT_MAX_BYTES: usize = 32;
 
-/// Largest question for a grant, and largest answer, in bytes.
+/// Maximum size of a request for a send grant, and of the grant, in bytes.
 const GRANT_MAX_BYTES: usize = 64;
 
-/// A word as large as words get.
-const WORD: LimitReport = LimitReport {
+/// A limit report of maximum encoded size.
+const LARGEST_REPORT: LimitReport = LimitReport {
     start: u64::MAX,
     rate_per_s: Some(1.2),
     asked_age_ms: u32::MAX,
     heard_age_ms: u32::MAX,
 };
 
-fn question_bytes(limit: Option<LimitReport>) -> usize {
+fn owner_message_bytes(limit: Option<LimitReport>) -> usize {
     let ask = OwnerAsk {
         limit,
         ..OwnerAsk::default()
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn a_worker_that_names_none_costs_nothing_to_speak_of() {
-    let unspoken = question_bytes(None);
-    let spoken = question_bytes(Some(WORD));
-    println!("a word takes {} bytes", spoken - unspoken);
-    assert!(spoken - unspoken <= WORD_MAX_BYTES);
+fn a_limit_report_adds_few_bytes() {
+    let bytes_without = owner_message_bytes(None);
+    let bytes_with = owner_message_bytes(Some(LARGEST_REPORT));
+    println!("a limit report takes {} bytes", bytes_with - bytes_without);
+    assert!(bytes_with - bytes_without <= REPORT_MAX_BYTES);
 }
 
 #[test]
@@ -51,17 +51,17 @@
         worker: u64::MAX,
         rank: 2,
         is_cold: true,
-        limit: Some(WORD),
+        limit: Some(LARGEST_REPORT),
     };
     let grant = SendGrant {
         ticket: u64::MAX,
         worker: u64::MAX,
         wait_ms: Some(u32::MAX),
-        limit: Some(WORD),
+        limit: Some(LARGEST_REPORT),
     };
     let ask_bytes = encode(Message::MaySend(ask)).len();
     let grant_bytes = encode(Message::SendGranted(grant)).len();
-    println!("asked with {ask_bytes} bytes, answered with {grant_bytes}");
+    println!("a request takes {ask_bytes} bytes, a grant {grant_bytes}");
     assert!(ask_bytes <= GRANT_MAX_BYTES);
     assert!(grant_bytes <= GRANT_MAX_BYTES);
 }
--- a/crates/cranereach-http/tests/clock.rs
+++ b/crates/cranereach-http/tests/clock.rs
@@ -5,18 +5,18 @@
 use std::time::Duration;
 
 use cranereach_http::clock::Clock;
-use cranereach_http::clock::boot_ms;
+use cranereach_http::clock::boottime_ms;
 
 /// Simulated suspension of the machine, in milliseconds, during which timers stood still.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the time since boot with the simulated suspension added.
 fn simulated_boottime_ms() -> u64 {
-    boot_ms() + SUSPENDED_MS.load(Ordering::Acquire)
+    boottime_ms() + SUSPENDED_MS.load(Ordering::Acquire)
 }
 
 #[test]
-fn what_was_due_while_the_machine_was_suspended_is_due_at_once() {
+fn deadlines_that_pass_during_suspension_are_due_at_once() {
     let clock = Clock::of(simulated_boottime_ms);
     let due_ms = clock.now_ms() + 30_000;
     let before = clock.instant(due_ms);
--- a/tests/testsuite/at_most_once.rs
+++ b/tests/testsuite/at_most_once.rs
@@ -8,7 +8,7 @@
 use cranereach_standin::load::Call;
 use cranereach_standin::platform::state::PlatformFaults;
 use cranereach_standin::platform::state::StoreFaults;
-use cranereach_standin::relay::Passage;
+use cranereach_standin::relay::LinkMode;
 use cranereach_standin::service::ServiceFaults;
 
 /// Returns a call to the ledger service with a name, under which the service counts its runs.
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_told_not_run_did_not_run() {
+async fn a_call_refused_as_not_run_did_not_run() {
     let deployment = fixture::start(Shape::default()).await;
     fixture::assert_served(&deployment, 0, &ledger_call("warm")).await;
     deployment.services.iter().for_each(|service| {
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_with_the_same_key_through_another_instance_joins_the_first() {
+async fn a_repeat_with_the_same_key_through_another_instance_gets_the_first_answer() {
     let mut deployment = fixture::start(Shape {
         entry_count: 2,
         ..Shape::default()
@@ -195,10 +195,10 @@
         let call = ledger_call(&name);
         let delayed_cut = async {
             tokio::time::sleep(std::time::Duration::from_micros(number * 400)).await;
-            relay.set(Passage::Cut);
+            relay.set(LinkMode::Cut);
         };
         let (outcome, ()) = tokio::join!(deployment.call(0, &call), delayed_cut);
-        relay.set(Passage::Open);
+        relay.set(LinkMode::Open);
         let ran = run_count(&deployment, &name);
         assert!(ran <= 1, "{name} ran {ran} times");
         if outcome.text.contains("\"ran\":\"no\"") {
