--- a/crates/cranereach-fleet/src/accounts.rs
+++ b/crates/cranereach-fleet/src/accounts.rs
@@ -14,7 +14,7 @@
 
 /// Largest valid rate or burst of a limit, in tokens: far beyond what any fleet serves, and
 /// small enough that sums stay exact.
-const LIMIT_MAX_TOKENS: f64 = 1e12;
+const LIMIT_MAX_UNITS: f64 = 1e12;
 
 /// Maximum length of an account's name, in bytes: it is sent in a header with each request.
 const NAME_MAX_BYTES: usize = 200;
@@ -224,7 +224,7 @@
 
 /// Whether the numbers of a limit are in range.
 fn is_valid_limit(limit: Limit) -> bool {
-    let is_in_range = |amount: f64| (0.0..=LIMIT_MAX_TOKENS).contains(&amount);
+    let is_in_range = |amount: f64| (0.0..=LIMIT_MAX_UNITS).contains(&amount);
     is_in_range(limit.rate_per_s) && is_in_range(limit.burst) && is_in_range(limit.smallest_cost)
 }
 
@@ -232,6 +232,6 @@
 fn is_valid_unit(unit: LimitUnit) -> bool {
     match unit {
         LimitUnit::Requests => true,
-        LimitUnit::Tokens { default_tokens } => (0.0..=LIMIT_MAX_TOKENS).contains(&default_tokens),
+        LimitUnit::Tokens { default_tokens } => (0.0..=LIMIT_MAX_UNITS).contains(&default_tokens),
     }
 }
--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -43,15 +43,15 @@
 /// assert_eq!(read([&b"true"[..]].into_iter()), Said::Unreadable);
 /// ```
 pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
-    let mut said = Said::Nothing;
+    let mut announced = Said::Nothing;
     for value in values {
         match value.trim_ascii() {
             LEAVES => return Said::Leaves,
             STAYS => {}
-            _ => said = Said::Unreadable,
+            _ => announced = Said::Unreadable,
         }
     }
-    said
+    announced
 }
 
 /// Source of the report that a worker is leaving.
--- a/crates/cranereach-fleet/src/named_limit.rs
+++ b/crates/cranereach-fleet/src/named_limit.rs
@@ -55,16 +55,16 @@
 /// assert_eq!(read([&b"-1"[..]].into_iter()), NamedRate::Unreadable);
 /// ```
 pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> NamedRate {
-    let mut said = NamedRate::Nothing;
+    let mut named = NamedRate::Nothing;
     for value in values {
-        said = match (said, parse_rate(value)) {
+        named = match (named, parse_rate(value)) {
             (NamedRate::Limit(known), Some(rate)) => NamedRate::Limit(rate.min(known)),
             (NamedRate::Limit(known), None) => NamedRate::Limit(known),
             (NamedRate::Nothing | NamedRate::Unreadable, Some(rate)) => NamedRate::Limit(rate),
             (NamedRate::Nothing | NamedRate::Unreadable, None) => NamedRate::Unreadable,
         };
     }
-    said
+    named
 }
 
 /// Parses one value; none if it isn't a valid rate.
@@ -91,8 +91,8 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     rate_per_s: Option<f64>,
-    asked_ms: u64,
-    heard_ms: u64,
+    sent_ms: u64,
+    received_ms: u64,
 }
 
 impl KnownLimit {
@@ -124,11 +124,11 @@
 }
 
 impl NamedLimit {
-    /// Records what the answer to a request sent at `asked_ms` says; returns whether the
+    /// Records what the answer to a request sent at `sent_ms` says; returns whether the
     /// rate in force changes. `may_end` tells whether such an answer ends a limit by naming
     /// none.
-    pub fn observe(&mut self, said: NamedRate, may_end: bool, asked_ms: u64, now_ms: u64) -> bool {
-        let rate_per_s = match said {
+    pub fn observe(&mut self, named: NamedRate, may_end: bool, sent_ms: u64, now_ms: u64) -> bool {
+        let rate_per_s = match named {
             NamedRate::Limit(rate) if rate < UNLIMITED_RATE_PER_S => Some(rate),
             NamedRate::Limit(_) => None,
             NamedRate::Nothing if may_end => None,
@@ -136,8 +136,8 @@
         };
         let report = KnownLimit {
             rate_per_s,
-            asked_ms,
-            heard_ms: now_ms,
+            sent_ms,
+            received_ms: now_ms,
         };
         self.keep_newer(now_ms, report)
     }
@@ -151,8 +151,8 @@
         let ago = |age_ms: u32| now_ms.saturating_sub(u64::from(age_ms) + TRANSIT_ALLOWANCE_MS);
         let report = KnownLimit {
             rate_per_s: received.rate_per_s,
-            asked_ms: ago(received.asked_age_ms),
-            heard_ms: ago(received.heard_age_ms),
+            sent_ms: ago(received.asked_age_ms),
+            received_ms: ago(received.heard_age_ms),
         };
         self.keep_newer(now_ms, report)
     }
@@ -165,13 +165,13 @@
             // Most workers never name a limit, so nothing is stored for them.
             None => report.rate_per_s.is_some(),
             Some(known) if report.rate_per_s == known.rate_per_s => {
-                report.heard_ms > known.heard_ms
+                report.received_ms > known.received_ms
             }
             Some(known) => {
                 let is_tighter = report.effective_per_s() < known.effective_per_s();
-                let is_asked_later = report.asked_ms >= known.heard_ms;
-                let has_expired = now_ms >= known.heard_ms + LIMIT_EXPIRES_AFTER_MS;
-                is_asked_later || has_expired || (is_tighter && report.heard_ms > known.asked_ms)
+                let is_sent_later = report.sent_ms >= known.received_ms;
+                let has_expired = now_ms >= known.received_ms + LIMIT_EXPIRES_AFTER_MS;
+                is_sent_later || has_expired || (is_tighter && report.received_ms > known.sent_ms)
             }
         };
         if is_newer {
@@ -188,7 +188,7 @@
     /// has ended.
     pub fn rate_per_s(&self, now_ms: u64) -> Option<f64> {
         let newest = self.newest.as_ref();
-        let fresh = newest.filter(|report| now_ms < report.heard_ms + LIMIT_EXPIRES_AFTER_MS);
+        let fresh = newest.filter(|report| now_ms < report.received_ms + LIMIT_EXPIRES_AFTER_MS);
         fresh.and_then(|report| report.rate_per_s)
     }
 
@@ -199,15 +199,16 @@
 
     /// Returns the report for other instances, with the key of the worker's start; none if
     /// no limit, nor its end, was reported within [`LIMIT_EXPIRES_AFTER_MS`].
-    pub fn report(&self, now_ms: u64, start: impl FnOnce() -> u64) -> Option<LimitReport> {
+    pub fn report(&self, now_ms: u64, incarnation: impl FnOnce() -> u64) -> Option<LimitReport> {
         let newest = self.newest.as_ref();
-        let report = newest.filter(|report| now_ms < report.heard_ms + LIMIT_EXPIRES_AFTER_MS)?;
+        let report =
+            newest.filter(|report| now_ms < report.received_ms + LIMIT_EXPIRES_AFTER_MS)?;
         let age_ms = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
         Some(LimitReport {
-            start: start(),
+            start: incarnation(),
             rate_per_s: report.rate_per_s,
-            asked_age_ms: age_ms(report.asked_ms),
-            heard_age_ms: age_ms(report.heard_ms),
+            asked_age_ms: age_ms(report.sent_ms),
+            heard_age_ms: age_ms(report.received_ms),
         })
     }
 }
--- a/crates/cranereach-fleet/src/owned.rs
+++ b/crates/cranereach-fleet/src/owned.rs
@@ -177,12 +177,12 @@
 #[derive(Clone, Debug)]
 struct OwnedWorker {
     open: HashMap<Ticket, OpenRequest>,
-    kept: CachedPrefixes,
+    cached_prefixes: CachedPrefixes,
     health: Health,
     slowdown_ratio: f64,
     slowdown_updated_at_ms: u64,
     pause_monitor: PauseMonitor,
-    plan: PrefillSchedule,
+    prefill_schedule: PrefillSchedule,
     last_used_ms: u64,
 }
 
@@ -190,12 +190,12 @@
     fn default() -> Self {
         Self {
             open: HashMap::new(),
-            kept: CachedPrefixes::default(),
+            cached_prefixes: CachedPrefixes::default(),
             health: Health::default(),
             slowdown_ratio: 1.0,
             slowdown_updated_at_ms: 0,
             pause_monitor: PauseMonitor::default(),
-            plan: PrefillSchedule::default(),
+            prefill_schedule: PrefillSchedule::default(),
             last_used_ms: 0,
         }
     }
@@ -208,8 +208,8 @@
 /// use cranereach_fleet::owned::OwnedWorkers;
 ///
 /// let mut owned = OwnedWorkers::default();
-/// let opening = SentRequest { unread_ms: 100.0, ends_within_ms: 5_000, ..SentRequest::default() };
-/// owned.request_started(1_000, 7, (1, 1), opening, &[]);
+/// let request = SentRequest { unread_ms: 100.0, ends_within_ms: 5_000, ..SentRequest::default() };
+/// owned.request_started(1_000, 7, (1, 1), request, &[]);
 /// assert_eq!(owned.status(1_010, 7, &[], 100.0).load.open_count, 1);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -224,7 +224,7 @@
         now_ms: u64,
         worker: u64,
         parts: &[u64],
-        reading_ms: f64,
+        prefill_ms: f64,
     ) -> WorkerStatus {
         let Some(state) = self.worker_entry(now_ms, worker) else {
             return WorkerStatus {
@@ -233,23 +233,23 @@
             };
         };
         let load = state.load(now_ms);
-        let place = state.schedule(now_ms, reading_ms);
+        let scheduled = state.schedule(now_ms, prefill_ms);
         WorkerStatus {
             load,
-            send_in_ms: place.at_ms - now_ms as f64,
-            kept_part_count: state.kept.kept_part_count(parts),
+            send_in_ms: scheduled.at_ms - now_ms as f64,
+            kept_part_count: state.cached_prefixes.kept_part_count(parts),
             slowdown_ratio: state.slowdown_ratio(now_ms),
             failed_share: state.health.failed_share(),
             is_aside: state.health.is_ejected(now_ms),
             has_suspect: state.open.values().any(|open| open.request.runs_alone),
-            pause_ms: place.pause_ms,
+            pause_ms: scheduled.pause_ms,
         }
     }
 
     /// Returns how many leading parts of a prompt are probably in a worker's prefix cache.
     pub fn kept_part_count(&self, worker: u64, parts: &[u64]) -> usize {
         let state = self.by_key.get(&worker);
-        state.map_or(0, |state| state.kept.kept_part_count(parts))
+        state.map_or(0, |state| state.cached_prefixes.kept_part_count(parts))
     }
 
     /// Returns the state of a worker for a call that may be retried at another worker: now and
@@ -259,9 +259,9 @@
         now_ms: u64,
         worker: u64,
         parts: &[u64],
-        reading_ms: f64,
+        prefill_ms: f64,
     ) -> WorkerStatus {
-        let mut status = self.status(now_ms, worker, parts, reading_ms);
+        let mut status = self.status(now_ms, worker, parts, prefill_ms);
         if let (true, Some(state)) = (status.is_aside, self.by_key.get_mut(&worker)) {
             status.is_aside = !state.health.may_probe_ejected(now_ms);
         }
@@ -286,15 +286,17 @@
         }
         let load = state.load(now_ms);
         let ahead_ms = load.ahead_ms(usize::from(request.rank));
-        let reading_ms = f64::from(request.unread_ms);
+        let prefill_ms = f64::from(request.unread_ms);
         state
-            .plan
+            .prefill_schedule
             .set_limits(f64::from(request.gap_aim_ms), request.event_tokens);
-        let scaled_ms = reading_ms * state.slowdown_ratio(now_ms);
+        let scaled_ms = prefill_ms * state.slowdown_ratio(now_ms);
         let send_delay_ms = f64::from(request.send_in_ms);
         let at_ms = now_ms as f64 + send_delay_ms;
-        state.plan.sent(now_ms, ticket, at_ms, scaled_ms);
-        let predicted_ms = ahead_ms.max(send_delay_ms) + reading_ms;
+        state
+            .prefill_schedule
+            .sent(now_ms, ticket, at_ms, scaled_ms);
+        let predicted_ms = ahead_ms.max(send_delay_ms) + prefill_ms;
         let lost_after_ms = (predicted_ms * LOST_MESSAGE_FACTOR) as u64 + LOST_MESSAGE_SLACK_MS;
         let open = OpenRequest {
             request,
@@ -304,7 +306,7 @@
             expires_at_ms: now_ms + u64::from(request.ends_within_ms),
         };
         state.open.insert(ticket, open);
-        state.kept.sent(now_ms, parts);
+        state.cached_prefixes.sent(now_ms, parts);
     }
 
     /// Records that a worker prefilled a request's prompt, and the time that it took.
@@ -317,7 +319,7 @@
         };
         open.waiting_until_ms = None;
         let predicted_ms = open.predicted_ms;
-        state.plan.read(now_ms, ticket);
+        state.prefill_schedule.read(now_ms, ticket);
         state.record_slowdown(now_ms, predicted_ms, took_ms);
     }
 
@@ -327,7 +329,7 @@
             return;
         };
         let open = state.open.remove(&ticket);
-        state.plan.ended(now_ms, ticket);
+        state.prefill_schedule.ended(now_ms, ticket);
         let is_stalled = open.is_some_and(|open| open.is_stalled(now_ms));
         match outcome {
             Outcome::Neutral if is_stalled => state.health.failed(now_ms),
@@ -381,12 +383,12 @@
     }
 
     /// Returns when a prompt is to be sent: at once unless the worker's streams pause for too long.
-    fn schedule(&self, now_ms: u64, reading_ms: f64) -> ScheduledSend {
-        let scaled_ms = reading_ms * self.slowdown_ratio(now_ms);
+    fn schedule(&self, now_ms: u64, prefill_ms: f64) -> ScheduledSend {
+        let scaled_ms = prefill_ms * self.slowdown_ratio(now_ms);
         if self.pause_monitor.needs_scheduling(now_ms) {
-            self.plan.find_send_time(now_ms, scaled_ms)
+            self.prefill_schedule.find_send_time(now_ms, scaled_ms)
         } else {
-            self.plan.at_once(now_ms, scaled_ms)
+            self.prefill_schedule.at_once(now_ms, scaled_ms)
         }
     }
 
@@ -404,7 +406,7 @@
     /// worker that is faster than predicted counts as one.
     fn slowdown_ratio(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.slowdown_updated_at_ms) as f64;
-        let kept = 0.5_f64.powf(passed_ms / SLOWDOWN_HALF_LIFE_MS);
-        1.0 + (self.slowdown_ratio - 1.0).max(0.0) * kept
+        let remaining_share = 0.5_f64.powf(passed_ms / SLOWDOWN_HALF_LIFE_MS);
+        1.0 + (self.slowdown_ratio - 1.0).max(0.0) * remaining_share
     }
 }
--- a/crates/cranereach-fleet/src/pressure.rs
+++ b/crates/cranereach-fleet/src/pressure.rs
@@ -82,14 +82,14 @@
             .enumerate()
             .filter(|(_, view)| view.carries_demand());
         for (index, worker) in carrying {
-            for place in worker.replicas.iter().filter(|place| !place.is_unloading) {
-                let Some(of_model) = replicas_by_model.get_mut(usize::from(place.model)) else {
+            for held in worker.replicas.iter().filter(|held| !held.is_unloading) {
+                let Some(of_model) = replicas_by_model.get_mut(usize::from(held.model)) else {
                     continue;
                 };
                 of_model.push(Replica {
                     worker: index,
                     share: 0.0,
-                    is_ready: !place.is_loading,
+                    is_ready: !held.is_loading,
                 });
             }
         }
--- a/crates/cranereach-fleet/src/service_time.rs
+++ b/crates/cranereach-fleet/src/service_time.rs
@@ -98,8 +98,8 @@
         queued_ahead: u32,
         slot_count: u32,
     ) {
-        let turns = f64::from(queued_ahead + 1) / f64::from(slot_count.max(1));
-        let time_ms = took_ms / turns.max(1.0);
+        let rounds = f64::from(queued_ahead + 1) / f64::from(slot_count.max(1));
+        let time_ms = took_ms / rounds.max(1.0);
         if !self.by_service.contains_key(service) && self.by_service.len() >= SERVICE_MAX_COUNT {
             return;
         }
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -325,8 +325,9 @@
         let reported = self
             .reported_load
             .filter(|(at_ms, _)| now_ms < at_ms + REPORTED_LOAD_MAX_AGE_MS);
-        let reported =
-            reported.map_or((0, 0), |(_, told)| (told.running_count, told.waiting_count));
+        let reported = reported.map_or((0, 0), |(_, report)| {
+            (report.running_count, report.waiting_count)
+        });
         let open_count = load.open_count.max(reported.0 + reported.1);
         let owner_status = self.owner_status(now_ms);
         let cached_tokens = self
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -25,12 +25,12 @@
     /// changed. See [`crate::named_limit::NamedLimit::observe`].
     pub fn note_limit_answered(
         &mut self,
-        said: NamedRate,
+        named: NamedRate,
         may_end: bool,
-        asked_ms: u64,
+        sent_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let has_changed = self.limit.observe(said, may_end, asked_ms, now_ms);
+        let has_changed = self.limit.observe(named, may_end, sent_ms, now_ms);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
