--- a/crates/cranereach-fleet/src/accounts.rs
+++ b/crates/cranereach-fleet/src/accounts.rs
@@ -12,7 +12,7 @@
 use crate::key::worker_key;
 use crate::regions::AllowedRegions;
 
-/// Largest valid rate or burst of a limit, in tokens: far beyond what any fleet serves, and
+/// Largest valid rate, burst or cost in a limit, in units: far beyond what any fleet serves, and
 /// small enough that sums stay exact.
 const LIMIT_MAX_UNITS: f64 = 1e12;
 
--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -63,7 +63,8 @@
     Peer,
     /// A row of an earlier era of the store.
     Row,
-    /// No one: the row had ended before the store was restored from a backup, and is there again.
+    /// None: the departure is inferred, because the worker's row had ended before the store was
+    /// restored from a backup that still contains it.
     Copy,
 }
 
--- a/crates/cranereach-fleet/src/first_read.rs
+++ b/crates/cranereach-fleet/src/first_read.rs
@@ -12,7 +12,7 @@
 /// Time without a message from any other instance after which an instance counts as alone, in
 /// milliseconds: eight of its own rounds of gossip digests, each answered at once by any peer that
 /// receives it. With 1,000 instances started at the same moment, half that time left 88 of them
-/// without any message (`tests/first_reads.rs`).
+/// without any message (`tests/first_reads.rs` of cranereach-gateway).
 const ALONE_AFTER_MS: u64 = 2_000;
 
 /// Time for which the other instances leave the first read to the seeds, in milliseconds. A small
@@ -29,9 +29,9 @@
 /// sixteen start in a second, however many instances there are.
 pub const SPREAD_PER_INSTANCE_MS: u64 = 60;
 
-/// Time for which the first instance of a failure domain lets those go first that a peer elsewhere
-/// has told directly (the relays), in milliseconds. Some instances still know few others, and
-/// wrongly take themselves for the first of their domain.
+/// Time for which the first instance of a failure domain lets the relays go first, in milliseconds:
+/// the instances to which a peer elsewhere has advertised its list directly. Some instances still
+/// know few others, and wrongly take themselves for the first of their domain.
 const RELAY_HEAD_START_MS: u64 = 1_000;
 
 /// The same for all other instances of the domain.
@@ -69,7 +69,8 @@
     pub known_count: usize,
     /// Nearest peer known to have what it lacks.
     pub holder: Holder,
-    /// Whether a peer elsewhere told it directly, so that it is to relay to its own failure domain.
+    /// Whether a peer elsewhere has advertised its list to it directly, so that it is to relay the
+    /// list to its own failure domain.
     pub is_domain_relay: bool,
     /// Instances of its own failure domain that come before it.
     pub rank_in_domain: u64,
--- a/crates/cranereach-fleet/src/freshness.rs
+++ b/crates/cranereach-fleet/src/freshness.rs
@@ -24,7 +24,8 @@
 /// written again what a restored store had lost, in milliseconds.
 pub const OUTAGE_RECOVERY_MS: u64 = 2_300;
 
-/// Returns the time at which news was true that a peer reported with its age, in milliseconds.
+/// Returns the time as of which a peer's report was true, from the age that the peer gives for it,
+/// in milliseconds.
 ///
 /// ```
 /// use cranereach_fleet::freshness::told_at_ms;
@@ -49,15 +50,16 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Freshness {
-    /// Age that the list should not exceed.
+    /// Age that the list should not exceed, in milliseconds.
     bound_ms: u64,
-    /// Last time at which the list is known to have been complete.
+    /// Last time at which the list is known to have been complete, in milliseconds.
     as_of_ms: Option<u64>,
-    /// Until when rows that end may have lapsed only because of the last outage.
+    /// Until when rows that end may have lapsed only because of the last outage, in milliseconds.
     lapses_until_ms: u64,
-    /// Era of the store that news must belong to.
+    /// Newest era of the store that was entered; reports of earlier ones don't count.
     era: u64,
-    /// When that era was entered, until its first news arrives; none before and after.
+    /// When that era was entered, in milliseconds; none once the list is known to have been
+    /// complete in it, and before the first read.
     restored_at_ms: Option<u64>,
 }
 
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Enters an era of the store: nothing counts as the newest until news of it arrives. Returns
-    /// whether the era is new.
+    /// Enters an era of the store: the list counts as out of date until it is confirmed in this era.
+    /// Returns whether the era is new.
     ///
     /// ```
     /// use cranereach_fleet::freshness::Freshness;
@@ -98,7 +100,8 @@
         is_new
     }
 
-    /// Returns when an era was entered whose first news hasn't arrived yet, in milliseconds.
+    /// Returns when the era was entered, in milliseconds, as long as the list has not been confirmed
+    /// in it; else none.
     pub fn restored_at_ms(&self) -> Option<u64> {
         self.restored_at_ms
     }
@@ -134,15 +137,16 @@
         })
     }
 
-    /// Whether news that was true at a time ends an outage: the list had been out of date for
-    /// longer than the bound, or was of an earlier era.
+    /// Whether a confirmation of the list as of a time ends an outage: the list had been out of date
+    /// for longer than the bound, or was of an earlier era.
     pub fn ends_outage(&self, as_of_ms: u64) -> bool {
         let is_late = |before_ms| as_of_ms > before_ms + self.bound_ms;
         self.restored_at_ms.is_some() || self.as_of_ms.is_some_and(is_late)
     }
 
-    /// Takes the arrival of news that was true at a time. Returns until when rows that it ends may
-    /// have lapsed only because of an outage, in milliseconds; none if there was no recent outage.
+    /// Records changes of the list that arrive now and are complete as of a time. Returns until when
+    /// rows that end in them may have lapsed only because of an outage, in milliseconds; none if
+    /// there was no recent outage.
     ///
     /// While the store is unavailable, the rows of live workers may lapse; they come back when it
     /// does.
@@ -153,7 +157,7 @@
         (now_ms < self.lapses_until_ms).then_some(self.lapses_until_ms)
     }
 
-    /// Notes a time at which the list was complete.
+    /// Records a time at which the list was complete.
     pub fn confirm(&mut self, as_of_ms: u64) {
         self.restored_at_ms = None;
         self.as_of_ms = Some(as_of_ms.max(self.as_of_ms.unwrap_or(0)));
--- a/crates/cranereach-fleet/src/lease_state.rs
+++ b/crates/cranereach-fleet/src/lease_state.rs
@@ -6,7 +6,7 @@
 //! seen the row unchanged for a whole term plus the pause that must lie between the orders of two
 //! holders. Clocks of different instances are never compared.
 //!
-//! A store that was restored from a copy may have lost the row, or name an earlier holder while the
+//! A store that was restored from a backup may have lost the row, or name an earlier holder while the
 //! last holder still sends orders by its own clock. So what a restored store says about holders
 //! shortens nobody's wait; the instance that held the lease may write it again within its term.
 
@@ -67,7 +67,7 @@
     position: StorePosition,
     row: Option<LeaseRow>,
     first_seen_at_ms: u64,
-    /// When its holder said that it no longer sends orders under it, in milliseconds.
+    /// When its holder announced that it no longer sends orders under it, in milliseconds.
     ended_at_ms: Option<u64>,
 }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the era of the store that is known.
+    /// Returns the newest known era of the store.
     pub fn era(&self) -> u64 {
         self.era
     }
--- a/crates/cranereach-fleet/src/lib.rs
+++ b/crates/cranereach-fleet/src/lib.rs
@@ -38,9 +38,9 @@
 //! - [`store_position`]: order of everything that is read from the store
 //! - [`freshness`]: which instance reads the list of workers, and when
 //! - [`first_read`]: where an instance that has just started gets the list and the configuration
-//! - [`listing`]: rows of the list, and the parts sent to peers
+//! - [`listing`]: rows of the list, and the deltas of it that peers are sent
 //! - [`outage_pace`]: how often instances retry a lost store
-//! - [`key`]: short keys of names
+//! - [`key`]: short hash keys of names
 //!
 //! Model placement:
 //! - [`lease_state`]: the lease that lets this instance send load orders to workers
--- a/crates/cranereach-fleet/src/listing.rs
+++ b/crates/cranereach-fleet/src/listing.rs
@@ -4,8 +4,8 @@
 //! A delta takes an instance from one position to a later one. One read from the store as changes
 //! names every row that changed in between, so it applies to an instance at any position between
 //! the two. One computed from two whole lists doesn't: a row that was added and removed in between
-//! is on neither. Such a delta applies only at its first position, as does one from before any
-//! read.
+//! is on neither. Such a delta applies only at its first position, and so does one that starts
+//! before the first read.
 //!
 //! An instance that is further behind than the last few reads, or missed a delta that was too large
 //! for a datagram, is sent all changes since its own position: rows carry the position of their
@@ -94,9 +94,9 @@
 pub enum Verdict {
     /// It has nothing new.
     Old,
-    /// Its rows complete the own list up to its position.
+    /// Its rows complete this instance's list up to its position.
     Applies,
-    /// Changes between the own list and the delta may be missing.
+    /// Changes between this instance's list and the delta may be missing.
     Gap,
 }
 
@@ -135,7 +135,7 @@
         rows.map(|(key, (position, value))| (key.as_str(), *position, value.as_slice()))
     }
 
-    /// Returns whether a peer's delta applies to the own list.
+    /// Returns whether a peer's delta applies to this instance's list.
     pub fn judge(&self, from: StorePosition, position: StorePosition, span: Span) -> Verdict {
         if position.is_none() || position < self.position {
             return Verdict::Old;
@@ -261,8 +261,8 @@
         Some(part)
     }
 
-    /// Returns all changes since a position, oldest first, for an instance that stands there; none
-    /// if they aren't all known, so that only the whole list helps.
+    /// Returns all changes since a position, oldest first, for an instance whose list is at that
+    /// position; none if they aren't all known, so that it must be sent the whole list.
     ///
     /// ```
     /// use cranereach_fleet::listing::ChangedRow;
@@ -292,14 +292,14 @@
         Some(rows)
     }
 
-    /// Returns whether the changes since a position, up to the own one, include every row that
-    /// changed in between.
+    /// Returns whether the changes since a position, up to this list's position, include every row
+    /// that changed in between.
     pub fn span_since(&self, since: StorePosition) -> Span {
         self.history.span_since(since)
     }
 
-    /// Returns what is known of the time before the own position, to be sent along with the whole
-    /// list.
+    /// Returns what is known of the time before this list's position, to be sent along with the
+    /// whole list.
     pub fn history(&self) -> &History {
         &self.history
     }
@@ -307,7 +307,7 @@
     /// Adopts the history of a peer whose whole list was taken.
     ///
     /// All instances that got their first list from the same reader can then send each other the
-    /// changes since any position that one of them stood at.
+    /// changes since any position that one of their lists was at.
     pub fn adopt_history(&mut self, position: StorePosition, history: History) {
         if position == self.position {
             self.history = history;
--- a/crates/cranereach-fleet/src/named_limit.rs
+++ b/crates/cranereach-fleet/src/named_limit.rs
@@ -77,7 +77,7 @@
 /// Report about a worker's limit, as exchanged between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Key of the worker's start that the report is about.
+    /// Key of the worker's incarnation that the report is about.
     pub start: u64,
     /// Requests per second; none if the worker no longer names a limit.
     pub rate_per_s: Option<f64>,
@@ -91,7 +91,9 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     rate_per_s: Option<f64>,
+    /// When the request was sent whose answer contained the report, in milliseconds.
     sent_ms: u64,
+    /// When that answer was received, in milliseconds.
     received_ms: u64,
 }
 
@@ -197,8 +199,8 @@
         self.since_ms
     }
 
-    /// Returns the report for other instances, with the key of the worker's start; none if
-    /// no limit, nor its end, was reported within [`LIMIT_EXPIRES_AFTER_MS`].
+    /// Returns the report for other instances, with the key of the worker's incarnation; none
+    /// if neither a limit nor its end was reported within [`LIMIT_EXPIRES_AFTER_MS`].
     pub fn report(&self, now_ms: u64, incarnation: impl FnOnce() -> u64) -> Option<LimitReport> {
         let newest = self.newest.as_ref();
         let report =
--- a/crates/cranereach-fleet/src/no_worker.rs
+++ b/crates/cranereach-fleet/src/no_worker.rs
@@ -27,7 +27,7 @@
     Resting,
     /// No worker holds the adapter.
     NoAdapter,
-    /// Workers have died while running requests equal to this one, and another such request is
+    /// Workers have ended while running requests equal to this one, and another such request is
     /// running at each worker that holds what is wanted.
     NotAlone,
 }
--- a/crates/cranereach-fleet/src/pausing.rs
+++ b/crates/cranereach-fleet/src/pausing.rs
@@ -33,11 +33,13 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseMonitor {
-    /// Decayed counts of complete answers and of those among them that paused for too long, the
-    /// time of the last update, and the time until which prompts are scheduled.
+    /// Decayed count of complete answers.
     answers: f64,
+    /// Decayed count of those among them that paused for too long.
     paused_answers: f64,
+    /// Time of the last update of the counts, in milliseconds.
     counted_at_ms: u64,
+    /// Time until which prompts are scheduled, in milliseconds.
     scheduling_until_ms: u64,
 }
 
--- a/crates/cranereach-fleet/src/prefill_schedule.rs
+++ b/crates/cranereach-fleet/src/prefill_schedule.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Drops a prompt that never reaches the worker; if it has reached it, marks it as
-    /// read, since its request has ended.
+    /// Drops a prompt that never reaches the worker; one that has reached it is marked as
+    /// prefilled, since its request has ended.
     pub fn ended(&mut self, now_ms: u64, ticket: (u32, u64)) {
         let now_ms = now_ms as f64;
         let has_arrived = |prompt: &PlannedPrompt| prompt.arrival.at_ms <= now_ms;
--- a/crates/cranereach-fleet/src/proof.rs
+++ b/crates/cranereach-fleet/src/proof.rs
@@ -67,8 +67,8 @@
     boot: u64,
     version: u64,
     era: u64,
-    /// Time until which a store that was restored from a copy may lack lost writes, in
-    /// milliseconds.
+    /// Time until which a store that was restored from a backup may still lack the writes that it
+    /// lost, in milliseconds.
     settles_at_ms: u64,
     evacuations_position: StorePosition,
     freshness: Freshness,
@@ -101,9 +101,9 @@
         self.evacuations_position = position.max(self.evacuations_position);
     }
 
-    /// Begins an era of the store, after it was restored from a copy. Earlier proofs stay valid:
-    /// nothing newer existed then. But the copy may lack the operator's last writes, so it proves
-    /// nothing until they have been written again.
+    /// Begins an era of the store, after it was restored from a backup. Earlier proofs stay valid:
+    /// nothing newer existed then. But the backup may lack the operator's last writes, so the store
+    /// proves nothing until they have been written again.
     ///
     /// An instance that has just started can't know when the era began: it waits equally long,
     /// unless a peer proves more.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns whether the restored store may still lack lost writes.
+    /// Returns whether the restored store may still lack the writes that it lost.
     pub fn is_settling(&self, now_ms: u64) -> bool {
         now_ms < self.settles_at_ms
     }
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! others: a worker runs dozens of requests when it ends, and machines also fail in large numbers
 //! for other reasons. So ends of workers are counted per request content, over all instances:
 //!
-//! - Ends of different workers count, or of one worker that has come back in between.
+//! - Ends of different workers count, and those of different incarnations of one worker.
 //! - One complete response proves the request harmless; earlier ends no longer count.
 //! - From [`END_MAX_COUNT`] ends in a row on, the request is quarantined, if at least one of them
 //!   came under an attempt whose sender knew of an earlier end. If many workers are lost at the
@@ -45,8 +45,8 @@
 /// Maximum number of ends kept per request, the newest ones: one more than is needed to decide.
 const KEPT_END_COUNT: usize = END_MAX_COUNT + 1;
 
-/// Ends of the same worker start that lie closer together than this are the same end, in
-/// milliseconds. Workers whose rows do not tell their starts apart may end again after some
+/// Ends of the same incarnation of a worker that lie closer together than this are the same end, in
+/// milliseconds. Workers whose rows do not tell their incarnations apart may end again after some
 /// seconds; gossip from an instance that was stalled reports an end later than it happened.
 const DUPLICATE_END_MS: i64 = 10_000;
 
@@ -59,7 +59,7 @@
 /// milliseconds; callers repeat requests within minutes.
 const SUSPECT_TTL_MS: i64 = 600_000;
 
-/// Time without a request for it after which a quarantined request is forgotten, in milliseconds. A
+/// Time since it was last received after which a quarantined request is forgotten, in milliseconds. A
 /// complete response is remembered equally long, so that an instance that was partitioned does not
 /// bring back older ends.
 const QUARANTINE_TTL_MS: i64 = 3_600_000;
@@ -82,7 +82,7 @@
 /// An end of a worker while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerEnd {
-    /// Key of the worker.
+    /// Key of the worker's incarnation.
     pub worker: u64,
     /// Time of the end, in milliseconds; negative if it precedes the start of this instance.
     pub at_ms: i64,
@@ -99,7 +99,7 @@
     max_end_count: usize,
     /// Time of the last complete response, or of the release by an operator, in milliseconds.
     cleared_at_ms: Option<i64>,
-    /// Time of the last request for it through any instance, in milliseconds.
+    /// Time at which any instance last received the request, in milliseconds.
     requested_at_ms: i64,
     /// Time of the last change of this entry on this instance, in milliseconds.
     changed_at_ms: i64,
--- a/crates/cranereach-fleet/src/quarantine/gossip.rs
+++ b/crates/cranereach-fleet/src/quarantine/gossip.rs
@@ -30,7 +30,7 @@
 /// An end of a worker, as gossiped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipedEnd {
-    /// Key of the worker.
+    /// Key of the worker's incarnation.
     pub worker: u64,
     /// Time since the end, in milliseconds.
     pub age_ms: u32,
--- a/crates/cranereach-fleet/src/roster/departures.rs
+++ b/crates/cranereach-fleet/src/roster/departures.rs
@@ -35,8 +35,8 @@
 }
 
 impl Roster {
-    /// Returns why nothing of a rank may be sent to a worker now, if so. A worker chosen before a
-    /// wait is checked again with this.
+    /// Returns why no request of a rank may be sent to a worker now; none if one may be. After a
+    /// wait, the worker chosen before it is checked again with this.
     pub fn barred(&self, now_ms: u64, id: &str, purpose: Purpose, rank: usize) -> Option<Barred> {
         let Some(worker) = self.workers.get(id) else {
             return Some(Barred::Gone);
--- a/crates/cranereach-fleet/src/routing_request.rs
+++ b/crates/cranereach-fleet/src/routing_request.rs
@@ -20,7 +20,7 @@
     pub prompt_tokens: u32,
     /// Prefill time per token of the prompt, in milliseconds.
     pub token_ms: f64,
-    /// Fixed part of the time until the prompt is read, in milliseconds.
+    /// Fixed part of the time until the prompt is prefilled, in milliseconds.
     pub fixed_ms: f64,
     /// Time for which the answer is expected to occupy a slot, in milliseconds.
     pub stay_ms: f64,
@@ -40,7 +40,7 @@
     pub extra_start_delays_ms: [f64; 3],
     /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
-    /// Number of workers that terminated in a row while running an equal request.
+    /// Number of workers that ended in a row while running an equal request.
     pub end_count: usize,
     /// Whether only workers that need no send grant may be chosen, because none could be
     /// obtained for the others.
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -59,8 +59,8 @@
 const RUNNING_PENALTY_MS: f64 = 2.0;
 
 /// Cost added for each other open request at a worker, in milliseconds, when the request to be sent
-/// is one under which workers have died before: it goes where another death would interrupt the
-/// fewest.
+/// is one under which workers have ended before: it goes where the end of one more worker would
+/// interrupt the fewest requests.
 const CRASH_RISK_PENALTY_MS: f64 = 50.0;
 
 /// Cost added for each request that a worker reports as waiting, in milliseconds.
@@ -110,7 +110,7 @@
     unreachable_at_ms: HashMap<u32, u64>,
     /// Load that the worker reported last, and when, in milliseconds.
     reported_load: Option<(u64, ReportedLoad)>,
-    /// Prompt prefixes that this instance sent there, which the worker probably has cached.
+    /// Prompt prefixes that this instance sent to the worker, which probably has them cached.
     cached_prefixes: CachedPrefixes,
     /// Until when models and adapters that it refused count as missing, in milliseconds.
     missing_until_ms: HashMap<String, u64>,
@@ -243,7 +243,7 @@
         fresh.map(|(_, owner_status)| owner_status)
     }
 
-    /// Whether a suspect request is open at the worker. Workers have died while running requests
+    /// Whether a suspect request is open at the worker. Workers have ended while running requests
     /// equal to it, so it must not share a worker with another suspect.
     pub(crate) fn has_suspect(&self, now_ms: u64) -> bool {
         self.owner_status(now_ms)
@@ -367,7 +367,8 @@
                 + f64::from(reported.1) * WAITING_PENALTY_MS
                 + excess_tokens.max(0.0) * token_ms;
         } else {
-            // Such an answer is passed on as a whole, so it begins when the call has run.
+            // Without an engine, an answer is relayed only once it is complete, so it begins when the
+            // call has run.
             estimate.begins_in_ms += request.stay_ms;
             let slots = f64::from(slot_count.max(1));
             estimate.cost_ms = f64::from(open_count + reported.1) / slots * 50.0;
--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -8,8 +8,8 @@
 use crate::send_grants::AskPause;
 
 impl Worker {
-    /// Whether a request may be sent to the worker as far as grants go, be it after asking its
-    /// owner for one.
+    /// Whether grants allow a request to be sent to the worker, at once or after its owner has been
+    /// asked for one.
     pub(crate) fn may_ask(&self, now_ms: u64, request: &RoutingRequest<'_>) -> bool {
         let was_refused_cold = self.coldness.is_cold(now_ms) && self.ask_pause.was_refused();
         let needs_grant = was_refused_cold || self.limit.rate_per_s(now_ms).is_some();
