--- a/crates/cranereach-fleet/src/cold.rs
+++ b/crates/cranereach-fleet/src/cold.rs
@@ -17,7 +17,7 @@
 }
 
 impl Coldness {
-    /// Notes that the worker may be cold until a time.
+    /// Records that the worker may be cold until a time.
     pub fn cold_until(&mut self, at_ms: u64) {
         self.until_ms = self.until_ms.max(at_ms);
     }
--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -10,8 +10,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Most unlisted incarnations that are remembered as leaving. One that was forgotten and is listed
-/// again is known to be leaving only after its next answer says so.
+/// Maximum number of unlisted incarnations remembered as leaving. One that was forgotten and is
+/// listed again is known to be leaving only after its next answer says so.
 const UNLISTED_MAX_COUNT: usize = 2_048;
 
 /// Header value by which a worker announces that it is leaving.
--- a/crates/cranereach-fleet/src/freshness.rs
+++ b/crates/cranereach-fleet/src/freshness.rs
@@ -64,7 +64,7 @@
 }
 
 impl Freshness {
-    /// Makes the state of an empty list whose age is to stay within a bound.
+    /// Creates the state of an empty list whose age is to stay within a bound.
     pub fn new(bound_ms: u64) -> Self {
         Self {
             bound_ms,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Enters an era of the store: the list counts as out of date until it is confirmed in this era.
-    /// Returns whether the era is new.
+    /// Enters an era of the store: the list counts as out of date until it is confirmed in this
+    /// era. Returns whether the era is new.
     ///
     /// ```
     /// use cranereach_fleet::freshness::Freshness;
@@ -100,8 +100,8 @@
         is_new
     }
 
-    /// Returns when the era was entered, in milliseconds, as long as the list has not been confirmed
-    /// in it; else none.
+    /// Returns when the era was entered, in milliseconds, as long as the list has not been
+    /// confirmed in it; else none.
     pub fn restored_at_ms(&self) -> Option<u64> {
         self.restored_at_ms
     }
@@ -137,16 +137,16 @@
         })
     }
 
-    /// Whether a confirmation of the list as of a time ends an outage: the list had been out of date
-    /// for longer than the bound, or was of an earlier era.
+    /// Whether a confirmation of the list as of a time ends an outage: the list had been out of
+    /// date for longer than the bound, or was of an earlier era.
     pub fn ends_outage(&self, as_of_ms: u64) -> bool {
         let is_late = |before_ms| as_of_ms > before_ms + self.bound_ms;
         self.restored_at_ms.is_some() || self.as_of_ms.is_some_and(is_late)
     }
 
-    /// Records changes of the list that arrive now and are complete as of a time. Returns until when
-    /// rows that end in them may have lapsed only because of an outage, in milliseconds; none if
-    /// there was no recent outage.
+    /// Returns until when rows that end with a confirmation of the list as of a time may have lapsed
+    /// only because of an outage, in milliseconds; none if there was no recent outage. Must be called
+    /// before [`Freshness::confirm`] for the same time.
     ///
     /// While the store is unavailable, the rows of live workers may lapse; they come back when it
     /// does.
--- a/crates/cranereach-fleet/src/lease_state.rs
+++ b/crates/cranereach-fleet/src/lease_state.rs
@@ -6,8 +6,8 @@
 //! seen the row unchanged for a whole term plus the pause that must lie between the orders of two
 //! holders. Clocks of different instances are never compared.
 //!
-//! A store that was restored from a backup may have lost the row, or name an earlier holder while the
-//! last holder still sends orders by its own clock. So what a restored store says about holders
+//! A store that was restored from a backup may have lost the row, or name an earlier holder while
+//! the last holder still sends orders by its own clock. So what a restored store says about holders
 //! shortens nobody's wait; the instance that held the lease may write it again within its term.
 
 use serde::Deserialize;
--- a/crates/cranereach-fleet/src/ledger.rs
+++ b/crates/cranereach-fleet/src/ledger.rs
@@ -136,7 +136,8 @@
     pub id: &'a Arc<str>,
     /// Position of the row.
     pub position: StorePosition,
-    /// Start time of this incarnation of the worker, in milliseconds of Unix time; zero if not given.
+    /// Start time of this incarnation of the worker, in milliseconds of Unix time; zero if not
+    /// given.
     pub started_unix_ms: u64,
     /// Models that it holds; the row does not say at which sequence number.
     pub replicas: Vec<ModelReplica>,
--- a/crates/cranereach-fleet/src/listing/history.rs
+++ b/crates/cranereach-fleet/src/listing/history.rs
@@ -13,7 +13,7 @@
 /// it has rows, so that they never take more memory than the list.
 const ENDED_MIN_COUNT: usize = 1_024;
 
-/// Most gaps between two whole reads that are remembered.
+/// Maximum number of gaps between two whole reads that are remembered.
 const UNSEEN_MAX_COUNT: usize = 8;
 
 /// Ends of rows, and the position from which all of them are known.
@@ -57,7 +57,7 @@
         self.ended.push_back((position, key.to_owned()));
     }
 
-    /// Notes that the list moved from one position to another, and how many rows it has.
+    /// Records that the list moved from one position to another, and how many rows it has.
     pub(super) fn note_advance(
         &mut self,
         from: StorePosition,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Notes that changes can be told only since a position or later.
+    /// Records that the ends of rows are known only from a position on.
     fn raise_ends_from(&mut self, position: StorePosition) {
         self.ends_from = self.ends_from.max(position);
     }
--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -59,9 +59,9 @@
 /// milliseconds; callers repeat requests within minutes.
 const SUSPECT_TTL_MS: i64 = 600_000;
 
-/// Time since it was last received after which a quarantined request is forgotten, in milliseconds. A
-/// complete response is remembered equally long, so that an instance that was partitioned does not
-/// bring back older ends.
+/// Time since it was last received after which a quarantined request is forgotten, in milliseconds.
+/// A complete response is remembered equally long, so that an instance that was partitioned does
+/// not bring back older ends.
 const QUARANTINE_TTL_MS: i64 = 3_600_000;
 
 /// Maximum number of requests that are remembered: some 64 on each of 64 workers that end at once.
--- a/crates/cranereach-fleet/src/quarantine/local.rs
+++ b/crates/cranereach-fleet/src/quarantine/local.rs
@@ -16,7 +16,8 @@
     pub route: Arc<str>,
     /// Client account as labeled in metrics; empty if there is none.
     pub account: Arc<str>,
-    /// Workers that ended while they ran the request: keys of their incarnations, and their identities.
+    /// Workers that ended while they ran the request: keys of their incarnations, and their
+    /// identities.
     pub workers: Vec<(u64, Arc<str>)>,
     /// Number of times that the request was refused.
     pub refused_count: u64,
--- a/crates/cranereach-fleet/src/roster.rs
+++ b/crates/cranereach-fleet/src/roster.rs
@@ -35,8 +35,8 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRecord;
 
-/// Most tombstones kept. A tombstone keeps an older row that arrives late from bringing its worker
-/// back.
+/// Maximum number of tombstones kept. A tombstone keeps an older row that arrives late from
+/// bringing its worker back.
 const TOMBSTONE_MAX_COUNT: usize = 2_048;
 
 /// The end of a worker's row: its position, and whose row it was.
@@ -50,7 +50,7 @@
 }
 
 impl Tombstone {
-    /// Makes the tombstone of a known worker, at the position of its last row.
+    /// Creates the tombstone of a known worker, at the position of its last row.
     fn from_worker(worker: &Worker) -> Self {
         Self {
             position: worker.position,
@@ -101,8 +101,8 @@
     superseded: VecDeque<u64>,
     /// Newest era of the store that this instance has entered.
     era: u64,
-    /// When rows that still stand in a restored store count as a sign of life, in milliseconds;
-    /// none while no restored rows are distrusted.
+    /// When rows that are still in a restored store count as a sign of life, in milliseconds; none
+    /// while no restored rows are distrusted.
     restored_trusted_at_ms: Option<u64>,
     /// Failure domains that are being evacuated.
     pub evacuations: Evacuations,
@@ -123,7 +123,7 @@
             if known.position >= position {
                 return false;
             }
-            // A peer may already have read a later row that says so.
+            // A peer may already have read a later row that says that the worker is leaving.
             record.is_leaving |= known.leaves_at > position;
             self.lapsing.remove(&record.id);
             self.holders.change(&known.record, &record);
--- a/crates/cranereach-fleet/src/roster/eras.rs
+++ b/crates/cranereach-fleet/src/roster/eras.rs
@@ -10,15 +10,15 @@
 use crate::departure::DepartureNews;
 use crate::departure::DepartureSource;
 
-/// Time after which a row that still stands in a restored store counts as a sign of life, in
+/// Time after which a row that is still in a restored store counts as a sign of life, in
 /// milliseconds: the row of a silent worker ends after three heartbeats of 1.2 s, and its end is
 /// known here 2 s later.
 const RESTORED_TRUSTED_AFTER_MS: u64 = 6_000;
 
-/// Most replaced incarnations remembered.
+/// Maximum number of replaced incarnations remembered.
 const SUPERSEDED_MAX_COUNT: usize = 2_048;
 
-/// Notes that an incarnation of a worker was replaced by another one, as two rows of the same era
+/// Records that an incarnation of a worker was replaced by another one, as two rows of the same era
 /// show. A restored store may list the replaced one again.
 pub(super) fn note_superseded(superseded: &mut VecDeque<u64>, incarnation: u64, next: u64) {
     superseded.retain(|known| *known != next);
@@ -101,7 +101,7 @@
         self.tombstones.get(id).copied().unwrap_or_default()
     }
 
-    /// Notes that an outage of the store is over. The rows of silent workers end that much later,
+    /// Records that an outage of the store is over. The rows of silent workers end that much later,
     /// so the time after which restored rows are trusted starts again.
     pub fn distrust_restored_rows(&mut self, now_ms: u64) {
         if self.restored_trusted_at_ms.is_some() {
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Trusts the restored rows that have stood for long enough, as a fresh list confirms.
+    /// Trusts the rows that are still in the restored store, once they have been there for long
+    /// enough; a fresh list must just have confirmed them.
     pub fn trust_restored_rows(&mut self, now_ms: u64) {
         if self
             .restored_trusted_at_ms
--- a/crates/cranereach-fleet/src/shortage.rs
+++ b/crates/cranereach-fleet/src/shortage.rs
@@ -1,10 +1,10 @@
 //! Chooses the retry delay of refused callers, from how long the shortage has lasted.
 //!
-//! A refusal knows when there would be room for this one caller. Under overload, that time is short
-//! and wrong: new callers take the room first, and a caller that comes back at once is refused
-//! again. How long an overload will last is unknown; the best guess is that it lasts as long again
-//! as it has so far. So the first callers are told to come back soon, and later ones are spread
-//! over ever longer times.
+//! When a caller is refused, the time until there would be room for it alone is known. Under
+//! overload, that time is short and wrong: new callers take the room first, and a caller that
+//! comes back at once is refused again. How long an overload will last is unknown; the best guess
+//! is that it lasts as long again as it has so far. So the first callers are told to come back
+//! soon, and later ones are spread over ever longer times.
 
 use std::collections::HashMap;
 
--- a/crates/cranereach-fleet/src/store_position.rs
+++ b/crates/cranereach-fleet/src/store_position.rs
@@ -34,7 +34,7 @@
 }
 
 impl StorePosition {
-    /// Makes the position of a version within an era.
+    /// Creates the position of a version within an era.
     pub const fn new(era: u64, version: u64) -> Self {
         Self { era, version }
     }
--- a/crates/cranereach-fleet/src/worker.rs
+++ b/crates/cranereach-fleet/src/worker.rs
@@ -73,7 +73,7 @@
 const OTHER_DOMAIN_PENALTY_MS: f64 = 15.0;
 
 /// Cost added to a worker that is ejected by its health (`is_ejected`), in milliseconds: it
-/// outweighs load, distance and failures. Costs from here on are those of workers to be avoided.
+/// outweighs load, distance and failures. A cost at or above it marks a worker to be avoided.
 pub(crate) const EJECTED_PENALTY_MS: f64 = 100_000.0;
 
 /// One worker as this instance sees it.
@@ -140,7 +140,7 @@
 }
 
 impl Worker {
-    /// Makes the state of a worker from its first row.
+    /// Creates the state of a worker from its first row.
     pub(crate) fn new(position: StorePosition, record: WorkerRecord) -> Self {
         Self {
             coldness: Coldness::default(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Notes a request that is sent to the worker, with the time to prefill its prompt.
+    /// Records a request that is sent to the worker, with the time to prefill its prompt.
     pub fn began(&mut self, now_ms: u64, request: &RoutingRequest<'_>, unread_ms: f64) {
         let rank = request.rank.min(RANK_COUNT - 1);
         self.health.tried(now_ms);
@@ -177,7 +177,7 @@
         self.cached_prefixes.sent(now_ms, request.parts);
     }
 
-    /// Notes that a request's prompt has been prefilled.
+    /// Records that a request's prompt has been prefilled.
     pub fn read(&mut self, rank: usize, unread_ms: f64) {
         let rank = rank.min(RANK_COUNT - 1);
         let own_ms = &mut self.own_load.unread_ms[rank];
@@ -186,7 +186,7 @@
         *waiting_count = waiting_count.saturating_sub(1);
     }
 
-    /// Notes that a request has ended that was expected to occupy a slot for `stay_ms`.
+    /// Records that a request has ended that was expected to occupy a slot for `stay_ms`.
     pub fn ended(&mut self, held_tokens: u32, stay_ms: f64) {
         self.own_load.open_count = self.own_load.open_count.saturating_sub(1);
         self.own_load.stay_ms = (self.own_load.stay_ms - stay_ms).max(0.0);
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Notes that the worker refused a model or adapter as missing.
+    /// Records that the worker refused a model or adapter as missing.
     pub fn lacks(&mut self, now_ms: u64, model: &str, adapter: Option<&str>) {
         let name = full_name(model, adapter);
         let missing_for_ms = match adapter {
@@ -219,7 +219,7 @@
         self.missing_until_ms.insert(name, now_ms + missing_for_ms);
     }
 
-    /// Notes a peer's report that an adapter was loaded, before the list says so.
+    /// Records a peer's report that an adapter was loaded, before the list says so.
     pub fn note_adapter_loaded(&mut self, now_ms: u64, model: &str, adapter: &str) {
         let name = full_name(model, Some(adapter));
         self.announced_until_ms
@@ -367,8 +367,8 @@
                 + f64::from(reported.1) * WAITING_PENALTY_MS
                 + excess_tokens.max(0.0) * token_ms;
         } else {
-            // Without an engine, an answer is relayed only once it is complete, so it begins when the
-            // call has run.
+            // Without an engine, an answer is relayed only once it is complete, so it begins when
+            // the call has run.
             estimate.begins_in_ms += request.stay_ms;
             let slots = f64::from(slot_count.max(1));
             estimate.cost_ms = f64::from(open_count + reported.1) / slots * 50.0;
