--- a/crates/cranereach-fleet/src/quarantine.rs
+++ b/crates/cranereach-fleet/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! others: a worker runs dozens of requests when it ends, and machines also fail in large numbers
 //! for other reasons. So ends of workers are counted per request content, over all instances:
 //!
-//! - Ends of different workers count, and those of different incarnations of one worker.
+//! - Ends of different workers count, and those of one worker that was restarted in between.
 //! - One complete response proves the request harmless; earlier ends no longer count.
 //! - From [`END_MAX_COUNT`] ends in a row on, the request is quarantined, if at least one of them
 //!   came under an attempt whose sender knew of an earlier end. If many workers are lost at the
@@ -59,9 +59,9 @@
 /// milliseconds; callers repeat requests within minutes.
 const SUSPECT_TTL_MS: i64 = 600_000;
 
-/// Time since it was last received after which a quarantined request is forgotten, in milliseconds.
-/// A complete response is remembered equally long, so that an instance that was partitioned does
-/// not bring back older ends.
+/// Time after which a quarantined request that no caller repeats is forgotten, in milliseconds. A
+/// complete response is remembered equally long, so that an instance that was partitioned does not
+/// bring back older ends.
 const QUARANTINE_TTL_MS: i64 = 3_600_000;
 
 /// Maximum number of requests that are remembered: some 64 on each of 64 workers that end at once.
