--- a/crates/cranereach-fleet/src/placement.rs
+++ b/crates/cranereach-fleet/src/placement.rs
@@ -164,7 +164,10 @@
                 let Some((net, order)) = candidate.filter(|(net, _)| *net > MIN_GAIN_MS) else {
                     continue;
                 };
-                if best_order.as_ref().is_none_or(|(most, _)| net > *most) {
+                if best_order
+                    .as_ref()
+                    .is_none_or(|(best_net, _)| net > *best_net)
+                {
                     let is_from_store = matches!(order, Order::Load(_)) && !is_local_copy;
                     let planned = Planned {
                         worker: index,
--- a/crates/cranereach-fleet/src/prefill_cost.rs
+++ b/crates/cranereach-fleet/src/prefill_cost.rs
@@ -47,13 +47,13 @@
     /// Returns the prior: half of its weight at zero tokens, half at `PRIOR_TOKENS`.
     fn prior() -> Self {
         let half = PRIOR_COUNT / 2.0;
-        let read_ms = DEFAULT_FIXED_MS + PRIOR_TOKENS * DEFAULT_TOKEN_MS;
+        let second_point_ms = DEFAULT_FIXED_MS + PRIOR_TOKENS * DEFAULT_TOKEN_MS;
         Self {
             count: PRIOR_COUNT,
             tokens: half * PRIOR_TOKENS,
             tokens_squared: half * PRIOR_TOKENS * PRIOR_TOKENS,
-            took_ms: half * (DEFAULT_FIXED_MS + read_ms),
-            tokens_took_ms: half * PRIOR_TOKENS * read_ms,
+            took_ms: half * (DEFAULT_FIXED_MS + second_point_ms),
+            tokens_took_ms: half * PRIOR_TOKENS * second_point_ms,
         }
     }
 
--- a/crates/cranereach-fleet/src/prefill_schedule.rs
+++ b/crates/cranereach-fleet/src/prefill_schedule.rs
@@ -25,7 +25,7 @@
 const ARRIVAL_MAX_COUNT: usize = 128;
 
 /// Prefill time below which a prompt causes no pause, in milliseconds.
-const NEGLIGIBLE_READING_MS: f64 = 1.0;
+const NEGLIGIBLE_PREFILL_MS: f64 = 1.0;
 
 /// A scheduled prompt, and the ticket of the request it belongs to.
 #[derive(Clone, Copy, Debug)]
@@ -81,7 +81,7 @@
     /// pauses are not limited.
     pub fn find_send_time(&self, now_ms: u64, reading_ms: f64) -> ScheduledSend {
         let now_ms = now_ms as f64;
-        if self.gap_aim_ms <= 0.0 || reading_ms < NEGLIGIBLE_READING_MS {
+        if self.gap_aim_ms <= 0.0 || reading_ms < NEGLIGIBLE_PREFILL_MS {
             return ScheduledSend {
                 at_ms: now_ms,
                 pause_ms: 0.0,
@@ -98,7 +98,7 @@
         let cutoff_ms = now_ms as f64 - ARRIVAL_RETENTION_MS;
         self.planned
             .retain(|prompt| prompt.arrival.at_ms > cutoff_ms);
-        if reading_ms < NEGLIGIBLE_READING_MS || self.planned.len() >= ARRIVAL_MAX_COUNT {
+        if reading_ms < NEGLIGIBLE_PREFILL_MS || self.planned.len() >= ARRIVAL_MAX_COUNT {
             return;
         }
         let arrival = Arrival {
--- a/crates/cranereach-fleet/src/rest.rs
+++ b/crates/cranereach-fleet/src/rest.rs
@@ -49,7 +49,7 @@
     let mut longest_ms = None;
     let mut has_invalid = false;
     for value in values {
-        let for_ms = read_ms(value);
+        let for_ms = parse_ms(value);
         has_invalid |= for_ms.is_none();
         longest_ms = longest_ms.max(for_ms);
     }
@@ -62,7 +62,7 @@
 }
 
 /// Parses one value into milliseconds, rounded up; none if it is invalid.
-fn read_ms(value: &[u8]) -> Option<u64> {
+fn parse_ms(value: &[u8]) -> Option<u64> {
     let value = Some(value).filter(|value| value.len() <= VALUE_MAX_BYTES)?;
     let seconds: f64 = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
     let is_time = seconds.is_finite() && seconds >= 0.0;
--- a/crates/cranereach-fleet/src/send_grants.rs
+++ b/crates/cranereach-fleet/src/send_grants.rs
@@ -174,32 +174,30 @@
             return SendAnswer::After(OTHER_OWNER_RETRY_MS);
         }
         self.forget(now_ms, worker);
-        let granted = self.by_worker.entry(worker).or_default();
-        granted.forget(now_ms, &effective);
-        let waits = effective
-            .iter()
-            .map(|rule| granted.wait_ms(now_ms, rule, rank));
+        let log = self.by_worker.entry(worker).or_default();
+        log.forget(now_ms, &effective);
+        let waits = effective.iter().map(|rule| log.wait_ms(now_ms, rule, rank));
         let Some(wait_ms) = waits.max().flatten() else {
-            granted.note_granted(now_ms);
+            log.note_granted(now_ms);
             return SendAnswer::Send;
         };
-        let spread_ms = granted.spread_ms(&effective);
-        granted.note_refused(now_ms, rank);
+        let spread_ms = log.spread_ms(&effective);
+        log.note_refused(now_ms, rank);
         SendAnswer::After((wait_ms + spread_ms).max(RETRY_MIN_MS))
     }
 
     /// Returns the counts of answers for a worker.
     pub fn counts(&self, worker: u64) -> GrantCounts {
-        let granted = self.by_worker.get(&worker);
-        granted.map_or(GrantCounts::default(), |granted| granted.counts)
+        let log = self.by_worker.get(&worker);
+        log.map_or(GrantCounts::default(), |log| log.counts)
     }
 
     /// Removes workers without recent grants once there are too many entries.
     fn forget(&mut self, now_ms: u64, worker: u64) {
         if self.by_worker.len() >= WORKER_MAX_COUNT && !self.by_worker.contains_key(&worker) {
             let kept_for_ms = RETRY_SPREAD_MAX_MS;
-            self.by_worker.retain(|_, granted| {
-                let last_ms = granted.granted_at_ms.back();
+            self.by_worker.retain(|_, log| {
+                let last_ms = log.granted_at_ms.back();
                 last_ms.is_some_and(|at_ms| now_ms < at_ms + kept_for_ms)
             });
         }
