--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -10,8 +10,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Most unlisted incarnations that are remembered as leaving. One that was forgotten and is listed
-/// again is known to be leaving only after its next answer says so.
+/// Maximum number of unlisted incarnations remembered as leaving. One that was forgotten and is
+/// listed again is known to be leaving only after its next answer says so.
 const UNLISTED_MAX_COUNT: usize = 2_048;
 
 /// Header value by which a worker announces that it is leaving.
@@ -43,15 +43,15 @@
 /// assert_eq!(read([&b"true"[..]].into_iter()), Said::Unreadable);
 /// ```
 pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
-    let mut said = Said::Nothing;
+    let mut announced = Said::Nothing;
     for value in values {
         match value.trim_ascii() {
             LEAVES => return Said::Leaves,
             STAYS => {}
-            _ => said = Said::Unreadable,
+            _ => announced = Said::Unreadable,
         }
     }
-    said
+    announced
 }
 
 /// Source of the report that a worker is leaving.
@@ -63,7 +63,8 @@
     Peer,
     /// A row of an earlier era of the store.
     Row,
-    /// No one: the row had ended before the store was restored from a backup, and is there again.
+    /// None: the departure is inferred, because the worker's row had ended before the store was
+    /// restored from a backup that still contains it.
     Copy,
 }
 
