--- a/crates/cranereach-gateway/src/account_limits.rs
+++ b/crates/cranereach-gateway/src/account_limits.rs
@@ -86,7 +86,7 @@
         units: cost,
     };
     let tolerance = node.settings.bounds.tolerance();
-    let decision = lock(&node.uses).decide(node.now_ms(), key, limit, &tolerance, cost);
+    let decision = lock(&node.account_usages).decide(node.now_ms(), key, limit, &tolerance, cost);
     let (request, held) = match decision {
         Decision::Paid => return Ok(charge),
         Decision::Beyond(wait_ms) => return Err(Denied::Beyond(wait_ms)),
@@ -106,14 +106,14 @@
     match grant {
         Some(Grant::Units(units)) => {
             reserved.units = 0.0;
-            lock(&node.uses).granted(now_ms, key, held + units, cost);
+            lock(&node.account_usages).granted(now_ms, key, held + units, cost);
             Ok(charge)
         }
         Some(Grant::After(wait_ms)) => {
-            lock(&node.uses).refused(now_ms, key, wait_ms);
+            lock(&node.account_usages).refused(now_ms, key, wait_ms);
             Err(Denied::Beyond(wait_ms))
         }
-        None if lock(&node.uses).may_run_without_owner(now_ms, key, cost) => Ok(charge),
+        None if lock(&node.account_usages).may_run_without_owner(now_ms, key, cost) => Ok(charge),
         None => Err(Denied::Unknown),
     }
 }
@@ -138,7 +138,7 @@
 fn give_back(node: &Node, account: u64, units: f64) {
     let now_ms = node.now_ms();
     let tolerance = node.settings.bounds.tolerance();
-    let surplus = lock(&node.uses).give_back(now_ms, account, &tolerance, units);
+    let surplus = lock(&node.account_usages).give_back(now_ms, account, &tolerance, units);
     let limit = limit_of(node, account).filter(|_| surplus >= MIN_RETURNED_UNITS);
     let Some(limit) = limit else {
         return;
@@ -185,7 +185,7 @@
 async fn ask(node: &Node, account: u64, limit: Limit, request: UnitRequest) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
     let first_part: u32 = rand::random();
-    let mut shortest_ms: Option<u64> = None;
+    let mut shortest_wait_ms: Option<u64> = None;
     let mut refused_count = 0;
     for try_number in 0..OWNER_TRY_MAX_COUNT {
         let part = first_part.wrapping_add(try_number) % part_count;
@@ -194,7 +194,8 @@
             Some(Grant::Units(units)) => return Some(Grant::Units(units)),
             Some(Grant::After(wait_ms)) => {
                 refused_count += 1;
-                shortest_ms = Some(shortest_ms.map_or(wait_ms, |known_ms| known_ms.min(wait_ms)));
+                shortest_wait_ms =
+                    Some(shortest_wait_ms.map_or(wait_ms, |known_ms| known_ms.min(wait_ms)));
             }
             None => {}
         }
@@ -202,7 +203,7 @@
             break;
         }
     }
-    shortest_ms.map(Grant::After)
+    shortest_wait_ms.map(Grant::After)
 }
 
 /// Asks the owner of one part. Returns `None` if it does not answer.
--- a/crates/cranereach-gateway/src/body_transfer.rs
+++ b/crates/cranereach-gateway/src/body_transfer.rs
@@ -236,8 +236,8 @@
     // The slot for sending a whole list, if any, is held until the body is sent.
     let (kind, body, _slot) = match request {
         BodyRequest::Configuration => (Kind::Configuration, packed_configuration(node), None),
-        BodyRequest::Workers(known_version) => {
-            let (body, slot) = list_transfer::answer(node, known_version);
+        BodyRequest::Workers(known_position) => {
+            let (body, slot) = list_transfer::answer(node, known_position);
             (Kind::Workers, body, slot)
         }
     };
--- a/crates/cranereach-gateway/src/controller/mod.rs
+++ b/crates/cranereach-gateway/src/controller/mod.rs
@@ -211,13 +211,13 @@
         for worker in self.ledger.reports_due(now_ms) {
             sender.request_report(&self.service, &worker);
         }
-        for (worker, open, sent_count) in self.ledger.resends_due(now_ms) {
+        for (worker, open_order, sent_count) in self.ledger.resends_due(now_ms) {
             sender.send_order(
                 &self.lease_state,
                 &self.service,
                 engine,
                 &worker,
-                open,
+                open_order,
                 sent_count,
             );
         }
@@ -265,11 +265,11 @@
                 return;
             };
             let id = Arc::clone(&ids[planned.worker]);
-            if let Some(open) = self.ledger.begin(&id, planned.order) {
+            if let Some(open_order) = self.ledger.begin(&id, planned.order) {
                 if planned.is_from_store {
                     self.load_budget.take(now_ms);
                 }
-                sender.send_order(&self.lease_state, &self.service, engine, &id, open, 1);
+                sender.send_order(&self.lease_state, &self.service, engine, &id, open_order, 1);
             }
             // Only the view of the worker that got the order has changed.
             let worker = &mut workers[planned.worker];
--- a/crates/cranereach-gateway/src/controller/orders.rs
+++ b/crates/cranereach-gateway/src/controller/orders.rs
@@ -112,10 +112,10 @@
         service: &Arc<str>,
         engine: &Engine,
         worker: &Arc<str>,
-        open: OpenOrder,
+        open_order: OpenOrder,
         sent_count: u32,
     ) {
-        let model = order_model(open.order);
+        let model = order_model(open_order.order);
         let client = self.client(worker);
         let name = engine.models.get(usize::from(model));
         let name = name.map(|model| model.name.to_string());
@@ -133,7 +133,7 @@
                         &lease_state,
                         &worker,
                         name,
-                        open,
+                        open_order,
                         sent_count,
                     )
                     .await
@@ -191,21 +191,21 @@
     lease_state: &LeaseState,
     worker: &Arc<str>,
     model: String,
-    open: OpenOrder,
+    open_order: OpenOrder,
     sent_count: u32,
 ) -> OrderEnd {
     let Some(token) = lease_state.token(node.now_ms()) else {
         return OrderEnd::NotSent;
     };
-    let kind = match open.order {
+    let kind = match open_order.order {
         Order::Load(_) | Order::LoadAdapter(_) => OrderKind::Load,
         Order::Unload(_) | Order::UnloadAdapter(_) => OrderKind::Unload,
     };
     let order = WorkerOrder {
         kind,
         model,
-        adapter: order_adapter(open.order).map(|adapter| format!("a{adapter}")),
-        expected_sequence: open.expected_sequence,
+        adapter: order_adapter(open_order.order).map(|adapter| format!("a{adapter}")),
+        expected_sequence: open_order.expected_sequence,
         holder: node.settings.instance.id.clone(),
         token,
     };
@@ -232,8 +232,9 @@
         Err(CallError::NotSent { .. }) => OrderEnd::NotSent,
         Err(CallError::Unanswered { .. } | CallError::Garbled { .. }) => OrderEnd::Unanswered,
     };
-    info!(node.log, "order"; "worker" => worker.as_ref(), "order" => format!("{:?}", open.order),
-        "model" => order.model, "expected_sequence" => open.expected_sequence,
+    info!(node.log, "order"; "worker" => worker.as_ref(),
+        "order" => format!("{:?}", open_order.order),
+        "model" => order.model, "expected_sequence" => open_order.expected_sequence,
         "token" => token, "end" => format!("{end:?}"), "sent" => sent_count);
     let counter = &node.metrics.orders_total;
     counter
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -82,7 +82,7 @@
     /// Names that occur in the settings or in a worker's row.
     known: BTreeSet<String>,
     /// Positions of the rows that request evacuations, by domain.
-    asked: BTreeMap<String, StorePosition>,
+    requested: BTreeMap<String, StorePosition>,
     /// Expected position when writing a row that does not exist.
     absent_position: StorePosition,
     workers: Vec<WorkerRecord>,
@@ -92,7 +92,7 @@
 pub async fn list_states(settings: &Settings) -> Result<Vec<DomainState>, DomainsError> {
     let adapter = adapter_of(settings)?;
     let snapshot = read(settings, adapter).await?;
-    let names = snapshot.known.iter().chain(snapshot.asked.keys());
+    let names = snapshot.known.iter().chain(snapshot.requested.keys());
     let names: BTreeSet<&String> = names.collect();
     let states = names.into_iter().map(|name| snapshot.state(name));
     Ok(states.collect())
@@ -106,9 +106,9 @@
 ) -> Result<EvacuationOutcome, DomainsError> {
     let adapter = adapter_of(settings)?;
     let snapshot = read(settings, adapter).await?;
-    let asked_at = snapshot.asked.get(domain).copied();
+    let requested_at = snapshot.requested.get(domain).copied();
     // A request can be withdrawn even if the domain is not known any more.
-    if !snapshot.known.contains(domain) && asked_at.is_none() {
+    if !snapshot.known.contains(domain) && requested_at.is_none() {
         return Err(DomainsError::Unknown {
             name: domain.to_owned(),
             known: snapshot.known.into_iter().collect(),
@@ -119,7 +119,7 @@
         key: (adapter.store.evacuation_key)(domain),
     };
     let store = store(settings, adapter);
-    let answer = match (asked_at, is_withdrawn) {
+    let answer = match (requested_at, is_withdrawn) {
         (Some(_), false) | (None, true) => return Ok(EvacuationOutcome::Already),
         (None, false) => {
             store
@@ -157,7 +157,7 @@
 ) -> Result<StoreSnapshot, DomainsError> {
     let store = store(settings, adapter);
     let rows = store.read(adapter.store.configuration.0).await?;
-    let asked = rows
+    let requested = rows
         .rows
         .iter()
         .filter(|row| !row.is_gone)
@@ -165,7 +165,7 @@
             let domain = (adapter.store.evacuated_domain)(&row.key)?;
             Some((domain.to_owned(), row.position))
         });
-    let asked = asked.collect();
+    let requested = requested.collect();
     let absent_position = StorePosition::start_of(rows.position.era);
     let rows = store.read(adapter.store.workers).await?;
     let listed = rows.rows.iter().filter(|row| !row.is_gone);
@@ -182,7 +182,7 @@
         );
     Ok(StoreSnapshot {
         known: known.collect(),
-        asked,
+        requested,
         absent_position,
         workers,
     })
@@ -194,7 +194,10 @@
         let here = |record: &&WorkerRecord| record.failure_domain.as_ref() == name;
         let mut state = DomainState {
             name: name.to_owned(),
-            evacuated_since_version: self.asked.get(name).map(|asked_at| asked_at.version),
+            evacuated_since_version: self
+                .requested
+                .get(name)
+                .map(|requested_at| requested_at.version),
             ..DomainState::default()
         };
         for worker in self.workers.iter().filter(here) {
@@ -205,7 +208,7 @@
         let elsewhere = self.workers.iter().filter(|record| {
             !here(record)
                 && !record.is_leaving
-                && !self.asked.contains_key(record.failure_domain.as_ref())
+                && !self.requested.contains_key(record.failure_domain.as_ref())
         });
         let held_elsewhere = models(elsewhere);
         let held_here = models(self.workers.iter().filter(here));
--- a/crates/cranereach-gateway/src/expected_models.rs
+++ b/crates/cranereach-gateway/src/expected_models.rs
@@ -75,7 +75,7 @@
     if let Some(announced) = node.announced().get(service) {
         return Some(local_answer(announced, model));
     }
-    lock(&node.expected).lookup(node.now_ms(), (worker_key(service), model))
+    lock(&node.expected_models).lookup(node.now_ms(), (worker_key(service), model))
 }
 
 /// Returns the answer about a model from this instance as the lease holder.
@@ -112,7 +112,7 @@
 /// Stores a holder's answers and wakes the requests that wait for them.
 pub fn take(node: &Node, answers: &[ExpectedModel]) {
     let now_ms = node.now_ms();
-    let mut expected = lock(&node.expected);
+    let mut expected = lock(&node.expected_models);
     for answer in answers.iter().take(QUERIED_MAX_COUNT) {
         let expectation = answer.in_ms.map_or(Expectation::NotLoading, |in_ms| {
             Expectation::At(now_ms + u64::from(in_ms))
--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -20,7 +20,7 @@
     worker: &Arc<str>,
     earlier_end_known: bool,
 ) -> JoinHandle<ProbeResult> {
-    let start = node
+    let incarnation = node
         .roster()
         .get(worker)
         .map(|known| known.record.incarnation_key());
@@ -37,8 +37,8 @@
                 "found" => found.name(),
                 "fingerprint" => call.fingerprint(&node).to_string());
             // A worker that is no longer listed was meant to end.
-            if let Some(start) = start {
-                quarantine::ended(&node, &call, (start, &worker), earlier_end_known).await;
+            if let Some(incarnation) = incarnation {
+                quarantine::ended(&node, &call, (incarnation, &worker), earlier_end_known).await;
             }
         }
         found
--- a/crates/cranereach-gateway/src/forward/choosing.rs
+++ b/crates/cranereach-gateway/src/forward/choosing.rs
@@ -131,7 +131,7 @@
     /// for a model only if that is expected early enough to answer within the latency target.
     fn wait_until_ms(&self, why: NoWorker, routing_request: &RoutingRequest<'_>) -> u64 {
         let received_ms = self.call.received_ms;
-        let aim_at_ms = received_ms + self.call.route.latency_target_ms;
+        let target_at_ms = received_ms + self.call.route.latency_target_ms;
         match why {
             NoWorker::None | NoWorker::Leaving | NoWorker::NotAllowed | NoWorker::Unreachable => {
                 received_ms
@@ -155,8 +155,8 @@
             }
             NoWorker::NoModel | NoWorker::Evacuated => {
                 match workload::load_expectation(self.node, self.call) {
-                    Some(Expectation::At(at_ms)) if at_ms < aim_at_ms => {
-                        aim_at_ms.min(at_ms + LISTING_DELAY_MS)
+                    Some(Expectation::At(at_ms)) if at_ms < target_at_ms => {
+                        target_at_ms.min(at_ms + LISTING_DELAY_MS)
                     }
                     Some(Expectation::At(_) | Expectation::NotLoading) => received_ms,
                     None => received_ms + LOAD_EXPECTATION_WAIT_MS,
@@ -301,15 +301,15 @@
 
     /// Returns the requirements of the call for the choice of a worker.
     pub(super) fn routing_request(&self) -> RoutingRequest<'_> {
-        let pace = workload::pace(self.node, self.call);
+        let prefill_cost = workload::prefill_cost(self.node, self.call);
         let engine = self.call.service.engine.as_ref();
         RoutingRequest {
             service: &self.call.service.name,
             model: self.call.model(),
             parts: &self.call.parts,
             prompt_tokens: self.call.prompt_tokens,
-            token_ms: pace.token_ms,
-            fixed_ms: pace.fixed_ms,
+            token_ms: prefill_cost.token_ms,
+            fixed_ms: prefill_cost.fixed_ms,
             stay_ms: workload::stay_ms(self.node, self.call),
             gap_aim_ms: self.call.gap_aim_ms.map(|gap_aim_ms| gap_aim_ms as f64),
             event_tokens: engine.map_or(0, |engine| engine.event_tokens),
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -33,7 +33,7 @@
     /// Time for which the call is expected to occupy a slot, in milliseconds, with its prefill.
     stay_ms: f64,
     /// Registration of the request at the instance that owns the worker.
-    owner_ticket: ReportedRequest,
+    reported_request: ReportedRequest,
     outcome: Outcome,
     distance: Distance,
 }
@@ -54,7 +54,7 @@
 struct PendingPrefill {
     tokens: u32,
     /// Predicted duration of the prefill, in milliseconds.
-    reading_ms: f64,
+    prefill_ms: f64,
     rank: usize,
     /// Whether no other prompt was queued ahead at the worker, as far as known.
     is_first: bool,
@@ -76,21 +76,21 @@
         send_in_ms: u64,
     ) -> Self {
         let now_ms = node.now_ms();
-        let reading_ms = f64::from(choice.unread_tokens) * routing_request.token_ms;
+        let prefill_ms = f64::from(choice.unread_tokens) * routing_request.token_ms;
         let mut domain = Arc::default();
         let mut distance = Distance::OtherRegion;
         if let Some(worker) = node.roster().get_mut(&choice.id) {
-            worker.began(now_ms, routing_request, reading_ms);
+            worker.began(now_ms, routing_request, prefill_ms);
             domain = Arc::clone(&worker.record.failure_domain);
             distance = routing_request.topology.distance(&domain);
         }
         node.metrics.open_requests.inc();
         let open_in_domain = &node.metrics.open_in_domain;
         open_in_domain.with_label_values(&[domain.as_ref()]).inc();
-        let opening = SentRequest {
+        let sent_request = SentRequest {
             rank: routing_request.rank.min(RANK_COUNT - 1) as u8,
-            unread_ms: reading_ms as f32,
-            stay_ms: (routing_request.stay_ms + reading_ms) as f32,
+            unread_ms: prefill_ms as f32,
+            stay_ms: (routing_request.stay_ms + prefill_ms) as f32,
             held_tokens: routing_request.held_tokens,
             ends_within_ms: deadline_at_ms.saturating_sub(now_ms) as u32,
             gap_aim_ms: routing_request.gap_aim_ms.unwrap_or_default() as u32,
@@ -98,9 +98,10 @@
             send_in_ms: send_in_ms as u32,
             runs_alone: routing_request.end_count >= ALONE_FROM_COUNT,
         };
-        let owner_ticket = owners::report_begun(node, &choice.id, opening, routing_request.parts);
+        let reported_request =
+            owners::report_begun(node, &choice.id, sent_request, routing_request.parts);
         Self {
-            owner_ticket,
+            reported_request,
             outcome: Outcome::Neutral,
             distance,
             node: Arc::clone(node),
@@ -108,7 +109,7 @@
             domain,
             pending_prefill: Some(PendingPrefill {
                 tokens: choice.unread_tokens,
-                reading_ms,
+                prefill_ms,
                 rank: routing_request.rank,
                 is_first: choice.is_first,
                 started_at: Instant::now(),
@@ -124,7 +125,7 @@
             }),
             answer_tokens,
             held_tokens: routing_request.held_tokens,
-            stay_ms: routing_request.stay_ms + reading_ms,
+            stay_ms: routing_request.stay_ms + prefill_ms,
         }
     }
 
@@ -135,7 +136,7 @@
         };
         self.answering_since = Some(Instant::now());
         let took_ms = pending_prefill.started_at.elapsed().as_secs_f64() * 1_000.0;
-        self.owner_ticket.read(&self.node, took_ms);
+        self.reported_request.report_prefilled(&self.node, took_ms);
         if let (true, Some(model)) = (pending_prefill.is_first, &self.model) {
             self.node
                 .prefill_costs()
@@ -147,7 +148,7 @@
     fn clear_pending_prefill(&mut self) -> Option<PendingPrefill> {
         let pending_prefill = self.pending_prefill.take()?;
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
-            worker.read(pending_prefill.rank, pending_prefill.reading_ms);
+            worker.read(pending_prefill.rank, pending_prefill.prefill_ms);
         }
         Some(pending_prefill)
     }
@@ -170,9 +171,9 @@
             worker.health.succeeded(now_ms);
         }
         if let (Some(since), Some(model)) = (self.answering_since, &self.model) {
-            let stayed_ms = since.elapsed().as_secs_f64() * 1_000.0;
+            let slot_time_ms = since.elapsed().as_secs_f64() * 1_000.0;
             let mut slot_times = self.node.slot_times();
-            slot_times.learn(model, self.answer_tokens, stayed_ms);
+            slot_times.learn(model, self.answer_tokens, slot_time_ms);
         }
         if let Some(plain_call) = &self.plain_call {
             let took_ms = plain_call.started_at.elapsed().as_secs_f64() * 1_000.0;
@@ -235,7 +236,7 @@
 impl Drop for InFlightCall {
     fn drop(&mut self) {
         self.clear_pending_prefill();
-        self.owner_ticket.ended(&self.node, self.outcome);
+        self.reported_request.report_ended(&self.node, self.outcome);
         if let Some(worker) = self.node.roster().get_mut(&self.worker) {
             worker.ended(self.held_tokens, self.stay_ms);
         }
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -20,8 +20,8 @@
     let engine = call.service.engine.as_ref();
     let slot_count = engine.map_or(1, |engine| engine.slot_count.max(1));
     // A worker prefills one prompt at a time, but generates responses in all slots concurrently.
-    let reading_ms = f64::from(call.prompt_tokens.max(1)) * pace(node, call).token_ms;
-    let work_ms = reading_ms + stay_ms(node, call) / f64::from(slot_count);
+    let prefill_ms = f64::from(call.prompt_tokens.max(1)) * prefill_cost(node, call).token_ms;
+    let work_ms = prefill_ms + stay_ms(node, call) / f64::from(slot_count);
     let mut demand = node.demand();
     let service_demand = demand.entry(Arc::clone(&call.service.name)).or_default();
     service_demand.record_request(now_ms, key, work_ms);
@@ -56,7 +56,7 @@
 }
 
 /// Returns the prefill speed of the call's model; zero time if the call names no model.
-pub fn pace(node: &Node, call: &Call) -> PrefillCost {
+pub fn prefill_cost(node: &Node, call: &Call) -> PrefillCost {
     let model = call.model();
     model.map_or(PrefillCost::default(), |(model, _)| {
         node.prefill_costs().of(model)
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -93,7 +93,7 @@
     /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
     /// Probes of workers whose connections broke.
-    pub tries: WorkerProbes,
+    pub worker_probes: WorkerProbes,
     /// Headers in workers' answers that this build does not recognize.
     pub unknown_headers: UnknownHeaders,
     /// Requests during which workers ended.
@@ -115,7 +115,7 @@
     /// Models that local requests lacked since lease holders were last told: service, model.
     pub lacks: Mutex<HashSet<(u64, u16)>>,
     /// Lease holders' answers on when such models are expected.
-    pub expected: Mutex<ExpectedModels>,
+    pub expected_models: Mutex<ExpectedModels>,
     /// Wakes tasks that wait for these answers.
     pub expected_changed: Notify,
     /// Wakes the controller.
@@ -123,7 +123,7 @@
     /// Rows of the worker list, and the changes that peers are sent.
     pub listing: Mutex<Listing>,
     /// Freshness of the worker list.
-    pub list: Mutex<Freshness>,
+    pub list_freshness: Mutex<Freshness>,
     /// Proof that the configuration in force was recently the newest.
     pub proof: Mutex<Proof>,
     /// State for sending whole worker lists to peers.
@@ -153,15 +153,15 @@
     retries: Mutex<HashMap<Arc<str>, RetryWindow>>,
     pools: Mutex<Pools>,
     /// Requests at the workers that this instance owns.
-    pub owned: Mutex<OwnedWorkers>,
+    pub owned_workers: Mutex<OwnedWorkers>,
     /// Pending questions to owners of workers.
-    pub questions: Questions<Quote>,
+    pub quote_questions: Questions<Quote>,
     /// Round-trip times to owners of workers, by distance.
     pub round_trips: Mutex<RoundTrips>,
     /// Parts of accounts' limits that this instance owns.
     pub owned_limits: Mutex<OwnedLimits>,
     /// This instance's usage of accounts' limits.
-    pub uses: Mutex<AccountUsages>,
+    pub account_usages: Mutex<AccountUsages>,
     /// Pending questions to owners of limits.
     pub limit_questions: Questions<LimitGrant>,
     /// Send grants for the cold or rate-limited workers that this instance owns.
@@ -223,7 +223,7 @@
             log,
             metrics,
             fingerprint_key: FingerprintKey::new(&settings.peers.fingerprint_secret),
-            tries: WorkerProbes::default(),
+            worker_probes: WorkerProbes::default(),
             unknown_headers: UnknownHeaders::default(),
             quarantine: Mutex::default(),
             persistence: PersistenceState::default(),
@@ -234,11 +234,11 @@
             demand_wanted: Notify::new(),
             waits_for: Mutex::default(),
             lacks: Mutex::default(),
-            expected: Mutex::default(),
+            expected_models: Mutex::default(),
             expected_changed: Notify::new(),
             controller_wanted: Notify::new(),
             listing: Mutex::default(),
-            list: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
+            list_freshness: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
             proof: Mutex::new(Proof::new(boot, settings.bounds.configuration_ms)),
             list_sending: list_transfer::ListSending::default(),
             list_update_wanted: Notify::new(),
@@ -257,11 +257,11 @@
             announced: Mutex::default(),
             retries: Mutex::default(),
             pools: Mutex::default(),
-            owned: Mutex::default(),
-            questions: Questions::default(),
+            owned_workers: Mutex::default(),
+            quote_questions: Questions::default(),
             round_trips: Mutex::default(),
             owned_limits: Mutex::default(),
-            uses: Mutex::default(),
+            account_usages: Mutex::default(),
             limit_questions: Questions::default(),
             send_grants: Mutex::default(),
             grant_questions: Questions::default(),
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -63,7 +63,7 @@
     };
     let now_ms = node.now_ms();
     let mut pending: HashMap<u64, PendingQuestion<'_>> = HashMap::new();
-    let mut question = node.questions.open();
+    let mut question = node.quote_questions.open();
     for worker in workers {
         let key = worker_key(worker);
         let owner = owner_of(node, key);
@@ -142,7 +142,7 @@
 pub fn report_begun(
     node: &Node,
     worker: &str,
-    opening: SentRequest,
+    sent_request: SentRequest,
     parts: &[PromptPart],
 ) -> ReportedRequest {
     let key = worker_key(worker);
@@ -154,10 +154,10 @@
     let parts = &parts[..parts.len().min(PROMPT_PART_MAX_COUNT)];
     if request.owner == node.own_ip() {
         let ticket = (u32::from(request.owner), request.ticket);
-        lock(&node.owned).request_started(node.now_ms(), key, ticket, opening, parts);
+        lock(&node.owned_workers).request_started(node.now_ms(), key, ticket, sent_request, parts);
     } else {
         let chains = parts.iter().map(|part| part.chain).collect();
-        let event = OwnerEvent::Begun(opening, chains);
+        let event = OwnerEvent::Begun(sent_request, chains);
         send_event(node, request.owner, key, request.ticket, event);
     }
     request
@@ -178,12 +178,12 @@
 
 impl ReportedRequest {
     /// Reports to the owner that the worker has read the prompt, and how long that took.
-    pub fn read(&self, node: &Node, took_ms: f64) {
+    pub fn report_prefilled(&self, node: &Node, took_ms: f64) {
         self.report_event(node, OwnerEvent::Read(took_ms as u32));
     }
 
     /// Reports to the owner how the request ended.
-    pub fn ended(&self, node: &Node, outcome: Outcome) {
+    pub fn report_ended(&self, node: &Node, outcome: Outcome) {
         self.report_event(node, OwnerEvent::Ended(outcome));
     }
 
@@ -213,7 +213,7 @@
         event,
     } = message;
     let request = (u32::from(sender), ticket);
-    let mut owned = lock(&node.owned);
+    let mut owned = lock(&node.owned_workers);
     match event {
         OwnerEvent::Ask(ask) => {
             drop(owned);
@@ -229,7 +229,7 @@
                 ..encode_status(worker, ticket, &status)
             });
         }
-        OwnerEvent::Begun(opening, chains) => {
+        OwnerEvent::Begun(sent_request, chains) => {
             let chains = chains.iter().take(PROMPT_PART_MAX_COUNT);
             let parts: Vec<PromptPart> = chains
                 .map(|chain| PromptPart {
@@ -237,7 +237,7 @@
                     tokens: 0,
                 })
                 .collect();
-            owned.request_started(now_ms, worker, request, opening, &parts);
+            owned.request_started(now_ms, worker, request, sent_request, &parts);
         }
         OwnerEvent::Read(took_ms) => owned.prefilled(now_ms, worker, request, f64::from(took_ms)),
         OwnerEvent::Ended(outcome) => owned.request_ended(now_ms, worker, request, outcome),
@@ -253,7 +253,7 @@
 fn own_worker_status(node: &Node, worker: u64, ask: &OwnerAsk) -> WorkerStatus {
     let now_ms = node.now_ms();
     let chains = &ask.chains[..ask.chains.len().min(PROMPT_PART_MAX_COUNT)];
-    let mut owned = lock(&node.owned);
+    let mut owned = lock(&node.owned_workers);
     let kept_count = owned.kept_part_count(worker, chains);
     let kept_ms: u32 = ask.part_reading_ms.iter().take(kept_count).sum();
     let unread_ms = f64::from(ask.reading_ms.saturating_sub(kept_ms));
@@ -266,7 +266,7 @@
 
 /// Hands an owner's answer to the waiting question.
 pub fn handle_quote(node: &Node, quote: Quote) {
-    node.questions.answered(quote.ticket, quote);
+    node.quote_questions.answered(quote.ticket, quote);
 }
 
 /// Returns the instance that owns a worker. It is one of the worker's own failure domain if any
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -112,7 +112,7 @@
     /// Peer that last advertised its worker list, and the list's position.
     list_advertiser: Option<(Ipv4Addr, StorePosition)>,
     /// Random number from zero to one, drawn at the start.
-    chance: f64,
+    jitter_ratio: f64,
 }
 
 impl Peers {
@@ -136,7 +136,7 @@
             join_reply_at_ms: None,
             is_domain_relay: false,
             list_advertiser: None,
-            chance: rand::random(),
+            jitter_ratio: rand::random(),
         }
     }
 
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -106,7 +106,7 @@
             holder: Holder::Nobody,
             is_domain_relay: self.is_domain_relay,
             rank_in_domain: self.rank_in_domain(now_ms, purpose),
-            chance: self.chance,
+            chance: self.jitter_ratio,
         }
     }
 
@@ -114,7 +114,7 @@
     /// spread when all instances may have to read.
     pub fn read_spread_ms(&self) -> u64 {
         let longest_ms = SPREAD_PER_INSTANCE_MS * self.members.known_count() as u64;
-        (longest_ms as f64 * self.chance) as u64
+        (longest_ms as f64 * self.jitter_ratio) as u64
     }
 
     /// Selects the recipients of worker list changes that came from `origin`.
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -72,18 +72,23 @@
 }
 
 /// Records that a worker terminated under a call. `worker` holds the key of its incarnation and its
-/// identity; `knew_of_others` states whether this instance knew of an earlier termination when it
+/// identity; `earlier_end_known` states whether this instance knew of an earlier termination when it
 /// sent the call.
-pub async fn ended(node: &Arc<Node>, call: &Call, worker: (u64, &Arc<str>), knew_of_others: bool) {
+pub async fn ended(
+    node: &Arc<Node>,
+    call: &Call,
+    worker: (u64, &Arc<str>),
+    earlier_end_known: bool,
+) {
     let mark = call.mark(node);
-    let before = record_worker_end(node, call, worker, knew_of_others);
+    let before = record_worker_end(node, call, worker, earlier_end_known);
     persistence::load_once(node).await;
     let after = lock(&node.quarantine).suspicion(mark);
     if after.is_quarantined && !before.is_quarantined {
         warn!(node.log, "request quarantined"; "request" => call.id.clone(),
             "route" => call.route.name.as_ref(), "account" => call.account_label.clone(),
             "fingerprint" => mark.fingerprint.to_string(), "ends" => after.end_count);
-        tokio::spawn(persistence::keep(Arc::clone(node)));
+        tokio::spawn(persistence::persist(Arc::clone(node)));
     }
     notify_peers(node, mark, after);
 }
@@ -93,13 +98,13 @@
     node: &Node,
     call: &Call,
     (worker, id): (u64, &Arc<str>),
-    knew_of_others: bool,
+    earlier_end_known: bool,
 ) -> Suspicion {
     let now_ms = node.now_ms() as i64;
     let mark = call.mark(node);
     let mut quarantine = lock(&node.quarantine);
     let before = quarantine.suspicion(mark);
-    quarantine.ended(now_ms, mark, worker, knew_of_others);
+    quarantine.ended(now_ms, mark, worker, earlier_end_known);
     let account = &call.account_label;
     quarantine.record_observation(mark, &call.route.name, account, Some((worker, id)));
     before
@@ -130,7 +135,7 @@
         "ends" => before.end_count, "was_quarantined" => before.is_quarantined, "why" => why);
     notify_peers(node, mark, before);
     if before.is_quarantined {
-        tokio::spawn(persistence::keep(Arc::clone(node)));
+        tokio::spawn(persistence::persist(Arc::clone(node)));
     }
     true
 }
--- a/crates/cranereach-gateway/src/quarantine/persistence.rs
+++ b/crates/cranereach-gateway/src/quarantine/persistence.rs
@@ -93,7 +93,7 @@
 }
 
 /// Updates the row to the quarantined requests known here.
-pub async fn keep(node: Arc<Node>) {
+pub async fn persist(node: Arc<Node>) {
     for _try in 0..WRITE_ATTEMPT_MAX_COUNT {
         match write(&node).await {
             Ok(true) => return,
--- a/crates/cranereach-gateway/src/run.rs
+++ b/crates/cranereach-gateway/src/run.rs
@@ -97,9 +97,9 @@
         let callers = bind("listen.callers", listen.callers).await?;
         let ready = bind("listen.ready", listen.ready).await?;
         let metrics = bind("listen.metrics", listen.metrics).await?;
-        let bodies = bind("listen.peers", listen.peers).await?;
-        let digests = UdpSocket::bind(listen.peers).await;
-        let digests = digests.map_err(|source| StartError::Listen {
+        let peer_listener = bind("listen.peers", listen.peers).await?;
+        let peer_socket = UdpSocket::bind(listen.peers).await;
+        let peer_socket = peer_socket.map_err(|source| StartError::Listen {
             key: "listen.peers",
             address: listen.peers,
             source,
@@ -131,14 +131,14 @@
             stop.clone(),
             move |request| operators::answer(&operator_node, &request),
         ));
-        let socket = Arc::new(digests);
+        let socket = Arc::new(peer_socket);
         // The cell is still empty: no task that uses it has been started.
         let _first = node.peer_socket.set(Arc::clone(&socket));
         tasks.spawn(gossip::receive(Arc::clone(&node), socket));
         tasks.spawn(list_updates::send(Arc::clone(&node)));
         tasks.spawn(gossip::send_demand(Arc::clone(&node)));
         tasks.spawn(gossip::send(Arc::clone(&node)));
-        tasks.spawn(body_transfer::serve(Arc::clone(&node), bodies));
+        tasks.spawn(body_transfer::serve(Arc::clone(&node), peer_listener));
         tasks.spawn(configuration_sync::run(Arc::clone(&node)));
         tasks.spawn(proofs::run(Arc::clone(&node)));
         tasks.spawn(roster_sync::run(Arc::clone(&node)));
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -29,7 +29,7 @@
         pause(OUTAGE_RECOVERY_MS).await;
         let is_first = node.peers().rank(node.now_ms(), RANK_PURPOSE) == 0;
         if is_first && persistence::has_requests_to_store(&node) {
-            persistence::keep(Arc::clone(&node)).await;
+            persistence::persist(Arc::clone(&node)).await;
         }
     }
 }
@@ -39,7 +39,7 @@
     let era = node.store.eras().newest();
     let now_ms = node.now_ms();
     let is_restored = {
-        let mut list = lock(&node.list);
+        let mut list = lock(&node.list_freshness);
         list.enter_era(now_ms, era) && list.restored_at_ms().is_some()
     };
     lock(&node.proof).enter_era(now_ms, era);
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -104,7 +104,7 @@
         return ProbeResult::Planned;
     }
     let incarnation = incarnation_of(node, worker);
-    let result_cell = node.tries.current(node.now_ms(), worker);
+    let result_cell = node.worker_probes.current(node.now_ms(), worker);
     let found = *result_cell.get_or_init(|| probe(node, worker)).await;
     if found == ProbeResult::OutOfReach {
         return wait_for_delisting(node, worker, incarnation).await;
--- a/crates/cranereach-gateway/src/worker_headers.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -64,8 +64,9 @@
         (status, headers): (StatusCode, &HeaderMap),
     ) -> Self {
         let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        let author = headers.get(names.answered_by);
-        let is_other_worker = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
+        let responder = headers.get(names.answered_by);
+        let is_other_worker =
+            responder.is_some_and(|responder| responder.as_bytes() != worker.as_bytes());
         let load = headers.get(names.load).map(parse_load);
         // With other status codes the header is meant for the caller, or for one account.
         let rest = match status {
