--- a/crates/cranereach-gateway/src/configuration_sync.rs
+++ b/crates/cranereach-gateway/src/configuration_sync.rs
@@ -90,7 +90,7 @@
                 if apply_rows(&node, key, rows, is_whole) {
                     lock(&node.proof).read(position.era, begun_ms + waited_ms);
                 } else {
-                    // A watch from this position would not return that version again, so the
+                    // A watch from this position would not return the unparsed row again, so the
                     // table is read whole.
                     after = None;
                     pause(INVALID_RETRY_DELAY_MS).await;
@@ -219,7 +219,8 @@
                     .bad_input_total
                     .with_label_values(&["configuration"])
                     .inc();
-                warn!(node.log, "configuration not understood"; "error" => error.to_string());
+                warn!(node.log, "cannot parse configuration from store";
+                    "error" => error.to_string());
                 is_valid = false;
             }
         }
