--- a/crates/cranereach-gateway/src/account_limits.rs
+++ b/crates/cranereach-gateway/src/account_limits.rs
@@ -37,8 +37,8 @@
 /// milliseconds: twice the time in which all instances have come to know each other.
 const STARTUP_PERIOD_MS: u64 = 2 * SETTLING_MS;
 
-/// Pause before owners that did not answer are asked again, in milliseconds. It spans some rounds
-/// of digests while all instances are starting.
+/// Pause before owners that did not answer are asked again, in milliseconds. It spans several
+/// rounds of digests while all instances are starting.
 const RETRY_DELAY_MS: u64 = 60;
 
 /// Smallest amount that is worth a message back to an owner, in units of the limit.
@@ -61,7 +61,7 @@
 }
 
 impl Charge {
-    /// Returns the charged units of a request that did not run.
+    /// Gives back the charged units of a request that did not run.
     pub fn give_back(self, node: &Node) {
         give_back(node, self.account, self.units);
     }
@@ -118,7 +118,8 @@
     }
 }
 
-/// Units reserved for a request. Unused units are returned on drop, also if the caller disconnects.
+/// Units reserved for a request. Unused units are given back on drop, also if the caller
+/// disconnects.
 struct ReservedUnits<'a> {
     node: &'a Node,
     account: u64,
@@ -133,8 +134,8 @@
     }
 }
 
-/// Returns unused units. What this instance may not keep goes to the owner of a part of the limit.
-/// A lost message can only reduce the account's units, never add any.
+/// Gives back unused units. What this instance may not keep goes to the owner of a part of the
+/// limit. A lost message can only reduce the account's units, never add any.
 fn give_back(node: &Node, account: u64, units: f64) {
     let now_ms = node.now_ms();
     let tolerance = node.settings.bounds.tolerance();
--- a/crates/cranereach-gateway/src/adapter.rs
+++ b/crates/cranereach-gateway/src/adapter.rs
@@ -35,7 +35,7 @@
     pub leaving: &'static str,
     /// Worker that sent the answer.
     pub answered_by: &'static str,
-    /// Requests per second that a worker in distress accepts from all callers together.
+    /// Requests per second that a worker accepts from all instances together.
     pub limit: &'static str,
     /// Model, optionally followed by a slash and an adapter.
     pub model: &'static str,
--- a/crates/cranereach-gateway/src/body_transfer.rs
+++ b/crates/cranereach-gateway/src/body_transfer.rs
@@ -54,14 +54,15 @@
 pub(crate) const FETCH_MAX_BYTES: usize = 16 * 1024 * 1024;
 
 /// Divisor of the bound for configuration changes that gives the time over which fetches from
-/// peers are spread: bodies are large, and all instances hear of a change at once.
+/// peers are spread: bodies are large, and all instances are notified of a change at once.
 const FETCH_SPREAD_DIVISOR: u64 = 16;
 
 /// Divisor of that bound that gives the time for which an instance waits for another one of
 /// its failure domain to fetch a body from outside.
 const OWN_DOMAIN_WAIT_DIVISOR: u64 = 8;
 
-/// Interval between two checks whether that has happened, in milliseconds.
+/// Interval between two checks whether another instance of the domain has the body, in
+/// milliseconds.
 const POLL_INTERVAL_MS: u64 = 20;
 
 /// Purpose that the instances of a failure domain are ranked for.
@@ -87,7 +88,7 @@
 }
 
 /// Fetches a newer configuration that a peer has in force, after a short random delay, unless
-/// it arrives otherwise before.
+/// it arrives from another source first.
 ///
 /// Within a failure domain, one instance fetches it from outside and the others from an
 /// instance of the domain that has it.
@@ -192,8 +193,8 @@
         .unwrap_or_else(|_elapsed| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Reads from a peer until it closes the connection; fails if it falls silent or sends too
-/// much.
+/// Reads from a peer until it closes the connection; fails if it sends nothing for too
+/// long, or too much in total.
 async fn read_whole(stream: &mut TcpStream) -> io::Result<Bytes> {
     let mut body = BytesMut::new();
     let idle_timeout = Duration::from_millis(IDLE_TIMEOUT_MS);
--- a/crates/cranereach-gateway/src/controller/lease.rs
+++ b/crates/cranereach-gateway/src/controller/lease.rs
@@ -27,7 +27,7 @@
 const CANDIDATE_GROUP_SIZE: u64 = 4;
 
 /// Time between the first attempts of two groups of candidates, in milliseconds. It is longer
-/// than a successor of a holder that has fallen silent has to wait for the lease.
+/// than the time for which a successor has to wait for the lease if its holder stops responding.
 const GROUP_STAGGER_MS: u64 = 6_000;
 
 /// Pause after a failed call to the store, in milliseconds.
--- a/crates/cranereach-gateway/src/controller/view.rs
+++ b/crates/cranereach-gateway/src/controller/view.rs
@@ -92,7 +92,8 @@
         .collect()
 }
 
-/// Returns the demand for a service, summed over this instance and all peers that it hears from.
+/// Returns the demand for a service, summed over this instance and all peers that report theirs to
+/// it.
 pub fn demand(node: &Node, now_ms: u64, service: &Arc<str>) -> HashMap<ModelKey, f64> {
     let mut all: HashMap<ModelKey, f64> = HashMap::new();
     if let Some(own) = node.demand().get_mut(service) {
--- a/crates/cranereach-gateway/src/domains.rs
+++ b/crates/cranereach-gateway/src/domains.rs
@@ -83,7 +83,7 @@
     known: BTreeSet<String>,
     /// Positions of the rows that request evacuations, by domain.
     requested: BTreeMap<String, StorePosition>,
-    /// Expected position when writing a row that does not exist.
+    /// Position to expect when writing a row that does not exist yet.
     absent_position: StorePosition,
     workers: Vec<WorkerRecord>,
 }
--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -13,7 +13,8 @@
 
 /// Checks in the background what became of the worker whose connection broke during a call. If
 /// the worker has ended, records that against the call's fingerprint. `earlier_end_known` says
-/// whether this instance knew of an earlier end under the same fingerprint when it sent the call.
+/// whether this instance already knew, when it sent the call, that a worker had ended while it ran
+/// a request with the same fingerprint.
 pub(super) fn investigate(
     node: &Arc<Node>,
     call: &Arc<Call>,
@@ -36,7 +37,7 @@
                 "route" => call.route.name.as_ref(), "worker" => worker.as_ref(),
                 "found" => found.name(),
                 "fingerprint" => call.fingerprint(&node).to_string());
-            // A worker that is no longer listed was meant to end.
+            // A worker that was no longer listed when the connection broke ended as planned.
             if let Some(incarnation) = incarnation {
                 quarantine::ended(&node, &call, (incarnation, &worker), earlier_end_known).await;
             }
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -55,7 +55,7 @@
     pub(super) failed_response: Option<Response<ResponseBody>>,
     /// Number of offers, including those that never reached a worker.
     offer_count: usize,
-    /// Number of times that a worker was chosen and no permit to send was given.
+    /// Number of times that a worker was chosen but no permit to send was given.
     no_permit_count: usize,
     /// Number of failed offers that a worker may have run; limited by the route.
     pub(super) run_count: u32,
@@ -63,8 +63,8 @@
     pub(super) may_have_run: bool,
     /// Whether the call is being sent or has been sent in the current offer.
     pub(super) may_run_now: bool,
-    /// Whether an end of a worker under the same fingerprint was already known when the call was
-    /// last sent.
+    /// Whether it was already known, when the call was last sent, that a worker had ended while it
+    /// ran a request with the same fingerprint.
     pub(super) earlier_end_known: bool,
 }
 
@@ -75,8 +75,8 @@
     tried: Vec<Arc<str>>,
     offer_count: usize,
     run_count: u32,
-    /// Whether an end of a worker under the same fingerprint was already known when the call was
-    /// last sent.
+    /// Whether it was already known, when the call was last sent, that a worker had ended while it
+    /// ran a request with the same fingerprint.
     pub(super) earlier_end_known: bool,
 }
 
@@ -144,7 +144,7 @@
 }
 
 /// Waits a limited time for the check of a worker whose connection broke. Before the call is sent
-/// again, it should be known whether workers end under it.
+/// again, it should be known whether the worker ended while it ran the call.
 async fn wait_for_worker_check(worker_check: JoinHandle<ProbeResult>) {
     let within = Duration::from_millis(WORKER_CHECK_WAIT_MS);
     // A check that takes longer continues in the background.
@@ -297,7 +297,7 @@
         Ok(())
     }
 
-    /// Makes the refusal of a call under whose fingerprint workers have ended.
+    /// Makes the refusal of a call during which workers have ended, with its fingerprint.
     fn suspect_refusal(&self, code: ResultCode, detail: &str) -> Refusal {
         let mut refusal = self.refusal(code, detail);
         refusal.fingerprint = Some(self.call.fingerprint(self.node));
--- a/crates/cranereach-gateway/src/forward/in_flight.rs
+++ b/crates/cranereach-gateway/src/forward/in_flight.rs
@@ -32,7 +32,7 @@
     held_tokens: u32,
     /// Time for which the call is expected to occupy a slot, in milliseconds, with its prefill.
     stay_ms: f64,
-    /// Registration of the request at the instance that owns the worker.
+    /// The request as reported to the instance that owns the worker.
     reported_request: ReportedRequest,
     outcome: Outcome,
     distance: Distance,
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -141,8 +141,8 @@
     result
 }
 
-/// Refuses a call that is quarantined: workers ended in a row under requests with its
-/// fingerprint.
+/// Refuses a call that is quarantined: workers ended, one after another, while they ran requests
+/// with its fingerprint.
 fn quarantined(node: &Node, call: &Call) -> Refusal {
     let mut refusal = Refusal::new(ResultCode::Quarantined, &call.id);
     refusal.detail = quarantine::refused(node, call);
--- a/crates/cranereach-gateway/src/forward/response_head.rs
+++ b/crates/cranereach-gateway/src/forward/response_head.rs
@@ -25,7 +25,8 @@
     NotSent,
     /// The call must not be sent to that worker any more (see [`crate::send_permit`]).
     NoPermit,
-    /// The call must not be sent any more: workers end under requests with its fingerprint.
+    /// The call must not be sent any more: workers ended while they ran requests with its
+    /// fingerprint.
     Quarantined,
     /// The worker says that it did not run the call.
     NotRun,
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -214,7 +214,7 @@
         true
     }
 
-    /// Starts the check what became of the worker whose connection broke.
+    /// Starts a check of what became of the worker whose connection broke.
     fn investigate_worker(&self) -> Option<JoinHandle<ProbeResult>> {
         let worker = self.in_flight.as_ref()?.worker();
         let earlier_end_known = self.history.earlier_end_known;
--- a/crates/cranereach-gateway/src/forward/workload.rs
+++ b/crates/cranereach-gateway/src/forward/workload.rs
@@ -1,4 +1,4 @@
-//! Work that a call makes for a worker, as estimated from earlier calls, and the demand derived
+//! Work that a call causes at a worker, as estimated from earlier calls, and the demand derived
 //! from it.
 
 use std::sync::Arc;
@@ -55,7 +55,7 @@
     Some((model.load_s * 1_000.0) as u64)
 }
 
-/// Returns the prefill speed of the call's model; zero time if the call names no model.
+/// Returns the prefill cost of the call's model; zero if the call names no model.
 pub fn prefill_cost(node: &Node, call: &Call) -> PrefillCost {
     let model = call.model();
     model.map_or(PrefillCost::default(), |(model, _)| {
--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -1,8 +1,8 @@
 //! UDP messages to and from peers.
 //!
-//! [`crate::peer_updates`] applies their content. Each digest is complete in itself, so that a lost or
-//! duplicated one does no harm. What a digest only mentions, such as a newer configuration, is
-//! fetched by [`crate::body_transfer`].
+//! [`crate::peer_updates`] applies their content. Each digest is complete in itself, so that a
+//! lost or duplicated one does no harm. What a digest only mentions, such as a newer
+//! configuration, is fetched by [`crate::body_transfer`].
 
 use std::collections::HashMap;
 use std::mem;
@@ -47,14 +47,15 @@
 use cranereach_fleet::topology::Distance;
 use cranereach_fleet::topology::DomainTag;
 
-/// Number of rounds after which one is slow: it also goes to far and to silent peers.
+/// Every how many rounds of digests one is slow. A slow round also goes to peers of other failure
+/// domains and to silent peers.
 const SLOW_ROUND_EVERY: u64 = 4;
 
 /// Minimum interval between two rounds of digests, in milliseconds.
 const ROUND_MIN_INTERVAL_MS: u64 = 20;
 
 /// Time for which the candidates for a lease are told that its term has ended, in
-/// milliseconds: some rounds.
+/// milliseconds: several rounds.
 const ENDED_LEASE_GOSSIP_MS: u64 = 1_500;
 
 /// Interval between two demand messages to a lease holder in another failure domain of this
@@ -65,8 +66,8 @@
 /// are missed (see [`Peers::demand`](crate::peers::Peers::demand)).
 const DEMAND_OTHER_REGION_INTERVAL_MS: u64 = 720;
 
-/// Maximum number of adapters in one digest, to keep a lease holder's link free: instances
-/// that wait for an adapter are told directly.
+/// Maximum number of adapters in one digest, to save bandwidth of the lease holder's network
+/// link: instances that wait for an adapter are told directly.
 const DIGEST_ADAPTERS_MAX_COUNT: usize = 48;
 
 /// Sends digests until the process ends.
--- a/crates/cranereach-gateway/src/lib.rs
+++ b/crates/cranereach-gateway/src/lib.rs
@@ -5,21 +5,22 @@
 //!
 //! - [`configuration_sync`] and [`roster_sync`] follow the store, whose [era](store_era) rises
 //!   when it is restored from a backup.
-//! - [`evacuations`] tracks which failure domains are to be emptied.
-//! - [`worker_ends`] finds out whether a worker that broke a connection has ended, and
-//!   [`quarantine`] which requests end their workers.
-//! - [`proofs`] and [`account_limits`] ask peers what accounts may do.
+//! - [`evacuations`] tracks which failure domains are to be evacuated.
+//! - [`worker_ends`] finds out whether a worker whose connection broke has ended, and
+//!   [`quarantine`] which requests cause workers to end.
+//! - [`proofs`] asks peers for proof that the configuration is the newest, and
+//!   [`account_limits`] asks the owners of client accounts' limits whether a request may run.
 //! - [`cold`] tracks workers that have just started.
 //!
 //! [`worker_headers`] reads what a worker's answers say about the worker itself:
 //! [`named_limits`] that it limits its request rate, [`departures`] that it leaves, [`rests`]
 //! that it wants no requests for a while. [`unknown_headers`] counts headers that nothing
-//! recognizes, and [`unavailable_workers`] shows operators which workers leave or rest. Right before a
-//! send, [`send_permit`] is asked, and [`send_grants`] asks the owners of cold or rate-limited
-//! workers.
+//! recognizes, and [`unavailable_workers`] shows operators which workers leave or rest.
+//! Right before a request is sent to a worker, [`send_permit`] checks whether it may be, and
+//! [`send_grants`] asks the owners of cold or rate-limited workers.
 //!
-//! [`gossip`], [`list_updates`], [`body_transfer`] and [`list_transfer`] send peers what they can't see
-//! for themselves; [`traffic`] counts the bytes. [`controller`] holds the leases and orders
+//! [`gossip`], [`list_updates`], [`body_transfer`] and [`list_transfer`] send peers what they do
+//! not know yet; [`traffic`] counts the bytes. [`controller`] holds the leases and sends orders to
 //! workers. Everything that a platform names or formats comes in through an [`adapter`].
 
 pub mod account_limits;
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -1,8 +1,8 @@
 //! Decides when this instance has to refresh its worker list, and from where.
 //!
 //! [`Freshness`] says when. The instances that rank first read the store; the others, and
-//! those without a list ([`JoiningInstance`]), fetch it from a peer that has a newer one before they
-//! fall back to the store. So the load on the store doesn't grow with the fleet.
+//! those without a list ([`JoiningInstance`]), fetch it from a peer that has a newer one before
+//! they fall back to the store. So the load on the store doesn't grow with the fleet.
 //!
 //! [`Freshness`]: cranereach_fleet::freshness::Freshness
 
--- a/crates/cranereach-gateway/src/list_transfer.rs
+++ b/crates/cranereach-gateway/src/list_transfer.rs
@@ -2,7 +2,7 @@
 //! position.
 //!
 //! Datagrams carry small changes ([`crate::gossip`]). An instance that starts, has missed a
-//! change, or is told of one too large for a datagram fetches it here.
+//! change, or is notified of one too large for a datagram, fetches it here.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 const PACKED_LIST_TTL_MS: u64 = 5_000;
 
 /// Maximum delay before changes too large for a datagram are fetched, in milliseconds: all
-/// instances of a failure domain hear of them at the same moment.
+/// instances of a failure domain are notified of them at the same moment.
 const FETCH_SPREAD_MS: u64 = 200;
 
 /// Time for which the local list may lag behind that of a peer before its changes are fetched,
@@ -98,7 +98,7 @@
     Failed,
 }
 
-/// Answers a peer that has the list as of `known`.
+/// Answers a peer whose list is complete at position `known`.
 ///
 /// An empty body means that there is nothing to send now. The permit, if any, must be held
 /// until the body is sent.
--- a/crates/cranereach-gateway/src/list_updates.rs
+++ b/crates/cranereach-gateway/src/list_updates.rs
@@ -19,8 +19,8 @@
 /// Maximum size of the compressed rows in one message, in bytes.
 const LIST_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - 1_024;
 
-/// Age from which changes should have reached all peers, in milliseconds: some hops between
-/// peers. A peer that still lacks them has missed them.
+/// Age from which changes should have reached all peers, in milliseconds: the time for
+/// several hops between peers. A peer that still lacks them has missed them.
 const PROPAGATION_MS: u64 = 400;
 
 /// Sends the worker list's changes to peers as they occur, until the process ends.
--- a/crates/cranereach-gateway/src/messages.rs
+++ b/crates/cranereach-gateway/src/messages.rs
@@ -50,7 +50,7 @@
     pub waiting_count: [u32; RANK_COUNT],
     /// Total time for which the requests are expected to occupy a slot, in milliseconds.
     pub stay_ms: u32,
-    /// Time to prefill the prompts that have not been read yet, in milliseconds by priority
+    /// Prefill time of the prompts whose prefill is not complete, in milliseconds by priority
     /// rank.
     pub unread_ms: [u32; RANK_COUNT],
     /// Tokens that the requests may come to hold in the KV cache.
@@ -182,7 +182,8 @@
     Ask(OwnerAsk),
     /// A request with these prompt prefixes is sent to the worker.
     Begun(SentRequest, Vec<u64>),
-    /// The worker has read the request's prompt, after this many milliseconds.
+    /// The worker has completed the prefill of the request's prompt, this many milliseconds after
+    /// the request began.
     Read(u32),
     /// The request has ended.
     Ended(Outcome),
@@ -198,7 +199,7 @@
     /// Prefill time of the prompt, in milliseconds.
     pub reading_ms: u32,
     /// Prefill time of each of those parts, in milliseconds: parts in the worker's prefix
-    /// cache aren't read again.
+    /// cache aren't prefilled again.
     pub part_reading_ms: Vec<u32>,
     /// Whether the call may be retried on another worker if it fails.
     pub may_repeat: bool,
@@ -347,7 +348,7 @@
     pub age_ms: u64,
 }
 
-/// State of an instance, gossiped to peers some times a second.
+/// State of an instance, gossiped to peers several times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// Random ID of the sender's process start.
--- a/crates/cranereach-gateway/src/metrics.rs
+++ b/crates/cranereach-gateway/src/metrics.rs
@@ -34,7 +34,7 @@
     pub quarantined_requests: IntGauge,
     /// Requests during which a worker process ended, as remembered by this instance.
     pub suspected_requests: IntGauge,
-    /// Prompts held back so that reading them does not pause other streams for too long.
+    /// Prompts held back so that their prefill does not pause other streams for too long.
     pub prompts_held_total: IntCounter,
     /// Completed streams with a pause longer than the target of their route.
     pub streams_paused_total: IntCounter,
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -92,7 +92,7 @@
     pub store: Store,
     /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
-    /// Probes of workers whose connections broke.
+    /// Recent probes of workers whose connections broke.
     pub worker_probes: WorkerProbes,
     /// Headers in workers' answers that this build does not recognize.
     pub unknown_headers: UnknownHeaders,
@@ -112,9 +112,9 @@
     pub demand_wanted: Notify,
     /// Adapters that local requests wait for: service, model and adapter.
     pub waits_for: Mutex<HashSet<(u64, ModelKey)>>,
-    /// Models that local requests lacked since lease holders were last told: service, model.
+    /// Models that local requests lacked since lease holders were last notified: service, model.
     pub lacks: Mutex<HashSet<(u64, u16)>>,
-    /// Lease holders' answers on when such models are expected.
+    /// Lease holders' answers on when such models are expected to be loaded.
     pub expected_models: Mutex<ExpectedModels>,
     /// Wakes tasks that wait for these answers.
     pub expected_changed: Notify,
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -43,7 +43,7 @@
 }
 
 /// Asks the owners of the given workers for the workers' status with respect to a prompt, and
-/// records the answers. `token_ms` is the time to read one token of the prompt.
+/// records the answers. `token_ms` is the prefill time of one token of the prompt, in milliseconds.
 pub async fn ask(
     node: &Node,
     workers: &[Arc<str>],
@@ -177,7 +177,7 @@
 }
 
 impl ReportedRequest {
-    /// Reports to the owner that the worker has read the prompt, and how long that took.
+    /// Reports to the owner that the prefill of the prompt is complete, and how long it took.
     pub fn report_prefilled(&self, node: &Node, took_ms: f64) {
         self.report_event(node, OwnerEvent::Read(took_ms as u32));
     }
@@ -195,7 +195,7 @@
                 ticket: self.ticket,
                 event,
             };
-            // Only questions get an answer, and this event is none.
+            // Only `OwnerEvent::Ask` is answered, and `event` never is one.
             let _answer = handle_message(node, self.owner, message);
         } else {
             send_event(node, self.owner, self.worker, self.ticket, event);
--- a/crates/cranereach-gateway/src/peers.rs
+++ b/crates/cranereach-gateway/src/peers.rs
@@ -50,7 +50,8 @@
 const JOIN_REPLY_PER_PEER_INTERVAL_MS: u64 = 400;
 
 /// Minimum interval between two digests sent in reply to any joining instance, in
-/// milliseconds: when the whole fleet starts, the seeds hear all other instances at once.
+/// milliseconds: when the whole fleet starts, the seeds receive digests of all other instances
+/// at once.
 const JOIN_REPLY_INTERVAL_MS: u64 = 3;
 
 pub use selection::FAN_OUT_COUNT;
@@ -89,8 +90,8 @@
     own_ip: Ipv4Addr,
     own_domain: u64,
     topology: Topology,
-    /// Widest origin of the recent news, and until when relays are sent digests because of it,
-    /// in milliseconds.
+    /// Widest origin of recent news, and the time until which digests also go to the relays of
+    /// other failure domains because of it, in milliseconds.
     news: Option<(Origin, u64)>,
     /// Whether the last slow round also went to another region.
     is_cross_region_round: bool,
@@ -111,7 +112,9 @@
     is_domain_relay: bool,
     /// Peer that last advertised its worker list, and the list's position.
     list_advertiser: Option<(Ipv4Addr, StorePosition)>,
-    /// Random number from zero to one, drawn at the start.
+    /// Random number from zero to one, drawn at the start. It sets when this
+    /// instance reads the list or configuration, so that the reads of all instances are spread
+    /// over time.
     jitter_ratio: f64,
 }
 
@@ -361,7 +364,7 @@
     }
 
     /// Returns the interval between two demand messages, in milliseconds; it grows with the
-    /// fleet, since a lease holder hears every instance.
+    /// fleet, since every instance sends its demand to the lease holder.
     pub fn demand_every_ms(&self, round_ms: u64) -> u64 {
         let rounds = self
             .members
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -22,29 +22,29 @@
 /// Number of them in this instance's failure domain, where traffic is free.
 const OWN_DOMAIN_FAN_OUT_COUNT: usize = 4;
 
-/// Additional peers of other failure domains in a slow round: so many of this region and, in
-/// every second slow round, of other regions.
+/// Number of additional peers of other failure domains in a slow round: this many of this region
+/// and, in every second slow round, as many of other regions.
 const SLOW_ROUND_FAR_COUNT: usize = 1;
 
 /// Time for which every round also goes to the relays of other failure domains after news, in
 /// milliseconds: three rounds, since one datagram may be lost.
 const UPDATE_RELAY_FOR_MS: u64 = 700;
 
-/// Silent peers that a slow round retries.
+/// Number of silent peers that a slow round retries.
 const SILENT_RETRY_COUNT: usize = 1;
 
 /// Number of candidates per lease that its holder sends every digest to.
 const LEASE_CANDIDATE_COUNT: usize = 3;
 
-/// Peers of this failure domain that list changes are forwarded to. A peer that none of them
-/// reaches is behind, and is brought up to date after its next digest.
+/// Number of peers of this failure domain that list changes are forwarded to. A peer that the
+/// changes do not reach is brought up to date after its next digest.
 const LIST_OWN_DOMAIN_FAN_OUT_COUNT: usize = 3;
 
-/// Peers of this failure domain that one round of proof questions goes to.
+/// Number of peers of this failure domain that one round of proof questions goes to.
 const PROOF_OWN_DOMAIN_COUNT: usize = 1;
 
-/// Peers of other failure domains that it also goes to: the instances that watch the store may
-/// all be in another domain.
+/// Number of peers of other failure domains that it also goes to: the instances that watch the
+/// store may all be in another domain.
 const PROOF_OTHER_DOMAIN_COUNT: usize = 1;
 
 /// Share of the rounds in which that peer is of another region: the instances that watch the
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -1,11 +1,12 @@
-//! Quarantine of poison requests, under which workers terminate: records the terminations seen here
-//! and exchanges them with peers.
+//! Quarantine of poison requests, which cause the workers that run them to end: records the ends
+//! of workers seen here and exchanges them with peers.
 //!
-//! See [`cranereach_fleet::quarantine`]. Each termination is sent directly to two instances
+//! See [`cranereach_fleet::quarantine`]. Each end of a worker is sent directly to two instances
 //! selected by the request's fingerprint, so that it is counted whichever instance receives the
-//! request next. From two terminations on, all peers are informed through gossip digests.
-//! [`persistence`] persists what must survive a restart of all instances. The check on the request path
-//! first compares the body size with those of the known requests, of which there are usually none.
+//! request next. From two ends on, all peers are informed through gossip digests.
+//! [`persistence`] persists what must survive a restart of all instances. The check on the request
+//! path first compares the body size with those of the known requests, of which there are usually
+//! none.
 
 pub mod persistence;
 
@@ -31,11 +32,11 @@
 use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::quarantine::Suspicion;
 
-/// Number of instances that are notified of a termination directly, in addition to the digests.
+/// Number of instances that are notified of a worker's end directly, in addition to the digests.
 /// More than one, because an instance may be stopping or the datagram may be lost.
 const DIRECT_NOTIFY_COUNT: usize = 2;
 
-/// A request under which workers terminated, as shown to operators.
+/// A request during which workers ended, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRequest {
     /// Fingerprint of the request content.
@@ -46,23 +47,24 @@
     pub account: String,
     /// Whether the request is refused.
     pub is_quarantined: bool,
-    /// Workers that terminated under the request since its last complete response.
+    /// Workers that ended while they ran the request, since its last complete response.
     pub ends: Vec<WorkerEnd>,
     /// Number of times this instance refused the request.
     pub refused_count: u64,
 }
 
-/// Termination of a worker, as shown to operators.
+/// End of a worker, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerEnd {
-    /// The worker's identity if this instance saw the termination, otherwise the key of its
+    /// The worker's identity if this instance saw the end, otherwise the key of its
     /// incarnation.
     pub worker: String,
-    /// Time since the termination, in milliseconds.
+    /// Time since the end, in milliseconds.
     pub age_ms: i64,
 }
 
-/// Returns the worker terminations attributed to a call, and whether it is quarantined.
+/// Returns how many workers ended, one after another, while they ran requests with the fingerprint
+/// of a call, and whether the call is quarantined.
 pub fn suspicion(node: &Node, call: &Call) -> Suspicion {
     let may_be_known = lock(&node.quarantine).may_know(call.body_bytes());
     if !may_be_known {
@@ -71,9 +73,9 @@
     lock(&node.quarantine).suspicion(call.mark(node))
 }
 
-/// Records that a worker terminated under a call. `worker` holds the key of its incarnation and its
-/// identity; `earlier_end_known` states whether this instance knew of an earlier termination when it
-/// sent the call.
+/// Records that a worker ended while it ran a call. `worker` holds the key of its incarnation and
+/// its identity; `earlier_end_known` states whether this instance already knew, when it sent the
+/// call, that a worker had ended while it ran a request with the same fingerprint.
 pub async fn ended(
     node: &Arc<Node>,
     call: &Call,
@@ -93,7 +95,7 @@
     notify_peers(node, mark, after);
 }
 
-/// Records the termination of a worker. Returns the state of the request before it.
+/// Records the end of a worker. Returns the state of the request before it.
 fn record_worker_end(
     node: &Node,
     call: &Call,
@@ -110,7 +112,8 @@
     before
 }
 
-/// Records a complete response to a call, which shows that the request does not terminate workers.
+/// Records a complete response to a call, which shows that the request does not cause workers to
+/// end.
 pub fn answered(node: &Arc<Node>, call: &Call) {
     if suspicion(node, call).end_count > 0 {
         clear(node, call.mark(node), "whole answer");
@@ -124,7 +127,7 @@
     mark.is_some_and(|mark| clear(node, mark, "operator"))
 }
 
-/// Clears the terminations recorded for a request. Returns false if there are none.
+/// Clears the ends of workers recorded for a request. Returns false if there are none.
 fn clear(node: &Arc<Node>, mark: RequestMark, why: &str) -> bool {
     let now_ms = node.now_ms() as i64;
     let cleared = lock(&node.quarantine).clear(now_ms, mark);
@@ -140,8 +143,8 @@
     true
 }
 
-/// Sends the current state of a request to the instances that count its terminations, and to all
-/// peers if more than one termination is or was recorded.
+/// Sends the current state of a request to the instances that count the ends of workers during it,
+/// and to all peers if more than one end is or was recorded.
 fn notify_peers(node: &Node, mark: RequestMark, suspicion: Suspicion) {
     let now_ms = node.now_ms();
     let news = lock(&node.quarantine).update_for(now_ms as i64, mark);
@@ -208,7 +211,7 @@
     format!("refused here {count} times")
 }
 
-/// Lists the requests under which workers terminated, for operators.
+/// Lists the requests during which workers ended, for operators.
 pub fn show(node: &Node) -> Vec<SuspectRequest> {
     let now_ms = node.now_ms() as i64;
     let quarantine = lock(&node.quarantine);
--- a/crates/cranereach-gateway/src/quarantine/persistence.rs
+++ b/crates/cranereach-gateway/src/quarantine/persistence.rs
@@ -2,9 +2,9 @@
 //! restart at the same time.
 //!
 //! Instances normally learn of these requests from each other. If all of them have lost that state,
-//! the row prevents a request from terminating three workers again before it is quarantined: it is
-//! refused after the first one. The instance that sees a request become quarantined or cleared
-//! updates the row. Each instance reads the row once, when the first worker terminates under one of
+//! the row prevents a request from causing three workers to end again before it is quarantined: it
+//! is refused after the first one. The instance that sees a request become quarantined or cleared
+//! updates the row. Each instance reads the row once, when the first worker ends during one of
 //! its requests, so that normal operation needs no store call.
 
 use std::sync::Arc;
@@ -25,8 +25,10 @@
 use cranereach_fleet::quarantine::SuspectUpdate;
 use cranereach_fleet::store_position::StorePosition;
 
+/// Table of the row.
 const TABLE: &str = "cranereach_quarantine";
 
+/// Key of the row.
 const KEY: &str = "requests";
 
 /// Maximum number of requests in the row; the most recently requested ones are kept.
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps the list of workers current, from reads of the store and from peers' messages.
 //!
-//! A [`ListSourceSelector`] decides when this instance has to read, and from where. Each read's changes are
-//! sent to all peers at once, so that normally one instance reads on behalf of all.
+//! A [`ListSourceSelector`] decides when this instance has to read, and from where. Each read's
+//! changes are sent to all peers at once, so that normally one instance reads on behalf of all.
 
 mod row_effects;
 
@@ -245,7 +245,7 @@
 /// none.
 fn confirm_list(node: &Node, now_ms: u64, as_of_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
-        // The list was in transit when the store was restored from a copy, so newer rows may be
+        // The list was in transit when the store was restored from a backup, so newer rows may be
         // missing.
         return None;
     }
--- a/crates/cranereach-gateway/src/send_permit.rs
+++ b/crates/cranereach-gateway/src/send_permit.rs
@@ -1,8 +1,8 @@
 //! Final check before anything is sent to a worker: a caller's request, an order or a request for a
 //! report.
 //!
-//! Time may have passed since the worker was selected, while the call waited for other prompts to
-//! be processed, for a connection or for the worker's owner. Meanwhile the worker may have
+//! Time may have passed since the worker was selected, while the call waited for the prefill of
+//! other prompts, for a connection or for the worker's owner. Meanwhile the worker may have
 //! disappeared, or announced that it is leaving or needs a rest. Therefore nothing is awaited
 //! between the permit and the write.
 
--- a/crates/cranereach-gateway/src/traffic.rs
+++ b/crates/cranereach-gateway/src/traffic.rs
@@ -39,7 +39,8 @@
     Question,
     /// Answers of owners of workers.
     Answer,
-    /// Notices to owners: a request was sent, its prompt has been read, it has ended.
+    /// Notices to owners of workers: a request was sent, its prefill is complete, it has ended, or
+    /// the worker's rate limit has changed.
     OwnerNotice,
     /// Demand, and lease holders' answers to it.
     Demand,
--- a/crates/cranereach-gateway/src/worker_ends.rs
+++ b/crates/cranereach-gateway/src/worker_ends.rs
@@ -1,6 +1,6 @@
-//! Determines whether a worker has terminated after a connection to it broke.
+//! Determines whether a worker has ended after a connection to it broke.
 //!
-//! A broken response does not imply that the worker terminated: it may have failed only one
+//! A broken response does not imply that the worker ended: it may have failed only one
 //! request, or a network link may be down. Therefore the worker is probed with one connection
 //! attempt:
 //!
@@ -25,7 +25,7 @@
 use crate::worker_headers::DEFAULT_KEEP_ALIVE_MS;
 use cranereach_http::pool::ConnectError;
 
-/// Delay between the break of a connection and the probe, in milliseconds. A terminating process
+/// Delay between the break of a connection and the probe, in milliseconds. An ending process
 /// may close its open connections shortly before it stops listening. Retries wait for this delay.
 const PROBE_DELAY_MS: u64 = 10;
 
@@ -37,12 +37,12 @@
 const MIN_OPEN_MS: u64 = 10;
 
 /// Time for which the result of one probe is used for all broken connections to the same worker, in
-/// milliseconds. The requests interrupted by one termination are noticed at slightly different
+/// milliseconds. The requests interrupted by one worker's end are noticed at slightly different
 /// times.
 const PROBE_RESULT_TTL_MS: u64 = 500;
 
 /// Time for which the list of workers is watched for the removal of an unreachable worker, in
-/// milliseconds. Rows are removed about 4 s after their workers terminate.
+/// milliseconds. Rows are removed about 4 s after their workers end.
 const DELISTING_TIMEOUT_MS: u64 = 6_000;
 
 /// Interval between two checks of the list, in milliseconds.
@@ -51,14 +51,14 @@
 /// State of a worker after a connection to it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The machine refuses connections: the worker has terminated.
+    /// The machine refuses connections: the worker has ended.
     Refused,
     /// The worker kept no connection open, and its row was removed without having been marked as
-    /// leaving: the worker has terminated.
+    /// leaving: the worker has ended.
     Delisted,
     /// The worker accepts connections and keeps them open.
     Alive,
-    /// The termination was planned: the row was marked as leaving or already removed.
+    /// The end was planned: the row was marked as leaving or already removed.
     Planned,
     /// The worker accepts no connection, or keeps none open, but is still listed: a network link
     /// may be down.
@@ -66,7 +66,7 @@
 }
 
 impl ProbeResult {
-    /// Whether the worker terminated unexpectedly.
+    /// Whether the worker ended unexpectedly.
     pub fn has_ended(self) -> bool {
         matches!(self, Self::Refused | Self::Delisted)
     }
--- a/crates/cranereach-gateway/src/worker_headers.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -68,7 +68,7 @@
         let is_other_worker =
             responder.is_some_and(|responder| responder.as_bytes() != worker.as_bytes());
         let load = headers.get(names.load).map(parse_load);
-        // With other status codes the header is meant for the caller, or for one account.
+        // With other status codes, Retry-After is meant for the caller or for one account.
         let rest = match status {
             StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, RETRY_AFTER_HEADER)),
             _ => rest::RestRequest::Nothing,
