--- a/crates/cranereach-gateway/src/forward/broken_connection.rs
+++ b/crates/cranereach-gateway/src/forward/broken_connection.rs
@@ -39,7 +39,8 @@
                 "fingerprint" => call.fingerprint(&node).to_string());
             // A worker that was no longer listed when the connection broke ended as planned.
             if let Some(incarnation) = incarnation {
-                quarantine::ended(&node, &call, (incarnation, &worker), earlier_end_known).await;
+                quarantine::record_end(&node, &call, (incarnation, &worker), earlier_end_known)
+                    .await;
             }
         }
         found
--- a/crates/cranereach-gateway/src/forward/exchange.rs
+++ b/crates/cranereach-gateway/src/forward/exchange.rs
@@ -238,7 +238,7 @@
             } else {
                 ResultCode::Quarantined
             };
-            let detail = quarantine::refused(self.node, self.call);
+            let detail = quarantine::record_refusal(self.node, self.call);
             return Err(self.suspect_refusal(code, &detail));
         }
         if failure == Failure::BrokenOff {
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -145,7 +145,7 @@
 /// with its fingerprint.
 fn quarantined(node: &Node, call: &Call) -> Refusal {
     let mut refusal = Refusal::new(ResultCode::Quarantined, &call.id);
-    refusal.detail = quarantine::refused(node, call);
+    refusal.detail = quarantine::record_refusal(node, call);
     refusal.fingerprint = Some(call.fingerprint(node));
     refusal.route = Some(Arc::clone(&call.route.name));
     refusal
--- a/crates/cranereach-gateway/src/forward/sending.rs
+++ b/crates/cranereach-gateway/src/forward/sending.rs
@@ -196,7 +196,7 @@
             in_flight.succeeded();
         }
         if has_explicit_framing(&parts.headers) {
-            quarantine::answered(self.node, self.call);
+            quarantine::record_answer(self.node, self.call);
         }
         if let Some(keep_alive_ms) = keep_alive_ms {
             connection.keep_for(keep_alive_ms);
--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -249,7 +249,7 @@
     /// Returns the remaining bytes to forward.
     fn finish(&mut self) -> Option<Bytes> {
         if self.has_explicit_framing {
-            quarantine::answered(&self.node, &self.call);
+            quarantine::record_answer(&self.node, &self.call);
         }
         if let Some(mut in_flight) = self.in_flight.take() {
             if self.gaps.exceed_target() {
--- a/crates/cranereach-gateway/src/operators.rs
+++ b/crates/cranereach-gateway/src/operators.rs
@@ -60,7 +60,7 @@
         (&Method::GET, METRICS_PATH, _) => {
             let limited_count = named_limits::count(node);
             node.metrics.limited_workers.set(limited_count as i64);
-            unavailable_workers::count(node);
+            unavailable_workers::update_gauges(node);
             (StatusCode::OK, node.metrics.text())
         }
         (&Method::GET, LIMITS_PATH, _) => {
--- a/crates/cranereach-gateway/src/quarantine.rs
+++ b/crates/cranereach-gateway/src/quarantine.rs
@@ -76,7 +76,7 @@
 /// Records that a worker ended while it ran a call. `worker` holds the key of its incarnation and
 /// its identity; `earlier_end_known` states whether this instance already knew, when it sent the
 /// call, that a worker had ended while it ran a request with the same fingerprint.
-pub async fn ended(
+pub async fn record_end(
     node: &Arc<Node>,
     call: &Call,
     worker: (u64, &Arc<str>),
@@ -114,7 +114,7 @@
 
 /// Records a complete response to a call, which shows that the request does not cause workers to
 /// end.
-pub fn answered(node: &Arc<Node>, call: &Call) {
+pub fn record_answer(node: &Arc<Node>, call: &Call) {
     if suspicion(node, call).end_count > 0 {
         clear(node, call.mark(node), "whole answer");
     }
@@ -202,7 +202,7 @@
 }
 
 /// Counts the refusal of a call and returns the detail text for the log.
-pub fn refused(node: &Node, call: &Call) -> String {
+pub fn record_refusal(node: &Node, call: &Call) -> String {
     let mark = call.mark(node);
     let now_ms = node.now_ms() as i64;
     let mut quarantine = lock(&node.quarantine);
--- a/crates/cranereach-gateway/src/unavailable_workers.rs
+++ b/crates/cranereach-gateway/src/unavailable_workers.rs
@@ -58,7 +58,7 @@
 }
 
 /// Updates the gauges of leaving and resting workers.
-pub fn count(node: &Node) {
+pub fn update_gauges(node: &Node) {
     let now_ms = node.now_ms();
     let roster = node.roster();
     let leaving_count = roster
