--- a/crates/cranereach-gateway/src/evacuations.rs
+++ b/crates/cranereach-gateway/src/evacuations.rs
@@ -48,7 +48,7 @@
     let rows_of_domains = rows.rows.iter().filter_map(of_domain);
     let is_unknown = |(key, _): &&(u64, StorePosition)| node.topology.domain_by_key(*key).is_none();
     let mut unknown_count = known.domains.iter().filter(is_unknown).count();
-    let knows_workers = lock(&node.list_freshness).age_ms(node.now_ms()).is_some();
+    let knows_workers = lock(&node.list).age_ms(node.now_ms()).is_some();
     let mut taken = Vec::new();
     for (key, domain, position, is_gone) in rows_of_domains {
         let is_held = known.domains.iter().any(|(held, _)| *held == key);
--- a/crates/cranereach-gateway/src/gossip.rs
+++ b/crates/cranereach-gateway/src/gossip.rs
@@ -180,7 +180,7 @@
         configuration_version: node.configuration_version(),
         store_era: node.store.eras().newest(),
         list_position: node.list_position(),
-        list_age_ms: age_ms(&node.list_freshness),
+        list_age_ms: age_ms(&node.list),
         holds,
         held,
         ended: ended_leases(node, now_ms),
--- a/crates/cranereach-gateway/src/list_source.rs
+++ b/crates/cranereach-gateway/src/list_source.rs
@@ -74,7 +74,7 @@
             if node.now_ms() > now_ms + POLL_INTERVAL_MS + STALL_MIN_MS {
                 // Messages that waited in the socket meanwhile would seem fresher than they
                 // are.
-                lock(&node.list_freshness).invalidate();
+                lock(&node.list).invalidate();
             }
         }
     }
@@ -181,7 +181,7 @@
 /// Returns when an instance of a rank has to refresh the list; also exports the list's age as
 /// a metric.
 fn due_at_ms(node: &Node, now_ms: u64, rank: u64) -> u64 {
-    let list = lock(&node.list_freshness);
+    let list = lock(&node.list);
     let age_ms = list.age_ms(now_ms).unwrap_or(now_ms);
     node.metrics.list_age_ms.set(age_ms as i64);
     let due_at_ms = list.read_due_at_ms(rank);
--- a/crates/cranereach-gateway/src/list_transfer.rs
+++ b/crates/cranereach-gateway/src/list_transfer.rs
@@ -103,7 +103,7 @@
 /// An empty body means that there is nothing to send now. The permit, if any, must be held
 /// until the body is sent.
 pub fn answer(node: &Node, known: StorePosition) -> (Bytes, Option<SemaphorePermit<'_>>) {
-    let Some(age_ms) = lock(&node.list_freshness).age_ms(node.now_ms()) else {
+    let Some(age_ms) = lock(&node.list).age_ms(node.now_ms()) else {
         return (Bytes::new(), None);
     };
     if let Some(list) = changes_since(node, known, age_ms) {
@@ -195,7 +195,7 @@
     // However long the answer took, its age is counted from the question, so that the list
     // never seems fresher than it is.
     let as_of_ms = asked_at_ms.saturating_sub(list.age_ms);
-    let is_newer = list.position > known || lock(&node.list_freshness).is_older_than(as_of_ms);
+    let is_newer = list.position > known || lock(&node.list).is_older_than(as_of_ms);
     if let Some(history) = history {
         let Some(rows) = unpack_rows(&list.packed_rows, body_transfer::FETCH_MAX_BYTES as u64)
         else {
--- a/crates/cranereach-gateway/src/list_updates.rs
+++ b/crates/cranereach-gateway/src/list_updates.rs
@@ -49,7 +49,7 @@
 ///
 /// Recent changes are not sent: they are still on their way through other peers.
 pub async fn update_lagging_peer(node: &Node, peer: Ipv4Addr) {
-    let age_ms = lock(&node.list_freshness).age_ms(node.now_ms());
+    let age_ms = lock(&node.list).age_ms(node.now_ms());
     if age_ms.is_none_or(|age_ms| age_ms < PROPAGATION_MS) {
         return;
     }
@@ -63,7 +63,7 @@
 
 /// Returns the latest changes of the list; `None` before the first read.
 fn list_changes(node: &Node) -> Option<ListMessage> {
-    let age_ms = lock(&node.list_freshness).age_ms(node.now_ms())?;
+    let age_ms = lock(&node.list).age_ms(node.now_ms())?;
     let listing = lock(&node.listing);
     listing.part().map(|part| list_message(&part, age_ms))
 }
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -122,8 +122,8 @@
     pub controller_wanted: Notify,
     /// Rows of the worker list, and the changes that peers are sent.
     pub listing: Mutex<Listing>,
-    /// Freshness of the worker list.
-    pub list_freshness: Mutex<Freshness>,
+    /// Freshness of the worker list, whose rows are in `listing`.
+    pub list: Mutex<Freshness>,
     /// Proof that the configuration in force was recently the newest.
     pub proof: Mutex<Proof>,
     /// State for sending whole worker lists to peers.
@@ -155,7 +155,7 @@
     /// Requests at the workers that this instance owns.
     pub owned_workers: Mutex<OwnedWorkers>,
     /// Pending questions to owners of workers.
-    pub quote_questions: Questions<Quote>,
+    pub questions: Questions<Quote>,
     /// Round-trip times to owners of workers, by distance.
     pub round_trips: Mutex<RoundTrips>,
     /// Parts of accounts' limits that this instance owns.
@@ -238,7 +238,7 @@
             expected_changed: Notify::new(),
             controller_wanted: Notify::new(),
             listing: Mutex::default(),
-            list_freshness: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
+            list: Mutex::new(Freshness::new(settings.bounds.drain_ms)),
             proof: Mutex::new(Proof::new(boot, settings.bounds.configuration_ms)),
             list_sending: list_transfer::ListSending::default(),
             list_update_wanted: Notify::new(),
@@ -258,7 +258,7 @@
             retries: Mutex::default(),
             pools: Mutex::default(),
             owned_workers: Mutex::default(),
-            quote_questions: Questions::default(),
+            questions: Questions::default(),
             round_trips: Mutex::default(),
             owned_limits: Mutex::default(),
             account_usages: Mutex::default(),
--- a/crates/cranereach-gateway/src/owners.rs
+++ b/crates/cranereach-gateway/src/owners.rs
@@ -63,7 +63,7 @@
     };
     let now_ms = node.now_ms();
     let mut pending: HashMap<u64, PendingQuestion<'_>> = HashMap::new();
-    let mut question = node.quote_questions.open();
+    let mut question = node.questions.open();
     for worker in workers {
         let key = worker_key(worker);
         let owner = owner_of(node, key);
@@ -266,7 +266,7 @@
 
 /// Hands an owner's answer to the waiting question.
 pub fn handle_quote(node: &Node, quote: Quote) {
-    node.quote_questions.answered(quote.ticket, quote);
+    node.questions.answered(quote.ticket, quote);
 }
 
 /// Returns the instance that owns a worker. It is one of the worker's own failure domain if any
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -148,7 +148,7 @@
         counter.with_label_values(&["peer"]).inc();
         return Verdict::Old;
     };
-    let known_at_ms = lock(&node.list_freshness).known_at_ms();
+    let known_at_ms = lock(&node.list).known_at_ms();
     apply_rows(node, as_of_ms, position, span, rows);
     let is_much_fresher =
         known_at_ms.is_none_or(|known_ms| known_ms + REBROADCAST_MIN_ADVANCE_MS < as_of_ms);
@@ -161,7 +161,7 @@
 /// Applies a peer's statement that the list at a position was complete `age_ms` ago.
 pub fn take_age(node: &Node, position: StorePosition, age_ms: u64) {
     let as_of_ms = told_at_ms(node.now_ms(), age_ms);
-    let is_fresher = lock(&node.list_freshness).is_older_than(as_of_ms);
+    let is_fresher = lock(&node.list).is_older_than(as_of_ms);
     if !position.is_none() && position == node.list_position() && is_fresher {
         apply(node, as_of_ms, position, &[]);
     }
@@ -249,7 +249,7 @@
         // missing.
         return None;
     }
-    let mut list = lock(&node.list_freshness);
+    let mut list = lock(&node.list);
     let is_regained = list.ends_outage(as_of_ms);
     let lapse_until_ms = list.lapse_until_ms(now_ms, as_of_ms);
     list.confirm(as_of_ms);
@@ -273,7 +273,7 @@
 
 /// Drops workers whose rows lapsed during an outage and did not come back.
 pub fn drop_lapsed(node: &Node, now_ms: u64) {
-    let age_ms = lock(&node.list_freshness).age_ms(now_ms);
+    let age_ms = lock(&node.list).age_ms(now_ms);
     let is_fresh = age_ms.is_some_and(|age_ms| age_ms < node.settings.bounds.drain_ms);
     let mut roster = node.roster();
     if is_fresh {
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -39,7 +39,7 @@
     let era = node.store.eras().newest();
     let now_ms = node.now_ms();
     let is_restored = {
-        let mut list = lock(&node.list_freshness);
+        let mut list = lock(&node.list);
         list.enter_era(now_ms, era) && list.restored_at_ms().is_some()
     };
     lock(&node.proof).enter_era(now_ms, era);
