--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -214,7 +214,7 @@
         true
     }
 
-    /// Starts the check what became of the worker whose connection broke.
+    /// Starts a check of what became of the worker whose connection broke.
     fn investigate_worker(&self) -> Option<JoinHandle<ProbeResult>> {
         let worker = self.in_flight.as_ref()?.worker();
         let earlier_end_known = self.history.earlier_end_known;
@@ -249,7 +249,7 @@
     /// Returns the remaining bytes to forward.
     fn finish(&mut self) -> Option<Bytes> {
         if self.has_explicit_framing {
-            quarantine::answered(&self.node, &self.call);
+            quarantine::record_answer(&self.node, &self.call);
         }
         if let Some(mut in_flight) = self.in_flight.take() {
             if self.gaps.exceed_target() {
--- a/crates/cranereach-gateway/src/node.rs
+++ b/crates/cranereach-gateway/src/node.rs
@@ -92,8 +92,8 @@
     pub store: Store,
     /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
-    /// Probes of workers whose connections broke.
-    pub tries: WorkerProbes,
+    /// Recent probes of workers whose connections broke.
+    pub worker_probes: WorkerProbes,
     /// Headers in workers' answers that this build does not recognize.
     pub unknown_headers: UnknownHeaders,
     /// Requests during which workers ended.
@@ -112,17 +112,17 @@
     pub demand_wanted: Notify,
     /// Adapters that local requests wait for: service, model and adapter.
     pub waits_for: Mutex<HashSet<(u64, ModelKey)>>,
-    /// Models that local requests lacked since lease holders were last told: service, model.
+    /// Models that local requests lacked since lease holders were last notified: service, model.
     pub lacks: Mutex<HashSet<(u64, u16)>>,
-    /// Lease holders' answers on when such models are expected.
-    pub expected: Mutex<ExpectedModels>,
+    /// Lease holders' answers on when such models are expected to be loaded.
+    pub expected_models: Mutex<ExpectedModels>,
     /// Wakes tasks that wait for these answers.
     pub expected_changed: Notify,
     /// Wakes the controller.
     pub controller_wanted: Notify,
     /// Rows of the worker list, and the changes that peers are sent.
     pub listing: Mutex<Listing>,
-    /// Freshness of the worker list.
+    /// Freshness of the worker list, whose rows are in `listing`.
     pub list: Mutex<Freshness>,
     /// Proof that the configuration in force was recently the newest.
     pub proof: Mutex<Proof>,
@@ -153,7 +153,7 @@
     retries: Mutex<HashMap<Arc<str>, RetryWindow>>,
     pools: Mutex<Pools>,
     /// Requests at the workers that this instance owns.
-    pub owned: Mutex<OwnedWorkers>,
+    pub owned_workers: Mutex<OwnedWorkers>,
     /// Pending questions to owners of workers.
     pub questions: Questions<Quote>,
     /// Round-trip times to owners of workers, by distance.
@@ -161,7 +161,7 @@
     /// Parts of accounts' limits that this instance owns.
     pub owned_limits: Mutex<OwnedLimits>,
     /// This instance's usage of accounts' limits.
-    pub uses: Mutex<AccountUsages>,
+    pub account_usages: Mutex<AccountUsages>,
     /// Pending questions to owners of limits.
     pub limit_questions: Questions<LimitGrant>,
     /// Send grants for the cold or rate-limited workers that this instance owns.
@@ -223,7 +223,7 @@
             log,
             metrics,
             fingerprint_key: FingerprintKey::new(&settings.peers.fingerprint_secret),
-            tries: WorkerProbes::default(),
+            worker_probes: WorkerProbes::default(),
             unknown_headers: UnknownHeaders::default(),
             quarantine: Mutex::default(),
             persistence: PersistenceState::default(),
@@ -234,7 +234,7 @@
             demand_wanted: Notify::new(),
             waits_for: Mutex::default(),
             lacks: Mutex::default(),
-            expected: Mutex::default(),
+            expected_models: Mutex::default(),
             expected_changed: Notify::new(),
             controller_wanted: Notify::new(),
             listing: Mutex::default(),
@@ -257,11 +257,11 @@
             announced: Mutex::default(),
             retries: Mutex::default(),
             pools: Mutex::default(),
-            owned: Mutex::default(),
+            owned_workers: Mutex::default(),
             questions: Questions::default(),
             round_trips: Mutex::default(),
             owned_limits: Mutex::default(),
-            uses: Mutex::default(),
+            account_usages: Mutex::default(),
             limit_questions: Questions::default(),
             send_grants: Mutex::default(),
             grant_questions: Questions::default(),
--- a/crates/cranereach-gateway/src/store_era.rs
+++ b/crates/cranereach-gateway/src/store_era.rs
@@ -29,7 +29,7 @@
         pause(OUTAGE_RECOVERY_MS).await;
         let is_first = node.peers().rank(node.now_ms(), RANK_PURPOSE) == 0;
         if is_first && persistence::has_requests_to_store(&node) {
-            persistence::keep(Arc::clone(&node)).await;
+            persistence::persist(Arc::clone(&node)).await;
         }
     }
 }
