--- a/crates/cranereach-core/src/attempt.rs
+++ b/crates/cranereach-core/src/attempt.rs
@@ -1,8 +1,9 @@
 //! Retry decisions for one request: try another upstream, or end with a result code.
 //!
-//! [`Attempt`] is a state machine that follows the progress of an attempt. It
-//! returns a code that says "not run" only if no byte of the request can have been
-//! sent, or if the upstream said explicitly that it did not run the request.
+//! [`Attempt`] is a state machine that follows one request through its attempts,
+//! of which one is in progress at a time. It returns a code that says "not run"
+//! only if no byte of the request can have been sent, or if the upstream said
+//! explicitly that it did not run the request.
 
 use crate::codes::ResultCode;
 use crate::declarations::Repeatable;
@@ -144,6 +145,9 @@
     }
 
     /// Decides after an attempt that did not run: retries within the deadline and retry budget.
+    ///
+    /// Without budget, the code is `end`, or [`ResultCode::RetryBudgetSpent`] in place of
+    /// [`ResultCode::NoUpstream`].
     fn retry_not_run(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
         if now_ms >= self.deadline_at_ms {
             return Verdict::End(self.past_deadline_unsent());
@@ -160,7 +164,8 @@
     }
 
     /// Decides after a failure: an attempt that may have run is retried only if the call is safe
-    /// to repeat and no bytes of the answer have been sent to the caller.
+    /// to repeat and no bytes of the answer have been sent to the caller; otherwise the request
+    /// ends with the code `end`.
     fn after_failure(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
         if self.stage == Stage::Relaying {
             return Verdict::End(ResultCode::BrokenMidway);
@@ -189,12 +194,13 @@
         }
     }
 
-    /// Returns the code for a deadline that passes before this attempt is sent.
+    /// Returns the code for a deadline that passes before the current attempt is sent.
     fn past_deadline_unsent(&self) -> ResultCode {
         self.unknown_if_run_before(ResultCode::DeadlinePassed)
     }
 
-    /// Returns a "not run" code unchanged unless an earlier attempt may have run.
+    /// Returns the given "not run" code, or [`ResultCode::OutcomeUnknown`] if an earlier attempt
+    /// may have run.
     fn unknown_if_run_before(&self, code: ResultCode) -> ResultCode {
         if self.may_have_run_before {
             ResultCode::OutcomeUnknown
--- a/crates/cranereach-core/src/control/mod.rs
+++ b/crates/cranereach-core/src/control/mod.rs
@@ -32,7 +32,7 @@
 use crate::residency::PlanTarget;
 use crate::token_bucket::TokenBucket;
 
-/// Time since the last order or seal after which another seal settles open orders, in ms.
+/// Time since the last order or seal after which another seal is sent to settle open orders, in ms.
 const SETTLE_AFTER_MS: u64 = 1_000;
 
 /// Fraction of the load rate at which overdue targets may force evictions.
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Sends a seal to workers that lack one or have orders open for too long.
+    /// Sends a seal to workers that have none in force or whose orders have been open for too long.
     fn seal_workers(&mut self, now_ms: u64, actions: &mut Vec<ControlAction>) {
         let due: Vec<WorkerId> = self
             .workers
--- a/crates/cranereach-core/src/control/orders.rs
+++ b/crates/cranereach-core/src/control/orders.rs
@@ -29,7 +29,7 @@
 pub struct Order {
     /// Recipient.
     pub worker: WorkerId,
-    /// Boot (process incarnation) of the worker that the order is for.
+    /// Boot ID of the incarnation of the worker that the order is for.
     pub boot_id: u64,
     /// Position among all orders to the worker.
     pub fence: Fence,
--- a/crates/cranereach-core/src/control/worker.rs
+++ b/crates/cranereach-core/src/control/worker.rs
@@ -111,7 +111,7 @@
             || (self.ledger.checks_fences() && is_known && unsettled && is_settle_due)
     }
 
-    /// Returns the boot (process incarnation) that orders are for, once it is known.
+    /// Returns the boot ID of the incarnation that orders are for, once it is known.
     pub(super) fn boot_id(&self) -> Option<u64> {
         self.ledger.boot_id()
     }
--- a/crates/cranereach-core/src/declarations.rs
+++ b/crates/cranereach-core/src/declarations.rs
@@ -155,10 +155,10 @@
     /// Whether model calls may be repeated.
     #[serde(default = "default_repeat")]
     pub repeat: Repeatable,
-    /// Promised time to the first token or byte, in milliseconds.
+    /// Latency target for the first token or byte, in milliseconds.
     #[serde(default = "default_first_token_ms")]
     pub first_token_ms: u64,
-    /// Promised time to the complete answer, in milliseconds.
+    /// Latency target for the complete answer, in milliseconds.
     #[serde(default = "default_whole_answer_ms")]
     pub whole_answer_ms: u64,
     /// Limit on waiting requests for one model or service on one entry instance.
@@ -176,12 +176,12 @@
     Repeatable::Safe
 }
 
-/// Default promised time to the first token or byte: 2 s.
+/// Default latency target for the first token or byte: 2 s.
 fn default_first_token_ms() -> u64 {
     2_000
 }
 
-/// Default promised time to the complete answer: 60 s.
+/// Default latency target for the complete answer: 60 s.
 fn default_whole_answer_ms() -> u64 {
     60_000
 }
--- a/crates/cranereach-core/src/dispatch/workers.rs
+++ b/crates/cranereach-core/src/dispatch/workers.rs
@@ -35,9 +35,9 @@
 pub struct WorkerReport {
     /// The worker.
     pub worker: WorkerId,
-    /// Random number that identifies the worker's current boot.
+    /// Random number that identifies the worker's current incarnation.
     pub boot_id: u64,
-    /// Increases with each report of a boot, so that an outdated report is dropped.
+    /// Increases with each report of an incarnation, so that an outdated report is dropped.
     pub report_number: u64,
     /// Requests that it is running or has queued.
     pub outstanding_count: u32,
@@ -118,7 +118,7 @@
         self.rebuild_holders();
     }
 
-    /// Applies a worker's report unless a later one of the same boot has been applied.
+    /// Applies a worker's report unless a later one of the same incarnation has been applied.
     pub fn reported(&mut self, _now_ms: u64, report: &WorkerReport) {
         let Some(tracked) = self.tracked.get_mut(&report.worker) else {
             return;
--- a/crates/cranereach-core/src/ledger.rs
+++ b/crates/cranereach-core/src/ledger.rs
@@ -4,10 +4,11 @@
 //! freed by an unload counts as free only once the worker reports it, at or
 //! after the unload's fence.
 //!
-//! A worker loses its fence when it restarts. Each order therefore names the boot
-//! (process incarnation) that it is for, and a worker that checks fences refuses
-//! it in any other. Otherwise a new boot could accept an old order first, without
-//! the knowledge of a holder that still plans for the old boot.
+//! A worker loses its fence when it restarts. Each order therefore names the
+//! incarnation (process start) of the worker that it is for, by its boot ID, and a
+//! worker that checks fences refuses it in any other. Otherwise a new incarnation
+//! could accept an old order first, without the knowledge of a lease holder that
+//! still plans for the old incarnation.
 
 use std::collections::HashMap;
 
@@ -20,7 +21,7 @@
 /// Time within which an order may still reach a worker that doesn't check fences, in ms.
 pub const ORDER_LIFETIME_MS: u64 = 20_000;
 
-/// Number of earlier boots whose late reports are recognized and dropped.
+/// Number of earlier incarnations whose late reports are recognized and dropped.
 const RETIRED_BOOTS_COUNT: usize = 8;
 
 /// State of a target that occupies a worker's memory.
@@ -49,9 +50,9 @@
 /// Memory report of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryReport {
-    /// Random number that identifies the worker's current boot.
+    /// Random number that identifies the worker's current incarnation.
     pub boot_id: u64,
-    /// Number that grows with each report of a boot.
+    /// Number that grows with each report of an incarnation.
     pub report_number: u64,
     /// Highest fence accepted when the report was made.
     pub applied: Fence,
@@ -115,7 +116,7 @@
         self.report.as_ref().map_or(&[], |report| &report.occupants)
     }
 
-    /// Applies a report, unless it is older than the last one or from an earlier boot.
+    /// Applies a report, unless it is older than the last one or from an earlier incarnation.
     pub fn apply_report(&mut self, now_ms: u64, report: &MemoryReport) {
         if self.retired_boots.contains(&report.boot_id) {
             return;
@@ -132,14 +133,14 @@
         self.settle(now_ms);
     }
 
-    /// Returns the boot that orders are for, once a report has named it.
+    /// Returns the boot ID of the incarnation that orders are for, once a report has given it.
     pub fn boot_id(&self) -> Option<u64> {
         self.report.as_ref().map(|report| report.boot_id)
     }
 
     /// Drops the seal of a worker that restarted and, if it checks fences, its open orders.
     ///
-    /// Such a worker refuses orders that name the old boot.
+    /// A worker that checks fences refuses orders for its old incarnation.
     fn reset_for_new_boot(&mut self, old_boot_id: u64) {
         self.sealed_by = None;
         if self.checks_fences {
@@ -178,7 +179,7 @@
         self.unsettled.retain(|order| order.fence != fence);
     }
 
-    /// Returns whether this term's seal is confirmed for the current boot.
+    /// Returns whether this term's seal is confirmed for the current incarnation.
     ///
     /// A worker that doesn't check fences can't be sealed; for it this is true
     /// as soon as it has reported.
@@ -189,7 +190,7 @@
         !self.checks_fences || self.sealed_by.is_some_and(|seal| report.applied >= seal)
     }
 
-    /// Returns whether the first seal of this term and boot must be sent.
+    /// Returns whether the first seal of this term and incarnation must be sent.
     pub fn needs_seal(&self) -> bool {
         self.checks_fences && self.report.is_some() && self.sealed_by.is_none()
     }
@@ -266,7 +267,7 @@
                 .iter()
                 .any(|occupant| occupant.target == order.target);
             match order.kind {
-                // It may still arrive again until its lifetime is over.
+                // The order may be delivered again until its lifetime is over.
                 OrderKind::Load => now_ms < order.last_arrival_at_ms,
                 OrderKind::Unload | OrderKind::Seal => {
                     is_present && now_ms < order.last_arrival_at_ms
--- a/crates/cranereach-core/src/names.rs
+++ b/crates/cranereach-core/src/names.rs
@@ -63,7 +63,9 @@
     WorkerId
 }
 name_type! {
-    /// ID of an entry instance; each boot has its own.
+    /// ID of an entry instance.
+    ///
+    /// In a lease, the boot number is appended to it, so that each boot is a holder of its own.
     InstanceId
 }
 name_type! {
--- a/crates/cranereach-core/src/residency/mod.rs
+++ b/crates/cranereach-core/src/residency/mod.rs
@@ -60,7 +60,7 @@
     pub memory_bytes: u64,
     /// State of the target on the worker.
     pub residence: Residence,
-    /// Time at which this holder first saw it on the worker.
+    /// Time at which this lease holder first saw it on the worker.
     pub seen_at_ms: u64,
 }
 
--- a/crates/cranereach-core/src/snapshot/grant.rs
+++ b/crates/cranereach-core/src/snapshot/grant.rs
@@ -16,15 +16,15 @@
     pub targets: BTreeSet<TargetName>,
     /// Priority class of its requests.
     pub class: Class,
-    /// Relative share of the served cost.
+    /// Fair share of the served cost, as a weight against other accounts.
     pub share: f64,
     /// Whether model calls may be repeated.
     pub repeat: Repeatable,
-    /// Latency objective for the first token, in milliseconds.
+    /// Latency target for the first token or byte, in milliseconds.
     pub first_token_ms: u64,
-    /// Latency objective for the complete response, in milliseconds.
+    /// Latency target for the complete answer, in milliseconds.
     pub whole_answer_ms: u64,
-    /// Maximum queue length on one instance, in requests.
+    /// Limit on waiting requests for one target on one entry instance.
     pub queue_count: u32,
 }
 
--- a/crates/cranereach-core/src/token_bucket.rs
+++ b/crates/cranereach-core/src/token_bucket.rs
@@ -51,7 +51,8 @@
         self.level_count
     }
 
-    /// Returns the time until the bucket holds `count` tokens, in milliseconds.
+    /// Returns the time until the bucket holds `count` tokens, in milliseconds; `u32::MAX` if
+    /// the rate is zero and tokens are missing.
     ///
     /// ```
     /// use cranereach_core::token_bucket::TokenBucket;
--- a/crates/cranereach-http/src/client.rs
+++ b/crates/cranereach-http/src/client.rs
@@ -34,19 +34,19 @@
     /// Nothing was sent: there was no connection, or the permit was refused.
     #[error("{address}: could not be reached")]
     NotSent {
-        /// Whom the call was for.
+        /// Address of the server.
         address: String,
     },
     /// No complete answer came in time; the request may have taken effect.
     #[error("{address}: no complete answer; the request may have taken effect")]
     Unanswered {
-        /// Whom the call was for.
+        /// Address of the server.
         address: String,
     },
     /// The answer can't be decoded, or the request could not be built.
     #[error("{address}: invalid message (HTTP status {status}): {detail}")]
     Garbled {
-        /// Whom the call was for.
+        /// Address of the server.
         address: String,
         /// HTTP status; zero if the request could not be built.
         status: u16,
--- a/crates/cranereach-http/src/events.rs
+++ b/crates/cranereach-http/src/events.rs
@@ -116,13 +116,14 @@
         &self.reached
     }
 
-    /// Whether an event had an id that doesn't follow that of the event before it.
+    /// Returns whether an event had an id that doesn't follow that of the event before it.
     pub fn has_non_increasing_id(&self) -> bool {
         self.has_non_increasing_id
     }
 }
 
-/// Whether `id` may follow `before`: a higher number, or any other id if one isn't a number.
+/// Returns whether `id` may follow `before`: it must be a higher number, or just different if
+/// either isn't a number.
 fn is_after(before: &str, id: &str) -> bool {
     match (before.parse::<u64>(), id.parse::<u64>()) {
         (Ok(before), Ok(id)) => id > before,
--- a/crates/cranereach-http/src/pool.rs
+++ b/crates/cranereach-http/src/pool.rs
@@ -142,7 +142,8 @@
         self.make().await
     }
 
-    /// Opens a new connection, for a call that must not run into the closing of a reused one.
+    /// Opens a new connection, for a call that must not fail because the upstream closes a reused
+    /// one at the same time.
     pub async fn make(&self) -> Result<Connection<B>, ConnectError> {
         let stream = TcpStream::connect(&self.address).await?;
         stream.set_nodelay(true)?;
@@ -188,12 +189,12 @@
 where
     B: Body + 'static,
 {
-    /// Whether the connection was taken from the idle ones.
+    /// Returns whether the connection was reused, that is, idle before.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// Whether the other side has closed the connection.
+    /// Returns whether the connection has been closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/crates/cranereach-wire/src/digest_filter.rs
+++ b/crates/cranereach-wire/src/digest_filter.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Whether a part differs significantly from the one sent before.
+/// Returns whether a part differs significantly from the one sent before.
 fn has_changed(sent: &DigestPart, now: &DigestPart) -> bool {
     match (sent, now) {
         (DigestPart::Demand(sent), DigestPart::Demand(now)) => {
--- a/crates/cranereach-wire/src/folder.rs
+++ b/crates/cranereach-wire/src/folder.rs
@@ -1,7 +1,7 @@
 //! Folder of declaration files, which is the body of a configuration.
 //!
-//! The body keeps the text of each file. So the change of one operator can be merged, file
-//! by file, with the changes that others made since the version it is based on.
+//! The body keeps the text of each file, so that the change of one operator can be merged,
+//! file by file, with the changes that others made since the version that it is based on.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// Performs a three-way merge of `mine` and `theirs` since `base`, file by file.
+    /// Performs a three-way merge of the changes in `mine` and `theirs` since `base`, file by file.
     ///
     /// If both changed the same files in different ways, the error holds their names.
     ///
--- a/crates/cranereach-wire/src/locate.rs
+++ b/crates/cranereach-wire/src/locate.rs
@@ -44,7 +44,7 @@
     lines.next_back()
 }
 
-/// Returns the byte offset of a place in a text; its last entry if several have the name.
+/// Returns the byte offset of a place in a text, in the last entry if several have its name.
 fn byte_offset_of(text: &str, place: &Place) -> Option<usize> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default()).ok()?;
     let root = parsed.value?;
@@ -55,7 +55,7 @@
     Some(key.unwrap_or_else(|| entry.start()))
 }
 
-/// Whether an entry has the given name.
+/// Returns whether an entry has the given name.
 fn has_name(entry: &Object<'_>, name: &str) -> bool {
     entry
         .get_string("name")
--- a/crates/cranereach-wire/src/platform.rs
+++ b/crates/cranereach-wire/src/platform.rs
@@ -65,7 +65,7 @@
 /// Instance on the platform's list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Id.
+    /// ID of the instance.
     pub id: InstanceId,
     /// Role.
     pub role: Role,
--- a/crates/cranereach-wire/src/upstream.rs
+++ b/crates/cranereach-wire/src/upstream.rs
@@ -36,7 +36,7 @@
 /// Order to an engine to change what is in its memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Boot of the engine that the order is meant for; checked by engines that check fences.
+    /// Boot ID of the incarnation that the order is for; checked by engines that check fences.
     pub boot_id: u64,
     /// Fencing token of the order; checked by engines that check fences.
     pub fence: Fence,
