--- a/crates/cranereach-core/src/attempt.rs
+++ b/crates/cranereach-core/src/attempt.rs
@@ -146,8 +146,8 @@
 
     /// Decides after an attempt that did not run: retries within the deadline and retry budget.
     ///
-    /// Without budget, the code is `end`, or [`ResultCode::RetryBudgetSpent`] in place of
-    /// [`ResultCode::NoUpstream`].
+    /// If the budget is spent and no earlier attempt may have run, the code is `end`, or
+    /// [`ResultCode::RetryBudgetSpent`] in place of [`ResultCode::NoUpstream`].
     fn retry_not_run(&self, now_ms: u64, budget: &mut RetryBudget, end: ResultCode) -> Verdict {
         if now_ms >= self.deadline_at_ms {
             return Verdict::End(self.past_deadline_unsent());
--- a/crates/cranereach-core/src/ledger.rs
+++ b/crates/cranereach-core/src/ledger.rs
@@ -22,7 +22,7 @@
 pub const ORDER_LIFETIME_MS: u64 = 20_000;
 
 /// Number of earlier incarnations whose late reports are recognized and dropped.
-const RETIRED_BOOTS_COUNT: usize = 8;
+const RETIRED_INCARNATIONS_COUNT: usize = 8;
 
 /// State of a target that occupies a worker's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
     report: Option<MemoryReport>,
     unsettled: Vec<UnsettledOrder>,
     sealed_by: Option<Fence>,
-    retired_boots: Vec<u64>,
+    retired_boot_ids: Vec<u64>,
 }
 
 impl Ledger {
@@ -102,7 +102,7 @@
             report: None,
             unsettled: Vec::new(),
             sealed_by: None,
-            retired_boots: Vec::new(),
+            retired_boot_ids: Vec::new(),
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// Applies a report, unless it is older than the last one or from an earlier incarnation.
     pub fn apply_report(&mut self, now_ms: u64, report: &MemoryReport) {
-        if self.retired_boots.contains(&report.boot_id) {
+        if self.retired_boot_ids.contains(&report.boot_id) {
             return;
         }
         if let Some(last) = &self.report {
@@ -126,7 +126,7 @@
                 return;
             }
             if last.boot_id != report.boot_id {
-                self.reset_for_new_boot(last.boot_id);
+                self.reset_for_new_incarnation(last.boot_id);
             }
         }
         self.report = Some(report.clone());
@@ -141,15 +141,15 @@
     /// Drops the seal of a worker that restarted and, if it checks fences, its open orders.
     ///
     /// A worker that checks fences refuses orders for its old incarnation.
-    fn reset_for_new_boot(&mut self, old_boot_id: u64) {
+    fn reset_for_new_incarnation(&mut self, old_boot_id: u64) {
         self.sealed_by = None;
         if self.checks_fences {
             self.unsettled.clear();
         }
-        if self.retired_boots.len() == RETIRED_BOOTS_COUNT {
-            self.retired_boots.remove(0);
+        if self.retired_boot_ids.len() == RETIRED_INCARNATIONS_COUNT {
+            self.retired_boot_ids.remove(0);
         }
-        self.retired_boots.push(old_boot_id);
+        self.retired_boot_ids.push(old_boot_id);
     }
 
     /// Records an order before it is sent.
--- a/crates/cranereach-core/src/residency/mod.rs
+++ b/crates/cranereach-core/src/residency/mod.rs
@@ -16,7 +16,7 @@
 pub mod split;
 mod value;
 
-use self::plan_builder::Eviction;
+use self::plan_builder::EvictionRules;
 use self::plan_builder::PlanBuilder;
 pub use self::value::FORCED_LOAD_AFTER_MS;
 use self::value::marginal_value;
@@ -177,7 +177,7 @@
         let respects_min_residency = candidate.gain.is_finite();
         builder.place(
             candidate,
-            Eviction {
+            EvictionRules {
                 value: marginal_value,
                 respects_min_residency,
             },
@@ -193,7 +193,7 @@
     for candidate in urgent_candidates(input) {
         builder.place(
             candidate,
-            Eviction {
+            EvictionRules {
                 value: recency_value,
                 respects_min_residency: false,
             },
--- a/crates/cranereach-core/src/residency/plan_builder.rs
+++ b/crates/cranereach-core/src/residency/plan_builder.rs
@@ -47,7 +47,7 @@
 
 /// Rules for choosing victims.
 #[derive(Clone, Copy)]
-pub(super) struct Eviction {
+pub(super) struct EvictionRules {
     pub(super) value: fn(&PlanInput<'_>, &PlanOccupant) -> f64,
     pub(super) respects_min_residency: bool,
 }
@@ -81,9 +81,9 @@
     }
 
     /// Places a replica on the best worker if its gain justifies the moves or its load is forced.
-    pub(super) fn place(&mut self, candidate: ReplicaCandidate, eviction: Eviction) {
+    pub(super) fn place(&mut self, candidate: ReplicaCandidate, rules: EvictionRules) {
         let best = (0..self.input.workers.len())
-            .filter_map(|worker_index| self.placement_on(worker_index, candidate, eviction))
+            .filter_map(|worker_index| self.placement_on(worker_index, candidate, rules))
             .max_by(|a, b| a.net_gain.total_cmp(&b.net_gain));
         let Some(placement) = best else { return };
         let fits_now = candidate.is_urgent && !placement.waits_for_memory;
@@ -104,7 +104,7 @@
         &self,
         worker_index: usize,
         candidate: ReplicaCandidate,
-        eviction: Eviction,
+        rules: EvictionRules,
     ) -> Option<Placement> {
         let worker = &self.input.workers[worker_index];
         let target = &self.input.targets[candidate.target_index];
@@ -126,7 +126,7 @@
             };
         let mut cost = 0.0;
         let mut victims = Vec::new();
-        for victim in self.victims_in_order(worker_index, target, eviction) {
+        for victim in self.victims_in_order(worker_index, target, rules) {
             if obtainable_bytes >= needed_bytes {
                 break;
             }
@@ -184,11 +184,11 @@
         &self,
         worker_index: usize,
         target: &PlanTarget,
-        eviction: Eviction,
+        rules: EvictionRules,
     ) -> Vec<Victim> {
         let count = self.input.workers[worker_index].occupants.len();
         let mut victims: Vec<Victim> = (0..count)
-            .filter_map(|index| self.victim(worker_index, index, target, eviction))
+            .filter_map(|index| self.victim(worker_index, index, target, rules))
             .collect();
         let density = |victim: &Victim| victim.value / victim.memory_bytes.max(1) as f64;
         victims.sort_by(|a, b| density(a).total_cmp(&density(b)));
@@ -201,7 +201,7 @@
         worker_index: usize,
         index: usize,
         target: &PlanTarget,
-        eviction: Eviction,
+        rules: EvictionRules,
     ) -> Option<Victim> {
         let worker = &self.input.workers[worker_index];
         let base = &worker.occupants[index].target;
@@ -215,7 +215,7 @@
         indexes.push(index);
         if !indexes
             .iter()
-            .all(|&index| self.is_evictable(worker_index, index, eviction))
+            .all(|&index| self.is_evictable(worker_index, index, rules))
         {
             return None;
         }
@@ -227,7 +227,7 @@
                 .sum(),
             value: indexes
                 .iter()
-                .map(|index| (eviction.value)(self.input, occupant_at(index)))
+                .map(|index| (rules.value)(self.input, occupant_at(index)))
                 .sum(),
             indexes,
         })
@@ -241,11 +241,11 @@
     }
 
     /// Returns whether an occupant may be unloaded.
-    fn is_evictable(&self, worker_index: usize, index: usize, eviction: Eviction) -> bool {
+    fn is_evictable(&self, worker_index: usize, index: usize, rules: EvictionRules) -> bool {
         let occupant = &self.input.workers[worker_index].occupants[index];
         let is_recent = self.input.now_ms.saturating_sub(occupant.seen_at_ms) < MIN_RESIDENCY_MS;
         let is_protected =
-            self.evicted[worker_index][index] || (eviction.respects_min_residency && is_recent);
+            self.evicted[worker_index][index] || (rules.respects_min_residency && is_recent);
         occupant.residence == Residence::Resident && !is_protected
     }
 
