--- a/crates/cranereach-core/tests/control_world/mod.rs
+++ b/crates/cranereach-core/tests/control_world/mod.rs
@@ -5,8 +5,8 @@
 //! took effect; instances pause between deciding and sending; engines restart empty. The tests
 //! check the memory actually used at every step.
 
-mod carrying;
 mod engine;
+mod transport;
 
 use std::collections::HashMap;
 
--- a/crates/cranereach-fleet/tests/quarantine/main.rs
+++ b/crates/cranereach-fleet/tests/quarantine/main.rs
@@ -2,5 +2,5 @@
 //! and gossiped.
 
 mod fleet;
-mod joining;
-mod worlds;
+mod merging;
+mod simulations;
--- a/crates/cranereach-fleet/tests/sends/fleet.rs
+++ b/crates/cranereach-fleet/tests/sends/fleet.rs
@@ -2,7 +2,7 @@
 
 mod arrivals;
 pub mod event;
-mod parcels;
+mod messages;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 
 use self::arrivals::Arrival;
-use self::parcels::Message;
+use self::messages::Message;
 use cranereach_fleet::load::RANK_COUNT;
 use cranereach_fleet::membership::Membership;
 use cranereach_fleet::named_limit::LimitReport;
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -16,7 +16,7 @@
 
 /// Maximum number of peers that one round of digests goes to, apart from those that need it at
 /// once. News that each instance passes to six others reaches nearly all of 1,000 in some six
-/// rounds (`tests/spreading.rs`).
+/// rounds (`tests/gossip_spread.rs`).
 pub const FAN_OUT_COUNT: usize = 6;
 
 /// Number of them in this instance's failure domain, where traffic is free.
--- a/crates/cranereach-soak/tests/soak/main.rs
+++ b/crates/cranereach-soak/tests/soak/main.rs
@@ -2,9 +2,9 @@
 //! that are planted into records and nothing else.
 
 mod bounded;
-mod ending;
+mod crash_requests;
 mod failing;
-mod own_words;
+mod notices;
 mod planted;
 mod requests;
 mod schedule;
