--- a/crates/cranereach-soak/src/report.rs
+++ b/crates/cranereach-soak/src/report.rs
@@ -42,15 +42,15 @@
 
 /// Options of judging.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Choice {
+pub struct JudgeOptions {
     /// Skips the promises that depend on the speed of the machine.
     pub is_untimed: bool,
 }
 
 /// Judges the records by each promise.
-pub fn judge(records: &Records, choice: &Choice) -> Vec<Verdict> {
+pub fn judge(records: &Records, options: &JudgeOptions) -> Vec<Verdict> {
     let verdicts = PROMISES.iter().map(|promise| {
-        let is_skipped = promise.applicability == Applicability::Timed && choice.is_untimed;
+        let is_skipped = promise.applicability == Applicability::Timed && options.is_untimed;
         let finding = if is_skipped {
             crate::check::Finding::default()
         } else {
--- a/crates/cranereach-soak/src/run.rs
+++ b/crates/cranereach-soak/src/run.rs
@@ -58,14 +58,14 @@
     /// Size of the run.
     pub size: Size,
     /// Whether the schedule also restores the store from backups.
-    pub is_restored: bool,
+    pub restores_store: bool,
 }
 
 impl Plan {
     /// Returns the fault schedule of the run.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = schedule::from_seed(self.seed, self.run_ms, self.size);
-        if self.is_restored {
+        if self.restores_store {
             schedule::add_restores(&mut steps, self.seed, self.run_ms);
         }
         steps
--- a/crates/cranereach-soak/tests/soak/failing.rs
+++ b/crates/cranereach-soak/tests/soak/failing.rs
@@ -22,7 +22,7 @@
         seed: 1,
         run_ms: 10_000,
         size: Size::SMALL,
-        is_restored: false,
+        restores_store: false,
     }
 }
 
--- a/src/cmd/soak.rs
+++ b/src/cmd/soak.rs
@@ -8,7 +8,7 @@
 use super::serve::wait_for_stop;
 use crate::exit::Exit;
 use cranereach_soak::report;
-use cranereach_soak::report::Choice;
+use cranereach_soak::report::JudgeOptions;
 use cranereach_soak::run;
 use cranereach_soak::run::Plan;
 use cranereach_soak::run::RunError;
@@ -71,14 +71,14 @@
         eprintln!("{}: {error}", plan.folder.display());
         return Exit::Unavailable;
     }
-    let choice = Choice {
+    let judge_options = JudgeOptions {
         is_untimed: options.untimed,
     };
-    super::block_on(run_plan(&plan, &choice))
+    super::block_on(run_plan(&plan, &judge_options))
 }
 
 /// Runs the plan; prints the verdicts and writes them to the folder.
-async fn run_plan(plan: &Plan, choice: &Choice) -> Exit {
+async fn run_plan(plan: &Plan, judge_options: &JudgeOptions) -> Exit {
     let records = match run::run(plan, wait_for_stop()).await {
         Ok(records) => records,
         Err(error) => {
@@ -91,7 +91,7 @@
             };
         }
     };
-    let verdicts = report::judge(&records, choice);
+    let verdicts = report::judge(&records, judge_options);
     let is_kept = report::print(&verdicts);
     println!("logs and records: {}", plan.folder.display());
     if let Err(error) = report::write(&plan.folder, &records, &verdicts) {
@@ -128,6 +128,6 @@
         seed: options.seed,
         run_ms: options.seconds * 1_000,
         size,
-        is_restored: options.restores,
+        restores_store: options.restores,
     })
 }
