--- a/crates/cranereach-fleet/src/departure.rs
+++ b/crates/cranereach-fleet/src/departure.rs
@@ -22,7 +22,7 @@
 
 /// What one answer announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum DepartureNotice {
     /// No departure: the header is missing, or says that the worker stays.
     Nothing,
     /// The worker is leaving.
@@ -34,24 +34,24 @@
 /// Parses the values of the header in an answer; a single one that announces a departure is enough.
 ///
 /// ```
-/// use cranereach_fleet::departure::Said;
+/// use cranereach_fleet::departure::DepartureNotice;
 /// use cranereach_fleet::departure::read;
 ///
-/// assert_eq!(read([].into_iter()), Said::Nothing);
-/// assert_eq!(read([&b"1"[..]].into_iter()), Said::Leaves);
-/// assert_eq!(read([&b"0"[..]].into_iter()), Said::Nothing);
-/// assert_eq!(read([&b"true"[..]].into_iter()), Said::Unreadable);
+/// assert_eq!(read([].into_iter()), DepartureNotice::Nothing);
+/// assert_eq!(read([&b"1"[..]].into_iter()), DepartureNotice::Leaves);
+/// assert_eq!(read([&b"0"[..]].into_iter()), DepartureNotice::Nothing);
+/// assert_eq!(read([&b"true"[..]].into_iter()), DepartureNotice::Unreadable);
 /// ```
-pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Said {
-    let mut said = Said::Nothing;
+pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> DepartureNotice {
+    let mut notice = DepartureNotice::Nothing;
     for value in values {
         match value.trim_ascii() {
-            LEAVES => return Said::Leaves,
+            LEAVES => return DepartureNotice::Leaves,
             STAYS => {}
-            _ => said = Said::Unreadable,
+            _ => notice = DepartureNotice::Unreadable,
         }
     }
-    said
+    notice
 }
 
 /// Source of the report that a worker is leaving.
--- a/crates/cranereach-fleet/tests/departures.rs
+++ b/crates/cranereach-fleet/tests/departures.rs
@@ -8,8 +8,8 @@
 use self::workers::record;
 use self::workers::routing_request;
 use cranereach_fleet::departure::DepartureNews;
+use cranereach_fleet::departure::DepartureNotice;
 use cranereach_fleet::departure::DepartureSource;
-use cranereach_fleet::departure::Said;
 use cranereach_fleet::departure::read;
 use cranereach_fleet::key::incarnation_key;
 use cranereach_fleet::key::worker_key;
@@ -43,21 +43,25 @@
 #[test]
 fn each_value_has_a_meaning() {
     let parsed = |values: &[&[u8]]| read(values.iter().copied());
-    assert_eq!(parsed(&[]), Said::Nothing);
-    assert_eq!(parsed(&[b"1"]), Said::Leaves);
-    assert_eq!(parsed(&[b" 1 "]), Said::Leaves);
-    assert_eq!(parsed(&[b"0"]), Said::Nothing, "the worker stays");
+    assert_eq!(parsed(&[]), DepartureNotice::Nothing);
+    assert_eq!(parsed(&[b"1"]), DepartureNotice::Leaves);
+    assert_eq!(parsed(&[b" 1 "]), DepartureNotice::Leaves);
+    assert_eq!(
+        parsed(&[b"0"]),
+        DepartureNotice::Nothing,
+        "the worker stays"
+    );
     assert_eq!(
         parsed(&[b"0", b"1"]),
-        Said::Leaves,
+        DepartureNotice::Leaves,
         "one such value is enough"
     );
-    assert_eq!(parsed(&[b"1", b"true"]), Said::Leaves);
+    assert_eq!(parsed(&[b"1", b"true"]), DepartureNotice::Leaves);
     let unreadable: [&[u8]; 6] = [b"", b"true", b"yes", b"-1", b"1.0", b"\xff"];
     for value in unreadable {
-        assert_eq!(parsed(&[value]), Said::Unreadable, "{value:?}");
+        assert_eq!(parsed(&[value]), DepartureNotice::Unreadable, "{value:?}");
     }
-    assert_eq!(parsed(&[&[b'1'; 4_000]]), Said::Unreadable);
+    assert_eq!(parsed(&[&[b'1'; 4_000]]), DepartureNotice::Unreadable);
 }
 
 #[test]
--- a/crates/cranereach-gateway/src/worker_headers.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -49,7 +49,7 @@
     /// Requests per second that the worker accepts.
     pub limit: named_limit::NamedRate,
     /// Whether the worker is leaving.
-    pub leaving: departure::Said,
+    pub leaving: departure::DepartureNotice,
     /// Time for which the worker asks for no requests.
     pub rest: rest::RestRequest,
     /// Time for which the idle connection may be kept, in milliseconds; `None` if it closes.
@@ -100,7 +100,7 @@
     }
     unknown_headers::record(node, &permit.worker, head);
     record_unreadable(node, &permit.worker, &worker_headers);
-    if worker_headers.leaving == departure::Said::Leaves {
+    if worker_headers.leaving == departure::DepartureNotice::Leaves {
         departures::record_announcement(node, permit);
     }
     // Of an earlier incarnation only its departure matters, because its row may come back.
@@ -149,7 +149,7 @@
             names.limit,
         ),
         (
-            worker_headers.leaving == departure::Said::Unreadable,
+            worker_headers.leaving == departure::DepartureNotice::Unreadable,
             "leaving",
             names.leaving,
         ),
--- a/crates/cranereach-gateway/tests/worker_headers.rs
+++ b/crates/cranereach-gateway/tests/worker_headers.rs
@@ -50,7 +50,7 @@
     assert!(!parsed.is_from_other_worker && !parsed.is_not_run && !parsed.is_load_unreadable);
     assert_eq!(parsed.load, None);
     assert_eq!(parsed.limit, named_limit::NamedRate::Nothing);
-    assert_eq!(parsed.leaving, departure::Said::Nothing);
+    assert_eq!(parsed.leaving, departure::DepartureNotice::Nothing);
     assert_eq!(parsed.rest, rest::RestRequest::Nothing);
     assert_eq!(parsed.connection_keep_alive_ms, Some(DEFAULT_KEEP_ALIVE_MS));
 }
