--- a/crates/cranereach-gateway/src/forward/stream_relay.rs
+++ b/crates/cranereach-gateway/src/forward/stream_relay.rs
@@ -48,7 +48,7 @@
     incoming: Incoming,
     connection: Option<ReusableConnection>,
     in_flight: Option<InFlightCall>,
-    deadline: Pin<Box<Sleep>>,
+    due: Pin<Box<Sleep>>,
     gaps: ChunkGaps,
     /// Splits the stream into events; `None` if the stream may not be resumed on another worker.
     events: Option<EventBuffer>,
@@ -98,7 +98,7 @@
             incoming: started.incoming,
             connection: Some(started.connection),
             in_flight: Some(started.in_flight),
-            deadline: Box::pin(tokio::time::sleep_until(node.instant(call.deadline_at_ms))),
+            due: Box::pin(tokio::time::sleep_until(node.instant(call.deadline_at_ms))),
             gaps: ChunkGaps {
                 target_ms: call.route.gap_aim_ms,
                 last_chunk_at: Instant::now(),
@@ -120,7 +120,7 @@
             if self.in_flight.is_none() && self.resumption.is_none() {
                 return Poll::Ready(None);
             }
-            if self.deadline.as_mut().poll(cx).is_ready() {
+            if self.due.as_mut().poll(cx).is_ready() {
                 return Poll::Ready(Some(Err(self.abort("deadline"))));
             }
             if let Some(resumption) = &mut self.resumption {
