--- a/crates/cranereach-entry/src/callers/claims.rs
+++ b/crates/cranereach-entry/src/callers/claims.rs
@@ -88,7 +88,8 @@
     Replay(KeptAnswer),
 }
 
-/// Writes the claim, or joins the attempt that has already claimed the key.
+/// Writes the claim. If the key is already claimed, the state of that claim decides whether it is
+/// taken over, its stored response is replayed, or the call is refused.
 async fn acquire(shared: &Arc<Shared>, row_key: String, claim: Claim) -> Result<Acquired, Refusal> {
     let mut expected_version = 0;
     loop {
--- a/crates/cranereach-entry/src/callers/plain_call.rs
+++ b/crates/cranereach-entry/src/callers/plain_call.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Builds the job of a call with an empty body.
+/// Builds the job of a call, with an empty body in place of the request's.
 fn build_job(
     context: &RequestContext,
     target: TargetName,
--- a/crates/cranereach-entry/src/control_actor/demand.rs
+++ b/crates/cranereach-entry/src/control_actor/demand.rs
@@ -1,4 +1,4 @@
-//! Aggregates demand over all entry instances of the group, from their digests.
+//! Aggregates demand over all entry instances, from their digests.
 
 use std::collections::HashMap;
 
--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -57,7 +57,7 @@
 /// Time for which a leaving worker keeps serving after the drain bound, in milliseconds.
 const SERVE_PAST_DRAIN_MS: u64 = 1_500;
 
-/// State of a leaving worker in its store entry.
+/// State of a leaving worker in its store row.
 const LEAVING: &str = "draining";
 
 /// The store, the workers and their links.
@@ -141,7 +141,7 @@
         Ok(back_ends)
     }
 
-    /// Writes the workers' store entries that have changed, as their heartbeats would.
+    /// Writes the workers' store rows that have changed, as their heartbeats would.
     pub fn send_heartbeats(&self) {
         for slot in &self.slots {
             let mut current = lock(&slot.current);
@@ -348,7 +348,7 @@
 }
 
 impl RunningWorker {
-    /// Returns the worker's store entry.
+    /// Returns the worker's store row.
     fn row(&self, slot: &WorkerSlot) -> Value {
         let cold = self.cold_until.saturating_duration_since(Instant::now());
         let (domain, _region) = gateways::domain_and_region_of(slot.number);
--- a/crates/cranereach-soak/src/check/rate_limits.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -24,7 +24,7 @@
 /// milliseconds. Earlier ones may have been in flight.
 const IN_FLIGHT_MS: u64 = 500;
 
-/// Time after the announcement before which no window ends, in milliseconds.
+/// Time after the announcement from which windows are judged, by their ends, in milliseconds.
 const JUDGED_AFTER_MS: u64 = 3_000;
 
 /// A worker and the period in which it announced a limit.
@@ -37,8 +37,8 @@
     to_ms: u64,
 }
 
-/// Judges a sliding window over the requests to each worker that announced a limit. Only requests
-/// count of connected gateways that had already passed on one of its answers with the limit.
+/// Judges a sliding window over the requests to each worker that announced a limit. Counts only
+/// requests of connected gateways that had already passed on one of its answers with the limit.
 pub fn check(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut finding = Finding::default();
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -207,7 +207,7 @@
 /// Restarts a gateway that has ended.
 async fn restart(gateway: &Gateway) {
     if let Err(error) = gateway.start().await {
-        // The process watch records it as one that exited on its own.
+        // The watcher of the processes records it as one that exited on its own.
         eprintln!("{error}");
     }
 }
--- a/crates/cranereach-soak/src/gateways.rs
+++ b/crates/cranereach-soak/src/gateways.rs
@@ -83,6 +83,7 @@
     state: Mutex<State>,
 }
 
+/// The process of a gateway, if it runs, and whether it was sent SIGTERM.
 #[derive(Debug, Default)]
 struct State {
     child: Option<Child>,
@@ -287,7 +288,8 @@
         false
     }
 
-    /// Returns whether the process exited although nothing had stopped it, and forgets it if so.
+    /// Returns whether the process exited although nothing had stopped it. If so, the gateway can be
+    /// started again.
     pub async fn has_ended_by_itself(&self) -> bool {
         let mut state = self.state.lock().await;
         let ended = state.child.as_mut().map(Child::try_wait);
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -25,8 +25,8 @@
 /// Range of the time for which a worker sheds all requests, in milliseconds.
 const SHEDS_MS: (u64, u64) = (3_000, 7_000);
 
-/// Range of the time for which the store is silent, in milliseconds: longer than gateways that know
-/// that a worker leaves may still send requests to it.
+/// Range of the time for which the store is silent, in milliseconds. It exceeds the time for which
+/// gateways that know that a worker leaves may still send requests to it.
 const SILENT_MS: (u64, u64) = (4_000, 7_000);
 
 /// Time from the start of the store's silence until a worker leaves, in milliseconds.
--- a/crates/cranereach-soak/src/schedule.rs
+++ b/crates/cranereach-soak/src/schedule.rs
@@ -145,7 +145,7 @@
     Revoke,
     /// Requests the evacuation of a failure domain, and cancels it later.
     Evacuate,
-    /// Cuts all gateways in the region without the store off from the store.
+    /// Cuts off from the store all gateways in the region that does not host it.
     CutRegion,
 }
 
--- a/crates/cranereach-standin/src/engine/answer.rs
+++ b/crates/cranereach-standin/src/engine/answer.rs
@@ -36,8 +36,8 @@
 /// Tokens to generate if the request sets no maximum.
 const DEFAULT_TOKENS: u32 = 16;
 
-/// Length of the prompt prefix that is the key of the prefix cache, in characters. As many
-/// characters of the end of the prompt are echoed in the response.
+/// Length of the prompt prefix that is the key of the prefix cache, in characters. The response
+/// echoes the same number of characters from the end of the prompt.
 const PREFIX_CHARS: usize = 64;
 
 /// Fields of a completion request that the engine uses.
