--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Options)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "parsed once; the options' derive takes no box"
+    reason = "parsed once; gumdrop's derive macro does not support boxed options"
 )]
 enum Command {
     #[options(help = "run a complete demo deployment in one process, no files needed")]
