--- a/crates/cranereach-entry/src/dispatch_actor.rs
+++ b/crates/cranereach-entry/src/dispatch_actor.rs
@@ -147,7 +147,7 @@
     /// Executes the actions of the dispatcher: replies to the waiting requests.
     fn execute_actions(&mut self) {
         while let Some(action) = self.actions.pop() {
-            let (request, routed) = match action {
+            let (request, decision) = match action {
                 Action::Send { request, worker } => (request, RouteDecision::Send(worker)),
                 Action::Refuse {
                     request,
@@ -164,7 +164,7 @@
             let Some(reply) = self.replies.remove(&request) else {
                 continue;
             };
-            if let Err(RouteDecision::Send(_)) = reply.send(routed) {
+            if let Err(RouteDecision::Send(_)) = reply.send(decision) {
                 // The caller has disconnected in the meantime: free the slot.
                 let now_ms = self.shared.now_ms();
                 self.inner
--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -48,8 +48,8 @@
 /// Interval of the workers' heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Time after which the store entry of a worker without heartbeats is removed, in milliseconds.
-const ENTRY_EXPIRY_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
+/// Time after which the store row of a worker without heartbeats is removed, in milliseconds.
+const ROW_EXPIRY_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
 
 /// Interval of the checks for workers that ended on their own, in milliseconds.
 const CRASH_CHECK_INTERVAL_MS: u64 = 300;
@@ -215,7 +215,7 @@
             return;
         };
         running.worker.end();
-        let expires_at = tokio::time::Instant::now() + Duration::from_millis(ENTRY_EXPIRY_MS);
+        let expires_at = tokio::time::Instant::now() + Duration::from_millis(ROW_EXPIRY_MS);
         tokio::time::sleep(Duration::from_millis(down_ms)).await;
         self.start_replacement(slot, journal).await;
         tokio::time::sleep_until(expires_at).await;
@@ -239,7 +239,7 @@
         let ended = lock(&slot.current).take_if(|running| running.worker.has_ended());
         let Some(running) = ended else { return };
         let from_ms = journal.now_ms().saturating_sub(CRASH_CHECK_INTERVAL_MS);
-        tokio::time::sleep(Duration::from_millis(ENTRY_EXPIRY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(ROW_EXPIRY_MS)).await;
         self.store.remove("servers", &running.worker.id);
         self.start_replacement(slot, journal).await;
         journal.record_disturbance(Component::Worker(slot.number), false, from_ms);
--- a/crates/cranereach-soak/src/check/gateway_health.rs
+++ b/crates/cranereach-soak/src/check/gateway_health.rs
@@ -42,11 +42,11 @@
         _ => None,
     });
     let revoked: HashSet<usize> = revoked.collect();
-    let proper = records.asked.iter();
-    let proper = proper.filter(|record| !revoked.contains(&record.key));
+    let with_valid_key = records.asked.iter();
+    let with_valid_key = with_valid_key.filter(|record| !revoked.contains(&record.key));
     let mut tried_count = 0;
     let mut denied = Vec::new();
-    for record in proper {
+    for record in with_valid_key {
         tried_count += 1;
         if let End::Answered(answer) = &record.end
             && (300..500).contains(&answer.status)
--- a/crates/cranereach-soak/src/check/mod.rs
+++ b/crates/cranereach-soak/src/check/mod.rs
@@ -26,9 +26,9 @@
 
 impl Finding {
     /// Counts one trial, and adds the violation in it, if any.
-    pub fn add_trial(&mut self, violations: Option<String>) {
+    pub fn add_trial(&mut self, violation: Option<String>) {
         self.tried_count += 1;
-        self.violations.extend(violations);
+        self.violations.extend(violation);
     }
 }
 
--- a/crates/cranereach-soak/src/check/notices.rs
+++ b/crates/cranereach-soak/src/check/notices.rs
@@ -78,7 +78,11 @@
 fn informed_at(records: &Records, worker_id: &str, leaves_ms: u64) -> HashMap<usize, u64> {
     let expected = signature(worker_id);
     let mut informed_at: HashMap<usize, u64> = HashMap::new();
-    for record in records.asked.iter().filter(|of| of.sent_ms >= leaves_ms) {
+    for record in records
+        .asked
+        .iter()
+        .filter(|request| request.sent_ms >= leaves_ms)
+    {
         let End::Answered(answer) = &record.end else {
             continue;
         };
--- a/crates/cranereach-soak/src/check/rate_limits.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -73,8 +73,8 @@
     let arrivals = records.arrivals.iter();
     let judged = arrivals.filter(|arrival| {
         let at_ms = arrival.at_ms;
-        let is_here = arrival.worker_id == limited.worker_id;
-        is_here
+        let is_at_worker = arrival.worker_id == limited.worker_id;
+        is_at_worker
             && at_ms <= limited.to_ms
             && index.is_settled(Component::Worker(limited.place), at_ms, at_ms, true)
             && index.request_record(&arrival.id).is_some_and(|record| {
@@ -87,9 +87,9 @@
     times.sort_unstable();
     let max_count =
         limited.rate_per_s * EXCESS_RATIO * WINDOW_MS as f64 / 1_000.0 + ALLOWANCE_COUNT;
-    let ends = times.iter().enumerate();
-    let ends = ends.filter(|(_, at_ms)| **at_ms >= limited.from_ms + JUDGED_AFTER_MS);
-    let counts = ends.map(|(last, at_ms)| {
+    let window_ends = times.iter().enumerate();
+    let window_ends = window_ends.filter(|(_, at_ms)| **at_ms >= limited.from_ms + JUDGED_AFTER_MS);
+    let counts = window_ends.map(|(last, at_ms)| {
         let first = times.partition_point(|other| other + WINDOW_MS <= *at_ms);
         last + 1 - first
     });
--- a/crates/cranereach-soak/src/check/recovery.rs
+++ b/crates/cranereach-soak/src/check/recovery.rs
@@ -35,8 +35,8 @@
         tried_count: total_count,
         violations: Vec::new(),
     };
-    let nobody_asked = total_count == 0 && records.end_ms > from_ms;
-    if nobody_asked || (served_count as f64) < SERVED_SHARE * total_count as f64 {
+    let has_no_requests = total_count == 0 && records.end_ms > from_ms;
+    if has_no_requests || (served_count as f64) < SERVED_SHARE * total_count as f64 {
         finding.violations.push(format!(
             "only {served_count} of {total_count} requests after {from_ms} ms were served"
         ));
--- a/crates/cranereach-soak/src/check/stop.rs
+++ b/crates/cranereach-soak/src/check/stop.rs
@@ -51,7 +51,8 @@
 
 /// Returns whether no component that took part had an unplanned disturbance.
 fn is_undisturbed(index: &RecordIndex<'_>, record: &RequestRecord, worker: Option<usize>) -> bool {
-    let is_settled = |whom| index.is_settled(whom, record.sent_ms, record.ended_ms, false);
+    let is_settled =
+        |component| index.is_settled(component, record.sent_ms, record.ended_ms, false);
     is_settled(Component::Gateway(record.gateway))
         && is_settled(Component::Store)
         && worker.is_none_or(|worker| is_settled(Component::Worker(worker)))
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -158,9 +158,9 @@
 
 /// Revokes a key.
 fn revoke(test_bed: &TestBed, key: usize) {
-    let was_in_force = test_bed.back_ends.revoke(key);
+    let was_valid = test_bed.back_ends.revoke(key);
     let at_ms = test_bed.journal.now_ms();
-    if was_in_force {
+    if was_valid {
         test_bed.journal.record_event(Event::Revoked { key, at_ms });
     }
 }
@@ -221,8 +221,10 @@
     pause(for_ms).await;
     for gateway in gateways {
         test_bed.back_ends.store_links[*gateway].set(LinkMode::Open);
-        let whom = Component::Gateway(*gateway);
-        test_bed.journal.record_disturbance(whom, false, from_ms);
+        let component = Component::Gateway(*gateway);
+        test_bed
+            .journal
+            .record_disturbance(component, false, from_ms);
     }
 }
 
--- a/crates/cranereach-soak/src/gateways.rs
+++ b/crates/cranereach-soak/src/gateways.rs
@@ -107,16 +107,17 @@
     let count = stores.len();
     let ips: Vec<String> = (1..=count).map(|last| format!("{subnet}.{last}")).collect();
     // Kept bound until all ports are found, so that none is found twice.
-    let (peer_port, _held) = reserve_peer_port(&ips).await?;
+    let (peer_port, _peer_listeners) = reserve_peer_port(&ips).await?;
     let mut gateways = Vec::new();
     for (number, store) in stores.iter().enumerate() {
         let ip = &ips[number];
-        let held = [
+        let reserved = [
             reserve_free_port(ip).await?,
             reserve_free_port(ip).await?,
             reserve_free_port(ip).await?,
         ];
-        let [caller_address, ready_address, metrics] = held.each_ref().map(|(address, _)| *address);
+        let [caller_address, ready_address, metrics] =
+            reserved.each_ref().map(|(address, _)| *address);
         let gateway = Gateway {
             number,
             caller_address,
@@ -135,30 +136,30 @@
 
 /// Finds a port for peers that is free on all addresses, and keeps it bound.
 async fn reserve_peer_port(ips: &[String]) -> Result<(u16, Vec<TcpListener>), GatewayError> {
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..PORT_TRIES {
-        let (address, found) = reserve_free_port(&ips[0]).await?;
-        drop(found);
+        let (address, listener) = reserve_free_port(&ips[0]).await?;
+        drop(listener);
         let port = address.port();
         match reserve_port(ips, port).await {
-            Ok(held) => return Ok((port, held)),
-            Err(error) => last = Some(error),
+            Ok(listeners) => return Ok((port, listeners)),
+            Err(error) => last_error = Some(error),
         }
     }
     Err(GatewayError::Port {
         ip: ips.join(", "),
-        source: last.unwrap_or_else(|| io::ErrorKind::AddrInUse.into()),
+        source: last_error.unwrap_or_else(|| io::ErrorKind::AddrInUse.into()),
     })
 }
 
 /// Binds a port on all addresses, if it is free there for both TCP and UDP.
 async fn reserve_port(ips: &[String], port: u16) -> io::Result<Vec<TcpListener>> {
-    let mut held = Vec::new();
+    let mut listeners = Vec::new();
     for ip in ips {
-        held.push(TcpListener::bind((ip.as_str(), port)).await?);
+        listeners.push(TcpListener::bind((ip.as_str(), port)).await?);
         UdpSocket::bind((ip.as_str(), port)).await?;
     }
-    Ok(held)
+    Ok(listeners)
 }
 
 /// Finds a free port, and keeps it bound.
@@ -269,7 +270,7 @@
                 self.is_in_rotation.store(false, Ordering::Relaxed);
             }
             let mut state = self.state.lock().await;
-            let is_same = state.child.as_ref().and_then(Child::id) == id;
+            let is_same_process = state.child.as_ref().and_then(Child::id) == id;
             let has_ended = state
                 .child
                 .as_mut()
@@ -279,7 +280,7 @@
                 return true;
             }
             drop(state);
-            if !is_same {
+            if !is_same_process {
                 return true;
             }
             wait_for_next_poll().await;
--- a/crates/cranereach-standin/src/platform/state.rs
+++ b/crates/cranereach-standin/src/platform/state.rs
@@ -127,7 +127,7 @@
     /// Limits of the weight store.
     pub limits: WeightLimits,
     listed: Mutex<BTreeMap<String, ListedInstance>>,
-    frozen: Mutex<Vec<ListedInstance>>,
+    last_visible: Mutex<Vec<ListedInstance>>,
     started: Instant,
 }
 
@@ -150,7 +150,7 @@
             weights: Mutex::new(weights),
             limits,
             listed: Mutex::default(),
-            frozen: Mutex::default(),
+            last_visible: Mutex::default(),
             started: Instant::now(),
         }
     }
@@ -183,11 +183,11 @@
     /// Returns the instances that the list shows; a frozen list shows its last contents.
     pub fn visible_instances(&self) -> Vec<ListedInstance> {
         let is_frozen = lock(&self.faults).list_frozen;
-        let mut frozen = lock(&self.frozen);
+        let mut last_visible = lock(&self.last_visible);
         if !is_frozen {
-            *frozen = lock(&self.listed).values().cloned().collect();
+            *last_visible = lock(&self.listed).values().cloned().collect();
         }
-        frozen.clone()
+        last_visible.clone()
     }
 
     /// Applies a transaction if every row has the expected version; returns the new versions.
--- a/crates/cranereach-standin/src/relay.rs
+++ b/crates/cranereach-standin/src/relay.rs
@@ -62,7 +62,11 @@
             return;
         };
         if *mode.borrow() != LinkMode::Cut {
-            tokio::spawn(pass(client, server_address.clone(), mode.clone()));
+            tokio::spawn(relay_connection(
+                client,
+                server_address.clone(),
+                mode.clone(),
+            ));
         }
         if mode.has_changed().is_err() {
             return;
@@ -71,7 +75,11 @@
 }
 
 /// Relays one connection until both directions have ended, one fails, or the relay is cut.
-async fn pass(client: TcpStream, server_address: String, mut mode: watch::Receiver<LinkMode>) {
+async fn relay_connection(
+    client: TcpStream,
+    server_address: String,
+    mut mode: watch::Receiver<LinkMode>,
+) {
     let mut cut = mode.clone();
     let exchange = async move {
         let is_not_held = |mode: &LinkMode| *mode != LinkMode::Held;
@@ -104,12 +112,12 @@
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
     mut mode: watch::Receiver<LinkMode>,
-    is_passing: fn(LinkMode) -> bool,
+    is_forwarding: fn(LinkMode) -> bool,
 ) -> io::Result<()> {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let count = reader.read(&mut chunk).await?;
-        let waited = mode.wait_for(|mode| is_passing(*mode)).await;
+        let waited = mode.wait_for(|mode| is_forwarding(*mode)).await;
         let current = *waited.map_err(io::Error::other)?;
         if current == LinkMode::Slow {
             tokio::time::sleep(Duration::from_millis(SLOW_MS)).await;
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -35,13 +35,13 @@
         Ok(settings) => settings,
         Err(exit) => return exit,
     };
-    let demand = domains::request_evacuation(&settings, &options.domain, options.withdraw);
+    let request = domains::request_evacuation(&settings, &options.domain, options.withdraw);
     let action = if options.withdraw {
         "withdrawn"
     } else {
         "asked for"
     };
-    match super::block_on_one_core(demand) {
+    match super::block_on_one_core(request) {
         Ok(EvacuationOutcome::At(version)) => {
             println!(
                 "evacuation of {} {action} at version {version}",
