--- a/crates/cranereach-soak/src/check/contact.rs
+++ b/crates/cranereach-soak/src/check/contact.rs
@@ -1,5 +1,5 @@
-//! Finds requests by ID, and tells which gateways were in contact with the store and so are judged
-//! by promises with a time bound.
+//! Finds requests by ID, and determines which gateways were connected to the store and so are
+//! judged by promises with a time bound.
 
 use std::collections::HashMap;
 
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -21,7 +21,7 @@
 /// Pause between a planned stop and the restart, in milliseconds.
 const RESTART_DELAY_MS: u64 = 300;
 
-/// Time for which the store is silent before it is restored from a backup, in milliseconds.
+/// Time for which the store answers nothing before it is restored from a backup, in milliseconds.
 const RESTORE_DOWNTIME_MS: u64 = 700;
 
 /// Time after a restore at which the lost rows are written again, in milliseconds.
@@ -118,8 +118,8 @@
     }
 }
 
-/// Restores the store from a backup that is `age_ms` old, after a short silence. The operator and
-/// the workers write the lost rows again some time later.
+/// Restores the store from a backup that is `age_ms` old, after a short time in which it answers
+/// nothing. The operator and the workers write the lost rows again some time later.
 async fn restore(test_bed: &TestBed, age_ms: u64) {
     let store = &test_bed.back_ends.store;
     let backup_version = store.version();
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! Makes workers leave while the store is silent, or ask for a rest, alongside the scheduled
+//! Makes workers leave while the store does not answer, or ask for a rest, alongside the scheduled
 //! faults.
 
 use std::sync::Arc;
@@ -25,11 +25,11 @@
 /// Range of the time for which a worker sheds all requests, in milliseconds.
 const SHEDS_MS: (u64, u64) = (3_000, 7_000);
 
-/// Range of the time for which the store is silent, in milliseconds. It exceeds the time for which
-/// gateways that know that a worker leaves may still send requests to it.
+/// Range of the time for which the store does not answer, in milliseconds. It exceeds the time for
+/// which gateways that know that a worker leaves may still send requests to it.
 const SILENT_MS: (u64, u64) = (4_000, 7_000);
 
-/// Time from the start of the store's silence until a worker leaves, in milliseconds.
+/// Time from the start of the store outage until a worker leaves, in milliseconds.
 const LEAVES_AFTER_MS: u64 = 200;
 
 /// Pause between two of these events, in milliseconds.
@@ -61,7 +61,7 @@
     }
 }
 
-/// Makes a worker leave while the store is silent.
+/// Makes a worker leave while the store does not answer.
 async fn leave_during_store_outage(test_bed: &TestBed, slot: usize, for_ms: u64) {
     let silent = Step {
         at_ms: test_bed.journal.now_ms(),
