--- a/crates/cranereach-soak/src/back_ends/arrivals.rs
+++ b/crates/cranereach-soak/src/back_ends/arrivals.rs
@@ -13,7 +13,7 @@
         let mut arrivals = Vec::new();
         for slot in &self.slots {
             for worker in lock(&slot.started_workers).iter() {
-                let seen = worker.seen().into_iter().map(|seen| Arrival {
+                let worker_arrivals = worker.seen().into_iter().map(|seen| Arrival {
                     id: seen
                         .headers
                         .get(HEADERS.request_id)
@@ -31,7 +31,7 @@
                         Some((seconds * 1_000.0) as u64)
                     }),
                 });
-                arrivals.extend(seen);
+                arrivals.extend(worker_arrivals);
             }
         }
         arrivals.sort_by_key(|arrival| arrival.at_ms);
--- a/crates/cranereach-soak/src/check/bounded.rs
+++ b/crates/cranereach-soak/src/check/bounded.rs
@@ -51,14 +51,14 @@
     let departures: Vec<(&str, u64)> = departures.collect();
     let mut finding = Finding::default();
     for (worker_id, at_ms) in departures {
-        let after = judged_arrivals(records, &index)
+        let after_bound = judged_arrivals(records, &index)
             .filter(|(_, arrival)| arrival.at_ms > at_ms + DRAIN_MS);
-        let mut after = after.peekable();
+        let mut after_bound = after_bound.peekable();
         // Without requests of connected gateways, nothing was tested.
-        if after.peek().is_none() {
+        if after_bound.peek().is_none() {
             continue;
         }
-        let late = after.find(|(_, arrival)| arrival.worker_id == worker_id);
+        let late_arrival = after_bound.find(|(_, arrival)| arrival.worker_id == worker_id);
         let message = |(record, arrival): (&RequestRecord, &Arrival)| {
             format!(
                 "{}: sent by gateway {} to {worker_id} {} ms after it announced that it leaves",
@@ -67,7 +67,7 @@
                 arrival.at_ms - at_ms
             )
         };
-        finding.add_trial(late.map(message));
+        finding.add_trial(late_arrival.map(message));
     }
     finding
 }
@@ -122,10 +122,10 @@
         judged_arrivals(records, &index).filter(|(record, _)| record.kind == Kind::Moved);
     for (record, arrival) in moved_arrivals {
         // The last move that must be in force, and all later ones.
-        let settled = moves
+        let oldest_possible = moves
             .iter()
             .rposition(|(_, at_ms)| at_ms + CONFIGURATION_MS < record.sent_ms);
-        let possible_moves = &moves[settled.unwrap_or(0)..];
+        let possible_moves = &moves[oldest_possible.unwrap_or(0)..];
         let is_allowed = possible_moves
             .iter()
             .any(|(service, at_ms)| *service == arrival.service && *at_ms <= arrival.at_ms);
@@ -136,7 +136,7 @@
             )
         };
         // Until a move must be in force, a request to an allowed service doesn't count as a trial.
-        if settled.is_some_and(|settled| settled > 0) || !is_allowed {
+        if oldest_possible.is_some_and(|position| position > 0) || !is_allowed {
             finding.add_trial((!is_allowed).then(message));
         }
     }
@@ -159,19 +159,21 @@
         };
         let is_late =
             |arrival: &Arrival| arrival.at_ms > from_ms + EVACUATION_MS && arrival.at_ms < *to_ms;
-        let mut after = judged_arrivals(records, &index).filter(|(_, arrival)| is_late(arrival));
-        let mut after = after.by_ref().peekable();
-        if after.peek().is_none() {
+        let mut after_bound =
+            judged_arrivals(records, &index).filter(|(_, arrival)| is_late(arrival));
+        let mut after_bound = after_bound.by_ref().peekable();
+        if after_bound.peek().is_none() {
             continue;
         }
-        let late = after.find(|(_, arrival)| arrival.is_run && arrival.domain == *domain);
+        let late_arrival =
+            after_bound.find(|(_, arrival)| arrival.is_run && arrival.domain == *domain);
         let message = |(record, arrival): (&RequestRecord, &Arrival)| {
             format!(
                 "{}: sent by gateway {} to domain {domain} at {} ms, evacuated since {from_ms} ms",
                 record.id, record.gateway, arrival.at_ms
             )
         };
-        finding.add_trial(late.map(message));
+        finding.add_trial(late_arrival.map(message));
     }
     finding
 }
--- a/crates/cranereach-soak/src/check/crash_requests.rs
+++ b/crates/cranereach-soak/src/check/crash_requests.rs
@@ -33,7 +33,7 @@
             && index.is_connected(record.gateway, from_ms, from_ms))
         .then_some(record.gateway)
     };
-    let late: Vec<String> = crash_arrivals
+    let late_sends: Vec<String> = crash_arrivals
         .iter()
         .filter_map(|arrival| {
             let gateway = is_late(&arrival.id)?;
@@ -44,7 +44,7 @@
             ))
         })
         .collect();
-    let is_exceeded = late.len() > LATE_MAX_COUNT;
-    finding.add_trial(is_exceeded.then(|| late.join(", ")));
+    let is_exceeded = late_sends.len() > LATE_MAX_COUNT;
+    finding.add_trial(is_exceeded.then(|| late_sends.join(", ")));
     finding
 }
--- a/crates/cranereach-soak/src/check/notices.rs
+++ b/crates/cranereach-soak/src/check/notices.rs
@@ -48,7 +48,7 @@
             continue;
         };
         for (gateway, informed_ms) in informed_at(records, worker_id, *at_ms) {
-            let late = records.arrivals.iter().find(|arrival| {
+            let late_arrival = records.arrivals.iter().find(|arrival| {
                 let record = index.request_record(&arrival.id);
                 let is_late = record.is_some_and(|record| {
                     record.gateway == gateway && record.sent_ms > informed_ms + DRAIN_MS
@@ -62,7 +62,7 @@
                         *from_ms <= arrival.at_ms && informed_ms <= *to_ms
                     })
             });
-            finding.add_trial(late.map(|late| {
+            finding.add_trial(late_arrival.map(|late| {
                 let after_ms = late.at_ms - informed_ms;
                 format!(
                     "{}: sent to leaving {worker_id} {after_ms} ms after gateway {gateway} knew",
@@ -114,12 +114,12 @@
         if to_ms <= from_ms || !is_judged {
             continue;
         }
-        let during = records.arrivals.iter().filter(|arrival| {
+        let requests_in_rest = records.arrivals.iter().filter(|arrival| {
             (from_ms..to_ms).contains(&arrival.at_ms)
                 && arrival.worker_id == first.worker_id
                 && gateway_of(arrival) == Some(gateway)
         });
-        let count = during.count();
+        let count = requests_in_rest.count();
         finding.add_trial((count > TOLERATED_COUNT).then(|| {
             format!(
                 "{}: {count} requests of gateway {gateway} in a rest of {rest_ms} ms",
--- a/crates/cranereach-soak/src/check/rate_limits.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -89,9 +89,9 @@
         limited.rate_per_s * EXCESS_RATIO * WINDOW_MS as f64 / 1_000.0 + ALLOWANCE_COUNT;
     let window_ends = times.iter().enumerate();
     let window_ends = window_ends.filter(|(_, at_ms)| **at_ms >= limited.from_ms + JUDGED_AFTER_MS);
-    let counts = window_ends.map(|(last, at_ms)| {
-        let first = times.partition_point(|other| other + WINDOW_MS <= *at_ms);
-        last + 1 - first
+    let counts = window_ends.map(|(last_index, at_ms)| {
+        let first_index = times.partition_point(|other| other + WINDOW_MS <= *at_ms);
+        last_index + 1 - first_index
     });
     let worst_count = counts.max().unwrap_or(0);
     (worst_count as f64 > max_count).then(|| {
--- a/crates/cranereach-soak/src/check/recovery.rs
+++ b/crates/cranereach-soak/src/check/recovery.rs
@@ -20,12 +20,12 @@
     };
     let ends = records.troubles.iter().map(|trouble| trouble.to_ms);
     let from_ms = ends.max().unwrap_or(0) + RECOVERY_MS;
-    let late = records
+    let after_bound = records
         .asked
         .iter()
         .filter(|record| record.sent_ms > from_ms && !is_revoked(record.key));
     let (mut served_count, mut total_count) = (0_usize, 0_usize);
-    for record in late {
+    for record in after_bound {
         total_count += 1;
         let is_served =
             matches!(&record.end, End::Answered(answer) if answer.status == 200 && answer.is_whole);
--- a/crates/cranereach-soak/src/check/stop.rs
+++ b/crates/cranereach-soak/src/check/stop.rs
@@ -33,10 +33,10 @@
             continue;
         };
         let until_ms = at_ms + (GRACE_S * 1_000.0) as u64 + 1_000;
-        let during = records.asked.iter().filter(|record| {
+        let during_stop = records.asked.iter().filter(|record| {
             record.gateway == *gateway && record.ended_ms >= *at_ms && record.sent_ms <= until_ms
         });
-        for record in during {
+        for record in during_stop {
             let worker = workers.get(record.id.as_str()).copied();
             // A request may have been open at two stop signals.
             if is_undisturbed(&index, record, worker) && judged.insert(record.id.as_str()) {
--- a/crates/cranereach-soak/src/check/stream_order.rs
+++ b/crates/cranereach-soak/src/check/stream_order.rs
@@ -20,11 +20,11 @@
         if answer.status != 200 {
             continue;
         }
-        let all = content::whole_stream(&record.id);
+        let whole_body = content::whole_stream(&record.id);
         let is_right = if answer.is_whole {
-            answer.body == all
+            answer.body == whole_body
         } else {
-            all.starts_with(&answer.body)
+            whole_body.starts_with(&answer.body)
         };
         let message = || format!("{}: wrong stream body {:?}", record.id, answer.body);
         finding.add_trial((!is_right).then(message));
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -76,10 +76,10 @@
         Fault::StoreLink(mode) => impair_store_links(test_bed, &[target], mode, for_ms).await,
         Fault::CutRegion => {
             let (_domain, region) = DOMAINS[DOMAINS.len() - 1];
-            let cut: Vec<usize> = (0..gateways.len())
+            let cut_gateways: Vec<usize> = (0..gateways.len())
                 .filter(|gateway| gateways::domain_and_region_of(*gateway).1 == region)
                 .collect();
-            impair_store_links(test_bed, &cut, LinkMode::Held, for_ms).await;
+            impair_store_links(test_bed, &cut_gateways, LinkMode::Held, for_ms).await;
         }
         Fault::WorkerLink(mode) => {
             back_ends.set_worker_link(target, mode);
@@ -100,8 +100,8 @@
         Fault::StoreRestored => restore(test_bed, for_ms).await,
         Fault::Worker(behaviour) => impair_workers(test_bed, &[target], behaviour, for_ms).await,
         Fault::ServiceFull => {
-            let all = back_ends.slots_of(target);
-            impair_workers(test_bed, &all, Behaviour::Sheds, for_ms / 2).await;
+            let all_slots = back_ends.slots_of(target);
+            impair_workers(test_bed, &all_slots, Behaviour::Sheds, for_ms / 2).await;
         }
         Fault::WorkerCrashes => {
             back_ends.crash(target, for_ms / 2, journal).await;
--- a/crates/cranereach-soak/src/notices.rs
+++ b/crates/cranereach-soak/src/notices.rs
@@ -63,7 +63,7 @@
 
 /// Makes a worker leave while the store does not answer.
 async fn leave_during_store_outage(test_bed: &TestBed, slot: usize, for_ms: u64) {
-    let silent = Step {
+    let outage = Step {
         at_ms: test_bed.journal.now_ms(),
         fault: Fault::Store(store::Fault::Silent),
         target: 0,
@@ -73,5 +73,5 @@
         pause(LEAVES_AFTER_MS).await;
         test_bed.back_ends.leave(slot, &test_bed.journal).await;
     };
-    tokio::join!(faults::inject(test_bed, silent), leaving);
+    tokio::join!(faults::inject(test_bed, outage), leaving);
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -121,11 +121,11 @@
 /// Prints the latest worker announcements that preceded the last line about the request, as
 /// logged by the same instance. They can explain which worker was chosen, or why none was.
 fn print_worker_states(logs: &Logs, request: &str) {
-    let own = logs
+    let request_lines = logs
         .lines
         .iter()
         .filter(|line| line.request.as_deref() == Some(request));
-    let Some(last) = own.max_by(|left, right| left.ts.cmp(&right.ts)) else {
+    let Some(last) = request_lines.max_by(|left, right| left.ts.cmp(&right.ts)) else {
         return;
     };
     let is_worker_state = |line: &&LogLine| {
@@ -156,15 +156,15 @@
 /// failures put the fingerprint into quarantine.
 fn print_equal_requests(logs: &Logs, request: &str) {
     let is_own = |line: &&LogLine| line.request.as_deref() == Some(request);
-    let own = logs.lines.iter().filter(is_own);
-    let fingerprints: BTreeSet<&str> = own.filter_map(fingerprint).collect();
+    let request_lines = logs.lines.iter().filter(is_own);
+    let fingerprints: BTreeSet<&str> = request_lines.filter_map(fingerprint).collect();
     for wanted in fingerprints {
         println!("Other requests with fingerprint {wanted}:");
-        let equal = logs
+        let equal_lines = logs
             .lines
             .iter()
             .filter(|line| fingerprint(line) == Some(wanted));
-        for line in equal.filter(|line| !is_own(line)) {
+        for line in equal_lines.filter(|line| !is_own(line)) {
             println!(
                 "{} {} {} {}: {}",
                 line.ts,
@@ -223,10 +223,10 @@
 
 /// Formats the fields that aren't common to all lines.
 fn format_fields(fields: &Map<String, Value>) -> String {
-    let own = fields
+    let shown = fields
         .iter()
         .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
-    let formatted: Vec<String> = own
+    let formatted: Vec<String> = shown
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
