--- a/crates/cranereach-entry/src/peers/bodies.rs
+++ b/crates/cranereach-entry/src/peers/bodies.rs
@@ -24,7 +24,7 @@
 /// Time limit of one exchange with a peer, in milliseconds.
 const EXCHANGE_TIMEOUT_MS: u64 = 1_000;
 
-/// Number of peers asked before falling back to the object store.
+/// Maximum number of peers from which a body is requested before the object store is used.
 const MAX_PEERS_ASKED: usize = 3;
 
 /// Serves peers until the process ends.
--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -180,8 +180,8 @@
         Some(worker.clone())
     }
 
-    /// Makes the worker in a slot shed all requests and ask for a rest, a time in which it wants no
-    /// more of them; `None` makes it serve again.
+    /// Makes the worker in a slot shed all requests and ask for a rest by `Retry-After`: a time in
+    /// which it is to get no requests. `None` makes it serve again.
     pub fn set_retry_after(&self, number: usize, rest_ms: Option<u64>) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
             let rest = rest_ms.map(|rest_ms| (rest_ms as f64 / 1_000.0).to_string());
--- a/crates/cranereach-soak/src/check/notices.rs
+++ b/crates/cranereach-soak/src/check/notices.rs
@@ -1,5 +1,6 @@
-//! Checks that a gateway heeds the notices in workers' answers (leaving, asking for a rest) once it
-//! has passed such an answer on, whether it is connected to the store or not.
+//! Checks that a gateway follows the notices in workers' answers (that a worker leaves, or asks for
+//! a rest by `Retry-After`) once it has passed such an answer on, whether it is connected to the
+//! store or not.
 
 use std::collections::HashMap;
 
--- a/crates/cranereach-soak/src/record.rs
+++ b/crates/cranereach-soak/src/record.rs
@@ -98,7 +98,7 @@
     pub at_ms: u64,
     /// Whether the worker ran it.
     pub is_run: bool,
-    /// Rest that the worker asked for when it shed the request.
+    /// Rest that the worker asked for, by `Retry-After`, when it shed the request.
     pub rest_ms: Option<u64>,
 }
 
--- a/crates/cranereach-standin/src/engine/state.rs
+++ b/crates/cranereach-standin/src/engine/state.rs
@@ -70,7 +70,7 @@
     pub delay_order_count: u32,
     /// Delay of delayed orders, in milliseconds.
     pub delay_order_ms: u64,
-    /// Out of every this many orders, one is dropped and one is delayed; zero for none.
+    /// Number of orders out of which one is dropped and another one delayed; zero for none.
     pub lose_one_of_count: u32,
     /// Orders to apply twice.
     pub repeat_order_count: u32,
