--- a/crates/cranereach-soak/src/schedule.rs
+++ b/crates/cranereach-soak/src/schedule.rs
@@ -267,7 +267,7 @@
 
 const LEAVING: FaultKind = &[Fault::WorkerLeaves];
 
-const STORE_LINKS: FaultKind = &[
+const STORE_LINK_FAULTS: FaultKind = &[
     Fault::StoreLink(LinkMode::Cut),
     Fault::StoreLink(LinkMode::Held),
     Fault::StoreLink(LinkMode::OneWay),
@@ -275,7 +275,7 @@
     Fault::CutRegion,
 ];
 
-const STORES: FaultKind = &[
+const STORE_FAULTS: FaultKind = &[
     Fault::Store(store::Fault::Busy),
     Fault::Store(store::Fault::Silent),
     Fault::Store(store::Fault::Slow),
@@ -283,14 +283,14 @@
     Fault::StoreForgets,
 ];
 
-const WORKER_LINKS: FaultKind = &[
+const WORKER_LINK_FAULTS: FaultKind = &[
     Fault::WorkerLink(LinkMode::Cut),
     Fault::WorkerLink(LinkMode::Held),
     Fault::WorkerLink(LinkMode::OneWay),
     Fault::WorkerLink(LinkMode::Slow),
 ];
 
-const WORKERS: FaultKind = &[
+const WORKER_FAULTS: FaultKind = &[
     Fault::Worker(Behaviour::Hangs),
     Fault::Worker(Behaviour::LosesAnswers),
     Fault::Worker(Behaviour::BreaksOff),
@@ -309,10 +309,10 @@
         STOPS,
         OPERATOR_CHANGES,
         LEAVING,
-        STORE_LINKS,
-        STORES,
-        WORKER_LINKS,
-        WORKERS,
+        STORE_LINK_FAULTS,
+        STORE_FAULTS,
+        WORKER_LINK_FAULTS,
+        WORKER_FAULTS,
     ],
     &[
         STOPS,
@@ -320,15 +320,21 @@
         OPERATOR_CHANGES,
         OPERATOR_CHANGES,
         LEAVING,
-        WORKERS,
+        WORKER_FAULTS,
     ],
     &[
         CRASHES,
         STOPS,
-        STORE_LINKS,
-        STORES,
+        STORE_LINK_FAULTS,
+        STORE_FAULTS,
         OPERATOR_CHANGES,
         LEAVING,
     ],
-    &[CRASHES, WORKER_LINKS, WORKERS, WORKERS, LEAVING],
+    &[
+        CRASHES,
+        WORKER_LINK_FAULTS,
+        WORKER_FAULTS,
+        WORKER_FAULTS,
+        LEAVING,
+    ],
 ];
