--- a/crates/cranereach-soak/src/back_ends.rs
+++ b/crates/cranereach-soak/src/back_ends.rs
@@ -48,8 +48,8 @@
 /// Interval of the workers' heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Time after which the store entry of a worker without heartbeats is removed, in milliseconds.
-const ENTRY_EXPIRY_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
+/// Time after which the store row of a worker without heartbeats is removed, in milliseconds.
+const ROW_EXPIRY_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
 
 /// Interval of the checks for workers that ended on their own, in milliseconds.
 const CRASH_CHECK_INTERVAL_MS: u64 = 300;
@@ -57,7 +57,7 @@
 /// Time for which a leaving worker keeps serving after the drain bound, in milliseconds.
 const SERVE_PAST_DRAIN_MS: u64 = 1_500;
 
-/// State of a leaving worker in its store entry.
+/// State of a leaving worker in its store row.
 const LEAVING: &str = "draining";
 
 /// The store, the workers and their links.
@@ -141,7 +141,7 @@
         Ok(back_ends)
     }
 
-    /// Writes the workers' store entries that have changed, as their heartbeats would.
+    /// Writes the workers' store rows that have changed, as their heartbeats would.
     pub fn send_heartbeats(&self) {
         for slot in &self.slots {
             let mut current = lock(&slot.current);
@@ -180,8 +180,8 @@
         Some(worker.clone())
     }
 
-    /// Makes the worker in a slot shed all requests and ask for a rest, a time in which it wants no
-    /// more of them; `None` makes it serve again.
+    /// Makes the worker in a slot shed all requests and ask for a rest by `Retry-After`: a time in
+    /// which it is to get no requests. `None` makes it serve again.
     pub fn set_retry_after(&self, number: usize, rest_ms: Option<u64>) {
         if let Some(running) = lock(&self.slots[number].current).as_ref() {
             let rest = rest_ms.map(|rest_ms| (rest_ms as f64 / 1_000.0).to_string());
@@ -215,7 +215,7 @@
             return;
         };
         running.worker.end();
-        let expires_at = tokio::time::Instant::now() + Duration::from_millis(ENTRY_EXPIRY_MS);
+        let expires_at = tokio::time::Instant::now() + Duration::from_millis(ROW_EXPIRY_MS);
         tokio::time::sleep(Duration::from_millis(down_ms)).await;
         self.start_replacement(slot, journal).await;
         tokio::time::sleep_until(expires_at).await;
@@ -239,7 +239,7 @@
         let ended = lock(&slot.current).take_if(|running| running.worker.has_ended());
         let Some(running) = ended else { return };
         let from_ms = journal.now_ms().saturating_sub(CRASH_CHECK_INTERVAL_MS);
-        tokio::time::sleep(Duration::from_millis(ENTRY_EXPIRY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(ROW_EXPIRY_MS)).await;
         self.store.remove("servers", &running.worker.id);
         self.start_replacement(slot, journal).await;
         journal.record_disturbance(Component::Worker(slot.number), false, from_ms);
@@ -348,7 +348,7 @@
 }
 
 impl RunningWorker {
-    /// Returns the worker's store entry.
+    /// Returns the worker's store row.
     fn row(&self, slot: &WorkerSlot) -> Value {
         let cold = self.cold_until.saturating_duration_since(Instant::now());
         let (domain, _region) = gateways::domain_and_region_of(slot.number);
--- a/crates/cranereach-soak/src/check/rate_limits.rs
+++ b/crates/cranereach-soak/src/check/rate_limits.rs
@@ -24,7 +24,7 @@
 /// milliseconds. Earlier ones may have been in flight.
 const IN_FLIGHT_MS: u64 = 500;
 
-/// Time after the announcement before which no window ends, in milliseconds.
+/// Time after the announcement from which windows are judged, by their ends, in milliseconds.
 const JUDGED_AFTER_MS: u64 = 3_000;
 
 /// A worker and the period in which it announced a limit.
@@ -37,8 +37,8 @@
     to_ms: u64,
 }
 
-/// Judges a sliding window over the requests to each worker that announced a limit. Only requests
-/// count of connected gateways that had already passed on one of its answers with the limit.
+/// Judges a sliding window over the requests to each worker that announced a limit. Counts only
+/// requests of connected gateways that had already passed on one of its answers with the limit.
 pub fn check(records: &Records) -> Finding {
     let index = RecordIndex::new(records);
     let mut finding = Finding::default();
@@ -73,8 +73,8 @@
     let arrivals = records.arrivals.iter();
     let judged = arrivals.filter(|arrival| {
         let at_ms = arrival.at_ms;
-        let is_here = arrival.worker_id == limited.worker_id;
-        is_here
+        let is_at_worker = arrival.worker_id == limited.worker_id;
+        is_at_worker
             && at_ms <= limited.to_ms
             && index.is_settled(Component::Worker(limited.place), at_ms, at_ms, true)
             && index.request_record(&arrival.id).is_some_and(|record| {
@@ -87,11 +87,11 @@
     times.sort_unstable();
     let max_count =
         limited.rate_per_s * EXCESS_RATIO * WINDOW_MS as f64 / 1_000.0 + ALLOWANCE_COUNT;
-    let ends = times.iter().enumerate();
-    let ends = ends.filter(|(_, at_ms)| **at_ms >= limited.from_ms + JUDGED_AFTER_MS);
-    let counts = ends.map(|(last, at_ms)| {
-        let first = times.partition_point(|other| other + WINDOW_MS <= *at_ms);
-        last + 1 - first
+    let window_ends = times.iter().enumerate();
+    let window_ends = window_ends.filter(|(_, at_ms)| **at_ms >= limited.from_ms + JUDGED_AFTER_MS);
+    let counts = window_ends.map(|(last_index, at_ms)| {
+        let first_index = times.partition_point(|other| other + WINDOW_MS <= *at_ms);
+        last_index + 1 - first_index
     });
     let worst_count = counts.max().unwrap_or(0);
     (worst_count as f64 > max_count).then(|| {
--- a/crates/cranereach-soak/src/faults.rs
+++ b/crates/cranereach-soak/src/faults.rs
@@ -21,7 +21,7 @@
 /// Pause between a planned stop and the restart, in milliseconds.
 const RESTART_DELAY_MS: u64 = 300;
 
-/// Time for which the store is silent before it is restored from a backup, in milliseconds.
+/// Time for which the store answers nothing before it is restored from a backup, in milliseconds.
 const RESTORE_DOWNTIME_MS: u64 = 700;
 
 /// Time after a restore at which the lost rows are written again, in milliseconds.
@@ -76,10 +76,10 @@
         Fault::StoreLink(mode) => impair_store_links(test_bed, &[target], mode, for_ms).await,
         Fault::CutRegion => {
             let (_domain, region) = DOMAINS[DOMAINS.len() - 1];
-            let cut: Vec<usize> = (0..gateways.len())
+            let cut_gateways: Vec<usize> = (0..gateways.len())
                 .filter(|gateway| gateways::domain_and_region_of(*gateway).1 == region)
                 .collect();
-            impair_store_links(test_bed, &cut, LinkMode::Held, for_ms).await;
+            impair_store_links(test_bed, &cut_gateways, LinkMode::Held, for_ms).await;
         }
         Fault::WorkerLink(mode) => {
             back_ends.set_worker_link(target, mode);
@@ -100,8 +100,8 @@
         Fault::StoreRestored => restore(test_bed, for_ms).await,
         Fault::Worker(behaviour) => impair_workers(test_bed, &[target], behaviour, for_ms).await,
         Fault::ServiceFull => {
-            let all = back_ends.slots_of(target);
-            impair_workers(test_bed, &all, Behaviour::Sheds, for_ms / 2).await;
+            let all_slots = back_ends.slots_of(target);
+            impair_workers(test_bed, &all_slots, Behaviour::Sheds, for_ms / 2).await;
         }
         Fault::WorkerCrashes => {
             back_ends.crash(target, for_ms / 2, journal).await;
@@ -118,8 +118,8 @@
     }
 }
 
-/// Restores the store from a backup that is `age_ms` old, after a short silence. The operator and
-/// the workers write the lost rows again some time later.
+/// Restores the store from a backup that is `age_ms` old, after a short time in which it answers
+/// nothing. The operator and the workers write the lost rows again some time later.
 async fn restore(test_bed: &TestBed, age_ms: u64) {
     let store = &test_bed.back_ends.store;
     let backup_version = store.version();
@@ -158,9 +158,9 @@
 
 /// Revokes a key.
 fn revoke(test_bed: &TestBed, key: usize) {
-    let was_in_force = test_bed.back_ends.revoke(key);
+    let was_valid = test_bed.back_ends.revoke(key);
     let at_ms = test_bed.journal.now_ms();
-    if was_in_force {
+    if was_valid {
         test_bed.journal.record_event(Event::Revoked { key, at_ms });
     }
 }
@@ -207,7 +207,7 @@
 /// Restarts a gateway that has ended.
 async fn restart(gateway: &Gateway) {
     if let Err(error) = gateway.start().await {
-        // The process watch records it as one that exited on its own.
+        // The watcher of the processes records it as one that exited on its own.
         eprintln!("{error}");
     }
 }
@@ -221,8 +221,10 @@
     pause(for_ms).await;
     for gateway in gateways {
         test_bed.back_ends.store_links[*gateway].set(LinkMode::Open);
-        let whom = Component::Gateway(*gateway);
-        test_bed.journal.record_disturbance(whom, false, from_ms);
+        let component = Component::Gateway(*gateway);
+        test_bed
+            .journal
+            .record_disturbance(component, false, from_ms);
     }
 }
 
