--- a/crates/cranereach-fleet/src/freshness.rs
+++ b/crates/cranereach-fleet/src/freshness.rs
@@ -28,12 +28,12 @@
 /// in milliseconds.
 ///
 /// ```
-/// use cranereach_fleet::freshness::told_at_ms;
+/// use cranereach_fleet::freshness::reported_as_of_ms;
 ///
-/// assert!(told_at_ms(5_000, 300) < 4_700);
-/// assert_eq!(told_at_ms(5_000, u64::MAX), 0);
+/// assert!(reported_as_of_ms(5_000, 300) < 4_700);
+/// assert_eq!(reported_as_of_ms(5_000, u64::MAX), 0);
 /// ```
-pub fn told_at_ms(now_ms: u64, age_ms: u64) -> u64 {
+pub fn reported_as_of_ms(now_ms: u64, age_ms: u64) -> u64 {
     now_ms.saturating_sub(age_ms.saturating_add(TRANSIT_MS))
 }
 
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -25,7 +25,7 @@
 use crate::store::StoreError;
 use crate::store_backoff;
 use crate::store_era;
-use cranereach_fleet::freshness::told_at_ms;
+use cranereach_fleet::freshness::reported_as_of_ms;
 use cranereach_fleet::listing::ChangedRow;
 use cranereach_fleet::listing::Span;
 use cranereach_fleet::listing::Verdict;
@@ -120,7 +120,7 @@
 /// Applies list changes sent by a peer. Missing changes are fetched from that peer.
 pub fn take_message(node: &Arc<Node>, sender: Ipv4Addr, message: &ListMessage) {
     node.peers().note_list_advertised(sender, message.position);
-    let as_of_ms = told_at_ms(node.now_ms(), message.age_ms);
+    let as_of_ms = reported_as_of_ms(node.now_ms(), message.age_ms);
     let verdict = take_changes(node, sender, as_of_ms, message);
     // An instance without any list obtains one in `run`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
@@ -160,7 +160,7 @@
 
 /// Applies a peer's statement that the list at a position was complete `age_ms` ago.
 pub fn take_age(node: &Node, position: StorePosition, age_ms: u64) {
-    let as_of_ms = told_at_ms(node.now_ms(), age_ms);
+    let as_of_ms = reported_as_of_ms(node.now_ms(), age_ms);
     let is_fresher = lock(&node.list).is_older_than(as_of_ms);
     if !position.is_none() && position == node.list_position() && is_fresher {
         apply(node, as_of_ms, position, &[]);
--- a/crates/cranereach-soak/src/callers.rs
+++ b/crates/cranereach-soak/src/callers.rs
@@ -27,7 +27,7 @@
 use crate::record::RequestRecord;
 use crate::schedule::KEYS;
 use cranereach_platform::requests::HEADERS;
-use cranereach_platform::standin::content::SIGNATURE;
+use cranereach_platform::standin::content::SIGNATURE_HEADER;
 use cranereach_platform::standin::declared::HOST;
 use cranereach_platform::standin::declared::MODELS;
 
@@ -234,7 +234,7 @@
         status: head.status.as_u16(),
         is_whole,
         request: header(HEADERS.request_id).unwrap_or_default(),
-        signature: header(SIGNATURE),
+        signature: header(SIGNATURE_HEADER),
         body: String::from_utf8_lossy(&body).into_owned(),
     }
 }
