--- a/crates/cranereach-fleet/src/worker/limit.rs
+++ b/crates/cranereach-fleet/src/worker/limit.rs
@@ -8,8 +8,8 @@
 use crate::send_grants::AskPause;
 
 impl Worker {
-    /// Whether a request may be sent to the worker as far as grants go, be it after asking its
-    /// owner for one.
+    /// Whether grants allow a request to be sent to the worker, at once or after its owner has been
+    /// asked for one.
     pub(crate) fn may_ask(&self, now_ms: u64, request: &RoutingRequest<'_>) -> bool {
         let was_refused_cold = self.coldness.is_cold(now_ms) && self.ask_pause.was_refused();
         let needs_grant = was_refused_cold || self.limit.rate_per_s(now_ms).is_some();
@@ -25,12 +25,12 @@
     /// changed. See [`crate::named_limit::NamedLimit::observe`].
     pub fn note_limit_answered(
         &mut self,
-        said: NamedRate,
+        named: NamedRate,
         may_end: bool,
-        asked_ms: u64,
+        sent_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let has_changed = self.limit.observe(said, may_end, asked_ms, now_ms);
+        let has_changed = self.limit.observe(named, may_end, sent_ms, now_ms);
         if has_changed {
             self.ask_pause = AskPause::default();
         }
--- a/crates/cranereach-gateway/src/account_limits.rs
+++ b/crates/cranereach-gateway/src/account_limits.rs
@@ -37,8 +37,8 @@
 /// milliseconds: twice the time in which all instances have come to know each other.
 const STARTUP_PERIOD_MS: u64 = 2 * SETTLING_MS;
 
-/// Pause before owners that did not answer are asked again, in milliseconds. It spans some rounds
-/// of digests while all instances are starting.
+/// Pause before owners that did not answer are asked again, in milliseconds. It spans several
+/// rounds of digests while all instances are starting.
 const RETRY_DELAY_MS: u64 = 60;
 
 /// Smallest amount that is worth a message back to an owner, in units of the limit.
@@ -61,7 +61,7 @@
 }
 
 impl Charge {
-    /// Returns the charged units of a request that did not run.
+    /// Gives back the charged units of a request that did not run.
     pub fn give_back(self, node: &Node) {
         give_back(node, self.account, self.units);
     }
@@ -86,7 +86,7 @@
         units: cost,
     };
     let tolerance = node.settings.bounds.tolerance();
-    let decision = lock(&node.uses).decide(node.now_ms(), key, limit, &tolerance, cost);
+    let decision = lock(&node.account_usages).decide(node.now_ms(), key, limit, &tolerance, cost);
     let (request, held) = match decision {
         Decision::Paid => return Ok(charge),
         Decision::Beyond(wait_ms) => return Err(Denied::Beyond(wait_ms)),
@@ -106,19 +106,20 @@
     match grant {
         Some(Grant::Units(units)) => {
             reserved.units = 0.0;
-            lock(&node.uses).granted(now_ms, key, held + units, cost);
+            lock(&node.account_usages).granted(now_ms, key, held + units, cost);
             Ok(charge)
         }
         Some(Grant::After(wait_ms)) => {
-            lock(&node.uses).refused(now_ms, key, wait_ms);
+            lock(&node.account_usages).refused(now_ms, key, wait_ms);
             Err(Denied::Beyond(wait_ms))
         }
-        None if lock(&node.uses).may_run_without_owner(now_ms, key, cost) => Ok(charge),
+        None if lock(&node.account_usages).may_run_without_owner(now_ms, key, cost) => Ok(charge),
         None => Err(Denied::Unknown),
     }
 }
 
-/// Units reserved for a request. Unused units are returned on drop, also if the caller disconnects.
+/// Units reserved for a request. Unused units are given back on drop, also if the caller
+/// disconnects.
 struct ReservedUnits<'a> {
     node: &'a Node,
     account: u64,
@@ -133,12 +134,12 @@
     }
 }
 
-/// Returns unused units. What this instance may not keep goes to the owner of a part of the limit.
-/// A lost message can only reduce the account's units, never add any.
+/// Gives back unused units. What this instance may not keep goes to the owner of a part of the
+/// limit. A lost message can only reduce the account's units, never add any.
 fn give_back(node: &Node, account: u64, units: f64) {
     let now_ms = node.now_ms();
     let tolerance = node.settings.bounds.tolerance();
-    let surplus = lock(&node.uses).give_back(now_ms, account, &tolerance, units);
+    let surplus = lock(&node.account_usages).give_back(now_ms, account, &tolerance, units);
     let limit = limit_of(node, account).filter(|_| surplus >= MIN_RETURNED_UNITS);
     let Some(limit) = limit else {
         return;
@@ -185,7 +186,7 @@
 async fn ask(node: &Node, account: u64, limit: Limit, request: UnitRequest) -> Option<Grant> {
     let part_count = node.settings.bounds.tolerance().part_count(limit);
     let first_part: u32 = rand::random();
-    let mut shortest_ms: Option<u64> = None;
+    let mut shortest_wait_ms: Option<u64> = None;
     let mut refused_count = 0;
     for try_number in 0..OWNER_TRY_MAX_COUNT {
         let part = first_part.wrapping_add(try_number) % part_count;
@@ -194,7 +195,8 @@
             Some(Grant::Units(units)) => return Some(Grant::Units(units)),
             Some(Grant::After(wait_ms)) => {
                 refused_count += 1;
-                shortest_ms = Some(shortest_ms.map_or(wait_ms, |known_ms| known_ms.min(wait_ms)));
+                shortest_wait_ms =
+                    Some(shortest_wait_ms.map_or(wait_ms, |known_ms| known_ms.min(wait_ms)));
             }
             None => {}
         }
@@ -202,7 +204,7 @@
             break;
         }
     }
-    shortest_ms.map(Grant::After)
+    shortest_wait_ms.map(Grant::After)
 }
 
 /// Asks the owner of one part. Returns `None` if it does not answer.
--- a/crates/cranereach-gateway/src/forward/mod.rs
+++ b/crates/cranereach-gateway/src/forward/mod.rs
@@ -141,11 +141,11 @@
     result
 }
 
-/// Refuses a call that is quarantined: workers ended in a row under requests with its
-/// fingerprint.
+/// Refuses a call that is quarantined: workers ended, one after another, while they ran requests
+/// with its fingerprint.
 fn quarantined(node: &Node, call: &Call) -> Refusal {
     let mut refusal = Refusal::new(ResultCode::Quarantined, &call.id);
-    refusal.detail = quarantine::refused(node, call);
+    refusal.detail = quarantine::record_refusal(node, call);
     refusal.fingerprint = Some(call.fingerprint(node));
     refusal.route = Some(Arc::clone(&call.route.name));
     refusal
--- a/crates/cranereach-gateway/src/peers/selection.rs
+++ b/crates/cranereach-gateway/src/peers/selection.rs
@@ -16,35 +16,35 @@
 
 /// Maximum number of peers that one round of digests goes to, apart from those that need it at
 /// once. News that each instance passes to six others reaches nearly all of 1,000 in some six
-/// rounds (`tests/spreading.rs`).
+/// rounds (`tests/gossip_spread.rs`).
 pub const FAN_OUT_COUNT: usize = 6;
 
 /// Number of them in this instance's failure domain, where traffic is free.
 const OWN_DOMAIN_FAN_OUT_COUNT: usize = 4;
 
-/// Additional peers of other failure domains in a slow round: so many of this region and, in
-/// every second slow round, of other regions.
+/// Number of additional peers of other failure domains in a slow round: this many of this region
+/// and, in every second slow round, as many of other regions.
 const SLOW_ROUND_FAR_COUNT: usize = 1;
 
 /// Time for which every round also goes to the relays of other failure domains after news, in
 /// milliseconds: three rounds, since one datagram may be lost.
 const UPDATE_RELAY_FOR_MS: u64 = 700;
 
-/// Silent peers that a slow round retries.
+/// Number of silent peers that a slow round retries.
 const SILENT_RETRY_COUNT: usize = 1;
 
 /// Number of candidates per lease that its holder sends every digest to.
 const LEASE_CANDIDATE_COUNT: usize = 3;
 
-/// Peers of this failure domain that list changes are forwarded to. A peer that none of them
-/// reaches is behind, and is brought up to date after its next digest.
+/// Number of peers of this failure domain that list changes are forwarded to. A peer that the
+/// changes do not reach is brought up to date after its next digest.
 const LIST_OWN_DOMAIN_FAN_OUT_COUNT: usize = 3;
 
-/// Peers of this failure domain that one round of proof questions goes to.
+/// Number of peers of this failure domain that one round of proof questions goes to.
 const PROOF_OWN_DOMAIN_COUNT: usize = 1;
 
-/// Peers of other failure domains that it also goes to: the instances that watch the store may
-/// all be in another domain.
+/// Number of peers of other failure domains that it also goes to: the instances that watch the
+/// store may all be in another domain.
 const PROOF_OTHER_DOMAIN_COUNT: usize = 1;
 
 /// Share of the rounds in which that peer is of another region: the instances that watch the
@@ -106,7 +106,7 @@
             holder: Holder::Nobody,
             is_domain_relay: self.is_domain_relay,
             rank_in_domain: self.rank_in_domain(now_ms, purpose),
-            chance: self.chance,
+            chance: self.jitter_ratio,
         }
     }
 
@@ -114,7 +114,7 @@
     /// spread when all instances may have to read.
     pub fn read_spread_ms(&self) -> u64 {
         let longest_ms = SPREAD_PER_INSTANCE_MS * self.members.known_count() as u64;
-        (longest_ms as f64 * self.chance) as u64
+        (longest_ms as f64 * self.jitter_ratio) as u64
     }
 
     /// Selects the recipients of worker list changes that came from `origin`.
--- a/crates/cranereach-gateway/src/roster_sync.rs
+++ b/crates/cranereach-gateway/src/roster_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps the list of workers current, from reads of the store and from peers' messages.
 //!
-//! A [`ListSourceSelector`] decides when this instance has to read, and from where. Each read's changes are
-//! sent to all peers at once, so that normally one instance reads on behalf of all.
+//! A [`ListSourceSelector`] decides when this instance has to read, and from where. Each read's
+//! changes are sent to all peers at once, so that normally one instance reads on behalf of all.
 
 mod row_effects;
 
@@ -25,7 +25,7 @@
 use crate::store::StoreError;
 use crate::store_backoff;
 use crate::store_era;
-use cranereach_fleet::freshness::told_at_ms;
+use cranereach_fleet::freshness::reported_as_of_ms;
 use cranereach_fleet::listing::ChangedRow;
 use cranereach_fleet::listing::Span;
 use cranereach_fleet::listing::Verdict;
@@ -120,7 +120,7 @@
 /// Applies list changes sent by a peer. Missing changes are fetched from that peer.
 pub fn take_message(node: &Arc<Node>, sender: Ipv4Addr, message: &ListMessage) {
     node.peers().note_list_advertised(sender, message.position);
-    let as_of_ms = told_at_ms(node.now_ms(), message.age_ms);
+    let as_of_ms = reported_as_of_ms(node.now_ms(), message.age_ms);
     let verdict = take_changes(node, sender, as_of_ms, message);
     // An instance without any list obtains one in `run`.
     if verdict == Verdict::Gap && !node.list_position().is_none() {
@@ -160,7 +160,7 @@
 
 /// Applies a peer's statement that the list at a position was complete `age_ms` ago.
 pub fn take_age(node: &Node, position: StorePosition, age_ms: u64) {
-    let as_of_ms = told_at_ms(node.now_ms(), age_ms);
+    let as_of_ms = reported_as_of_ms(node.now_ms(), age_ms);
     let is_fresher = lock(&node.list).is_older_than(as_of_ms);
     if !position.is_none() && position == node.list_position() && is_fresher {
         apply(node, as_of_ms, position, &[]);
@@ -245,7 +245,7 @@
 /// none.
 fn confirm_list(node: &Node, now_ms: u64, as_of_ms: u64, position: StorePosition) -> Option<u64> {
     if position.era < node.store.eras().newest() {
-        // The list was in transit when the store was restored from a copy, so newer rows may be
+        // The list was in transit when the store was restored from a backup, so newer rows may be
         // missing.
         return None;
     }
--- a/crates/cranereach-gateway/src/worker_headers.rs
+++ b/crates/cranereach-gateway/src/worker_headers.rs
@@ -49,7 +49,7 @@
     /// Requests per second that the worker accepts.
     pub limit: named_limit::NamedRate,
     /// Whether the worker is leaving.
-    pub leaving: departure::Said,
+    pub leaving: departure::DepartureNotice,
     /// Time for which the worker asks for no requests.
     pub rest: rest::RestRequest,
     /// Time for which the idle connection may be kept, in milliseconds; `None` if it closes.
@@ -64,10 +64,11 @@
         (status, headers): (StatusCode, &HeaderMap),
     ) -> Self {
         let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        let author = headers.get(names.answered_by);
-        let is_other_worker = author.is_some_and(|author| author.as_bytes() != worker.as_bytes());
+        let responder = headers.get(names.answered_by);
+        let is_other_worker =
+            responder.is_some_and(|responder| responder.as_bytes() != worker.as_bytes());
         let load = headers.get(names.load).map(parse_load);
-        // With other status codes the header is meant for the caller, or for one account.
+        // With other status codes, Retry-After is meant for the caller or for one account.
         let rest = match status {
             StatusCode::SERVICE_UNAVAILABLE => rest::read(values(headers, RETRY_AFTER_HEADER)),
             _ => rest::RestRequest::Nothing,
@@ -100,7 +101,7 @@
     }
     unknown_headers::record(node, &permit.worker, head);
     record_unreadable(node, &permit.worker, &worker_headers);
-    if worker_headers.leaving == departure::Said::Leaves {
+    if worker_headers.leaving == departure::DepartureNotice::Leaves {
         departures::record_announcement(node, permit);
     }
     // Of an earlier incarnation only its departure matters, because its row may come back.
@@ -149,7 +150,7 @@
             names.limit,
         ),
         (
-            worker_headers.leaving == departure::Said::Unreadable,
+            worker_headers.leaving == departure::DepartureNotice::Unreadable,
             "leaving",
             names.leaving,
         ),
--- a/crates/cranereach-soak/src/check/notices.rs
+++ b/crates/cranereach-soak/src/check/notices.rs
@@ -1,5 +1,6 @@
-//! Checks that a gateway heeds the notices in workers' answers (leaving, asking for a rest) once it
-//! has passed such an answer on, whether it is connected to the store or not.
+//! Checks that a gateway follows the notices in workers' answers (that a worker leaves, or asks for
+//! a rest by `Retry-After`) once it has passed such an answer on, whether it is connected to the
+//! store or not.
 
 use std::collections::HashMap;
 
@@ -48,7 +49,7 @@
             continue;
         };
         for (gateway, informed_ms) in informed_at(records, worker_id, *at_ms) {
-            let late = records.arrivals.iter().find(|arrival| {
+            let late_arrival = records.arrivals.iter().find(|arrival| {
                 let record = index.request_record(&arrival.id);
                 let is_late = record.is_some_and(|record| {
                     record.gateway == gateway && record.sent_ms > informed_ms + DRAIN_MS
@@ -62,7 +63,7 @@
                         *from_ms <= arrival.at_ms && informed_ms <= *to_ms
                     })
             });
-            finding.add_trial(late.map(|late| {
+            finding.add_trial(late_arrival.map(|late| {
                 let after_ms = late.at_ms - informed_ms;
                 format!(
                     "{}: sent to leaving {worker_id} {after_ms} ms after gateway {gateway} knew",
@@ -78,7 +79,11 @@
 fn informed_at(records: &Records, worker_id: &str, leaves_ms: u64) -> HashMap<usize, u64> {
     let expected = signature(worker_id);
     let mut informed_at: HashMap<usize, u64> = HashMap::new();
-    for record in records.asked.iter().filter(|of| of.sent_ms >= leaves_ms) {
+    for record in records
+        .asked
+        .iter()
+        .filter(|request| request.sent_ms >= leaves_ms)
+    {
         let End::Answered(answer) = &record.end else {
             continue;
         };
@@ -110,12 +115,12 @@
         if to_ms <= from_ms || !is_judged {
             continue;
         }
-        let during = records.arrivals.iter().filter(|arrival| {
+        let requests_in_rest = records.arrivals.iter().filter(|arrival| {
             (from_ms..to_ms).contains(&arrival.at_ms)
                 && arrival.worker_id == first.worker_id
                 && gateway_of(arrival) == Some(gateway)
         });
-        let count = during.count();
+        let count = requests_in_rest.count();
         finding.add_trial((count > TOLERATED_COUNT).then(|| {
             format!(
                 "{}: {count} requests of gateway {gateway} in a rest of {rest_ms} ms",
--- a/crates/cranereach-soak/src/check/recovery.rs
+++ b/crates/cranereach-soak/src/check/recovery.rs
@@ -20,12 +20,12 @@
     };
     let ends = records.troubles.iter().map(|trouble| trouble.to_ms);
     let from_ms = ends.max().unwrap_or(0) + RECOVERY_MS;
-    let late = records
+    let after_bound = records
         .asked
         .iter()
         .filter(|record| record.sent_ms > from_ms && !is_revoked(record.key));
     let (mut served_count, mut total_count) = (0_usize, 0_usize);
-    for record in late {
+    for record in after_bound {
         total_count += 1;
         let is_served =
             matches!(&record.end, End::Answered(answer) if answer.status == 200 && answer.is_whole);
@@ -35,8 +35,8 @@
         tried_count: total_count,
         violations: Vec::new(),
     };
-    let nobody_asked = total_count == 0 && records.end_ms > from_ms;
-    if nobody_asked || (served_count as f64) < SERVED_SHARE * total_count as f64 {
+    let has_no_requests = total_count == 0 && records.end_ms > from_ms;
+    if has_no_requests || (served_count as f64) < SERVED_SHARE * total_count as f64 {
         finding.violations.push(format!(
             "only {served_count} of {total_count} requests after {from_ms} ms were served"
         ));
